--- a/crates/scheduler/src/shard/service/tests.rs
+++ b/crates/scheduler/src/shard/service/tests.rs
@@ -15,3 +15,10 @@
     let mut seldom = Arrivals::default();
     assert!((0..40).all(|i| seldom.take(f64::from(i) * 7.0) == 0.0), "a job now and then");
 }
+
+/// Golden keys of the accounts: another version must find them under the same names.
+#[test]
+fn keys_of_the_accounts() {
+    assert_eq!(part_key(1, 2), "ckpt/a/1/2");
+    assert_eq!(part_key(0, 0), "ckpt/a/0/0");
+}
--- a/src/node/cell_exchange/mod.rs
+++ b/src/node/cell_exchange/mod.rs
@@ -6,6 +6,8 @@
 mod plan;
 mod shares;
 mod spill;
+#[cfg(test)]
+mod tests;
 
 use super::*;
 use crate::shard::limits;
--- /dev/null
+++ b/tests/golden/messages.rs
@@ -0,0 +1,239 @@
+//! Messages of users, workers, the cloud and the state service.
+
+use crate::{Samples, as_sent, sent_and_received};
+use lupinspur::wire::*;
+use lupinspur_elastic::Sizes;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+const SAMPLES: Samples = Samples(include_str!("messages.txt"));
+
+/// The value must be written as the sample, and the sample must be read and written again.
+fn same<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
+    sent_and_received(&SAMPLES, name, value);
+}
+
+/// A submission in which nothing is left out.
+pub fn submission_with_all_fields() -> JobRequest {
+    JobRequest {
+        id: "req-000412".into(),
+        class: "train".into(),
+        team: "vision".into(),
+        kind: Kind::Array,
+        priority: Priority::High,
+        tasks: 16,
+        cpus: 8.0,
+        cards: 1.0,
+        memory_gb: 64.0,
+        types: Some(vec!["g8".into()]),
+        zone: Some("a".into()),
+        one_zone: true,
+        spread: false,
+        spot: true,
+        image: Some("img-07".into()),
+        image_gb: 6.2,
+        estimate_s: 240.0,
+        checkpoint_s: 30.0,
+        save_s: 4.0,
+        deadline_s: Some(900.0),
+        needs: Some(vec!["req-000398".into()]),
+        elastic: Some(Sizes { smallest: 2, largest: 12 }),
+    }
+}
+
+/// A submission without all that may be left out.
+pub fn submission_with_least_fields() -> JobRequest {
+    let all = submission_with_all_fields();
+    let (types, zone, image, deadline_s, needs, elastic) = (None, None, None, None, None, None);
+    let (kind, one_zone, spread) = (Kind::Service, false, true);
+    JobRequest { kind, one_zone, spread, types, zone, image, deadline_s, needs, elastic, ..all }
+}
+
+pub fn machine_type() -> MachineType {
+    MachineType {
+        name: "g8".into(),
+        cpus: 96.0,
+        cards: 8.0,
+        memory_gb: 768.0,
+        cache_gb: 200.0,
+        fetch_gb_per_s: 1.5,
+        price: 12.0,
+        spot_price: 4.5,
+        boot_s: 45.0,
+        zones: vec!["a".into(), "b".into()],
+    }
+}
+
+#[test]
+fn submission() {
+    same("submission", &submission_with_all_fields());
+    same("submission_least", &submission_with_least_fields());
+}
+
+/// A field that may be null may also be missing.
+#[test]
+fn submission_with_fields_left_out() {
+    let read: JobRequest = serde_json::from_str(SAMPLES.named("submission_fields_left_out")).expect("read");
+    assert_eq!(as_sent(&read), as_sent(&submission_with_least_fields()));
+}
+
+#[test]
+fn words_of_submissions() {
+    same("job_kinds", &vec![Kind::Array, Kind::Service]);
+    same("job_priorities", &vec![Priority::Production, Priority::High, Priority::Normal, Priority::Low]);
+    let states = [JobState::Queued, JobState::Running, JobState::Done, JobState::Cancelled];
+    same("job_states", &states.to_vec());
+    for state in states {
+        assert_eq!(as_sent(&state), format!("{:?}", state.as_str()));
+        assert_eq!(JobState::parse(state.as_str()), Some(state));
+    }
+}
+
+#[test]
+fn status_answer() {
+    let full = JobAnswer { id: "req-000412", state: JobState::Running, done: Some(3), running: Some(13) };
+    assert_eq!(as_sent(&full), SAMPLES.named("status_answer"));
+    let short = JobAnswer { id: "req-000412", state: JobState::Queued, done: None, running: None };
+    assert_eq!(as_sent(&short), SAMPLES.named("submission_answer"));
+    assert_eq!(as_sent(&ErrorAnswer { error: "unknown team" }), SAMPLES.named("error_answer"));
+}
+
+#[test]
+fn heartbeat() {
+    let task = |task: &str, attempt, state, why, saved| TaskReport { task: task.into(), attempt, state, why, saved };
+    let report = Report {
+        machine: "host-000231".into(),
+        addr: "10.1.0.232:9000".into(),
+        type_name: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        session: 3,
+        seq: 88,
+        token: 41,
+        notice_s: Some(25.5),
+        tasks: vec![
+            task("req-000412/3", 2, TaskState::Running, None, None),
+            task("req-000398/0", 1, TaskState::Exited, Some(Why::Stopped), Some(true)),
+        ],
+    };
+    same("heartbeat", &report);
+    same("heartbeat_least", &Report { notice_s: None, tasks: Vec::new(), ..report });
+}
+
+#[test]
+fn words_of_heartbeats() {
+    same("task_states", &vec![TaskState::Fetching, TaskState::Running, TaskState::Saving, TaskState::Exited]);
+    same("exit_reasons", &vec![Why::Done, Why::Stopped, Why::Error, Why::NoRoom, Why::Busy, Why::Unknown]);
+    let later: TaskState = serde_json::from_str(r#""word of a later version""#).expect("read");
+    assert_eq!(later, TaskState::Waiting);
+    let later: Why = serde_json::from_str(r#""word of a later version""#).expect("read");
+    assert_eq!(later, Why::Other);
+}
+
+fn commands() -> Vec<Command> {
+    let command = |op, task: &str, attempt, grace_s| Command { op, task: task.into(), attempt, grace_s };
+    vec![
+        command(Op::Start, "req-000412/4", 2, None),
+        command(Op::Stop, "req-000377/1", 1, Some(10.0)),
+        command(Op::Forget, "req-000398/0", 3, None),
+    ]
+}
+
+#[test]
+fn heartbeat_reply() {
+    same("heartbeat_reply", &ReportReply { token: 41, commands: commands() });
+    same("redirect", &Redirect { report_to: Some("sprig-2".into()) });
+    same("redirect_to_nobody", &Redirect { report_to: None });
+}
+
+#[test]
+fn pushed_commands() {
+    same("pushed_commands", &DirectCommands { token: 41, session: 3, commands: commands() });
+}
+
+#[test]
+fn cloud_types() {
+    same("cloud_types", &Types { types: vec![machine_type()] });
+}
+
+#[test]
+fn cloud_rental() {
+    let request =
+        RentRequest { request: "r-17".into(), type_name: "g8".into(), zone: "a".into(), spot: true, count: 12 };
+    same("cloud_rental", &request);
+}
+
+/// The answer to a rental, and the body of a deletion.
+#[test]
+fn cloud_machine_names() {
+    let names = MachineNames { machines: vec!["host-000231".into(), "host-000232".into()] };
+    same("cloud_machine_names", &names);
+}
+
+#[test]
+fn cloud_machine_list() {
+    let machine = |id: &str, state| ListedMachine {
+        id: id.into(),
+        addr: "10.1.0.232:9000".into(),
+        type_name: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        state,
+        age_s: 61.5,
+    };
+    let machines = vec![
+        machine("host-000231", ListedState::Running),
+        machine("host-000232", ListedState::Booting),
+        machine("host-000233", ListedState::Failed),
+    ];
+    same("cloud_machine_list", &MachineList { machines, more: true });
+    let read: MachineList = serde_json::from_str(SAMPLES.named("cloud_machine_list_least")).expect("read");
+    let least = &read.machines[0];
+    assert_eq!((least.addr.as_str(), least.state, least.age_s), ("", ListedState::Other, 0.0));
+    assert!(!read.more);
+}
+
+fn item(lease: Option<u64>) -> Item {
+    Item { key: "job/req-1".into(), value: serde_json::json!({"a": [1, null]}), version: 412, lease }
+}
+
+#[test]
+fn state_value_and_list() {
+    same("state_value", &item(Some(7)));
+    same("state_value_without_lease", &item(None));
+    same("state_list", &Items { items: vec![item(Some(7)), item(None)], more: true, revision: 431 });
+}
+
+#[test]
+fn state_commit() {
+    let put = |key: &str, lease| Change::Put { key: key.into(), value: serde_json::json!({"node": "n"}), lease };
+    let changes = vec![put("own/0", Some(7)), put("job/req-1", None), Change::Delete { key: "rack/3".into() }];
+    let conditions = vec![Condition { key: "own/0".into(), version: 41 }];
+    same("state_commit", &Txn { conditions, changes });
+    same("state_commit_compares_only", &Txn { conditions: Vec::new(), changes: Vec::new() });
+}
+
+#[test]
+fn state_commit_answer() {
+    same("state_commit_applied", &Revision { revision: 432, failed: Vec::new() });
+    same("state_commit_failed", &Revision { revision: 431, failed: vec!["own/0".into()] });
+}
+
+#[test]
+fn state_lease() {
+    same("state_lease_request", &LeaseRequest { ttl_ms: 5000 });
+    same("state_lease_answer", &LeaseAnswer { lease: 7 });
+}
+
+#[test]
+fn state_watch() {
+    let put = Event {
+        put: Some("job/req-1".into()),
+        delete: None,
+        value: Some(serde_json::json!({"phase": "open"})),
+        version: 433,
+    };
+    let delete = Event { put: None, delete: Some("rack/3".into()), value: None, version: 432 };
+    same("state_watch", &Events { revision: 433, events: vec![put, delete] });
+    same("state_watch_nothing", &Events { revision: 433, events: Vec::new() });
+}
--- /dev/null
+++ b/tests/golden/reports.rs
@@ -0,0 +1,73 @@
+//! What controllers answer to operators, and to each other, as JSON inside a gRPC answer.
+
+use crate::{Samples, sent_and_received};
+use lupinspur::shard::{ElasticReport, QuotaReport, QuotaRow};
+use lupinspur_accounts::gate::LOG_MARK;
+use lupinspur_accounts::{READINGS, Reading, Row, Side, Told};
+use lupinspur_elastic::{Bound, pool};
+
+const SAMPLES: Samples = Samples(include_str!("reports.txt"));
+
+#[test]
+fn quota_report() {
+    let row = QuotaRow {
+        level: "all.research".into(),
+        depth: 2,
+        team: true,
+        guarantee_cpus: 1.5,
+        limit_cpus: 2.5,
+        used_cpus: 3.5,
+        guarantee_gpus: 4.5,
+        limit_gpus: 5.5,
+        used_gpus: 6.5,
+        lends_cpus: 7.5,
+        borrows_cpus: 8.5,
+        waits_cpus: 9.5,
+    };
+    let report = QuotaReport { generation: 7, levels: vec![row], job: Some("waits for cpus".into()) };
+    sent_and_received(&SAMPLES, "quota_report", &report);
+    let without_job = QuotaReport { levels: Vec::new(), job: None, ..report };
+    sent_and_received(&SAMPLES, "quota_report_least", &without_job);
+}
+
+#[test]
+fn elastic_report() {
+    let job = pool::Row { job: "req-000412".into(), smallest: 2, largest: 12, wanted: 8, held: 10, shrinks: 1 };
+    let report = ElasticReport {
+        jobs: vec![job],
+        times: pool::Times { shrinks: 5, under_way: 1, half: 1.5, most: 2.5, longest: 3.5 },
+        recent: vec![("req-000412/3".into(), 1.25)],
+        bound: Bound { reachable_s: 20.5, deaf_s: 30.5, takeover_s: 40.5 },
+    };
+    sent_and_received(&SAMPLES, "elastic_report", &report);
+}
+
+fn row(side: Side, reading: Reading) -> Row {
+    Row {
+        side,
+        name: "train".into(),
+        reading,
+        asked: 8.0,
+        share: Some(0.5),
+        minute: Some(0.25),
+        ten_minutes: Some(0.75),
+        unknown: 2,
+        waits_s: Some((1.5, 2.5, 3.5)),
+    }
+}
+
+#[test]
+fn service_level_report() {
+    let least = Row { share: None, minute: None, ten_minutes: None, waits_s: None, ..row(Side::Team, Reading::Up) };
+    let rows = vec![row(Side::Class, Reading::Started), least];
+    sent_and_received(&SAMPLES, "service_level_report", &Told { owner: 41, chain: 40, at_s: 1234.5, rows });
+    let read: Told = serde_json::from_str(SAMPLES.named("service_level_report_least")).expect("read");
+    assert_eq!(read, Told::default());
+}
+
+#[test]
+fn words_of_service_level_reports() {
+    sent_and_received(&SAMPLES, "service_levels", &READINGS.to_vec());
+    sent_and_received(&SAMPLES, "service_level_sides", &vec![Side::Class, Side::Team, Side::Level]);
+    assert_eq!(LOG_MARK, "service accounts: ");
+}
--- /dev/null
+++ b/tests/golden/stored.rs
@@ -0,0 +1,198 @@
+//! Values at the state service, but for those that cells exchange.
+
+use crate::{Samples, as_stored};
+use lupinspur::fleet::MachineRecord;
+use lupinspur::fleet::racks::{RackMachine, RackRecord};
+use lupinspur::jobs::{JobRecord, Phase, ProgressRecord};
+use lupinspur::ownership::Claim;
+use lupinspur::shard::{FleetRecord, PoolRecord};
+use lupinspur::wire::{JobRequest, MachineType};
+use lupinspur_accounts::handed;
+use lupinspur_quota::plan::Organisation;
+use lupinspur_quota::stored as quota;
+use lupinspur_recovery::chunk::{Chunk, Packer, Stored};
+use lupinspur_recovery::index::{Head, Line, Part};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+pub const SAMPLES: Samples = Samples(include_str!("stored.txt"));
+
+/// The sample, read as this type and written again, must have the same bytes.
+fn read_and_written_again<T: Serialize + DeserializeOwned>(name: &str) -> T {
+    let bytes = SAMPLES.named(name);
+    let read: T = serde_json::from_str(bytes).unwrap_or_else(|e| panic!("{name} cannot be read: {e}"));
+    assert_eq!(as_stored(&read), bytes, "{name} as it is read and written again");
+    read
+}
+
+/// The value must be written as the sample, and the sample must be read and written again.
+pub fn same<T: Serialize + DeserializeOwned>(name: &str, value: &T) {
+    assert_eq!(as_stored(value), SAMPLES.named(name), "{name} as it is written");
+    read_and_written_again::<T>(name);
+}
+
+/// A job with every field that a submission can have.
+fn job_with_all_fields() -> JobRequest {
+    crate::messages::submission_with_all_fields()
+}
+
+#[test]
+fn leadership_record() {
+    let record = Claim { at_ms: 1_700_000_000_123, short_lives: 2, ..Claim::new("sprig-2", "5f3a") };
+    same("leadership_record", &record);
+    same("leadership_record_of_an_earlier_version", &Claim::new("sprig-2", "5f3a"));
+}
+
+/// The same type under another key: the controller that left its leadership to others.
+#[test]
+fn backoff_record() {
+    let record = Claim { at_ms: 1_700_000_000_456, short_lives: 3, ..Claim::new("sprig-1", "77b0") };
+    same("backoff_record", &record);
+}
+
+#[test]
+fn machine_types() {
+    same("machine_types", &vec![crate::messages::machine_type()]);
+    let read: Vec<MachineType> = serde_json::from_str(SAMPLES.named("machine_types_least")).expect("read");
+    assert_eq!((read[0].name.as_str(), read[0].cpus, read[0].memory_gb), ("m32", 32.0, 64.0));
+    assert_eq!((read[0].cards, read[0].spot_price, read[0].zones.len()), (0.0, 0.0, 0));
+}
+
+#[test]
+fn job_record_open() {
+    let accepted = JobRecord::accepted(job_with_all_fields(), 1_700_000_000_000);
+    same("job_record_open", &JobRecord { cell: Some(2), moves: 3, ..accepted });
+    let least = JobRecord::accepted(crate::messages::submission_with_least_fields(), 1_700_000_000_000);
+    same("job_record_open_least", &least);
+}
+
+#[test]
+fn job_record_done_and_cancelled() {
+    let ended = |phase| JobRecord::ended(&job_with_all_fields(), 1_700_000_000_000, phase, 1_700_000_240_500, 4096);
+    same("job_record_done", &JobRecord { cell: Some(1), moves: 1, ..ended(Phase::Done) });
+    same("job_record_cancelled", &ended(Phase::Cancelled));
+    let too_large = JobRecord::ended(&job_with_all_fields(), 1_700_000_000_000, Phase::Done, 1_700_000_240_500, 16);
+    same("job_record_done_too_large", &too_large);
+}
+
+/// A job's progress, and a part of a larger job's: the same form under two keys.
+#[test]
+fn progress_records() {
+    same("progress_record", &ProgressRecord { done: "3f08".into() });
+    same("progress_part_record", &ProgressRecord { done: "ffff0001".into() });
+}
+
+#[test]
+fn rack_record() {
+    let full = RackMachine {
+        machine: "host-000231".into(),
+        addr: "10.1.0.232:9000".into(),
+        retiring: true,
+        faulty: true,
+        jobs: vec![0, 1],
+        images: vec![0],
+    };
+    let retiring = RackMachine { machine: "host-000232".into(), retiring: true, ..RackMachine::default() };
+    let least = RackMachine { machine: "host-000233".into(), ..RackMachine::default() };
+    let record = RackRecord {
+        shard: 4,
+        type_name: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        jobs: vec!["req-000412".into(), "req-000398".into()],
+        images: vec![("img-07".into(), 6.2)],
+        machines: vec![full, retiring, least],
+    };
+    same("rack_record", &record);
+    same("rack_record_without_images", &RackRecord { images: Vec::new(), machines: Vec::new(), ..record });
+}
+
+/// What earlier versions wrote of a machine, under a key of its own.
+#[test]
+fn machine_record() {
+    let record = MachineRecord {
+        shard: 4,
+        addr: "10.1.0.232:9000".into(),
+        type_name: "g8".into(),
+        zone: "a".into(),
+        spot: true,
+        retiring: true,
+        faulty: true,
+        jobs: vec!["req-000412".into()],
+        images: vec![("img-07".into(), 6.2)],
+    };
+    same("machine_record", &record);
+    let read: MachineRecord = serde_json::from_str(SAMPLES.named("machine_record_least")).expect("read");
+    assert_eq!(read, MachineRecord { faulty: false, ..record });
+}
+
+#[test]
+fn fleet_record() {
+    let pool = PoolRecord {
+        type_name: "g8".into(),
+        active: vec!["a".into(), "b".into()],
+        preemptive: vec!["c".into()],
+        target: 30,
+        spot: 20,
+        on_demand: 10,
+    };
+    same("fleet_record", &FleetRecord { pools: vec![pool] });
+    same("fleet_record_empty", &FleetRecord::default());
+}
+
+#[test]
+fn checkpoint_head_and_index() {
+    same("checkpoint_head", &Head { form: 1, round: 9, place: 1, parts: 2, at: 431, open: 77 });
+    let chunks = vec![Line(0, 8, "5a".into()), Line(3, 9, String::new())];
+    same("checkpoint_index", &Part { round: 9, chunks });
+}
+
+/// A pattern, the difference of a record like it, and a record that is unlike.
+#[test]
+fn checkpoint_chunk() {
+    let record = |job: JobRequest, at_ms| serde_json::to_value(JobRecord::accepted(job, at_ms)).expect("JSON");
+    let like = JobRequest { id: "req-000413".into(), zone: Some("b".into()), needs: None, ..job_with_all_fields() };
+    let records = [
+        ("req-000412", 400, record(job_with_all_fields(), 1_700_000_000_000)),
+        ("req-000413", 401, record(like, 1_700_000_000_250)),
+        ("req-000001", 402, serde_json::json!({"unknown": true})),
+    ];
+    let mut packer = Packer::new(4096, 9);
+    for (id, version, value) in records.clone() {
+        packer.push(Stored { id: id.into(), version, value }).expect("room");
+    }
+    same("checkpoint_chunk", &packer.finish());
+    let read: Chunk = read_and_written_again("checkpoint_chunk");
+    let unpacked = read.unpack().expect("whole");
+    assert_eq!(unpacked, records.map(|(id, version, value)| Stored { id: id.into(), version, value }));
+}
+
+/// The service-level accounts that a leader hands to the next.
+#[test]
+fn service_level_accounts() {
+    let part: handed::Part = read_and_written_again("service_level_accounts");
+    let carried = handed::newest([part]).expect("a complete round");
+    assert_eq!((carried.round, carried.as_of, carried.chain), (5, 1234.5, 41));
+    let sums = vec![handed::Handed(8.0, 7.5, 1, 2.0, 1.5), handed::Handed::default()];
+    let line = |side, name: &str| handed::Line(side, name.into(), sums.clone());
+    use lupinspur_accounts::Side;
+    let expected = [line(Side::Class, "train"), line(Side::Team, "vision"), line(Side::Level, "all.research")];
+    assert_eq!(carried.lines, expected);
+}
+
+#[test]
+fn quotas() {
+    same("quota_head", &quota::Head { generation: 7, parts: 2 });
+    let full = Organisation {
+        name: "research".into(),
+        within: Some("all".into()),
+        cpus: Some(640.0),
+        gpus: Some(32.0),
+        cpus_max: 800.0,
+        gpus_max: 40.0,
+        weight: 1.5,
+        teams: vec!["vision".into(), "speech".into()],
+    };
+    let least = Organisation { name: "all".into(), within: None, cpus: None, gpus: None, ..full.clone() };
+    same("quota_part", &quota::Part { organisations: vec![full, least] });
+}
