--- a/tests/golden/main.rs
+++ b/tests/golden/main.rs
@@ -1,4 +1,4 @@
-//! Golden samples of every stored value and of every message on the wire.
+//! Golden samples of every stored value, of every message on the wire, and of the settings file.
 //!
 //! Guards against a change of form: what the production version stored must stay readable, what is
 //! written now must stay readable to that version, and every message must keep its exact bytes. The
@@ -11,6 +11,7 @@
 mod messages;
 mod peer_messages;
 mod reports;
+mod settings;
 mod stored;
 mod stored_by_cells;
 
