--- a/crates/scheduler/src/fleet/machine.rs
+++ b/crates/scheduler/src/fleet/machine.rs
@@ -3,7 +3,7 @@
 use crate::intern::{ImageIx, JobIx, RackIx, TypeIx, ZoneIx};
 use crate::jobs::{TaskKey, TaskMap, split_task};
 use crate::wire::TaskState;
-use std::collections::HashSet;
+use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -117,7 +117,7 @@
     pub cards_used: f64,
     pub memory_used: f64,
     /// Jobs that the stored record names.
-    pub stored_jobs: HashSet<JobIx>,
+    pub stored_jobs: BTreeSet<JobIx>,
     pub record_stored: bool,
     /// The rack whose value holds its record.
     pub rack: Option<RackIx>,
@@ -192,7 +192,7 @@
             cpus_used: 0.0,
             cards_used: 0.0,
             memory_used: 0.0,
-            stored_jobs: HashSet::new(),
+            stored_jobs: BTreeSet::new(),
             record_stored: false,
             rack: None,
             old_values: Vec::new(),
--- a/crates/scheduler/src/fleet/racks.rs
+++ b/crates/scheduler/src/fleet/racks.rs
@@ -8,7 +8,7 @@
 use super::MachineRecord;
 use crate::intern::{Index, JobIx, MachineIx, RackIx, TypeIx, ZoneIx};
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
+use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
 pub const RACK_PREFIX: &str = "rack/";
@@ -87,7 +87,7 @@
     /// Bytes that its value takes without images, with the names planned since it was last made.
     bytes: usize,
     /// The jobs that its value names, or will.
-    names: HashSet<JobIx>,
+    names: BTreeSet<JobIx>,
     /// Since when its value is to be written, the starts that wait for that, and whether
     /// one of them is a service's.
     due_since: Option<f64>,
@@ -165,7 +165,7 @@
     }
 
     /// These jobs are over: their names need no place here any more.
-    pub fn forget(&mut self, jobs: &HashSet<JobIx>) {
+    pub fn forget(&mut self, jobs: &BTreeSet<JobIx>) {
         self.names.retain(|j| !jobs.contains(j));
     }
 
@@ -236,7 +236,7 @@
             spot,
             members: BTreeSet::new(),
             bytes: BYTES_A_MACHINE,
-            names: HashSet::new(),
+            names: BTreeSet::new(),
             due_since: None,
             waiting: 0,
             pressing: false,
--- a/crates/scheduler/src/pipeline.rs
+++ b/crates/scheduler/src/pipeline.rs
@@ -6,7 +6,7 @@
 
 use crate::intern::JobIx;
 use crate::jobs::Phase;
-use std::collections::HashMap;
+use std::collections::{BTreeMap, HashMap};
 
 /// What became of jobs because of others.
 #[derive(Debug, Default, PartialEq, Eq)]
@@ -29,8 +29,9 @@
 pub struct Graph {
     /// Jobs that need others or are needed.
     nodes: HashMap<JobIx, Node>,
-    /// Needs that were not heard of here yet, as watches and lists come in any order.
-    strangers: HashMap<String, Vec<JobIx>>,
+    /// Needs that were not heard of here yet, as watches and lists come in any order. By their ids: only some
+    /// are read at a time, and which these are must not depend on a hash.
+    strangers: BTreeMap<String, Vec<JobIx>>,
     /// Jobs that were looked at: what the graph costs.
     pub looked_at: u64,
 }
@@ -151,7 +152,7 @@
         self.nodes.get(&j).map_or(&[], |n| &n.needs)
     }
 
-    /// Needs that were not heard of here yet.
+    /// Needs that were not heard of here yet, in the order of their ids.
     pub fn strangers(&self) -> impl Iterator<Item = &str> {
         self.strangers.keys().map(String::as_str)
     }
--- a/crates/scheduler/src/shard/recovery.rs
+++ b/crates/scheduler/src/shard/recovery.rs
@@ -266,13 +266,13 @@
         self.finals.remove(&j);
         self.progress_due.remove(&j);
         self.accounts_forget(j);
-        self.name_no_more(&HashSet::from([j]));
+        self.name_no_more(&BTreeSet::from([j]));
         self.versions.remove(&job_key(&id));
         self.jobs.give_back(j);
     }
 
     /// These jobs leave, and nothing here may lead to them any more.
-    fn name_no_more(&mut self, jobs: &HashSet<JobIx>) {
+    fn name_no_more(&mut self, jobs: &BTreeSet<JobIx>) {
         for m in self.machines.present.clone() {
             let m = self.machines.at_mut(m);
             m.stored_jobs.retain(|j| !jobs.contains(j));
@@ -309,7 +309,7 @@
     }
 
     fn sweep_jobs(&mut self, now: f64) {
-        let mut over: HashSet<JobIx> = HashSet::new();
+        let mut over: BTreeSet<JobIx> = BTreeSet::new();
         while self.recovery.over.front().is_some_and(|(t, _)| now - t > OVER_FOR_S) {
             over.extend(self.recovery.over.pop_front().map(|o| o.1));
         }
@@ -317,7 +317,7 @@
             return;
         }
         // What a machine may still hold, or start late, is counted by its job.
-        let mut kept: HashSet<JobIx> = HashSet::new();
+        let mut kept: BTreeSet<JobIx> = BTreeSet::new();
         for (_, m) in self.machines.iter() {
             let keys = m.tasks.keys().chain(m.leftovers.keys()).chain(m.loose.keys());
             kept.extend(keys.map(|k| k.0).filter(|j| over.contains(j)));
