--- a/crates/accounts/src/lib.rs
+++ b/crates/accounts/src/lib.rs
@@ -14,6 +14,9 @@
 //! - [`told`]: rows for people, and the warnings
 //! - [`gate`]: readings of a played day that lie under a half
 
+// What is decided must not follow the order of a hash.
+#![warn(clippy::iter_over_hash_type)]
+
 pub mod book;
 pub mod floor;
 pub mod gate;
--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -11,6 +11,9 @@
 //! - [`reassign`]: what the leader moves, machines and teams' homes
 //! - [`handover`]: how a machine goes from one cell to another
 
+// What is decided must not follow the order of a hash.
+#![warn(clippy::iter_over_hash_type)]
+
 pub mod escrow;
 pub mod handover;
 pub mod member;
--- a/crates/elastic/src/lib.rs
+++ b/crates/elastic/src/lib.rs
@@ -9,6 +9,9 @@
 //! - [`pool`]: every elastic job's wanted size; growing, shrinking, the second step
 //! - [`bound`]: the longest that a shrink takes, from the settings
 
+// What is decided must not follow the order of a hash.
+#![warn(clippy::iter_over_hash_type)]
+
 pub mod bound;
 pub mod plan;
 pub mod pool;
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -19,6 +19,9 @@
 //! - [`coincidences`], `observer`: which faults coincided
 //! - [`stored`]: what a successor reads of the state service's keys
 
+// What is decided must not follow the order of a hash.
+#![warn(clippy::iter_over_hash_type)]
+
 mod between;
 mod cancelled;
 mod claims;
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -9,6 +9,9 @@
 //! - [`tree`]: the checked tree by dense indices, with guarantees scaled to their parents'
 //! - [`ledger`]: what every level uses, whether a task may start, who goes first, who gives way
 
+// What is decided must not follow the order of a hash.
+#![warn(clippy::iter_over_hash_type)]
+
 pub mod ledger;
 pub mod plan;
 pub mod stored;
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -15,6 +15,9 @@
 //! A checkpoint is a help and never the truth: whatever is wrong with it is *seen*, and the
 //! records themselves are read then.
 
+// What is decided must not follow the order of a hash.
+#![warn(clippy::iter_over_hash_type)]
+
 pub mod chunk;
 pub mod index;
 pub mod known;
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -9,6 +9,9 @@
 //! - [`shard`]: one owner's jobs and machines; a process may hold several
 //! - [`times`]: how far clocks may be trusted
 
+// What is decided must not follow the order of a hash.
+#![warn(clippy::iter_over_hash_type)]
+
 pub mod fleet;
 pub mod intern;
 pub mod jobs;
