--- a/crates/accounts/examples/cost.rs
+++ b/crates/accounts/examples/cost.rs
@@ -3,9 +3,9 @@
 //!
 //!     cargo run --release -p lupinspur-accounts --example cost
 
-use lupinspur_accounts::book::{Book, End, Entry, Tasks};
-use lupinspur_accounts::floor::Sunk;
-use lupinspur_accounts::terms::{Milestone, Terms};
+use lupinspur_accounts::objectives::{Milestone, Terms};
+use lupinspur_accounts::tracker::{Book, End, Entry, Tasks};
+use lupinspur_accounts::underserved::Sunk;
 use std::collections::HashMap;
 use std::hint::black_box;
 use std::time::Instant;
--- a/crates/accounts/examples/gate.rs
+++ b/crates/accounts/examples/gate.rs
@@ -7,7 +7,7 @@
 //! The second shows by class how far the owners' accounts agree with what was measured.
 
 use lupinspur_accounts::gate::{self, Judged, LOG_MARK, Nothing};
-use lupinspur_accounts::told::Told;
+use lupinspur_accounts::report::Told;
 use std::process::ExitCode;
 
 fn text(path: &str) -> Result<String, Nothing> {
--- a/crates/accounts/src/gate.rs
+++ b/crates/accounts/src/gate.rs
@@ -4,7 +4,7 @@
 //! targets, by class), a journal entry of a score (each aim as a line of text), and the
 //! accounts that the owner logs (by class and by team).
 
-use crate::told::{HALF, Row, Told};
+use crate::report::{HALF, Row, Told};
 use crate::{Reading, Side};
 use serde::Deserialize;
 use std::collections::BTreeMap;
--- a/crates/accounts/src/handed.rs
+++ b/crates/accounts/src/inheritance.rs
@@ -10,7 +10,7 @@
 //! What the earlier book counted up to [`Carried::as_of`] is in the sums and must not be counted
 //! again; what it counted after that is lost, and told as unknown.
 
-use crate::book::Book;
+use crate::tracker::Book;
 use crate::window::{Share, Span};
 use crate::{READINGS, Side};
 use serde::{Deserialize, Serialize};
@@ -108,7 +108,7 @@
     pub fn carry(&mut self, c: &Carried, within_s: f64, now: f64) {
         (self.settled_before, self.lost_until) = (c.as_of - within_s, c.as_of + within_s);
         for Line(side, name, sums) in &c.lines {
-            let a = self.account(*side, name, now);
+            let a = self.indicator(*side, name, now);
             let account = &mut self.accounts[a.ix()];
             for (r, &Handed(asked, served, unknown, ten_asked, ten_served)) in READINGS.into_iter().zip(sums) {
                 let ten = Share { asked: ten_asked, served: ten_served };
--- a/crates/accounts/src/lib.rs
+++ b/crates/accounts/src/lib.rs
@@ -17,17 +17,17 @@
 // What is decided must not follow the order of a hash.
 #![warn(clippy::iter_over_hash_type)]
 
-pub mod book;
-pub mod floor;
 pub mod gate;
-pub mod handed;
-pub mod terms;
-pub mod told;
+pub mod inheritance;
+pub mod objectives;
+pub mod report;
+pub mod tracker;
+pub mod underserved;
 pub mod window;
 
-pub use book::{Book, Entry, TicketIx};
-pub use terms::{Milestone, Terms};
-pub use told::{Alarm, Row, Told};
+pub use objectives::{Milestone, Terms};
+pub use report::{Alarm, Row, Told};
+pub use tracker::{Book, Entry, TicketIx};
 
 /// Classes and teams with accounts of their own; the others share one.
 pub const MOST_CLASSES: usize = 64;
--- a/crates/accounts/src/told.rs
+++ b/crates/accounts/src/report.rs
@@ -1,6 +1,6 @@
 //! Rows for people, and the warnings.
 
-use crate::book::Book;
+use crate::tracker::Book;
 use crate::window::{Share, Span};
 use crate::{READINGS, Reading, Side};
 use serde::{Deserialize, Serialize};
@@ -94,7 +94,7 @@
 
     /// The lowest reading over ten minutes of one side, where enough was asked for.
     pub fn lowest(&self, side: Side, now: f64) -> Option<(&str, Reading, f64)> {
-        let of = |a: &'_ crate::book::Account, r: Reading| {
+        let of = |a: &'_ crate::tracker::Account, r: Reading| {
             let s = a.sums(r).over(Span::TenMinutes, now);
             s.part().filter(|_| enough(r, s.asked))
         };
--- a/crates/accounts/src/book/mod.rs
+++ b/crates/accounts/src/tracker/mod.rs
@@ -1,17 +1,17 @@
 //! The accounts, fed job by job.
 
-mod account;
-mod ticket;
+mod indicator;
+mod tracked_job;
 
-pub use account::{Account, AccountIx};
-pub use ticket::{Entry, Tasks, TicketIx};
+pub use indicator::{Account, AccountIx};
+pub use tracked_job::{Entry, Tasks, TicketIx};
 
-use crate::terms::Terms;
+use crate::objectives::Terms;
 use crate::window::{Share, Span};
 use crate::{MOST_CLASSES, MOST_LEVELS, MOST_TEAMS, OTHERS, Reading, Side};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
-use ticket::Ticket;
+use tracked_job::Ticket;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
@@ -91,7 +91,7 @@
     }
 
     /// The account of this name; one for all others once there are too many.
-    pub fn account(&mut self, side: Side, name: &str, now: f64) -> AccountIx {
+    pub fn indicator(&mut self, side: Side, name: &str, now: f64) -> AccountIx {
         let most = match side {
             Side::Class => MOST_CLASSES,
             Side::Team => MOST_TEAMS,
@@ -118,7 +118,7 @@
     }
 
     fn of_job(&mut self, class: &str, team: &str, now: f64) -> [AccountIx; 2] {
-        [self.account(Side::Class, class, now), self.account(Side::Team, team, now)]
+        [self.indicator(Side::Class, class, now), self.indicator(Side::Team, team, now)]
     }
 
     /// One job's outcome in a reading, for its class and its team.
@@ -285,7 +285,7 @@
     /// Of what a team, or a level of nested quotas, asked for within its guarantee, what it held,
     /// in cpu-seconds.
     pub fn held(&mut self, side: Side, name: &str, asked: f64, held: f64, now: f64) {
-        let a = self.account(side, name, now);
+        let a = self.indicator(side, name, now);
         self.accounts[a.ix()].add(Reading::Held, now, asked, held.min(asked));
     }
 
--- a/crates/accounts/src/floor.rs
+++ b/crates/accounts/src/underserved.rs
@@ -6,7 +6,7 @@
 //! clearly less than the best of them.
 
 use crate::Reading;
-use crate::book::{AccountIx, Book};
+use crate::tracker::{AccountIx, Book};
 use crate::window::Span;
 use std::collections::HashMap;
 
@@ -75,7 +75,7 @@
                 *second = *s;
             }
         }
-        let sunk = |(a, s): (&crate::book::Account, &Option<f64>)| {
+        let sunk = |(a, s): (&crate::tracker::Account, &Option<f64>)| {
             let [first, second] = best[a.side as usize];
             let others = if *s == first { second } else { first };
             s.is_some_and(|s| s < FLOOR && others.is_none_or(|o| o >= FLOOR || s < o - APART))
--- a/crates/accounts/tests/book.rs
+++ b/crates/accounts/tests/book.rs
@@ -1,8 +1,8 @@
 //! The accounts, by small stories; and properties over random lives of jobs.
 
-use lupinspur_accounts::book::{Book, End, Entry, Tasks};
-use lupinspur_accounts::floor::{Ahead, Sunk, ahead};
-use lupinspur_accounts::terms::{Milestone, Terms};
+use lupinspur_accounts::objectives::{Milestone, Terms};
+use lupinspur_accounts::tracker::{Book, End, Entry, Tasks};
+use lupinspur_accounts::underserved::{Ahead, Sunk, ahead};
 use lupinspur_accounts::window::Span;
 use lupinspur_accounts::{MOST_CLASSES, MOST_TEAMS, OTHERS, Reading, Side};
 use proptest::prelude::*;
--- a/crates/accounts/tests/gate.rs
+++ b/crates/accounts/tests/gate.rs
@@ -1,7 +1,7 @@
 //! The gate on small reports written by hand: which pass, and which must not.
 
 use lupinspur_accounts::gate::{self, Judged, Nothing};
-use lupinspur_accounts::told::Told;
+use lupinspur_accounts::report::Told;
 use lupinspur_accounts::{Book, Reading};
 use std::collections::HashMap;
 
--- a/crates/accounts/tests/handed.rs
+++ b/crates/accounts/tests/handed.rs
@@ -1,8 +1,8 @@
 //! Accounts that are handed from owner to owner: nothing counts twice, and what is lost is told.
 
-use lupinspur_accounts::book::{Book, End, Entry, Tasks};
-use lupinspur_accounts::handed::{Carried, Part, newest};
-use lupinspur_accounts::terms::{Milestone, Terms};
+use lupinspur_accounts::inheritance::{Carried, Part, newest};
+use lupinspur_accounts::objectives::{Milestone, Terms};
+use lupinspur_accounts::tracker::{Book, End, Entry, Tasks};
 use lupinspur_accounts::{Reading, Side};
 use proptest::prelude::*;
 use std::collections::HashMap;
--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -14,12 +14,12 @@
 // What is decided must not follow the order of a hash.
 #![warn(clippy::iter_over_hash_type)]
 
+pub mod activation;
 pub mod escrow;
-pub mod handover;
-pub mod member;
-pub mod picture;
+pub mod load_snapshot;
+pub mod machine_transfer;
 pub mod plan;
-pub mod reassign;
+pub mod rebalance;
 pub mod spill;
 
 pub use lupinspur_files::Fault;
--- a/crates/cells/src/handover.rs
+++ b/crates/cells/src/machine_transfer.rs
@@ -75,7 +75,7 @@
 pub fn to_whom<'a>(
     me: CellIx,
     token: u64,
-    orders: impl Iterator<Item = &'a crate::reassign::Move>,
+    orders: impl Iterator<Item = &'a crate::rebalance::Move>,
     under_way: &[Handover],
     token_of: impl Fn(CellIx) -> Option<u64>,
 ) -> Option<(CellIx, f64)> {
--- a/crates/cells/src/reassign.rs
+++ b/crates/cells/src/rebalance.rs
@@ -2,7 +2,7 @@
 //! has room for it. The leader is the owner of cell 0. It is never needed for a start: its word is
 //! stored, and while it says nothing every cell goes on by itself.
 
-use crate::picture::Picture;
+use crate::load_snapshot::Picture;
 use crate::{CellIx, EPS, Plan};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/cells/src/spill.rs
+++ b/crates/cells/src/spill.rs
@@ -1,7 +1,7 @@
 //! Which waiting work goes where. A cell gives its own work away; nobody takes any, so that
 //! what is offered to several is started by one.
 
-use crate::picture::{Picture, UnusableRoom};
+use crate::load_snapshot::{Picture, UnusableRoom};
 use crate::{CellIx, Plan};
 
 /// A job goes to another cell so often at the most; then it is started where it is. Unless it goes on waiting
--- a/crates/cells/tests/cells.rs
+++ b/crates/cells/tests/cells.rs
@@ -1,8 +1,8 @@
 //! Small stories of what lies between cells, and properties over random ones.
 
+use lupinspur_cells::activation::{InForce, NOBODY, Presence, claims_after_s, comes_into_force, may_take_in, offers};
 use lupinspur_cells::escrow::{Amount, Gift, Ledger, Use, gifts};
-use lupinspur_cells::member::{InForce, NOBODY, Presence, claims_after_s, comes_into_force, may_take_in, offers};
-use lupinspur_cells::picture::Picture;
+use lupinspur_cells::load_snapshot::Picture;
 use lupinspur_cells::spill::{MOST_MOVES, Waiting, spills};
 use lupinspur_cells::{CellIx, Plan};
 use proptest::prelude::*;
--- a/crates/cells/tests/reassign.rs
+++ b/crates/cells/tests/reassign.rs
@@ -1,9 +1,9 @@
 //! What the leader moves, and machines that go from cell to cell through lost and late writes and ends.
 
 use lupinspur_cells::escrow::{Amount, Use};
-use lupinspur_cells::handover::{Handed, Handover, giver_next, key, taker_next, to_whom};
-use lupinspur_cells::picture::Picture;
-use lupinspur_cells::reassign::{Leader, Move, Orders, has_to_raise};
+use lupinspur_cells::load_snapshot::Picture;
+use lupinspur_cells::machine_transfer::{Handed, Handover, giver_next, key, taker_next, to_whom};
+use lupinspur_cells::rebalance::{Leader, Move, Orders, has_to_raise};
 use lupinspur_cells::{CellIx, Plan};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/cells/tests/spill.rs
+++ b/crates/cells/tests/spill.rs
@@ -1,6 +1,6 @@
 //! Work that goes to a cell that is short of room itself.
 
-use lupinspur_cells::picture::{Picture, UnusableRoom};
+use lupinspur_cells::load_snapshot::{Picture, UnusableRoom};
 use lupinspur_cells::spill::{Waiting, spills};
 use lupinspur_cells::{CellIx, Plan};
 
--- a/crates/model/src/controllers.rs
+++ b/crates/model/src/controllers.rs
@@ -1,18 +1,18 @@
 //! Controllers: their claims, and the shell's part around each owner's decisions.
 
-use crate::between::{Seen, concerns};
-use crate::claims::ClaimState;
+use crate::elections::ClaimState;
 use crate::machines::Machine;
 use crate::messages::{Message, UNANSWERED_S};
+use crate::shard_exchange::{Seen, concerns};
 use crate::transactions::OwnerCommit;
 use crate::trouble::Wrong;
 use crate::world::{World, ZONES};
 use crate::wrong_decisions;
 use crate::{CLAIM_S, STEP};
-use lupinspur_cells::reassign::Leader;
+use lupinspur_cells::rebalance::Leader;
+use lupinspur_scheduler::election::{Claim, Ownership};
 use lupinspur_scheduler::intern::Index;
 use lupinspur_scheduler::jobs::{JOB_PREFIX, JobRecord};
-use lupinspur_scheduler::ownership::{Claim, Ownership};
 use lupinspur_scheduler::shard::{CloudCall, Direct, DirectSend, Shard};
 use lupinspur_wire::ListedMachine;
 use serde_json::json;
--- a/crates/model/src/claims.rs
+++ b/crates/model/src/elections.rs
@@ -6,8 +6,8 @@
 use crate::transactions::{COMMIT_LIMIT_S, GRANT_LIMIT_S, RENEWAL_LIMIT_S};
 use crate::world::World;
 use lupinspur_cells::CellIx;
-use lupinspur_cells::member::claims_after_s;
-use lupinspur_scheduler::ownership::{Claim, Next, SeenClaim};
+use lupinspur_cells::activation::claims_after_s;
+use lupinspur_scheduler::election::{Claim, Next, SeenClaim};
 use lupinspur_wire::Change;
 
 /// How often an owner renews its lease, and how often whoever may not act tries.
--- a/crates/model/src/takeover.rs
+++ b/crates/model/src/failover.rs
@@ -1,13 +1,13 @@
 //! How a new owner reads what is stored, and begins.
 
-use crate::between::{LEDGER_KEY, concerns, inner};
+use crate::shard_exchange::{LEDGER_KEY, concerns, inner};
 use crate::stored::{self, types};
 use crate::trouble::Wrong;
 use crate::world::World;
 use crate::{CLAIM_S, STEP};
 use lupinspur_cells::CellIx;
 use lupinspur_cells::escrow::Ledger;
-use lupinspur_cells::handover::{self, Handover};
+use lupinspur_cells::machine_transfer::{self, Handover};
 use lupinspur_scheduler::params::Tuning;
 use lupinspur_scheduler::shard::{Loaded, Shard};
 use std::collections::BTreeSet;
@@ -63,7 +63,7 @@
         loaded.checkpoint.gone = gone.into_iter().map(|(r, _)| r.job.id).collect();
         let known: BTreeSet<&str> = loaded.jobs.iter().map(|(r, _)| r.job.id.as_str()).collect();
         loaded.progress.retain(|p| p.0.split('/').nth(1).is_some_and(|id| known.contains(id)));
-        let hands = stored::readable::<Handover>(&self.store.keys, handover::PREFIX);
+        let hands = stored::readable::<Handover>(&self.store.keys, machine_transfer::PREFIX);
         let from_here = hands.iter().filter(|h| h.1.from.ix() == c);
         loaded.away = from_here.flat_map(|h| &h.1.machines).map(|m| m.machine.clone()).collect();
         loaded
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -22,11 +22,11 @@
 // What is decided must not follow the order of a hash.
 #![warn(clippy::iter_over_hash_type)]
 
-mod between;
 mod cancelled;
-mod claims;
 pub mod coincidences;
 mod controllers;
+mod elections;
+mod failover;
 mod late_reports;
 mod machines;
 mod messages;
@@ -37,10 +37,10 @@
 pub mod report;
 mod rules;
 pub mod scenario;
+mod shard_exchange;
 mod spells;
 mod store;
 pub mod stored;
-mod takeover;
 mod transactions;
 pub mod trouble;
 mod users;
--- a/crates/model/src/messages.rs
+++ b/crates/model/src/messages.rs
@@ -1,10 +1,10 @@
 //! What is under way between controllers, machines, the state service and the cloud.
 
-use crate::claims::ClaimMessage;
+use crate::elections::ClaimMessage;
 use crate::transactions::{CommitOutcome, OwnerCommit};
 use crate::trouble::Wrong;
 use crate::world::World;
-use lupinspur_scheduler::ownership::{CLAIM_KEY, cell_claim_key};
+use lupinspur_scheduler::election::{CLAIM_KEY, cell_claim_key};
 use lupinspur_scheduler::shard::{Direct, DirectSend, Heard};
 use lupinspur_wire::{Change, Command, DirectCommands, Report};
 use std::time::Instant;
--- a/crates/model/src/pipelines.rs
+++ b/crates/model/src/pipelines.rs
@@ -1,7 +1,7 @@
 //! Pipelines: jobs that wait for earlier ones. Users submit them, a new owner reads the records of needs that ended
 //! before its checkpoint, and no task may start before all that its job needs is done.
 
-use crate::between::concerns;
+use crate::shard_exchange::concerns;
 use crate::users::{Job, job_done};
 use crate::world::World;
 use lupinspur_scheduler::jobs::{JobRecord, job_key};
--- a/crates/model/src/rules.rs
+++ b/crates/model/src/rules.rs
@@ -1,7 +1,7 @@
 //! The rules, counted from the machines' and the users' side.
 
-use crate::between::LEDGER_KEY;
 use crate::machines::State;
+use crate::shard_exchange::LEDGER_KEY;
 use crate::world::{World, ZONES};
 use crate::{ANSWERED_WITHIN_S, BEGUN_WITHIN_S};
 use lupinspur_cells::escrow::Ledger;
--- a/crates/model/src/between.rs
+++ b/crates/model/src/shard_exchange.rs
@@ -7,9 +7,9 @@
 use crate::world::World;
 use lupinspur_cells::CellIx;
 use lupinspur_cells::escrow::{Amount, Gift, Ledger, Use, gifts};
-use lupinspur_cells::handover::{self, Handed, Handover, giver_next, taker_next, to_whom};
-use lupinspur_cells::picture::Picture;
-use lupinspur_cells::reassign::{Leader, Orders, has_to_raise};
+use lupinspur_cells::load_snapshot::Picture;
+use lupinspur_cells::machine_transfer::{self, Handed, Handover, giver_next, taker_next, to_whom};
+use lupinspur_cells::rebalance::{Leader, Orders, has_to_raise};
 use lupinspur_cells::spill::spills;
 use lupinspur_scheduler::jobs::{JobRecord, Phase, job_key};
 use lupinspur_wire::Change;
@@ -130,7 +130,7 @@
     pub(crate) fn see(&mut self, i: usize) {
         let keys = &self.store.keys;
         let pictures = stored::readable::<Picture>(keys, PICTURES);
-        let hands = stored::readable::<Handover>(keys, handover::PREFIX);
+        let hands = stored::readable::<Handover>(keys, machine_transfer::PREFIX);
         let n = &mut self.nodes[i];
         n.seen_at = self.now;
         n.seen = Seen {
@@ -294,7 +294,7 @@
         let mut chosen: BTreeMap<CellIx, Vec<Handed>> = BTreeMap::new();
         s.set_aside().into_iter().for_each(|(to, h)| chosen.entry(to).or_default().push(h));
         for (to, machines) in chosen {
-            let key = handover::key(cell, to);
+            let key = machine_transfer::key(cell, to);
             let version = match seen.hands.get(&key) {
                 Some((h, _)) if !h.over() => continue,
                 Some((_, v)) => *v,
--- a/crates/model/src/store.rs
+++ b/crates/model/src/store.rs
@@ -1,8 +1,8 @@
 //! The state service: keys, versions, leases; an outage.
 
 use crate::stored::Keys;
+use lupinspur_scheduler::election::SeenClaim;
 use lupinspur_scheduler::jobs::{JobRecord, job_key};
-use lupinspur_scheduler::ownership::SeenClaim;
 use lupinspur_wire::Change;
 use serde::de::DeserializeOwned;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/model/src/stored.rs
+++ b/crates/model/src/stored.rs
@@ -1,7 +1,7 @@
 //! A stand-in for the state service's keys, as a successor reads them, and machine types.
 //! A value that the decisions wrote and cannot read is a fault of theirs: it ends the test.
 
-use lupinspur_scheduler::fleet::racks::RACK_PREFIX;
+use lupinspur_scheduler::fleet::machine_groups::RACK_PREFIX;
 use lupinspur_scheduler::intern::{Index, RackIx};
 use lupinspur_scheduler::jobs::{JOB_PREFIX, JobRecord, PART_PREFIX, PROGRESS_PREFIX, Phase, job_key};
 use lupinspur_scheduler::shard::{Found, Loaded, job_of};
--- a/crates/model/src/transactions.rs
+++ b/crates/model/src/transactions.rs
@@ -1,9 +1,9 @@
 //! Requests to the state service on their way: how long they take, whose answers are lost, which are
 //! executed late, and what an owner does about a write whose outcome it does not know.
 
-use crate::between::{outer, outer_change};
 use crate::messages::Message;
 use crate::observer::SLOW_ANSWER_S;
+use crate::shard_exchange::{outer, outer_change};
 use crate::trouble::Wrong;
 use crate::world::World;
 use lupinspur_scheduler::jobs::job_key;
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -1,6 +1,5 @@
 //! Everything there is, in virtual time.
 
-use crate::between::{LEDGER_KEY, Seen, put};
 use crate::controllers::{Node, Rental};
 use crate::late_reports::LateReports;
 use crate::machines::Machine;
@@ -9,6 +8,7 @@
 use crate::questions::Question;
 use crate::report::Counts;
 use crate::scenario::{self, Scenario};
+use crate::shard_exchange::{LEDGER_KEY, Seen, put};
 use crate::spells::Spells;
 use crate::store::Store;
 use crate::transactions::StateTroubles;
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -20,13 +20,13 @@
 
 pub mod chunk;
 pub mod index;
-pub mod known;
 pub mod reader;
+pub mod safe_revision;
 pub mod writer;
 
 pub use index::Head;
-pub use known::Known;
 pub use reader::{Read, Unusable, read};
+pub use safe_revision::Known;
 pub use writer::{Put, Writer};
 
 /// All of a checkpoint stands under this; earlier versions do not know it.
--- a/crates/scheduler/src/fleet/mod.rs
+++ b/crates/scheduler/src/fleet/mod.rs
@@ -6,9 +6,9 @@
 
 pub mod launch;
 mod machine;
+pub mod machine_groups;
 mod machines;
 pub mod mixture;
-pub mod racks;
 mod types;
 pub mod zones;
 
--- a/crates/scheduler/src/jobs/job.rs
+++ b/crates/scheduler/src/jobs/job.rs
@@ -4,7 +4,7 @@
 use crate::intern::{ImageIx, Index, JobIx, MachineIx, TeamIx, ZoneIx};
 use crate::wire::{JobRequest, JobState, Kind, Priority};
 use lupinspur_accounts::TicketIx;
-use lupinspur_accounts::book::{AccountIx, Tasks};
+use lupinspur_accounts::tracker::{AccountIx, Tasks};
 use std::collections::{BTreeSet, VecDeque};
 
 /// What is assumed for a job whose user states no deadline.
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -12,12 +12,12 @@
 // What is decided must not follow the order of a hash.
 #![warn(clippy::iter_over_hash_type)]
 
+pub mod dependency_graph;
+pub mod election;
 pub mod fleet;
 pub mod intern;
 pub mod jobs;
-pub mod ownership;
 pub mod params;
-pub mod pipeline;
 pub mod shard;
 pub mod times;
 
--- a/crates/scheduler/src/shard/commands.rs
+++ b/crates/scheduler/src/shard/commands.rs
@@ -1,7 +1,7 @@
 //! What workers are told, in the answers to their reports and directly.
 
 use super::Shard;
-use super::reports::Origin;
+use super::heartbeats::Origin;
 use crate::fleet::{Held, HeldState, Leftover, Phase as MachinePhase};
 use crate::intern::MachineIx;
 use crate::jobs::{Phase, Slot, TaskKey};
--- a/crates/scheduler/src/shard/pipelines.rs
+++ b/crates/scheduler/src/shard/dependencies.rs
@@ -2,9 +2,9 @@
 //! pass on to the jobs that they need.
 
 use super::Shard;
+use crate::dependency_graph::News;
 use crate::intern::JobIx;
 use crate::jobs::{Job, Phase};
-use crate::pipeline::News;
 use std::collections::BTreeSet;
 
 /// Until this share of `cancel_s` is over, cancellations that follow from another one give
--- a/crates/scheduler/src/shard/watching.rs
+++ b/crates/scheduler/src/shard/machine_monitor.rs
@@ -1,9 +1,9 @@
 //! Machine by machine: leases that ran out, machines that fell silent, boots that take too long.
 
 use super::Shard;
-use super::faults::KEPT_ASIDE_S;
-use super::responses::FleetResponses;
+use super::responsiveness::FleetResponses;
 use super::sizing::REPORT_SPREAD;
+use super::task_failures::KEPT_ASIDE_S;
 use crate::fleet::{Phase as MachinePhase, UNHEEDED};
 use crate::intern::MachineIx;
 use crate::times::stretched;
--- a/crates/scheduler/src/shard/handing.rs
+++ b/crates/scheduler/src/shard/machine_transfers.rs
@@ -3,10 +3,10 @@
 
 use super::Shard;
 use crate::fleet::Phase as MachinePhase;
-use crate::fleet::racks::{RackMachine, rack_key};
+use crate::fleet::machine_groups::{RackMachine, rack_key};
 use crate::intern::{MachineIx, RackIx};
 use lupinspur_cells::CellIx;
-use lupinspur_cells::handover::Handed;
+use lupinspur_cells::machine_transfer::Handed;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Machines that go in one value, at the most.
--- a/crates/scheduler/src/shard/mod.rs
+++ b/crates/scheduler/src/shard/mod.rs
@@ -4,63 +4,63 @@
 //! and what is wanted comes out as writes, commands and cloud calls that the
 //! node's loops carry out. Traces in tests/ drive it directly.
 
-mod bound;
-mod cell;
+mod admission;
+mod checkpointing;
 mod cloud_calls;
 mod commands;
-mod compare;
-mod departed;
+mod consistency;
+mod dependencies;
 mod elastic;
-mod faults;
-mod handing;
-mod judging;
-mod largest;
-mod moving_off;
-mod naming;
-mod occupation;
+mod failover;
+mod graceful_eviction;
+mod heartbeats;
+mod large_jobs;
+mod live_attempts;
+mod machine_monitor;
+mod machine_records;
+mod machine_transfers;
+mod moved_jobs;
 mod permission;
-mod pipelines;
 pub mod placement;
 mod quotas;
-mod recovery;
-mod reported_tasks;
-mod reports;
-mod responses;
-mod service;
+mod rebalancing;
+mod responsiveness;
+mod service_levels;
 mod sizing;
 mod starts;
 mod summary;
-mod takeover;
-mod watching;
+mod task_failures;
+mod task_reconciliation;
 mod writes;
+mod zone_pinned;
 
-pub use cell::limits;
+pub use admission::{Unfit, judge, type_fits};
+pub use checkpointing::{Found, job_of};
 pub use cloud_calls::CloudCall;
 pub use commands::{Direct, DirectSend};
 pub use elastic::{ElasticReport, bound as elastic_bound};
-pub use judging::{Unfit, judge, type_fits};
+pub use failover::Loaded;
+pub use heartbeats::Heard;
 pub use permission::{Forbidden, Lapsed};
 pub use quotas::{LoadedQuotas, QuotaReport, Quotas, Row as QuotaRow, fits_values, team_limits};
-pub use recovery::{Found, job_of};
-pub use reports::Heard;
-pub use service::{ACCOUNTS_PREFIX, Prospect, handed};
+pub use rebalancing::limits;
+pub use service_levels::{ACCOUNTS_PREFIX, Prospect, handed};
 pub use summary::Counts;
-pub use takeover::Loaded;
 pub use writes::{What, Write};
 
+use crate::dependency_graph::Graph;
 use crate::fleet::launch::Launches;
+use crate::fleet::machine_groups::{RackMachine, RackRecord, Racks, rack_key};
 use crate::fleet::mixture::{Mixture, Target};
-use crate::fleet::racks::{RackMachine, RackRecord, Racks, rack_key};
 use crate::fleet::zones::ZoneLists;
 use crate::fleet::{CachedImage, First, Held, HeldState, MachineRecord, Machines, Phase as MachinePhase, Types};
 use crate::intern::{Index, JobIx, MachineIx, Names, RackIx, TeamIx, TypeIx, ZoneIx};
 use crate::jobs::{Job, JobRecord, Jobs, PART_PREFIX, PROGRESS_PREFIX, Phase, ProgressRecord, Slot, TaskKey};
 use crate::params::{Params, Team, Tuning};
-use crate::pipeline::Graph;
 use crate::times::stretched;
 use crate::wire::{JobState, Kind, MachineType};
 use lupinspur_accounts::Book;
-use lupinspur_accounts::floor::Sunk;
+use lupinspur_accounts::underserved::Sunk;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
@@ -129,9 +129,9 @@
     elastic_looked: f64,
     /// Something that was to be placed found no place in the last pass.
     pub(crate) others_wait: bool,
-    accounts: service::Glue,
-    recovery: recovery::Glue,
-    occupation: occupation::Occupation,
+    accounts: service_levels::Glue,
+    recovery: checkpointing::Glue,
+    occupation: live_attempts::Occupation,
     pub team_names: Names<TeamIx>,
     pub pools: BTreeMap<TypeIx, Pool>,
     pub launches: Launches,
@@ -148,8 +148,8 @@
     late_at: f64,
     /// The stages of this takeover that were not told yet: when all was known, when the first
     /// task was started.
-    stages: takeover::Stages,
-    takeover_log: takeover::TakeoverLog,
+    stages: failover::Stages,
+    takeover_log: failover::TakeoverLog,
     /// Most machines were asked whether they are there, and did not answer.
     pub(crate) most_unresponsive: bool,
     /// Has the cloud told this owner which machines there are?
@@ -167,7 +167,7 @@
     value_bytes: usize,
     attempts: u64,
     versions: HashMap<String, u64>,
-    departed: departed::Departed,
+    departed: moved_jobs::Departed,
     in_flight: HashSet<String>,
     finals: BTreeSet<JobIx>,
     /// When a cancellation that follows from another one was last written in its turn.
@@ -189,10 +189,10 @@
     pub(crate) late_credit: f64,
     /// So many services at limits were looked up before, in the order of their turns.
     pub(crate) limits_looked_up: usize,
-    largest: largest::Largest,
-    compared: compare::Glue,
+    largest: large_jobs::Largest,
+    compared: consistency::Glue,
     /// Machines between this cell and others.
-    hands: handing::Glue,
+    hands: machine_transfers::Glue,
     /// Pairs of a job and a machine that were looked at: what placing costs.
     pub looked_at: u64,
     pub counts: Counts,
--- a/crates/scheduler/src/shard/placement/mod.rs
+++ b/crates/scheduler/src/shard/placement/mod.rs
@@ -11,15 +11,15 @@
 //! - [`unplaceable`]: work that fits nowhere, and room that no work may take
 //! - [`room`]: room for services, made by stopping other work
 
-mod fitting;
+mod bin_packing;
 mod limits;
 mod pass;
-mod room;
-mod turns;
+mod preemption;
+mod queue_order;
 mod unplaceable;
 
-pub(super) use fitting::may_run_beside;
-pub use fitting::{Promised, allows, fits, taken_at_once, taken_by};
+pub(super) use bin_packing::may_run_beside;
+pub use bin_packing::{Promised, allows, fits, taken_at_once, taken_by};
 pub use pass::place;
 pub(super) use unplaceable::room_unusable_here;
 
--- a/crates/scheduler/src/shard/placement/pass.rs
+++ b/crates/scheduler/src/shard/placement/pass.rs
@@ -1,9 +1,9 @@
 //! One pass over all that waits: each job in its turn gets the machines that there are for it.
 
-use super::fitting::{barred, fits, leaves_room, options};
+use super::bin_packing::{barred, fits, leaves_room, options};
 use super::limits::{fits_at_once, shadow, shadow_cards, within_limit};
-use super::room::{has_place, make_room};
-use super::turns::{GROWS, Turn, gives_way, turns};
+use super::preemption::{has_place, make_room};
+use super::queue_order::{GROWS, Turn, gives_way, turns};
 use super::unplaceable::Hopeless;
 use crate::fleet::Machine;
 use crate::intern::{JobIx, MachineIx, TeamIx};
--- a/crates/scheduler/src/shard/placement/room.rs
+++ b/crates/scheduler/src/shard/placement/preemption.rs
@@ -1,7 +1,7 @@
 //! Room for services: work of lower priority is stopped, or a replica goes elsewhere.
 
-use super::fitting::{avoids, barred, cost, may_run_beside, options, taken_at_once};
-use super::turns::Turn;
+use super::bin_packing::{avoids, barred, cost, may_run_beside, options, taken_at_once};
+use super::queue_order::Turn;
 use crate::fleet::{HeldState, Machine};
 use crate::intern::{JobIx, MachineIx};
 use crate::jobs::{Job, TaskKey};
--- a/crates/scheduler/src/shard/placement/unplaceable.rs
+++ b/crates/scheduler/src/shard/placement/unplaceable.rs
@@ -1,12 +1,12 @@
 //! Waiting work that fits on no machine, and the room that no waiting work may take.
 
 use super::SERVICE_ROOM;
-use super::fitting::{avoids, fits, leaves_room, may_fill_base};
+use super::bin_packing::{avoids, fits, leaves_room, may_fill_base};
 use super::limits::{shadow, shadow_cards, within_limit};
 use crate::jobs::Job;
 use crate::shard::Shard;
 use crate::wire::Priority;
-use lupinspur_cells::picture::UnusableRoom;
+use lupinspur_cells::load_snapshot::UnusableRoom;
 
 /// Most kinds of waiting work that are compared with the machines that have room.
 const MOST_SHAPES: usize = 64;
--- a/crates/scheduler/src/shard/cell.rs
+++ b/crates/scheduler/src/shard/rebalancing.rs
@@ -8,7 +8,7 @@
 use crate::params::Team;
 use lupinspur_cells::CellIx;
 use lupinspur_cells::escrow::{Amount, Ledger, Use};
-use lupinspur_cells::picture::Picture;
+use lupinspur_cells::load_snapshot::Picture;
 use lupinspur_cells::spill::Waiting;
 
 /// Where a limit is parted, a part of nothing is not "no limit".
--- a/crates/scheduler/src/shard/sizing.rs
+++ b/crates/scheduler/src/shard/sizing.rs
@@ -1,6 +1,6 @@
 //! How many machines of each type there should be, and which of them are kept.
 
-use super::bound::BoundNeeds;
+use super::zone_pinned::BoundNeeds;
 use super::{EPS, FleetRecord, PoolRecord, Shard, type_fits};
 use crate::fleet::mixture::mixture;
 use crate::fleet::{Machine, Phase as MachinePhase};
--- a/crates/scheduler/src/shard/reported_tasks.rs
+++ b/crates/scheduler/src/shard/task_reconciliation.rs
@@ -1,10 +1,10 @@
 //! What a report says of the tasks on its machine, and what becomes of those that it does not name.
 
 use super::Shard;
-use super::faults::RUNS_WELL_S;
-use super::pipelines::NeedsState;
-use super::reports::Origin;
+use super::dependencies::NeedsState;
+use super::heartbeats::Origin;
 use super::starts::ATTEMPT_BITS;
+use super::task_failures::RUNS_WELL_S;
 use crate::fleet::{First, Held, HeldState, Leftover, UNHEEDED, UnknownAttempt};
 use crate::intern::MachineIx;
 use crate::jobs::{Phase, Slot, TaskKey};
--- a/crates/scheduler/src/shard/writes/next.rs
+++ b/crates/scheduler/src/shard/writes/batch.rs
@@ -1,7 +1,7 @@
 //! The next writes, the most urgent first.
 
 use super::{What, Write, sized};
-use crate::fleet::racks::{RACK_PREFIX, rack_key};
+use crate::fleet::machine_groups::{RACK_PREFIX, rack_key};
 use crate::fleet::{FLEET_KEY, MACHINE_PREFIX};
 use crate::intern::{JobIx, RackIx};
 use crate::jobs::{JobRecord, Phase, job_key};
--- a/crates/scheduler/src/shard/writes/rack_values.rs
+++ b/crates/scheduler/src/shard/writes/group_values.rs
@@ -1,7 +1,7 @@
 //! The value of a rack: every machine of it with the jobs that it holds or may come to hold.
 
 use super::{Content, What, Write, sized};
-use crate::fleet::racks::{RackMachine, RackRecord, rack_key};
+use crate::fleet::machine_groups::{RackMachine, RackRecord, rack_key};
 use crate::fleet::{Held, HeldState, Machine, Phase as MachinePhase};
 use crate::intern::{JobIx, MachineIx, RackIx};
 use crate::jobs::TaskKey;
--- a/crates/scheduler/src/shard/writes/mod.rs
+++ b/crates/scheduler/src/shard/writes/mod.rs
@@ -7,9 +7,9 @@
 //! - [`rack_values`]: what stands in the value of a rack
 //! - [`outcome`]: what came of writes
 
-mod next;
+mod batch;
+mod group_values;
 mod outcome;
-mod rack_values;
 
 use super::quotas::Step;
 use super::{FleetRecord, Shard};
--- a/crates/scheduler/tests/exhaustive/deployment.rs
+++ b/crates/scheduler/tests/exhaustive/deployment.rs
@@ -5,7 +5,7 @@
 //! as slow as it likes. What must hold all the same are the [invariants](Deployment::violation).
 
 use crate::explore::System;
-use lupinspur_scheduler::ownership::{Claim, Next, Ownership, SeenClaim};
+use lupinspur_scheduler::election::{Claim, Next, Ownership, SeenClaim};
 
 /// The lease of a claim, and of a worker; a cancelled job's task is gone after the sum of both and a second.
 const CLAIM_LEASE_S: u8 = 2;
--- a/crates/scheduler/tests/owner/occupied.rs
+++ b/crates/scheduler/tests/owner/occupied.rs
@@ -1,7 +1,7 @@
 //! What a machine lists as not ended occupies its task, whatever is thought of its job: it starts nowhere else.
 
 use crate::world::{NEXT_TOKEN, TOKEN, World, job, report, report_of, tasks};
-use lupinspur_scheduler::fleet::racks::{RACK_PREFIX, RackRecord};
+use lupinspur_scheduler::fleet::machine_groups::{RACK_PREFIX, RackRecord};
 use lupinspur_scheduler::jobs::{JobRecord, Phase, Slot};
 use lupinspur_scheduler::shard::Forbidden;
 use lupinspur_scheduler::wire::{Command, Op};
--- a/crates/scheduler/tests/owner/world.rs
+++ b/crates/scheduler/tests/owner/world.rs
@@ -1,6 +1,6 @@
 //! One shard in front of a stand-in for the state service's keys, driven step by step.
 
-use lupinspur_scheduler::fleet::racks::{RACK_PREFIX, RackRecord};
+use lupinspur_scheduler::fleet::machine_groups::{RACK_PREFIX, RackRecord};
 use lupinspur_scheduler::fleet::{Held, Machine};
 use lupinspur_scheduler::intern::{Index, JobIx, MachineIx, RackIx};
 use lupinspur_scheduler::jobs::{JOB_PREFIX, JobRecord, Phase, job_key};
--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -1,12 +1,12 @@
 //! Questions about jobs and cancellations: by the owner, by asking it, or by the stored record alone.
 
 use super::turn;
-use crate::answering::{owner_tells, record_tells};
 use crate::clock;
 use crate::job_status::{JobStatus, Lookup, status_of_item};
 use crate::jobs::job_key;
 use crate::node::{Cell, Node, Place, Standing};
 use crate::peer::{JobAnswer as PeerAnswer, Outcome, Verb};
+use crate::responses::{owner_tells, record_tells};
 use crate::wire::JobState;
 use std::time::Duration;
 
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -3,13 +3,13 @@
 mod lookup;
 mod submission;
 
-use crate::answering::{about_answer, report_answer, unable};
 use crate::clock;
+use crate::heartbeat::parse_report;
 use crate::http::{Incoming, Outgoing};
 use crate::job_status::{Lookup, valid_id};
 use crate::node::Node;
 use crate::peer::Verb;
-use crate::reports::parse_report;
+use crate::responses::{about_answer, report_answer, unable};
 use crate::shard::Heard;
 use crate::state::Turn;
 use crate::wire;
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -1,12 +1,12 @@
 //! Submissions: read, judged, stored, and answered as before where they are repeated.
 
-use crate::answering::{job_answer, record_tells, resubmission_answer, unable};
 use crate::clock;
 use crate::http::Outgoing;
 use crate::job_status::{JobStatus, Lookup, valid_id};
 use crate::jobs::{JobRecord, RECORD_GROWS_BY, job_key};
 use crate::node::Node;
 use crate::peer::Verb;
+use crate::responses::{job_answer, record_tells, resubmission_answer, unable};
 use crate::shard::{Unfit, judge};
 use crate::state::{COMMIT_TIMEOUT, Commit, StateError, Turn};
 use crate::wire::{self, Change, Condition, JobRequest, JobState, Kind};
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -3,11 +3,11 @@
 //! [`Audit`] takes every key in order and keeps only what is open; [`run`] reads the pages, at a
 //! rate that leaves the state service to the controllers.
 
-use crate::fleet::racks::{RACK_PREFIX, RackRecord};
+use crate::election::{CLAIM_PREFIX, Claim, TYPES_KEY};
+use crate::fleet::machine_groups::{RACK_PREFIX, RackRecord};
 use crate::fleet::{FLEET_KEY, MACHINE_PREFIX, MachineRecord};
 use crate::http::Client;
 use crate::jobs::{JOB_PREFIX, PART_PREFIX, PROGRESS_PREFIX, Phase, ProgressRecord};
-use crate::ownership::{CLAIM_PREFIX, Claim, TYPES_KEY};
 use crate::settings::Settings;
 use crate::shard::{FleetRecord, job_of};
 use crate::wire::{self, Item, Items};
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,8 +1,8 @@
 //! Client of the cloud: machine types, rentals, deletions, the machine list.
 
-use crate::budget::Budget;
 use crate::clock;
 use crate::http::{CallError, Client};
+use crate::rate_limiter::Budget;
 use crate::wire::{self, ListedMachine, MachineList, MachineNames, MachineType, RentRequest, Types};
 use async_io::Timer;
 use http_types::Method;
--- a/src/node/claim.rs
+++ b/src/node/leadership.rs
@@ -1,7 +1,7 @@
 //! The lease, the claim, and what stands beside it at the state service.
 
 use super::*;
-use lupinspur_cells::member::claims_after_s;
+use lupinspur_cells::activation::claims_after_s;
 
 /// What a watch or a list tells of one key.
 enum News {
--- a/src/node/merging.rs
+++ b/src/node/merging.rs
@@ -10,10 +10,10 @@
 //! Each step is stored, and whoever owns cell 0 goes on with the next. Until the last one a version
 //! that knows of no cells is kept away as before.
 
-use super::cell_exchange::{CELLS_PREFIX, PRESENT_PREFIX};
+use super::shard_exchange::{CELLS_PREFIX, PRESENT_PREFIX};
 use super::*;
-use crate::fleet::racks::RackRecord;
-use lupinspur_cells::member::{InForce, NOBODY, Presence, comes_into_force, may_take_in};
+use crate::fleet::machine_groups::RackRecord;
+use lupinspur_cells::activation::{InForce, NOBODY, Presence, comes_into_force, may_take_in};
 
 type TakenIn = (Vec<(String, RackRecord, u64)>, Vec<(String, u64)>);
 
@@ -74,7 +74,7 @@
             let item = claims.iter().find(|i| i.key == key).cloned();
             (key, item)
         };
-        Ok((1..cells).map(crate::ownership::cell_claim_key).map(of).collect())
+        Ok((1..cells).map(crate::election::cell_claim_key).map(of).collect())
     }
 
     /// May this claim take in what all the others had?
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,25 +1,25 @@
 //! The node: sockets, clocks and loops around one shard's decisions.
 
-mod cell;
-mod cell_exchange;
-mod claim;
+mod failover;
+mod leadership;
 mod loops;
 mod merging;
 mod routing;
-mod takeover;
+mod shard_exchange;
+mod shard_runtime;
 
-pub use cell::Cell;
 pub use routing::Place;
+pub use shard_runtime::Cell;
 
 use crate::clock;
 use crate::cloud::{CloudClient, CloudError};
-use crate::fleet::racks::RACK_PREFIX;
+use crate::election::{AWAY_S, CLAIM_KEY, CLAIM_PREFIX, Claim, Next, Ownership, SeenClaim, TYPES_KEY, away_key};
+use crate::fleet::machine_groups::RACK_PREFIX;
 use crate::fleet::{FLEET_KEY, MACHINE_PREFIX};
 use crate::health::Health;
 use crate::intern::{Index, RackIx};
 use crate::job_status::{JobStatus, Lookup};
 use crate::jobs::{JOB_PREFIX, JobRecord, PART_PREFIX, PROGRESS_PREFIX, Phase};
-use crate::ownership::{AWAY_S, CLAIM_KEY, CLAIM_PREFIX, Claim, Next, Ownership, SeenClaim, TYPES_KEY, away_key};
 use crate::peer::Peers;
 use crate::settings::Settings;
 use crate::shard::{CloudCall, Counts, DirectSend, Found, Loaded, LoadedQuotas, Shard, job_of};
@@ -33,7 +33,7 @@
 use futures_lite::FutureExt;
 use lru::LruCache;
 use lupinspur_accounts::gate::LOG_MARK;
-use lupinspur_accounts::handed::Carried;
+use lupinspur_accounts::inheritance::Carried;
 use lupinspur_accounts::{Alarm, Book, Reading, Told as ServiceTold};
 use lupinspur_cells::CellIx;
 use lupinspur_quota::Plan;
@@ -110,7 +110,7 @@
     in_force: Mutex<Option<lupinspur_cells::Plan>>,
     /// The cells in force are on their way back to one.
     merging: AtomicBool,
-    cell_exchange: Mutex<cell_exchange::CellExchange>,
+    cell_exchange: Mutex<shard_exchange::CellExchange>,
     /// Which cell a job, or a machine, was last found in.
     job_cells: Mutex<LruCache<String, CellIx>>,
     machine_cells: Mutex<LruCache<String, CellIx>>,
--- a/src/node/routing.rs
+++ b/src/node/routing.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use crate::peer::MachineQuestion;
-use lupinspur_cells::member::{InForce, NOBODY};
+use lupinspur_cells::activation::{InForce, NOBODY};
 
 /// Where a job is to be asked for.
 pub enum Place {
--- a/src/node/cell_exchange/plan.rs
+++ b/src/node/shard_exchange/activation.rs
@@ -130,7 +130,7 @@
             }
         }
         log::info!("{} cells are in force", plan.cells);
-        let cell = |c| Cell::new(self.clone(), CellIx(c), crate::ownership::cell_claim_key(c));
+        let cell = |c| Cell::new(self.clone(), CellIx(c), crate::election::cell_claim_key(c));
         let cells: Vec<Arc<Cell>> = (0..plan.cells).map(cell).collect();
         // As far as this process knows nobody has claimed them: what it hears next may say more.
         cells.iter().for_each(|c| c.saw_claim(None));
--- a/src/node/cell_exchange/machines.rs
+++ b/src/node/shard_exchange/machine_transfers.rs
@@ -29,7 +29,7 @@
         if lock(&self.in_force).is_none() {
             return Ok(BTreeSet::new());
         }
-        let (items, _) = self.state.list(handover::PREFIX, Turn::InTurn).await?;
+        let (items, _) = self.state.list(machine_transfer::PREFIX, Turn::InTurn).await?;
         let mut away = BTreeSet::new();
         for (key, h, version) in parse_items::<Handover>(items) {
             if h.from == self.ix {
@@ -70,7 +70,7 @@
         }
         let most = (self.settings.value_bytes() / BYTES_A_MACHINE).max(1);
         for (to, mut machines) in by_cell {
-            let key = handover::key(self.ix, to);
+            let key = machine_transfer::key(self.ix, to);
             let version = match hands.get(&key) {
                 Some((h, _)) if !h.over() => continue,
                 Some((_, v)) => *v,
--- a/src/node/cell_exchange/mod.rs
+++ b/src/node/shard_exchange/mod.rs
@@ -1,21 +1,21 @@
 //! What cells exchange through the state service: the plan that comes into force, what each cell reports of
 //! itself, shares of limits, jobs and machines that change cells.
 
-mod leader;
-mod machines;
-mod plan;
-mod shares;
+mod activation;
+mod machine_transfers;
+mod quota_shares;
+mod rebalance;
 mod spill;
 #[cfg(test)]
 mod tests;
 
 use super::*;
 use crate::shard::limits;
+use lupinspur_cells::activation::{InForce, Presence, comes_into_force, offers};
 use lupinspur_cells::escrow::{Amount, Gift, Ledger, Use, gifts};
-use lupinspur_cells::handover::{self, BYTES_A_MACHINE, Handed, Handover, giver_next, taker_next, to_whom};
-use lupinspur_cells::member::{InForce, Presence, comes_into_force, offers};
-use lupinspur_cells::picture::Picture;
-use lupinspur_cells::reassign::{Leader, Orders, has_to_raise};
+use lupinspur_cells::load_snapshot::Picture;
+use lupinspur_cells::machine_transfer::{self, BYTES_A_MACHINE, Handed, Handover, giver_next, taker_next, to_whom};
+use lupinspur_cells::rebalance::{Leader, Orders, has_to_raise};
 use lupinspur_cells::spill::spills;
 use std::collections::BTreeSet;
 
@@ -89,7 +89,7 @@
                 }
                 Err(e) => log::error!("{ORDERS_KEY} holds something unknown: {e}"),
             }
-        } else if item.key.starts_with(handover::PREFIX) {
+        } else if item.key.starts_with(machine_transfer::PREFIX) {
             match serde_json::from_value::<Handover>(item.value) {
                 Ok(h) => self.observe_handover(&item.key, h, item.version),
                 Err(e) => log::error!("{} holds something unknown: {e}", item.key),
--- a/src/run.rs
+++ b/src/run.rs
@@ -1,8 +1,8 @@
 //! One controller, from its settings to its loops.
 
-use crate::answers::OwnerSide;
 use crate::clock;
 use crate::node::{EX, Features, Node};
+use crate::peer_server::OwnerSide;
 use crate::settings::Settings;
 use crate::tuning::Tuning;
 use async_io::Async;
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -2,9 +2,9 @@
 
 mod limits;
 
-use crate::budget::Budget;
 use crate::clock;
 use crate::http::{CallError, Client};
+use crate::rate_limiter::Budget;
 use crate::wire::{self, Change, Condition, Events, Item, Items, LeaseAnswer, LeaseRequest, Revision, Txn};
 use async_io::Timer;
 use http_types::Method;
--- a/tests/answering.rs
+++ b/tests/answering.rs
@@ -1,9 +1,9 @@
 //! What is answered about a job and to a worker's report, given what is known: the rules on which a user's
 //! "cancelled" and a worker's lease rest.
 
-use lupinspur::answering::{about_answer, owner_tells, record_tells, report_answer, resubmission_answer};
 use lupinspur::job_status::{JobStatus, Lookup, status_of_item};
 use lupinspur::peer::Verb;
+use lupinspur::responses::{about_answer, owner_tells, record_tells, report_answer, resubmission_answer};
 use lupinspur::shard::{Heard, Shown};
 use lupinspur::wire::{Item, JobState, ReportReply};
 use serde_json::{Value, json};
--- a/tests/golden/keys.rs
+++ b/tests/golden/keys.rs
@@ -1,13 +1,13 @@
 //! The keys under which values are stored, and the paths of requests.
 
-use lupinspur::fleet::racks::{RACK_PREFIX, rack_key};
+use lupinspur::election::{CLAIM_KEY, CLAIM_PREFIX, TYPES_KEY, away_key, cell_claim_key};
+use lupinspur::fleet::machine_groups::{RACK_PREFIX, rack_key};
 use lupinspur::fleet::{FLEET_KEY, MACHINE_PREFIX, machine_key};
 use lupinspur::intern::{Index, RackIx};
 use lupinspur::jobs::{JOB_PREFIX, PART_PREFIX, PROGRESS_PREFIX, job_key, part_key, progress_key};
-use lupinspur::ownership::{CLAIM_KEY, CLAIM_PREFIX, TYPES_KEY, away_key, cell_claim_key};
 use lupinspur::shard::ACCOUNTS_PREFIX;
 use lupinspur::wire;
-use lupinspur_cells::{CellIx, handover, member};
+use lupinspur_cells::{CellIx, activation, machine_transfer};
 use lupinspur_quota::stored as quota;
 use lupinspur_recovery as checkpoint;
 
@@ -18,7 +18,7 @@
     assert_eq!(cell_claim_key(3), "own/c/3");
     assert_eq!(TYPES_KEY, "own/types");
     assert_eq!(away_key("sprig-2"), "own/away/sprig-2");
-    assert_eq!(member::NOBODY, "(cells)");
+    assert_eq!(activation::NOBODY, "(cells)");
 }
 
 #[test]
@@ -53,8 +53,8 @@
 
 #[test]
 fn keys_of_transfers_between_cells() {
-    assert_eq!(handover::PREFIX, "cells/hand/");
-    assert_eq!(handover::key(CellIx(1), CellIx(2)), "cells/hand/1/2");
+    assert_eq!(machine_transfer::PREFIX, "cells/hand/");
+    assert_eq!(machine_transfer::key(CellIx(1), CellIx(2)), "cells/hand/1/2");
 }
 
 #[test]
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -1,13 +1,13 @@
 //! Values at the state service, but for those that cells exchange.
 
 use crate::{Samples, as_stored};
+use lupinspur::election::Claim;
 use lupinspur::fleet::MachineRecord;
-use lupinspur::fleet::racks::{RackMachine, RackRecord};
+use lupinspur::fleet::machine_groups::{RackMachine, RackRecord};
 use lupinspur::jobs::{JobRecord, Phase, ProgressRecord};
-use lupinspur::ownership::Claim;
 use lupinspur::shard::{FleetRecord, PoolRecord};
 use lupinspur::wire::{JobRequest, MachineType};
-use lupinspur_accounts::handed;
+use lupinspur_accounts::inheritance;
 use lupinspur_quota::plan::Organisation;
 use lupinspur_quota::stored as quota;
 use lupinspur_recovery::chunk::{Chunk, Packer, Stored};
@@ -170,11 +170,11 @@
 /// The service-level accounts that a leader hands to the next.
 #[test]
 fn service_level_accounts() {
-    let part: handed::Part = read_and_written_again("service_level_accounts");
-    let carried = handed::newest([part]).expect("a complete round");
+    let part: inheritance::Part = read_and_written_again("service_level_accounts");
+    let carried = inheritance::newest([part]).expect("a complete round");
     assert_eq!((carried.round, carried.as_of, carried.chain), (5, 1234.5, 41));
-    let sums = vec![handed::Handed(8.0, 7.5, 1, 2.0, 1.5), handed::Handed::default()];
-    let line = |side, name: &str| handed::Line(side, name.into(), sums.clone());
+    let sums = vec![inheritance::Handed(8.0, 7.5, 1, 2.0, 1.5), inheritance::Handed::default()];
+    let line = |side, name: &str| inheritance::Line(side, name.into(), sums.clone());
     use lupinspur_accounts::Side;
     let expected = [line(Side::Class, "train"), line(Side::Team, "vision"), line(Side::Level, "all.research")];
     assert_eq!(carried.lines, expected);
--- a/tests/golden/stored_by_cells.rs
+++ b/tests/golden/stored_by_cells.rs
@@ -1,12 +1,12 @@
 //! Values at the state service that cells exchange.
 
 use crate::stored::{SAMPLES, same};
+use lupinspur_cells::activation::{InForce, Presence};
 use lupinspur_cells::escrow::{Amount, Ledger, Use};
-use lupinspur_cells::handover::{Handed, Handover};
-use lupinspur_cells::member::{InForce, Presence};
-use lupinspur_cells::picture::{Picture, UnusableRoom};
+use lupinspur_cells::load_snapshot::{Picture, UnusableRoom};
+use lupinspur_cells::machine_transfer::{Handed, Handover};
 use lupinspur_cells::plan::Home;
-use lupinspur_cells::reassign::{Move, Orders};
+use lupinspur_cells::rebalance::{Move, Orders};
 use lupinspur_cells::{CellIx, Plan};
 use std::collections::BTreeMap;
 
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -4,11 +4,11 @@
 //! The structs in `frozen` are that version's, to the letter where serde looks at them.
 //! They are never to be changed with the code: they say what an old node understands.
 
-use lupinspur::fleet::racks::{RackMachine, RackRecord};
+use lupinspur::election::Claim;
+use lupinspur::fleet::machine_groups::{RackMachine, RackRecord};
 use lupinspur::fleet::{FLEET_KEY, MachineRecord};
 use lupinspur::intern::{Index, TeamIx};
 use lupinspur::jobs::{self, JobRecord, Jobs, Phase, ProgressRecord, Slot};
-use lupinspur::ownership::Claim;
 use lupinspur::shard::{FleetRecord, PoolRecord};
 use lupinspur::wire::JobRequest;
 use proptest::strategy::Strategy;
--- a/tests/traces/many_jobs.rs
+++ b/tests/traces/many_jobs.rs
@@ -3,7 +3,7 @@
 use crate::words::attempt_text;
 use crate::world::world;
 use lupinspur::fleet::Held;
-use lupinspur::fleet::racks::RACK_PREFIX;
+use lupinspur::fleet::machine_groups::RACK_PREFIX;
 use lupinspur::intern::JobIx;
 use lupinspur::jobs::job_key;
 
--- a/tests/traces/racks.rs
+++ b/tests/traces/racks.rs
@@ -2,7 +2,7 @@
 
 use crate::words::attempt_text;
 use crate::world::{TEAMS, World, world};
-use lupinspur::fleet::racks::{RACK_PREFIX, RackRecord};
+use lupinspur::fleet::machine_groups::{RACK_PREFIX, RackRecord};
 use lupinspur::fleet::{Held, HeldState};
 use lupinspur::intern::JobIx;
 use lupinspur::settings::Settings;
--- a/tests/traces/words.rs
+++ b/tests/traces/words.rs
@@ -1,6 +1,6 @@
 //! The words of an event, and how answers are written.
 
-use lupinspur::fleet::racks::{RackMachine, RackRecord};
+use lupinspur::fleet::machine_groups::{RackMachine, RackRecord};
 use lupinspur::wire::{Command, Op};
 use serde_json::Value;
 
