--- a/crates/cells/src/activation.rs
+++ b/crates/cells/src/activation.rs
@@ -64,7 +64,7 @@
 /// Seconds that a controller waits before it claims a cell that has no owner. `nodes`: all
 /// controllers of the settings, in any order; `owned`: how many cells it owns. The preferred one
 /// goes at once; one that owns others already comes after those that own none.
-pub fn claims_after_s(me: &str, nodes: &[&str], cell: CellIx, owned: usize) -> f64 {
+pub fn campaign_delay_s(me: &str, nodes: &[&str], cell: CellIx, owned: usize) -> f64 {
     let mut all: Vec<&str> = nodes.iter().copied().collect::<BTreeSet<_>>().into_iter().collect();
     // In turn, so that the cells of a deployment that begins are not all one controller's.
     all.sort_unstable();
--- a/crates/cells/tests/cells.rs
+++ b/crates/cells/tests/cells.rs
@@ -1,6 +1,6 @@
 //! Small stories of what lies between cells, and properties over random ones.
 
-use lupinspur_cells::activation::{InForce, NOBODY, Presence, claims_after_s, comes_into_force, may_take_in, offers};
+use lupinspur_cells::activation::{InForce, NOBODY, Presence, campaign_delay_s, comes_into_force, may_take_in, offers};
 use lupinspur_cells::escrow::{Amount, Gift, Ledger, Use, gifts};
 use lupinspur_cells::load_snapshot::Picture;
 use lupinspur_cells::spill::{MOST_MOVES, Waiting, spills};
@@ -96,11 +96,11 @@
     let nodes = ["n0", "n1", "n2", "n3", "n4"];
     for cell in 0..7 {
         let at_once: Vec<&str> =
-            nodes.iter().filter(|n| claims_after_s(n, &nodes, CellIx(cell), 0) == 0.0).copied().collect();
+            nodes.iter().filter(|n| campaign_delay_s(n, &nodes, CellIx(cell), 0) == 0.0).copied().collect();
         assert_eq!(at_once, [nodes[cell as usize % 5]]);
     }
-    assert!(claims_after_s("n1", &nodes, CellIx(1), 1) > claims_after_s("n0", &nodes, CellIx(1), 0));
-    assert!(claims_after_s("n4", &nodes, CellIx(3), 6) < 15.0);
+    assert!(campaign_delay_s("n1", &nodes, CellIx(1), 1) > campaign_delay_s("n0", &nodes, CellIx(1), 0));
+    assert!(campaign_delay_s("n4", &nodes, CellIx(3), 6) < 15.0);
 }
 
 fn cpus(c: f64) -> Amount {
--- a/crates/model/src/controllers.rs
+++ b/crates/model/src/controllers.rs
@@ -4,13 +4,13 @@
 use crate::machines::Machine;
 use crate::messages::{Message, UNANSWERED_S};
 use crate::shard_exchange::{Seen, concerns};
-use crate::transactions::OwnerCommit;
+use crate::transactions::LeaderCommit;
 use crate::trouble::Wrong;
 use crate::world::{World, ZONES};
 use crate::wrong_decisions;
 use crate::{CLAIM_S, STEP};
 use lupinspur_cells::rebalance::Leader;
-use lupinspur_scheduler::election::{Claim, Ownership};
+use lupinspur_scheduler::election::{LeaderElection, LeadershipRecord};
 use lupinspur_scheduler::intern::Index;
 use lupinspur_scheduler::jobs::{JOB_PREFIX, JobRecord};
 use lupinspur_scheduler::shard::{CloudCall, Direct, DirectSend, Shard};
@@ -49,7 +49,7 @@
 
 /// One cell's place in a controller.
 pub(crate) struct Held {
-    pub(crate) own: Ownership,
+    pub(crate) own: LeaderElection,
     pub(crate) shard: Option<Shard>,
     pub(crate) watched: u64,
     pub(crate) claim: ClaimState,
@@ -65,8 +65,8 @@
 
 impl Held {
     /// The token, while this controller surely owns the cell.
-    pub(crate) fn may_act(&self, now: f64) -> Option<u64> {
-        self.own.may_act(now - self.acts_past_lease_s)
+    pub(crate) fn valid_token(&self, now: f64) -> Option<u64> {
+        self.own.valid_token(now - self.acts_past_lease_s)
     }
 }
 
@@ -77,7 +77,7 @@
 
     pub(crate) fn begin(&mut self, cells: usize) {
         let held = |_| Held {
-            own: Ownership::new(Claim::new(self.name.clone(), self.life.to_string()), CLAIM_S),
+            own: LeaderElection::new(LeadershipRecord::new(self.name.clone(), self.life.to_string()), CLAIM_S),
             shard: None,
             watched: 0,
             claim: ClaimState::default(),
@@ -102,7 +102,7 @@
     /// The shard of a cell, while this controller surely owns it.
     pub(crate) fn acting(&mut self, c: usize, now: f64) -> Option<&mut Shard> {
         let h = &mut self.cells[c];
-        let token = h.may_act(now)?;
+        let token = h.valid_token(now)?;
         h.shard.as_mut().filter(|s| s.token == token)
     }
 }
@@ -131,7 +131,7 @@
         if self.nodes[i].acting(c, now).is_none() {
             return;
         }
-        let Some(token) = self.nodes[i].cells[c].may_act(now) else { return };
+        let Some(token) = self.nodes[i].cells[c].valid_token(now) else { return };
         if reaches {
             self.watch(i, c);
             self.look_around(i, c);
@@ -214,7 +214,7 @@
         for writes in writes {
             self.transactions += 1;
             let number = self.transactions;
-            self.send_commit(OwnerCommit { node: i, life, cell: c, token, number, writes });
+            self.send_commit(LeaderCommit { node: i, life, cell: c, token, number, writes });
         }
         if let Some(CloudCall::Delete(machines, names)) = deletion {
             self.send(0.3, Message::Deleted { node: i, life, token, machines, names });
--- a/crates/model/src/elections.rs
+++ b/crates/model/src/elections.rs
@@ -6,9 +6,9 @@
 use crate::transactions::{COMMIT_LIMIT_S, GRANT_LIMIT_S, RENEWAL_LIMIT_S};
 use crate::world::World;
 use lupinspur_cells::CellIx;
-use lupinspur_cells::activation::claims_after_s;
-use lupinspur_scheduler::election::{Claim, Next, SeenClaim};
-use lupinspur_wire::Change;
+use lupinspur_cells::activation::campaign_delay_s;
+use lupinspur_scheduler::election::{ElectionStep, LeadershipRecord, ObservedRecord};
+use lupinspur_wire::Mutation;
 
 /// How often an owner renews its lease, and how often whoever may not act tries.
 const RENEW_EVERY_S: f64 = 0.8;
@@ -62,7 +62,7 @@
     Claim {
         lease: u64,
         over: u64,
-        claim: Claim,
+        claim: LeadershipRecord,
         raises: bool,
     },
     GiveWay {
@@ -103,14 +103,14 @@
 pub(crate) enum ClaimMessage {
     Request { sender: Sender, call: ClaimCall, answered: Option<f64> },
     Answer { sender: Sender, outcome: ClaimOutcome, renews: bool },
-    Watched { sender: Sender, seen: Option<SeenClaim> },
+    Watched { sender: Sender, seen: Option<ObservedRecord> },
 }
 
 impl World {
     pub(crate) fn keep_claim(&mut self, i: usize, c: usize) {
         self.renew(i, c);
         self.watch_claim(i, c);
-        self.try_claim(i, c);
+        self.campaign(i, c);
         self.take_over(i, c);
     }
 
@@ -144,7 +144,7 @@
     fn renew(&mut self, i: usize, c: usize) {
         let now = self.now;
         let held = &self.nodes[i].cells[c];
-        let every = if held.own.may_act(now).is_some() { RENEW_EVERY_S } else { RETRY_EVERY_S };
+        let every = if held.own.valid_token(now).is_some() { RENEW_EVERY_S } else { RETRY_EVERY_S };
         let Some(lease) = held.own.lease() else { return };
         if held.claim.renewing || now - held.claim.renewed_at < every {
             return;
@@ -155,7 +155,7 @@
 
     /// Tells a change of the claim a moment later, one after the other.
     fn watch_claim(&mut self, i: usize, c: usize) {
-        let key = self.claim_key(c);
+        let key = self.leadership_key(c);
         let seen = self.store.claim(&key);
         let changed = self.store.changed(&key);
         let state = self.claim_state(i, c);
@@ -170,23 +170,23 @@
         self.send(after, Message::Claim(ClaimMessage::Watched { sender, seen }));
     }
 
-    fn try_claim(&mut self, i: usize, c: usize) {
+    fn campaign(&mut self, i: usize, c: usize) {
         let now = self.now;
         if self.nodes[i].cells[c].claim.claiming {
             return;
         }
         let day_ms = (now * 1000.0) as u64;
-        let turn_s = self.turn_s(i, c);
+        let campaign_delay_s = self.campaign_delay_s(i, c);
         let own = &mut self.nodes[i].cells[c].own;
-        match own.next(now, day_ms, true, turn_s) {
-            Next::Nothing => {}
-            Next::Grant => self.call(i, c, ClaimCall::Grant),
-            Next::Claim { lease, over } => {
-                let claim = own.trying(lease, day_ms);
+        match own.next_step(now, day_ms, true, campaign_delay_s) {
+            ElectionStep::Wait => {}
+            ElectionStep::AcquireLease => self.call(i, c, ClaimCall::Grant),
+            ElectionStep::Campaign { lease, over } => {
+                let claim = own.prepare_campaign(lease, day_ms);
                 self.call(i, c, ClaimCall::Claim { lease, over, claim, raises: false });
             }
-            Next::Adopt { version } => _ = own.claimed(version),
-            Next::GiveWay { over } => self.call(i, c, ClaimCall::GiveWay { over }),
+            ElectionStep::AdoptOwnRecord { version } => _ = own.elected(version),
+            ElectionStep::Yield { over } => self.call(i, c, ClaimCall::GiveWay { over }),
         }
     }
 
@@ -195,18 +195,18 @@
         let day_ms = (self.now * 1000.0) as u64;
         let held = &mut self.nodes[i].cells[c];
         let Some(lease) = held.own.lease().filter(|_| !held.claim.claiming) else { return };
-        let claim = held.own.trying(lease, day_ms);
+        let claim = held.own.prepare_campaign(lease, day_ms);
         self.call(i, c, ClaimCall::Claim { lease, over: token, claim, raises: true });
     }
 
     /// How long a controller leaves a claim that nobody holds to the others.
-    fn turn_s(&self, i: usize, c: usize) -> f64 {
+    fn campaign_delay_s(&self, i: usize, c: usize) -> f64 {
         if self.cells == 1 {
             return 0.0;
         }
         let names: Vec<&str> = self.nodes.iter().map(|n| n.name.as_str()).collect();
         let owned = self.nodes[i].cells.iter().filter(|h| h.own.token().is_some()).count();
-        claims_after_s(names[i], &names, CellIx(c as u32), owned)
+        campaign_delay_s(names[i], &names, CellIx(c as u32), owned)
     }
 
     pub(crate) fn on_claim_message(&mut self, message: ClaimMessage) {
@@ -231,7 +231,7 @@
             ClaimMessage::Answer { outcome, renews, .. } => self.on_claim_answer(sender, outcome, renews),
             ClaimMessage::Watched { seen, .. } => {
                 self.claim_state(sender.node, sender.cell).watching = false;
-                self.saw_claim(sender.node, sender.cell, seen);
+                self.observe_record(sender.node, sender.cell, seen);
             }
             ClaimMessage::Request { .. } => {}
         }
@@ -248,7 +248,7 @@
 
     /// What the state service makes of a request about a lease or a claim.
     fn outcome_of_claim_call(&mut self, cell: usize, call: ClaimCall) -> ClaimOutcome {
-        let (now, key) = (self.now, self.claim_key(cell));
+        let (now, key) = (self.now, self.leadership_key(cell));
         match call {
             ClaimCall::Renew { lease } if self.store.renew(lease, now) => ClaimOutcome::Renewed(lease),
             ClaimCall::Renew { lease } => ClaimOutcome::NoSuchLease(lease),
@@ -258,7 +258,7 @@
             }
             ClaimCall::Claim { lease, over, claim, raises } => {
                 let value = serde_json::to_value(&claim).expect("a claim");
-                let change = Change::Put { key: key.clone(), value, lease: Some(lease) };
+                let change = Mutation::Put { key: key.clone(), value, lease: Some(lease) };
                 match self.store.commit(&[(key, over)], &[change], Some(lease)) {
                     Some(version) => {
                         self.counts.claims += u64::from(!raises);
@@ -269,7 +269,7 @@
                 }
             }
             ClaimCall::GiveWay { over } => {
-                let gone = Change::Delete { key: key.clone() };
+                let gone = Mutation::Delete { key: key.clone() };
                 match self.store.commit(&[(key, over)], &[gone], None) {
                     Some(_) => ClaimOutcome::GaveWay,
                     None => ClaimOutcome::InDoubt,
@@ -290,41 +290,41 @@
         match outcome {
             // The answer may be about an earlier lease.
             ClaimOutcome::Renewed(lease) if held.own.lease() != Some(lease) => {}
-            ClaimOutcome::Renewed(lease) | ClaimOutcome::Granted(lease) => held.own.confirmed(lease, sender.sent),
+            ClaimOutcome::Renewed(lease) | ClaimOutcome::Granted(lease) => held.own.lease_renewed(lease, sender.sent),
             ClaimOutcome::Claimed { version, raises } => {
                 if raises {
                     held.shard = None;
                 }
-                held.own.claimed(version);
+                held.own.elected(version);
             }
             ClaimOutcome::GaveWay => {
-                held.own.gave_way(now);
-                held.own.saw(None, now);
+                held.own.leadership_yielded(now);
+                held.own.observe_record(None, now);
             }
             ClaimOutcome::NoSuchLease(lease) => {
-                if held.own.lease_ended(lease) {
+                if held.own.lease_expired(lease) {
                     held.shard = None;
                 }
                 if renews {
-                    self.look_at_claim(i, c);
+                    self.read_leadership_record(i, c);
                 }
             }
-            ClaimOutcome::InDoubt if !renews => self.look_at_claim(i, c),
+            ClaimOutcome::InDoubt if !renews => self.read_leadership_record(i, c),
             ClaimOutcome::InDoubt | ClaimOutcome::NotExecuted => {}
         }
     }
 
     /// Reads the claim, where the state service can be reached.
-    pub(crate) fn look_at_claim(&mut self, i: usize, c: usize) {
+    pub(crate) fn read_leadership_record(&mut self, i: usize, c: usize) {
         if self.reaches(i) {
-            let seen = self.store.claim(&self.claim_key(c));
-            self.saw_claim(i, c, seen);
+            let seen = self.store.claim(&self.leadership_key(c));
+            self.observe_record(i, c, seen);
         }
     }
 
-    fn saw_claim(&mut self, i: usize, c: usize, seen: Option<SeenClaim>) {
+    fn observe_record(&mut self, i: usize, c: usize, seen: Option<ObservedRecord>) {
         let held = &mut self.nodes[i].cells[c];
-        if held.own.saw(seen, self.now) {
+        if held.own.observe_record(seen, self.now) {
             held.shard = None;
         }
     }
--- a/crates/model/src/failover.rs
+++ b/crates/model/src/failover.rs
@@ -39,7 +39,7 @@
         if self.wrong == Some(Wrong::Limits) {
             params.teams.iter_mut().for_each(|t| t.cpus_max *= 4.0);
         }
-        let tuning = Tuning { claim_s: CLAIM_S, ..Tuning::default() };
+        let tuning = Tuning { leader_lease_s: CLAIM_S, ..Tuning::default() };
         let mut shard = Shard::new(&params, tuning, token, types(), loaded, now);
         let ledger = self.store.read::<Ledger>(LEDGER_KEY).filter(|_| self.wrong != Some(Wrong::Shares));
         if let Some((ledger, _)) = ledger {
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -53,7 +53,7 @@
 pub use lupinspur_files::Fault;
 pub use report::{Counts, Run, play, simulate};
 pub use scenario::Scenario;
-pub use trouble::{CONTROLLER_KINDS, KINDS, Kind, OWNER, SAME_OWNER, Trouble, USER_AND_MACHINE_KINDS, Wrong};
+pub use trouble::{CONTROLLER_KINDS, KINDS, Kind, LEADER, SAME_LEADER, Trouble, USER_AND_MACHINE_KINDS, Wrong};
 pub use work::Work;
 
 /// Seconds between two looks at everything.
--- a/crates/model/src/messages.rs
+++ b/crates/model/src/messages.rs
@@ -1,12 +1,12 @@
 //! What is under way between controllers, machines, the state service and the cloud.
 
 use crate::elections::ClaimMessage;
-use crate::transactions::{CommitOutcome, OwnerCommit};
+use crate::transactions::{CommitOutcome, LeaderCommit};
 use crate::trouble::Wrong;
 use crate::world::World;
-use lupinspur_scheduler::election::{CLAIM_KEY, cell_claim_key};
+use lupinspur_scheduler::election::{LEADERSHIP_KEY, shard_leadership_key};
 use lupinspur_scheduler::shard::{Direct, DirectSend, Heard};
-use lupinspur_wire::{Change, Command, DirectCommands, Report};
+use lupinspur_wire::{Command, DirectCommands, Mutation, Report};
 use std::time::Instant;
 
 /// After this a controller knows that direct commands have no answer.
@@ -47,13 +47,13 @@
         outcome: Direct,
     },
     Commit {
-        commit: OwnerCommit,
+        commit: LeaderCommit,
         answered: Option<f64>,
     },
     /// A write of what passes between cells that comes once more, late.
     Again {
         conditions: Vec<(String, u64)>,
-        changes: Vec<Change>,
+        changes: Vec<Mutation>,
     },
     Deleted {
         node: usize,
@@ -63,7 +63,7 @@
         names: Vec<String>,
     },
     CommitAnswer {
-        commit: OwnerCommit,
+        commit: LeaderCommit,
         outcome: CommitOutcome,
     },
     Claim(ClaimMessage),
@@ -98,7 +98,7 @@
                 let (answer, to) = match (heard, cell) {
                     (Some(Heard::Reply(r)), _) => (Some((r.token, r.commands)), node),
                     (Some(Heard::Stale), _) | (_, None) => (None, usize::MAX),
-                    (_, Some(c)) => (None, self.owner_known_to(node, c).unwrap_or(usize::MAX)),
+                    (_, Some(c)) => (None, self.leader_known_to(node, c).unwrap_or(usize::MAX)),
                 };
                 if machine != usize::MAX {
                     let after = self.latency();
@@ -212,12 +212,12 @@
         }
     }
 
-    pub(crate) fn claim_key(&self, cell: usize) -> String {
-        if self.cells == 1 { CLAIM_KEY.to_owned() } else { cell_claim_key(cell as u32) }
+    pub(crate) fn leadership_key(&self, cell: usize) -> String {
+        if self.cells == 1 { LEADERSHIP_KEY.to_owned() } else { shard_leadership_key(cell as u32) }
     }
 
-    pub(crate) fn owner_known_to(&self, node: usize, cell: usize) -> Option<usize> {
-        let name = self.nodes[node].cells[cell].own.other_owner()?;
+    pub(crate) fn leader_known_to(&self, node: usize, cell: usize) -> Option<usize> {
+        let name = self.nodes[node].cells[cell].own.other_leader()?;
         self.nodes.iter().position(|n| n.name == name)
     }
 }
--- a/crates/model/src/observer.rs
+++ b/crates/model/src/observer.rs
@@ -69,7 +69,7 @@
         let now = self.now;
         let of = |(i, n): (usize, &crate::controllers::Node)| {
             let held = &n.cells[cell];
-            let token = held.own.may_act(now).filter(|_| n.runs(now))?;
+            let token = held.own.valid_token(now).filter(|_| n.runs(now))?;
             held.shard.as_ref().filter(|s| s.token == token).map(|_| (token, (i, n.life)))
         };
         let Some((token, process)) = self.nodes.iter().enumerate().filter_map(of).max() else { return };
--- a/crates/model/src/odd_requests.rs
+++ b/crates/model/src/odd_requests.rs
@@ -7,7 +7,7 @@
 use lupinspur_histories::{Answer, Request, Unfit};
 use lupinspur_scheduler::jobs::{JobRecord, job_key};
 use lupinspur_scheduler::shard::judge;
-use lupinspur_wire::{Change, JobRequest, JobState};
+use lupinspur_wire::{JobRequest, JobState, Mutation};
 use serde_json::{Value, json};
 
 /// One odd request comes every so many steps.
@@ -129,7 +129,7 @@
     fn accept_odd(&mut self, id: &str, job: JobRequest) -> Option<Answer> {
         let record = JobRecord::accepted(job, (self.now * 1000.0) as u64);
         let value = serde_json::to_value(&record).expect("a record");
-        let change = Change::Put { key: job_key(id), value, lease: None };
+        let change = Mutation::Put { key: job_key(id), value, lease: None };
         self.store.commit(&[(job_key(id), 0)], &[change], None).map(|_| Answer::ACCEPTED)
     }
 
--- a/crates/model/src/rules.rs
+++ b/crates/model/src/rules.rs
@@ -69,9 +69,9 @@
     }
 
     /// What the owner makes of a job, for whoever reads a failure.
-    pub(crate) fn owner_thinks(&self, id: &str) -> String {
+    pub(crate) fn leader_assumes(&self, id: &str) -> String {
         let held = self.nodes.iter().flat_map(|n| &n.cells);
-        let mut shards = held.filter(|h| h.own.may_act(self.now).is_some()).filter_map(|h| h.shard.as_ref());
+        let mut shards = held.filter(|h| h.own.valid_token(self.now).is_some()).filter_map(|h| h.shard.as_ref());
         let Some(s) = shards.find(|s| s.jobs.find(id).is_some()) else {
             return format!("no owner knows it; {:?}", self.store.job(id).map(|r| (r.cell, r.phase)));
         };
@@ -117,7 +117,7 @@
             }
             let free_s = j.free_since.map_or(0.0, |free| now - free.max(self.trouble_until));
             if self.scenario.room && free_s > BEGUN_WITHIN_S && j.begun.is_none() && j.cancel_at.is_none() {
-                let thinks = self.owner_thinks(id);
+                let thinks = self.leader_assumes(id);
                 wrong.push(format!("forgotten: {id} has not begun after {free_s:.0} s of calm; {thinks}"));
             }
         }
--- a/crates/model/src/shard_exchange.rs
+++ b/crates/model/src/shard_exchange.rs
@@ -12,7 +12,7 @@
 use lupinspur_cells::rebalance::{Leader, Orders, has_to_raise};
 use lupinspur_cells::spill::spills;
 use lupinspur_scheduler::jobs::{JobRecord, Phase, job_key};
-use lupinspur_wire::Change;
+use lupinspur_wire::Mutation;
 use serde::Serialize;
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -29,8 +29,8 @@
 pub(crate) const ORDERS_KEY: &str = "cells/orders";
 pub(crate) const PICTURES: &str = "cells/pic/";
 
-pub(crate) fn put(key: &str, value: &impl Serialize) -> Change {
-    Change::Put { key: key.to_owned(), value: serde_json::to_value(value).expect("JSON"), lease: None }
+pub(crate) fn put(key: &str, value: &impl Serialize) -> Mutation {
+    Mutation::Put { key: key.to_owned(), value: serde_json::to_value(value).expect("JSON"), lease: None }
 }
 
 /// Does a record concern this cell?
@@ -47,10 +47,10 @@
     if c == 0 || shared(key) { key.to_owned() } else { format!("c{c}/{key}") }
 }
 
-pub(crate) fn outer_change(c: usize, change: &Change) -> Change {
+pub(crate) fn outer_change(c: usize, change: &Mutation) -> Mutation {
     match change.clone() {
-        Change::Put { key, value, lease } => Change::Put { key: outer(c, &key), value, lease },
-        Change::Delete { key } => Change::Delete { key: outer(c, &key) },
+        Mutation::Put { key, value, lease } => Mutation::Put { key: outer(c, &key), value, lease },
+        Mutation::Delete { key } => Mutation::Delete { key: outer(c, &key) },
     }
 }
 
@@ -120,7 +120,7 @@
         }
         let first = self.plan.cell_of_stranger(machine).ix();
         let n = &mut self.nodes[node];
-        let obeyed = |c: &usize| n.cells[*c].own.version_seen().is_some_and(|v| v >= token);
+        let obeyed = |c: &usize| n.cells[*c].own.observed_version().is_some_and(|v| v >= token);
         let c = Some(first).filter(&obeyed).or_else(|| (0..cells).find(&obeyed))?;
         n.machine_cells.insert(machine.to_owned(), c);
         Some(c)
@@ -160,7 +160,7 @@
 
     /// A write until it is certain that it will not be applied later; in some troubles its answer is lost,
     /// or a copy of it comes much later. None: it may be stored, which a reader tells.
-    pub(crate) fn surely(&mut self, conditions: Vec<(String, u64)>, changes: Vec<Change>) -> Option<bool> {
+    pub(crate) fn surely(&mut self, conditions: Vec<(String, u64)>, changes: Vec<Mutation>) -> Option<bool> {
         let troubled = self.now < self.late_commits;
         let loses = troubled || self.now < self.state_troubles.lost_answers;
         let delays = troubled || self.now < self.state_troubles.late_writes;
@@ -185,7 +185,7 @@
         let cell = CellIx(c as u32);
         let seen = self.nodes[i].acting(c, now).map(|s| (s.token, s.gathered(now).then(|| s.picture(cell, now))));
         let Some((token, Some(mine))) = seen else { return };
-        let claim = (self.claim_key(c), token);
+        let claim = (self.leadership_key(c), token);
         self.store.commit(std::slice::from_ref(&claim), &[put(&format!("{PICTURES}{c}"), &mine)], None);
         self.see(i);
         let fresh = |p: &&Picture| p.cell != cell && p.fresh(mine.at_ms, self.plan.picture_s, 0.0);
@@ -245,7 +245,7 @@
         token: u64,
         given: &[Gift],
         mut conditions: Vec<(String, u64)>,
-        mut changes: Vec<Change>,
+        mut changes: Vec<Mutation>,
     ) {
         let (now, cell, teams) = (self.now, CellIx(c as u32), self.params.teams.clone());
         let Some((ledger, version)) = self.nodes[i].seen.ledger.clone() else { return };
@@ -253,7 +253,7 @@
         let Some(s) = self.nodes[i].acting(c, now) else { return };
         if s.in_use().iter().all(|(t, u)| next.share(t, cell).is_none_or(|left| u.fits(left))) {
             s.set_shares(&teams, &next, cell);
-            conditions.extend([(self.claim_key(c), token), (LEDGER_KEY.to_owned(), version)]);
+            conditions.extend([(self.leadership_key(c), token), (LEDGER_KEY.to_owned(), version)]);
             changes.push(put(LEDGER_KEY, &next));
             self.surely(conditions, changes);
         }
@@ -271,7 +271,10 @@
         let next = h.leader.1.look(&self.plan, &all, &stored, mine.at_ms);
         if next.differ(&stored, &self.plan) {
             self.counts.homes += u64::from(next.homes != stored.homes);
-            self.surely(vec![(self.claim_key(0), token), (ORDERS_KEY.into(), version)], vec![put(ORDERS_KEY, &next)]);
+            self.surely(
+                vec![(self.leadership_key(0), token), (ORDERS_KEY.into(), version)],
+                vec![put(ORDERS_KEY, &next)],
+            );
         }
     }
 
@@ -316,7 +319,7 @@
     }
 
     pub(crate) fn put_handover(&mut self, i: usize, c: usize, token: u64, key: &str, version: u64, h: Handover) {
-        let conditions = vec![(self.claim_key(c), token), (key.to_owned(), version)];
+        let conditions = vec![(self.leadership_key(c), token), (key.to_owned(), version)];
         let stored = self.surely(conditions, vec![put(key, &h)]);
         let stands = self.store.read::<Handover>(key);
         let begins = h.from.ix() == c && !h.left;
--- a/crates/model/src/store.rs
+++ b/crates/model/src/store.rs
@@ -1,9 +1,9 @@
 //! The state service: keys, versions, leases; an outage.
 
 use crate::stored::Keys;
-use lupinspur_scheduler::election::SeenClaim;
+use lupinspur_scheduler::election::ObservedRecord;
 use lupinspur_scheduler::jobs::{JobRecord, job_key};
-use lupinspur_wire::Change;
+use lupinspur_wire::Mutation;
 use serde::de::DeserializeOwned;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -67,7 +67,7 @@
     pub(crate) fn commit(
         &mut self,
         conditions: &[(String, u64)],
-        changes: &[Change],
+        changes: &[Mutation],
         lease: Option<u64>,
     ) -> Option<u64> {
         if conditions.iter().any(|(k, v)| self.version(k) != *v) || lease.is_some_and(|l| !self.leases.contains_key(&l))
@@ -77,14 +77,14 @@
         self.revision += 1;
         for c in changes {
             match c {
-                Change::Put { key, value, .. } => {
+                Mutation::Put { key, value, .. } => {
                     self.leases.values_mut().for_each(|l| _ = l.2.remove(key));
                     if let Some(l) = lease.and_then(|l| self.leases.get_mut(&l)) {
                         l.2.insert(key.clone());
                     }
                     self.keys.insert(key.clone(), (value.clone(), self.revision));
                 }
-                Change::Delete { key } => {
+                Mutation::Delete { key } => {
                     self.keys.remove(key);
                     self.gone.insert(key.clone(), self.revision);
                 }
@@ -93,9 +93,9 @@
         Some(self.revision)
     }
 
-    pub(crate) fn claim(&self, key: &str) -> Option<SeenClaim> {
+    pub(crate) fn claim(&self, key: &str) -> Option<ObservedRecord> {
         let (v, version) = self.keys.get(key)?;
-        Some(SeenClaim { claim: serde_json::from_value(v.clone()).expect("a claim"), version: *version })
+        Some(ObservedRecord { record: serde_json::from_value(v.clone()).expect("a claim"), version: *version })
     }
 
     pub(crate) fn read<T: DeserializeOwned>(&self, key: &str) -> Option<(T, u64)> {
--- a/crates/model/src/transactions.rs
+++ b/crates/model/src/transactions.rs
@@ -8,7 +8,7 @@
 use crate::world::World;
 use lupinspur_scheduler::jobs::job_key;
 use lupinspur_scheduler::shard::{What, Write};
-use lupinspur_wire::Change;
+use lupinspur_wire::Mutation;
 
 /// After these times the controllers give a request up, as the shell does.
 pub(crate) const COMMIT_LIMIT_S: f64 = 2.5;
@@ -47,7 +47,7 @@
 }
 
 /// One transaction of an owner.
-pub(crate) struct OwnerCommit {
+pub(crate) struct LeaderCommit {
     pub(crate) node: usize,
     pub(crate) life: u64,
     pub(crate) cell: usize,
@@ -109,18 +109,18 @@
     }
 
     /// Sends an owner's writes.
-    pub(crate) fn send_commit(&mut self, commit: OwnerCommit) {
+    pub(crate) fn send_commit(&mut self, commit: LeaderCommit) {
         let Delivery { executed, answered } = self.delivery(COMMIT_LIMIT_S);
         if answered.is_some() {
             return self.send(executed, Message::Commit { commit, answered });
         }
-        let copy = OwnerCommit { writes: copies(&commit.writes), ..commit };
+        let copy = LeaderCommit { writes: copies(&commit.writes), ..commit };
         self.send(executed, Message::Commit { commit: copy, answered });
         self.send(COMMIT_LIMIT_S, Message::CommitAnswer { commit, outcome: CommitOutcome::Unknown });
     }
 
     /// The state service executes a transaction.
-    pub(crate) fn execute(&mut self, commit: OwnerCommit, answered: Option<f64>) {
+    pub(crate) fn execute(&mut self, commit: LeaderCommit, answered: Option<f64>) {
         let outcome = self.outcome_of(&commit);
         let keys = commit.writes.iter().map(|w| outer(commit.cell, &w.key)).collect();
         let applied = matches!(outcome, CommitOutcome::Applied(_));
@@ -130,14 +130,14 @@
         }
     }
 
-    fn outcome_of(&mut self, commit: &OwnerCommit) -> CommitOutcome {
+    fn outcome_of(&mut self, commit: &LeaderCommit) -> CommitOutcome {
         if !self.store.up(self.now) {
             return CommitOutcome::NotExecuted;
         }
         let cell = commit.cell;
-        let mut conditions = vec![(self.claim_key(cell), commit.token)];
+        let mut conditions = vec![(self.leadership_key(cell), commit.token)];
         conditions.extend(commit.writes.iter().map(|w| (outer(cell, &w.key), w.version)));
-        let changes: Vec<Change> = commit.writes.iter().map(|w| outer_change(cell, &w.change)).collect();
+        let changes: Vec<Mutation> = commit.writes.iter().map(|w| outer_change(cell, &w.change)).collect();
         match self.store.commit(&conditions, &changes, None) {
             Some(revision) => {
                 self.counts.writes[cell] += changes.len() as u64;
@@ -148,9 +148,9 @@
     }
 
     /// The owner learns what became of its transaction, or that it will not learn it.
-    pub(crate) fn on_commit_answer(&mut self, commit: OwnerCommit, outcome: CommitOutcome) {
+    pub(crate) fn on_commit_answer(&mut self, commit: LeaderCommit, outcome: CommitOutcome) {
         let now = self.now;
-        let OwnerCommit { node, life, cell, token, .. } = commit;
+        let LeaderCommit { node, life, cell, token, .. } = commit;
         let n = &self.nodes[node];
         if n.life != life {
             return;
@@ -177,13 +177,13 @@
                     shard.on_version(&write.key, self.store.version(&outer(cell, &write.key)));
                 }
                 shard.on_not_applied(commit.writes);
-                self.look_at_claim(node, cell);
+                self.read_leadership_record(node, cell);
             }
         }
     }
 
     /// A user's submission is committed, if there is no such job.
-    pub(crate) fn submit(&mut self, id: &str, change: Change) -> Submitted {
+    pub(crate) fn submit(&mut self, id: &str, change: Mutation) -> Submitted {
         let conditions = vec![(job_key(id), 0)];
         let concerned = self.rng.u8(..) < LOST;
         if concerned && self.now < self.state_troubles.late_writes {
--- a/crates/model/src/trouble.rs
+++ b/crates/model/src/trouble.rs
@@ -119,10 +119,10 @@
     Kind::CancelServices,
 ];
 
-/// As the number of a controller, `OWNER + cell`: whichever owns that cell when the trouble begins.
-pub const OWNER: usize = 1_000_000;
-/// As the number of a controller: the one that `OWNER` meant last.
-pub const SAME_OWNER: usize = 2_000_000;
+/// As the number of a controller, `LEADER + cell`: whichever owns that cell when the trouble begins.
+pub const LEADER: usize = 1_000_000;
+/// As the number of a controller: the one that `LEADER` meant last.
+pub const SAME_LEADER: usize = 2_000_000;
 
 /// The kinds that concern machines, reports and users, which [`KINDS`] does not have: the storms that are played
 /// with a seed would otherwise be others.
--- a/crates/model/src/users.rs
+++ b/crates/model/src/users.rs
@@ -6,7 +6,7 @@
 use lupinspur_histories::{Answer, Request};
 use lupinspur_scheduler::jobs::{JobRecord, Phase, job_key};
 use lupinspur_scheduler::shard::Shown;
-use lupinspur_wire::{Change, JobRequest, JobState};
+use lupinspur_wire::{JobRequest, JobState, Mutation};
 use std::collections::BTreeSet;
 
 /// A job as its user sees it.
@@ -59,7 +59,7 @@
 
 impl World {
     /// What this controller's owner side says: None, it cannot say anything.
-    pub(crate) fn owner_says(&mut self, node: usize, c: usize, id: &str, cancel: bool) -> Option<Answer> {
+    pub(crate) fn leader_status(&mut self, node: usize, c: usize, id: &str, cancel: bool) -> Option<Answer> {
         let now = self.now;
         let reaches = self.reaches(node);
         let s = self.nodes[node].acting(c, now)?;
@@ -162,13 +162,13 @@
             let absent = self.reaches(node) && self.store.job(id).is_none();
             return if absent { self.record_says(id, cancel) } else { None };
         };
-        let owns = self.nodes[node].cells[c].may_act(now).is_some();
+        let owns = self.nodes[node].cells[c].valid_token(now).is_some();
         if owns {
-            return self.owner_says(node, c, id, cancel);
+            return self.leader_status(node, c, id, cancel);
         }
-        if let Some(o) = self.owner_known_to(node, c)
+        if let Some(o) = self.leader_known_to(node, c)
             && self.hear_each_other(node, o)
-            && let Some(said) = self.owner_says(o, c, id, cancel)
+            && let Some(said) = self.leader_status(o, c, id, cancel)
         {
             return Some(said);
         }
@@ -196,7 +196,7 @@
                     record.cell = Some(n.seen.orders.0.home(&self.plan, &job.spec.team).0);
                 }
                 let value = serde_json::to_value(&record).expect("a record");
-                let change = Change::Put { key: job_key(&id), value, lease: None };
+                let change = Mutation::Put { key: job_key(&id), value, lease: None };
                 self.submit_first(node, &id, change);
                 continue;
             }
@@ -214,7 +214,7 @@
 
     /// A submission of a job of which its user does not know yet that it is accepted. The answer may be lost;
     /// the repetition finds it accepted.
-    fn submit_first(&mut self, node: usize, id: &str, change: Change) {
+    fn submit_first(&mut self, node: usize, id: &str, change: Mutation) {
         let now = self.now;
         let outcome = self.submit(id, change);
         let answer = match outcome {
--- a/crates/model/src/waiting.rs
+++ b/crates/model/src/waiting.rs
@@ -55,7 +55,7 @@
             };
             let waited = self.now - *job.waits_since.get_or_insert(self.now);
             if waited > WAITS_WITHIN_S {
-                let thinks = self.owner_thinks(&id);
+                let thinks = self.leader_assumes(&id);
                 wrong.push(format!("left_waiting: {id} waits for {waited:.0} s, {machine} has room; {thinks}"));
             }
         }
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -12,7 +12,7 @@
 use crate::spells::Spells;
 use crate::store::Store;
 use crate::transactions::StateTroubles;
-use crate::trouble::{Kind, OWNER, SAME_OWNER, Trouble, Wrong};
+use crate::trouble::{Kind, LEADER, SAME_LEADER, Trouble, Wrong};
 use crate::users::Job;
 use crate::work::spec;
 use crate::{ACTS_PAST_LEASE_S, CANCEL_S, LEASE_S, REPORT_S, STEP};
@@ -83,7 +83,7 @@
     pub(crate) copies: f64,
     pub(crate) state_troubles: StateTroubles,
     /// The controller that a trouble of the owner struck last.
-    pub(crate) struck_owner: usize,
+    pub(crate) struck_leader: usize,
     /// Rentals by their names.
     pub(crate) rented: HashMap<String, Rental>,
     pub(crate) trouble_until: f64,
@@ -135,7 +135,7 @@
             late_commands: 0.0,
             copies: 0.0,
             state_troubles: StateTroubles::default(),
-            struck_owner: 0,
+            struck_leader: 0,
             rented: HashMap::new(),
             trouble_until: 0.0,
             wrong,
@@ -289,13 +289,13 @@
 
     /// The controller that a trouble's number means.
     fn controller_of(&mut self, which: usize) -> usize {
-        let cell = which.wrapping_sub(OWNER);
+        let cell = which.wrapping_sub(LEADER);
         if cell < self.cells {
-            let owns = |n: &Node| n.cells[cell].may_act(self.now).is_some();
-            let owner = self.nodes.iter().position(owns).unwrap_or(self.struck_owner);
-            self.struck_owner = owner;
+            let owns = |n: &Node| n.cells[cell].valid_token(self.now).is_some();
+            let owner = self.nodes.iter().position(owns).unwrap_or(self.struck_leader);
+            self.struck_leader = owner;
         }
-        if cell < self.cells || which == SAME_OWNER { self.struck_owner } else { which % self.controllers }
+        if cell < self.cells || which == SAME_LEADER { self.struck_leader } else { which % self.controllers }
     }
 
     /// A controller's process ends, and another begins after a while.
--- a/crates/model/tests/all_machines_die.rs
+++ b/crates/model/tests/all_machines_die.rs
@@ -1,7 +1,7 @@
 //! All machines die at once, and for a while no worker is there to be heard. An owner that took itself for the one
 //! that is cut off stepped down, and so did each after it: none stayed for long enough to rent others.
 
-use lupinspur_model::{Kind, OWNER, Run, Scenario, Trouble, play};
+use lupinspur_model::{Kind, LEADER, Run, Scenario, Trouble, play};
 
 /// In one of four or five of them nothing else than the owner's own machines would tell that it is not cut off.
 const SEEDS: u64 = 24;
@@ -44,7 +44,7 @@
 
 #[test]
 fn jobs_begin_after_all_machines_have_died_with_the_leader() {
-    let ends = Trouble { at: DIE_AT_S, kind: Kind::Ends, which: OWNER, for_s: 30.0 };
+    let ends = Trouble { at: DIE_AT_S, kind: Kind::Ends, which: LEADER, for_s: 30.0 };
     for cells in [1, 3] {
         let runs = runs(&few_jobs(cells), &[ends]);
         all_jobs_begin(&runs);
--- a/crates/model/tests/close_looks.rs
+++ b/crates/model/tests/close_looks.rs
@@ -2,7 +2,7 @@
 //! one in four accepted jobs is cancelled at once. Nothing else goes wrong, or the leader changes meanwhile, by
 //! every way in which it can. Answers are judged by the histories of all jobs.
 
-use lupinspur_model::{Kind, OWNER, Run, SAME_OWNER, Scenario, Trouble, Work, Wrong, play};
+use lupinspur_model::{Kind, LEADER, Run, SAME_LEADER, Scenario, Trouble, Work, Wrong, play};
 
 /// Seeds of each over one cell and over several; `MEETING_SEEDS` plays more.
 const SEEDS: u64 = 2;
@@ -81,7 +81,7 @@
 #[test]
 fn no_answer_is_older_around_a_change_of_leader() {
     for change in CHANGES {
-        no_rule_is_broken(&[looks(), trouble(CHANGE_AT_S, change, OWNER, CHANGED_FOR_S)], 1);
+        no_rule_is_broken(&[looks(), trouble(CHANGE_AT_S, change, LEADER, CHANGED_FOR_S)], 1);
     }
 }
 
@@ -90,22 +90,22 @@
 fn no_answer_is_older_around_a_change_of_leader_with_lost_answers() {
     let lost = trouble(CHANGE_AT_S - 10.0, Kind::LostAnswers, 0, CHANGED_FOR_S + 15.0);
     for change in CHANGES {
-        no_rule_is_broken(&[looks(), lost, trouble(CHANGE_AT_S, change, OWNER, CHANGED_FOR_S)], 1);
+        no_rule_is_broken(&[looks(), lost, trouble(CHANGE_AT_S, change, LEADER, CHANGED_FOR_S)], 1);
     }
 }
 
 /// The old leader is cut off, and is then started again: all that it remembered is gone.
 #[test]
 fn no_answer_is_older_at_a_leader_that_was_cut_off_and_started_again() {
-    let cut = trouble(CHANGE_AT_S, Kind::Alone, OWNER, CHANGED_FOR_S);
-    let ends = trouble(CHANGE_AT_S + CHANGED_FOR_S - 1.0, Kind::Ends, SAME_OWNER, 10.0);
+    let cut = trouble(CHANGE_AT_S, Kind::Alone, LEADER, CHANGED_FOR_S);
+    let ends = trouble(CHANGE_AT_S + CHANGED_FOR_S - 1.0, Kind::Ends, SAME_LEADER, 10.0);
     no_rule_is_broken(&[looks(), cut, ends], 1);
 }
 
 /// An owner that acts past its lease tells what was before: seen through answers alone.
 #[test]
 fn an_owner_that_answers_past_its_lease_is_seen() {
-    let still = trouble(CHANGE_AT_S, Kind::StandsStill, OWNER, 8.0);
+    let still = trouble(CHANGE_AT_S, Kind::StandsStill, LEADER, 8.0);
     for cells in CELLS {
         let broken = |seed| play(&busy(cells), seed, &[looks(), still], Some(Wrong::ActsPastLease)).broken;
         let seen = |seed| broken(seed).is_some_and(|what| what.contains("went_back"));
--- a/crates/model/tests/handing.rs
+++ b/crates/model/tests/handing.rs
@@ -63,7 +63,7 @@
 /// Plays a cell of idle machines to which the leader has ordered so many cpus for another cell; how many
 /// machines it has set aside by then.
 fn set_aside(ordered_cpus: f64) -> usize {
-    let tuning = Tuning { claim_s: 4.0, ..Tuning::default() };
+    let tuning = Tuning { leader_lease_s: 4.0, ..Tuning::default() };
     let mut shard = Shard::new(&params(), tuning, TOKEN, types(), Loaded::default(), 0.0);
     let other_cell = CellIx(1);
     let mut revision = 100;
--- a/crates/model/tests/kinds.rs
+++ b/crates/model/tests/kinds.rs
@@ -3,7 +3,7 @@
 
 use lupinspur_model::scenario::Team;
 use lupinspur_model::{
-    CONTROLLER_KINDS, KINDS, Kind, OWNER, Scenario, Trouble, USER_AND_MACHINE_KINDS, Work, Wrong, play,
+    CONTROLLER_KINDS, KINDS, Kind, LEADER, Scenario, Trouble, USER_AND_MACHINE_KINDS, Work, Wrong, play,
 };
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -79,7 +79,7 @@
 }
 
 fn cases() -> Vec<Case> {
-    let leader = |kind, for_s| unresolved(vec![at(20.0, kind, OWNER, for_s)], cut_zone());
+    let leader = |kind, for_s| unresolved(vec![at(20.0, kind, LEADER, for_s)], cut_zone());
     let case = |wrong, rule, faults| Case { wrong, rule, faults, context: vec![], scenario: nobody_cancels() };
     let flood = || Scenario { work: Work::OneTask, job_every_s: 0.25, cancelled: 0.0, ..Scenario::default() };
     let services = |begins: f64| at(begins, Kind::CancelServices, 0, 1.0);
@@ -95,7 +95,7 @@
         wrong: Wrong::ConfirmsUnstored,
         rule: "",
         faults: vec![at(begins, kind, 0, for_s)],
-        context: vec![services(20.0), at(ends_at, Kind::Ends, OWNER, 40.0)],
+        context: vec![services(20.0), at(ends_at, Kind::Ends, LEADER, 40.0)],
         scenario: nobody_cancels(),
     };
     let cancelled = |kind, which, for_s| case(Wrong::Stops, "ran_cancelled", vec![at(20.0, kind, which, for_s)]);
@@ -131,7 +131,7 @@
             wrong: Wrong::IgnoresTokens,
             rule: "ran_twice",
             faults: vec![at(10.0, Kind::LateCommands, 0, 40.0)],
-            context: vec![at(20.0, Kind::Ends, OWNER, 40.0), at(30.0, Kind::Ends, OWNER, 40.0)],
+            context: vec![at(20.0, Kind::Ends, LEADER, 40.0), at(30.0, Kind::Ends, LEADER, 40.0)],
             scenario: Scenario { job_every_s: 0.25, jobs_for_s: 60.0, ..long_tasks() },
         },
         case(Wrong::UnansweredNeverArrives, "ran_twice", vec![at(0.0, Kind::LateCommands, 0, 60.0)]),
@@ -158,7 +158,7 @@
             context: vec![
                 at(19.0, Kind::CutZone, 0, 18.0),
                 at(19.0, Kind::CutZone, 1, 18.0),
-                at(20.0, Kind::Ends, OWNER, 40.0),
+                at(20.0, Kind::Ends, LEADER, 40.0),
             ],
             scenario: long_tasks(),
             ..case(Wrong::TakesOldTokens, "ran_twice", vec![at(1.0, Kind::CopiesForNextLeader, 0, 8.0)])
--- a/crates/model/tests/meetings.rs
+++ b/crates/model/tests/meetings.rs
@@ -5,7 +5,7 @@
 mod takeover;
 
 use evidence::mostly;
-use lupinspur_model::{Kind, OWNER, SAME_OWNER, Scenario, Trouble, Work};
+use lupinspur_model::{Kind, LEADER, SAME_LEADER, Scenario, Trouble, Work};
 use takeover::{at, deployment, machines, no_rule_is_broken, no_rule_is_broken_in, with};
 
 /// Longer than a machine's lease.
@@ -15,7 +15,7 @@
 #[test]
 fn late_transactions_across_a_change_of_leader() {
     let late = at(18.0, Kind::LateWrites, 0, 30.0);
-    let ends = [at(24.0, Kind::Ends, OWNER, 20.0), at(36.0, Kind::StepsDown, OWNER, 1.0)];
+    let ends = [at(24.0, Kind::Ends, LEADER, 20.0), at(36.0, Kind::StepsDown, LEADER, 1.0)];
     let cancels = at(24.0, Kind::CancelServices, 0, 8.0);
     let evidence = mostly(signs![takeovers >= 2, overtaken_transactions_applied >= 1]);
     no_rule_is_broken(&with(vec![late, cancels], ends), evidence);
@@ -26,7 +26,7 @@
 fn lost_answers_while_others_read_across_a_change_of_leader() {
     let lost = at(18.0, Kind::LostAnswers, 0, 30.0);
     let asks = at(15.0, Kind::CloseLooks, 0, 40.0);
-    let troubles = [lost, asks, at(24.0, Kind::CancelServices, 0, 10.0), at(30.0, Kind::Ends, OWNER, 20.0)];
+    let troubles = [lost, asks, at(24.0, Kind::CancelServices, 0, 10.0), at(30.0, Kind::Ends, LEADER, 20.0)];
     let evidence =
         mostly(signs![takeovers >= 1, unanswered_transactions_applied >= 5, reads_of_unanswered_transactions >= 1,]);
     no_rule_is_broken(&troubles, evidence);
@@ -35,7 +35,7 @@
 #[test]
 fn slow_state_across_changes_of_leader() {
     let slow = at(15.0, Kind::SlowState, 0, 40.0);
-    let ends = (0..3).map(|n| at(20.0 + 9.0 * f64::from(n), Kind::Ends, OWNER, 15.0));
+    let ends = (0..3).map(|n| at(20.0 + 9.0 * f64::from(n), Kind::Ends, LEADER, 15.0));
     let evidence = mostly(signs![takeovers >= 1, slow_answers >= 10]).sometimes(signs![takeovers >= 2]);
     no_rule_is_broken(&with(vec![slow, at(20.5, Kind::CancelServices, 0, 20.0)], ends), evidence);
 }
@@ -44,7 +44,7 @@
 fn ten_changes() -> Vec<Trouble> {
     let change = |n: u32| {
         let kind = [Kind::Ends, Kind::StepsDown, Kind::RefusedByState][n as usize % 3];
-        at(12.0 + 11.0 * f64::from(n), kind, OWNER, 8.0)
+        at(12.0 + 11.0 * f64::from(n), kind, LEADER, 8.0)
     };
     (0..10).map(change).collect()
 }
@@ -65,7 +65,7 @@
 /// The work goes to another controller and comes back, while jobs are cancelled.
 #[test]
 fn work_changes_hands_and_comes_back_while_jobs_are_cancelled() {
-    let hands = [20.0, 26.0, 32.0, 38.0].map(|t| at(t, Kind::StepsDown, OWNER, 1.0));
+    let hands = [20.0, 26.0, 32.0, 38.0].map(|t| at(t, Kind::StepsDown, LEADER, 1.0));
     let cancels = [20.0, 32.2].map(|t| at(t, Kind::CancelServices, 0, 3.0));
     let evidence = mostly(signs![takeovers_from_live_leader >= 4, takeovers_by_former_leader >= 1])
         .sometimes(signs![cancellations_at_takeover >= 1]);
@@ -85,7 +85,7 @@
     let late = at(25.0, Kind::LateWrites, 0, 15.0);
     let evidence = mostly(signs![takeovers >= 1, overtaken_transactions >= 1])
         .sometimes(signs![overtaken_transactions_applied >= 1, reads_of_unanswered_transactions >= 1]);
-    no_rule_is_broken(&[cancels, late, at(30.0, Kind::AllEnd, OWNER, PAST_A_LEASE_S)], evidence);
+    no_rule_is_broken(&[cancels, late, at(30.0, Kind::AllEnd, LEADER, PAST_A_LEASE_S)], evidence);
 }
 
 /// All controllers end while machines that run long tasks hear no answer of the next leader.
@@ -93,13 +93,13 @@
 fn all_controllers_end_while_machines_hear_no_answers() {
     let deaf = machines(28.0, Kind::DeafToAnswers, 12.0);
     let evidence = mostly(signs![unreachable_machines_at_takeover >= 2, answers_lost >= 5]);
-    no_rule_is_broken(&with(vec![at(30.0, Kind::AllEnd, OWNER, 10.0)], deaf), evidence);
+    no_rule_is_broken(&with(vec![at(30.0, Kind::AllEnd, LEADER, 10.0)], deaf), evidence);
 }
 
 /// A zone with its workers and the leader is cut off for longer than a lease; jobs are cancelled meanwhile.
 #[test]
 fn zone_cut_off_with_the_leader_for_longer_than_a_lease() {
-    let cut = at(25.0, Kind::CutZoneWithController, OWNER, PAST_A_LEASE_S + 10.0);
+    let cut = at(25.0, Kind::CutZoneWithController, LEADER, PAST_A_LEASE_S + 10.0);
     let evidence = mostly(signs![
         takeovers_from_live_leader >= 1,
         reports_answered_inside_cut_zone >= 5,
@@ -122,7 +122,7 @@
 /// jobs are cancelled through the next one.
 #[test]
 fn leader_without_state_and_peers_while_jobs_are_cancelled() {
-    let alone = at(30.0, Kind::Alone, OWNER, PAST_A_LEASE_S + 15.0);
+    let alone = at(30.0, Kind::Alone, LEADER, PAST_A_LEASE_S + 15.0);
     let evidence = mostly(signs![
         takeovers_from_live_leader >= 1,
         reports_answered_without_state >= 9,
@@ -135,7 +135,7 @@
 #[test]
 fn late_commands_of_a_former_leader() {
     let late = at(20.0, Kind::LateCommands, 0, 20.0);
-    let troubles = [late, at(27.0, Kind::Ends, OWNER, 10.0), at(26.5, Kind::CancelServices, 0, 3.0)];
+    let troubles = [late, at(27.0, Kind::Ends, LEADER, 10.0), at(26.5, Kind::CancelServices, 0, 3.0)];
     let evidence = mostly(signs![late_commands_refused >= 1, late_commands_executed >= 1])
         .sometimes(signs![late_commands_of_former_leader >= 1, late_commands_after_cancellation >= 1]);
     no_rule_is_broken(&troubles, evidence);
@@ -145,7 +145,7 @@
 #[test]
 fn late_reports_reach_a_new_leader() {
     let copies = at(5.0, Kind::Copies, 0, 40.0);
-    let troubles = [copies, at(25.0, Kind::Ends, OWNER, 10.0), at(24.8, Kind::CancelServices, 0, 2.0)];
+    let troubles = [copies, at(25.0, Kind::Ends, LEADER, 10.0), at(24.8, Kind::CancelServices, 0, 2.0)];
     let evidence = mostly(signs![takeovers >= 1, overtaken_reports >= 20]).sometimes(signs![copies_to_new_leader >= 1]);
     no_rule_is_broken(&troubles, evidence);
 }
@@ -156,7 +156,7 @@
 fn late_reports_of_machines_that_are_cut_off() {
     let copies = at(1.0, Kind::CopiesForNextLeader, 0, 8.0);
     let cut = [0, 1].map(|zone| at(19.0, Kind::CutZone, zone, 18.0));
-    let troubles = with(vec![copies, at(20.0, Kind::Ends, OWNER, 40.0)], cut);
+    let troubles = with(vec![copies, at(20.0, Kind::Ends, LEADER, 40.0)], cut);
     let evidence = mostly(signs![takeovers >= 1, copies_to_new_leader >= 5, unreachable_machines_at_takeover >= 3]);
     for cells in [1, 3] {
         let many_long_tasks =
@@ -169,7 +169,7 @@
 #[test]
 fn new_machines_beside_lagging_writes_and_the_leader_ends() {
     let late = at(3.0, Kind::LateWrites, 0, 40.0);
-    let ends = [12.0, 20.0, 28.0].map(|t| at(t, Kind::Ends, OWNER, 10.0));
+    let ends = [12.0, 20.0, 28.0].map(|t| at(t, Kind::Ends, LEADER, 10.0));
     let boots = at(0.0, Kind::FastBoots, 0, 60.0);
     let evidence = mostly(signs![takeovers >= 2, starts_on_fast_boots_during_lag >= 1, overtaken_transactions >= 1])
         .sometimes(signs![overtaken_transactions_applied >= 1]);
@@ -182,8 +182,8 @@
 /// Work is handed over and back, then all controllers end, and one returns within a second.
 #[test]
 fn hands_over_and_back_then_all_end_and_one_returns() {
-    let hands = |times: &[f64]| times.iter().map(|t| at(*t, Kind::StepsDown, OWNER, 1.0)).collect();
-    let all_end = |t| [at(t - 1.0, Kind::CancelServices, 0, 2.0), at(t, Kind::AllEnd, SAME_OWNER, PAST_A_LEASE_S)];
+    let hands = |times: &[f64]| times.iter().map(|t| at(*t, Kind::StepsDown, LEADER, 1.0)).collect();
+    let all_end = |t| [at(t - 1.0, Kind::CancelServices, 0, 2.0), at(t, Kind::AllEnd, SAME_LEADER, PAST_A_LEASE_S)];
     let back = mostly(signs![takeovers >= 4, takeovers_from_live_leader >= 3, takeovers_by_former_leader >= 1]);
     no_rule_is_broken(&with(hands(&[20.0, 26.0, 32.0, 38.0]), all_end(43.0)), back);
     let on_its_way = mostly(signs![takeovers >= 2, takeovers_from_live_leader >= 1]);
@@ -195,7 +195,7 @@
 fn leader_ends_while_a_zone_cannot_be_reached() {
     let cut = at(28.0, Kind::CutZone, 0, 15.0);
     let evidence = mostly(signs![unreachable_machines_at_takeover >= 1, cancellations_with_unreachable_machine >= 1]);
-    no_rule_is_broken(&[cut, at(30.0, Kind::Ends, OWNER, 50.0), at(31.0, Kind::CancelServices, 0, 4.0)], evidence);
+    no_rule_is_broken(&[cut, at(30.0, Kind::Ends, LEADER, 50.0), at(31.0, Kind::CancelServices, 0, 4.0)], evidence);
 }
 
 /// Every team is at its limit while jobs are cancelled whose machines hang, just before the leader ends and while
@@ -203,7 +203,7 @@
 #[test]
 fn teams_at_their_limits_while_machines_hang_and_the_leader_changes() {
     let hangs = (0..4).map(|m| at(28.0, Kind::Hangs, m, 15.0));
-    let ends = at(30.0, Kind::Ends, OWNER, 50.0);
+    let ends = at(30.0, Kind::Ends, LEADER, 50.0);
     let evidence = mostly(signs![
         cancellations_at_limit >= 1,
         cancellations_with_hanging_machine >= 1,
@@ -226,8 +226,8 @@
 fn leader_pauses_with_a_renewal_under_way_while_the_next_confirms_cancellations() {
     let troubles = [
         at(26.0, Kind::SlowState, 0, 4.0),
-        at(30.0, Kind::StandsStill, OWNER, 16.0),
-        at(30.0, Kind::RefusedByState, SAME_OWNER, 40.0),
+        at(30.0, Kind::StandsStill, LEADER, 16.0),
+        at(30.0, Kind::RefusedByState, SAME_LEADER, 40.0),
         at(37.0, Kind::CancelServices, 0, 3.0),
     ];
     let evidence = mostly(signs![claim_answers_during_pause >= 1, cancellations_beside_isolated_leader >= 1]);
@@ -239,7 +239,7 @@
 #[test]
 fn late_transactions_then_the_leader_ends_while_a_zone_is_cut_off() {
     let late = at(5.0, Kind::LateWrites, 0, 50.0);
-    let meets = |t: f64, zone| [at(t, Kind::CutZone, zone, 15.0), at(t + 1.0, Kind::Ends, OWNER, 10.0)];
+    let meets = |t: f64, zone| [at(t, Kind::CutZone, zone, 15.0), at(t + 1.0, Kind::Ends, LEADER, 10.0)];
     let troubles = [meets(14.0, 0), meets(30.0, 1), meets(46.0, 0)].concat();
     let evidence = mostly(signs![overtaken_transactions_applied >= 1, unreachable_machines_at_takeover >= 2]);
     no_rule_is_broken(&with(troubles, [late]), evidence);
--- a/crates/model/tests/pipelines.rs
+++ b/crates/model/tests/pipelines.rs
@@ -6,7 +6,7 @@
 mod takeover;
 
 use evidence::mostly;
-use lupinspur_model::{Kind, OWNER, Scenario, Trouble, Work, Wrong, play};
+use lupinspur_model::{Kind, LEADER, Scenario, Trouble, Work, Wrong, play};
 use takeover::{at, broken, machines, no_rule_is_broken_in, runs, with};
 
 /// Seeds in which a wrong decision is looked for.
@@ -28,7 +28,7 @@
 fn leaders_in_series() -> Vec<Trouble> {
     let change = |n: u32| {
         let begins = 38.0 + 13.0 * f64::from(n);
-        [at(begins, Kind::ManyChanges, 0, 0.1), at(begins + 7.0, Kind::Ends, OWNER, 5.0)]
+        [at(begins, Kind::ManyChanges, 0, 0.1), at(begins + 7.0, Kind::Ends, LEADER, 5.0)]
     };
     (0..4).flat_map(change).collect()
 }
--- a/crates/model/tests/random_meetings.rs
+++ b/crates/model/tests/random_meetings.rs
@@ -6,7 +6,7 @@
 use fastrand::Rng;
 use lupinspur_model::scenario::Team;
 use lupinspur_model::{
-    CONTROLLER_KINDS, KINDS, Kind, OWNER, SAME_OWNER, Scenario, Trouble, USER_AND_MACHINE_KINDS, Work, play,
+    CONTROLLER_KINDS, KINDS, Kind, LEADER, SAME_LEADER, Scenario, Trouble, USER_AND_MACHINE_KINDS, Work, play,
 };
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -108,7 +108,7 @@
     let mut rng = Rng::with_seed(seed);
     let begins = FIRST_AT_S + rng.f64() * (LAST_AT_S - FIRST_AT_S);
     let at = |rng: &mut Rng| begins + rng.f64() * WITHIN_S;
-    let leader = OWNER + rng.usize(0..cells as usize);
+    let leader = LEADER + rng.usize(0..cells as usize);
     let changes_at = at(&mut rng);
     let mut troubles = vec![change_of_leader(&mut rng, changes_at, leader)];
     if rng.bool() {
@@ -125,7 +125,7 @@
     for _ in 0..rng.usize(1..4) {
         let which = match rng.u8(0..4) {
             0 => leader,
-            1 => SAME_OWNER,
+            1 => SAME_LEADER,
             _ => rng.usize(0..64),
         };
         let kind = any_kind(&mut rng);
--- a/crates/model/tests/refused_leader.rs
+++ b/crates/model/tests/refused_leader.rs
@@ -5,7 +5,7 @@
 mod takeover;
 
 use evidence::{Evidence, mostly};
-use lupinspur_model::{Kind, OWNER, SAME_OWNER, Trouble, Wrong};
+use lupinspur_model::{Kind, LEADER, SAME_LEADER, Trouble, Wrong};
 use takeover::{at, broken, deployment, machines, no_rule_is_broken, runs, with};
 
 /// Longer than a cancellation may take.
@@ -15,7 +15,7 @@
 /// service is down for all, for longer than a cancellation may take.
 fn refused_then_down() -> Vec<Trouble> {
     vec![
-        at(30.0, Kind::RefusedByState, OWNER, 14.0 + LONG_OUTAGE_S),
+        at(30.0, Kind::RefusedByState, LEADER, 14.0 + LONG_OUTAGE_S),
         at(34.6, Kind::CancelServices, 0, 0.2),
         at(37.0, Kind::Outage, 0, LONG_OUTAGE_S),
     ]
@@ -32,7 +32,7 @@
 
 #[test]
 fn leader_refused_then_outage_with_its_zone_cut_off() {
-    let cut = at(30.0, Kind::CutZoneWithController, SAME_OWNER, LONG_OUTAGE_S);
+    let cut = at(30.0, Kind::CutZoneWithController, SAME_LEADER, LONG_OUTAGE_S);
     let evidence = REFUSED_THEN_DOWN
         .sometimes(signs![reports_answered_inside_cut_zone >= 5, cancellations_with_unreachable_machine >= 1,]);
     no_rule_is_broken(&with(refused_then_down(), [cut]), evidence);
@@ -40,13 +40,13 @@
 
 #[test]
 fn leader_refused_then_outage_while_it_stands_still() {
-    let still = at(32.0, Kind::StandsStill, SAME_OWNER, 8.0);
+    let still = at(32.0, Kind::StandsStill, SAME_LEADER, 8.0);
     no_rule_is_broken(&with(refused_then_down(), [still]), REFUSED_THEN_DOWN);
 }
 
 #[test]
 fn leader_refused_then_outage_while_it_restarts() {
-    let ends = at(36.0, Kind::Ends, SAME_OWNER, 2.0);
+    let ends = at(36.0, Kind::Ends, SAME_LEADER, 2.0);
     no_rule_is_broken(&with(refused_then_down(), [ends]), REFUSED_THEN_DOWN);
 }
 
@@ -74,7 +74,7 @@
 /// who reach it that they run; over one cell as over three.
 #[test]
 fn an_owner_that_acts_past_its_lease_is_seen() {
-    let cut = at(30.0, Kind::CutZoneWithController, SAME_OWNER, LONG_OUTAGE_S);
+    let cut = at(30.0, Kind::CutZoneWithController, SAME_LEADER, LONG_OUTAGE_S);
     let out_of_reach = with(refused_then_down(), [cut]);
     let only_answers = machines(30.0, Kind::DeafToCommands, LONG_OUTAGE_S + 10.0);
     let in_reach = with(refused_then_down(), only_answers);
@@ -102,7 +102,7 @@
 /// Jobs are cancelled at the moment at which the state service refuses the leader, a second before it is down.
 #[test]
 fn cancelled_as_the_leader_is_refused_a_second_before_the_outage() {
-    let refused = at(30.0, Kind::RefusedByState, OWNER, 14.0);
+    let refused = at(30.0, Kind::RefusedByState, LEADER, 14.0);
     let troubles = [refused, at(29.7, Kind::CancelServices, 0, 0.6), at(31.0, Kind::Outage, 0, LONG_OUTAGE_S)];
     let evidence = mostly(signs![
         cancellations_before_outage >= 1,
@@ -119,7 +119,7 @@
     let troubles = [
         lost,
         at(29.0, Kind::CancelServices, 0, 1.0),
-        at(30.0, Kind::RefusedByState, OWNER, 14.0),
+        at(30.0, Kind::RefusedByState, LEADER, 14.0),
         at(32.0, Kind::Outage, 0, LONG_OUTAGE_S),
     ];
     let evidence = mostly(signs![
--- a/crates/scheduler/src/jobs/records.rs
+++ b/crates/scheduler/src/jobs/records.rs
@@ -45,7 +45,7 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cell: Option<u32>,
     /// How often it has gone from one cell to another.
-    #[serde(default, skip_serializing_if = "crate::election::none")]
+    #[serde(default, skip_serializing_if = "crate::election::is_default")]
     pub moves: u8,
 }
 
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! - [`params`]: what the platform and the operators say
 //! - [`intern`]: names to dense indices
-//! - [`ownership`]: when a controller may act
+//! - [`election`]: when a controller may act
 //! - [`jobs`], [`pipeline`]: what was submitted, and who waits for whom
 //! - [`fleet`]: machines, zone lists, the mixture
 //! - [`shard`]: one owner's jobs and machines; a process may hold several
--- a/crates/scheduler/src/params.rs
+++ b/crates/scheduler/src/params.rs
@@ -42,11 +42,11 @@
     /// Seconds for which a lower demand must last before the target falls.
     pub hold_s: f64,
     /// Seconds that a controller's claim outlives its last renewal.
-    pub claim_s: f64,
+    pub leader_lease_s: f64,
 }
 
 impl Default for Tuning {
     fn default() -> Self {
-        Tuning { extra: 2, window_s: 4.0, hold_s: 15.0, claim_s: 4.0 }
+        Tuning { extra: 2, window_s: 4.0, hold_s: 15.0, leader_lease_s: 4.0 }
     }
 }
--- a/crates/scheduler/src/shard/elastic.rs
+++ b/crates/scheduler/src/shard/elastic.rs
@@ -203,7 +203,7 @@
                 shrinks: pool.under_way(j),
             })
         };
-        let bound = timing(self.report_s, self.lease_s, self.tuning.claim_s, pool.plan()).bound();
+        let bound = timing(self.report_s, self.lease_s, self.tuning.leader_lease_s, pool.plan()).bound();
         let named = |(k, took): (TaskKey, f64)| Some((format!("{}/{}", self.jobs.get(k.0)?.id, k.1), took));
         let recent = pool.recent().filter_map(named).collect();
         Some(ElasticReport {
--- a/crates/scheduler/src/shard/writes/mod.rs
+++ b/crates/scheduler/src/shard/writes/mod.rs
@@ -15,7 +15,7 @@
 use super::{FleetRecord, Shard};
 use crate::intern::{JobIx, MachineIx, RackIx};
 use crate::jobs::{JobRecord, Phase, ProgressRecord};
-use crate::wire::{Change, Item};
+use crate::wire::{KeyValue, Mutation};
 use serde::Deserialize;
 
 /// What a stored value says of a machine: the jobs that it may hold, and whether it is
@@ -40,7 +40,7 @@
     pub key: String,
     pub version: u64,
     pub what: What,
-    pub change: Change,
+    pub change: Mutation,
     pub bytes: usize,
 }
 
@@ -49,16 +49,16 @@
     /// under its key tells? Only where the key has changed since: what was sent before and is still under
     /// way is conditional on the version before, and can't change it any more. A value that stands as it
     /// stood proves nothing.
-    pub fn stands_as(&self, item: Option<&Item>) -> bool {
+    pub fn stands_as(&self, item: Option<&KeyValue>) -> bool {
         if item.map_or(0, |i| i.version) == self.version {
             return false;
         }
         match (&self.change, &self.what, item) {
-            (Change::Delete { .. }, _, None) => true,
-            (Change::Put { .. }, What::Final(_, phase), Some(i)) => {
+            (Mutation::Delete { .. }, _, None) => true,
+            (Mutation::Put { .. }, What::Final(_, phase), Some(i)) => {
                 JobRecord::deserialize(&i.value).is_ok_and(|r| r.phase == *phase)
             }
-            (Change::Put { value, .. }, _, Some(i)) => i.value == *value,
+            (Mutation::Put { value, .. }, _, Some(i)) => i.value == *value,
             _ => false,
         }
     }
@@ -79,7 +79,7 @@
     fn put_sized(&mut self, key: String, what: What, (value, bytes): (serde_json::Value, usize)) -> Write {
         let bytes = bytes + key.len() * 2 + 64;
         let version = self.versions.get(&key).copied().unwrap_or(0);
-        let change = Change::Put { key: key.clone(), value, lease: None };
+        let change = Mutation::Put { key: key.clone(), value, lease: None };
         self.under_way(Write { version, what, change, bytes, key })
     }
 
@@ -99,7 +99,7 @@
     fn delete_write(&mut self, key: String) -> Option<Write> {
         self.cleanup.remove(&key);
         let version = self.versions.get(&key).copied().filter(|v| *v > 0)?;
-        let change = Change::Delete { key: key.clone() };
+        let change = Mutation::Delete { key: key.clone() };
         Some(self.under_way(Write { version, what: What::Cleanup, change, bytes: 256, key }))
     }
 }
--- a/crates/scheduler/tests/exhaustive/deployment.rs
+++ b/crates/scheduler/tests/exhaustive/deployment.rs
@@ -1,11 +1,11 @@
 //! A small deployment whose every order of events is explored: two or three controllers with the project's own
-//! [`Ownership`], the state service with one claim and one job, one worker with one task, one user who cancels.
+//! [`LeaderElection`], the state service with one claim and one job, one worker with one task, one user who cancels.
 //!
 //! Time passes in whole seconds, and nothing has to happen in time: a controller, a message or a user may be
 //! as slow as it likes. What must hold all the same are the [invariants](Deployment::violation).
 
 use crate::explore::System;
-use lupinspur_scheduler::election::{Claim, Next, Ownership, SeenClaim};
+use lupinspur_scheduler::election::{ElectionStep, LeaderElection, LeadershipRecord, ObservedRecord};
 
 /// The lease of a claim, and of a worker; a cancelled job's task is gone after the sum of both and a second.
 const CLAIM_LEASE_S: u8 = 2;
@@ -55,7 +55,7 @@
 #[derive(Clone, Debug)]
 struct Store {
     revision: u64,
-    claim: Option<(SeenClaim, u64)>,
+    claim: Option<(ObservedRecord, u64)>,
     record_version: u64,
     cancelled: bool,
     /// Each lease's number and its last second.
@@ -78,7 +78,7 @@
 #[derive(Clone, Debug)]
 enum Transaction {
     Claim {
-        by: Claim,
+        by: LeadershipRecord,
         lease: u64,
         over: u64,
     },
@@ -93,7 +93,7 @@
 /// One controller: its claim, and what it knows of the job as an owner.
 #[derive(Clone, Debug)]
 struct Controller {
-    own: Ownership,
+    own: LeaderElection,
     life: u8,
     refused: bool,
     /// The token under which it has read the records.
@@ -188,7 +188,7 @@
     /// The token by which a controller acts at this second, if it may.
     fn acts(&self, controller: &Controller, now: u8) -> Option<u64> {
         let token = if self.keeps(Guard::ValidLease) {
-            controller.own.may_act(f64::from(now))?
+            controller.own.valid_token(f64::from(now))?
         } else {
             controller.own.token()?
         };
@@ -203,7 +203,7 @@
                     return None;
                 }
                 store.revision += 1;
-                store.claim = Some((SeenClaim { claim: by.clone(), version: store.revision }, *lease));
+                store.claim = Some((ObservedRecord { record: by.clone(), version: store.revision }, *lease));
             }
             Transaction::Record { token, version, cancelled } => {
                 if self.keeps(Guard::ClaimCondition) && store.claim_version() != *token {
@@ -240,22 +240,22 @@
     fn claims(&self, state: &mut State, i: usize, fate: Fate) {
         let now = f64::from(state.now);
         let seen = state.store.claim.as_ref().map(|c| c.0.clone());
-        state.controllers[i].own.saw(seen, now);
-        match state.controllers[i].own.next(now, 0, true, 0.0) {
-            Next::Nothing | Next::GiveWay { .. } => {}
-            Next::Grant => {
+        state.controllers[i].own.observe_record(seen, now);
+        match state.controllers[i].own.next_step(now, 0, true, 0.0) {
+            ElectionStep::Wait | ElectionStep::Yield { .. } => {}
+            ElectionStep::AcquireLease => {
                 state.store.next_lease += 1;
                 let lease = state.store.next_lease;
                 state.store.leases.push((lease, state.now + CLAIM_LEASE_S));
-                state.controllers[i].own.confirmed(lease, now);
+                state.controllers[i].own.lease_renewed(lease, now);
             }
-            Next::Claim { lease, over } => {
-                let by = state.controllers[i].own.trying(lease, 0);
+            ElectionStep::Campaign { lease, over } => {
+                let by = state.controllers[i].own.prepare_campaign(lease, 0);
                 if let Some(version) = self.send(state, Transaction::Claim { by, lease, over }, fate) {
-                    state.controllers[i].own.claimed(version);
+                    state.controllers[i].own.elected(version);
                 }
             }
-            Next::Adopt { version } => _ = state.controllers[i].own.claimed(version),
+            ElectionStep::AdoptOwnRecord { version } => _ = state.controllers[i].own.elected(version),
         }
         self.load_at_once(state, i);
     }
@@ -277,10 +277,10 @@
                 if self.slow_renewals {
                     state.controllers[i].renewal = Some((lease, now));
                 } else {
-                    state.controllers[i].own.confirmed(lease, f64::from(now));
+                    state.controllers[i].own.lease_renewed(lease, f64::from(now));
                 }
             }
-            None => _ = state.controllers[i].own.lease_ended(lease),
+            None => _ = state.controllers[i].own.lease_expired(lease),
         }
     }
 
@@ -350,7 +350,7 @@
 
     fn initial(&self) -> State {
         let controller = |i: usize| Controller {
-            own: Ownership::new(Claim::new(format!("n{i}"), "0"), f64::from(CLAIM_LEASE_S)),
+            own: LeaderElection::new(LeadershipRecord::new(format!("n{i}"), "0"), f64::from(CLAIM_LEASE_S)),
             life: 0,
             refused: false,
             loaded: 0,
@@ -371,11 +371,11 @@
         // The first of them owns, and its worker has heard so.
         let mut controllers: Vec<Controller> = (0..self.controllers).map(controller).collect();
         let owner = &mut controllers[0];
-        owner.own.saw(None, 0.0);
-        owner.own.confirmed(1, 0.0);
-        let by = owner.own.trying(1, 0);
+        owner.own.observe_record(None, 0.0);
+        owner.own.lease_renewed(1, 0.0);
+        let by = owner.own.prepare_campaign(1, 0);
         let token = self.commit(&mut store, &Transaction::Claim { by, lease: 1, over: 0 }).unwrap_or(0);
-        owner.own.claimed(token);
+        owner.own.elected(token);
         owner.loaded = token;
         State {
             now: 0,
@@ -437,8 +437,8 @@
                 state.restarts -= 1;
                 let controller = &mut state.controllers[i];
                 controller.life += 1;
-                let claim = Claim::new(format!("n{i}"), controller.life.to_string());
-                controller.own = Ownership::new(claim, f64::from(CLAIM_LEASE_S));
+                let claim = LeadershipRecord::new(format!("n{i}"), controller.life.to_string());
+                controller.own = LeaderElection::new(claim, f64::from(CLAIM_LEASE_S));
                 (controller.loaded, controller.renewal) = (0, None);
                 (controller.knows_cancelled, controller.unsettled) = (false, false);
             }
@@ -448,7 +448,7 @@
                 if let Some((lease, sent)) = state.controllers[i].renewal.take() {
                     let counted = if self.keeps(Guard::CountsFromSending) { sent } else { state.now };
                     if state.controllers[i].own.lease() == Some(lease) {
-                        state.controllers[i].own.confirmed(lease, f64::from(counted));
+                        state.controllers[i].own.lease_renewed(lease, f64::from(counted));
                     }
                 }
             }
--- a/crates/scheduler/tests/owner/ends.rs
+++ b/crates/scheduler/tests/owner/ends.rs
@@ -55,7 +55,7 @@
     let writes = world.send_writes(now);
     let key = job_key("req-1");
     let end = writes.iter().find(|w| w.key == key).expect("its end is written");
-    let lupinspur_scheduler::wire::Change::Put { value, .. } = end.change.clone() else { panic!("a put") };
+    let lupinspur_scheduler::wire::Mutation::Put { value, .. } = end.change.clone() else { panic!("a put") };
     world.shard.on_not_applied(writes);
     serde_json::from_value(value).expect("a record")
 }
--- a/crates/scheduler/tests/owner/world.rs
+++ b/crates/scheduler/tests/owner/world.rs
@@ -6,7 +6,7 @@
 use lupinspur_scheduler::jobs::{JOB_PREFIX, JobRecord, Phase, job_key};
 use lupinspur_scheduler::params::{Params, Team, Tuning};
 use lupinspur_scheduler::shard::{Direct, DirectSend, Heard, Loaded, Shard, Shown, Write};
-use lupinspur_scheduler::wire::{Change, Command, JobRequest, JobState, MachineType, Op, Report};
+use lupinspur_scheduler::wire::{Command, JobRequest, JobState, MachineType, Mutation, Op, Report};
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, HashMap};
@@ -175,8 +175,8 @@
         self.revision += 1;
         for write in &writes {
             match write.change.clone() {
-                Change::Put { key, value, .. } => _ = self.keys.insert(key, (value, self.revision)),
-                Change::Delete { key } => _ = self.keys.remove(&key),
+                Mutation::Put { key, value, .. } => _ = self.keys.insert(key, (value, self.revision)),
+                Mutation::Delete { key } => _ = self.keys.remove(&key),
             }
         }
         self.shard.on_applied(writes, self.revision, now);
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 #[derive(Deserialize, Serialize, Clone, Debug)]
-pub struct Item {
+pub struct KeyValue {
     #[serde(rename = "path")]
     pub key: String,
     #[serde(rename = "v")]
@@ -15,17 +15,17 @@
 }
 
 #[derive(Deserialize, Serialize, Clone, Debug)]
-pub struct Items {
+pub struct KeyValuePage {
     #[serde(rename = "pairs")]
-    pub items: Vec<Item>,
+    pub items: Vec<KeyValue>,
     #[serde(rename = "has_next", default)]
-    pub more: bool,
+    pub has_more: bool,
     #[serde(rename = "almanac")]
     pub revision: u64,
 }
 
 #[derive(Deserialize, Serialize, Clone, Debug)]
-pub struct Condition {
+pub struct Compare {
     #[serde(rename = "path")]
     pub key: String,
     #[serde(rename = "stamp")]
@@ -34,7 +34,7 @@
 
 #[derive(Deserialize, Serialize, Clone, Debug)]
 #[serde(untagged)]
-pub enum Change {
+pub enum Mutation {
     Put {
         #[serde(rename = "set")]
         key: String,
@@ -50,15 +50,15 @@
 }
 
 #[derive(Deserialize, Serialize, Clone, Debug)]
-pub struct Txn {
+pub struct Transaction {
     #[serde(rename = "if", default)]
-    pub conditions: Vec<Condition>,
+    pub compares: Vec<Compare>,
     #[serde(rename = "writes", default)]
-    pub changes: Vec<Change>,
+    pub mutations: Vec<Mutation>,
 }
 
 #[derive(Deserialize, Serialize, Clone, Debug, Default)]
-pub struct Revision {
+pub struct CommitReply {
     #[serde(rename = "almanac", default)]
     pub revision: u64,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
@@ -66,19 +66,19 @@
 }
 
 #[derive(Deserialize, Serialize, Clone, Debug)]
-pub struct LeaseRequest {
+pub struct LeaseGrantRequest {
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
 }
 
 #[derive(Deserialize, Serialize, Clone, Debug)]
-pub struct LeaseAnswer {
+pub struct LeaseGrantReply {
     #[serde(rename = "tether")]
     pub lease: u64,
 }
 
 #[derive(Deserialize, Serialize, Clone, Debug)]
-pub struct Event {
+pub struct WatchEvent {
     #[serde(rename = "set", default, skip_serializing_if = "Option::is_none")]
     pub put: Option<String>,
     #[serde(rename = "drop", default, skip_serializing_if = "Option::is_none")]
@@ -90,9 +90,9 @@
 }
 
 #[derive(Deserialize, Serialize, Clone, Debug)]
-pub struct Events {
+pub struct WatchReply {
     #[serde(rename = "almanac")]
     pub revision: u64,
     #[serde(rename = "news", default)]
-    pub events: Vec<Event>,
+    pub events: Vec<WatchEvent>,
 }
--- a/examples/own_site.rs
+++ b/examples/own_site.rs
@@ -255,7 +255,7 @@
 
     /// Each day's name and faults. Sites with an upgrade begin with the roll that makes it.
     fn days(&self) -> Vec<(&'static str, Vec<String>)> {
-        const OWNER: &str = "count = 1, busiest = true";
+        const LEADER: &str = "count = 1, busiest = true";
         let all = self.all();
         let (w, zone) = (self.warm + 25.0, &self.zone);
         let crash = |at: f64, whom: &str| fault(at, "node_crash", whom);
@@ -268,7 +268,7 @@
 
         // The owner, then all of them, three times in 3 s; a quick roll; all in an outage; all
         // in a cut; many machines that hang.
-        let mut quick: Vec<String> = (0..3).map(|i| crash(w + 5.0 + f64::from(i), OWNER)).collect();
+        let mut quick: Vec<String> = (0..3).map(|i| crash(w + 5.0 + f64::from(i), LEADER)).collect();
         quick.extend((0..3).map(|i| crash(w + 45.0 + f64::from(i), &all)));
         quick.push(fault(w + 85.0, "node_roll", "every_s = 3.0"));
         quick.push(outage(w + 125.0, 18.0));
@@ -283,14 +283,14 @@
         let mut phases = Vec::new();
         for (i, d) in [0.15, 0.3, 0.45, 0.6, 0.8, 1.0, 1.3, 1.7, 2.2, 3.0, 4.5, 7.0].into_iter().enumerate() {
             let at = w + 24.0 * i as f64;
-            let whom = if i % 2 == 0 { OWNER } else { &all };
+            let whom = if i % 2 == 0 { LEADER } else { &all };
             phases.push(crash(at, whom));
             phases.push(crash(at + d, whom));
         }
         days.push(("own-phases", phases));
 
         // Whoever owns ends each second for a minute; then one that does not.
-        let mut flap: Vec<String> = (0..60).map(|i| crash(w + f64::from(i), OWNER)).collect();
+        let mut flap: Vec<String> = (0..60).map(|i| crash(w + f64::from(i), LEADER)).collect();
         flap.extend((0..60).map(|i| crash(w + 130.0 + f64::from(i), "count = 1, busiest = false")));
         days.push(("own-flap", flap));
 
@@ -303,11 +303,11 @@
 
         // A hot class of arrays, quick ends, spot taken and a zone cut.
         let mut hot = vec![self.burst(w, &self.arrays[0], 5.0, 150.0)];
-        hot.extend((0..3).map(|i| crash(w + 25.0 + 1.4 * f64::from(i), OWNER)));
+        hot.extend((0..3).map(|i| crash(w + 25.0 + 1.4 * f64::from(i), LEADER)));
         hot.push(crash(w + 65.0, &all));
         hot.push(fault(w + 100.0, "spot_taken", "share = 0.6, notice_s = 0.0, over_s = 10.0"));
         hot.push(cut(w + 135.0, 45.0));
-        hot.push(crash(w + 140.0, OWNER));
+        hot.push(crash(w + 140.0, LEADER));
         days.push(("own-hot", hot));
 
         // Everything at once.
@@ -327,29 +327,29 @@
         // once, while a takeover from one is under way, with an end in between.
         let still = |at: f64, whom: &str, for_s: f64| fault(at, "node_freeze", &format!("{whom}, for_s = {for_s:.1}"));
         let mut stills: Vec<String> =
-            [1.2, 2.5, 3.9, 5.0].into_iter().enumerate().map(|(i, s)| still(w + 12.0 * i as f64, OWNER, s)).collect();
-        stills.push(still(w + 60.0, OWNER, 12.0));
-        stills.push(still(w + 65.5, OWNER, 12.0));
+            [1.2, 2.5, 3.9, 5.0].into_iter().enumerate().map(|(i, s)| still(w + 12.0 * i as f64, LEADER, s)).collect();
+        stills.push(still(w + 60.0, LEADER, 12.0));
+        stills.push(still(w + 65.5, LEADER, 12.0));
         stills.push(still(w + 110.0, &all, 6.0));
-        stills.push(still(w + 150.0, OWNER, 40.0));
+        stills.push(still(w + 150.0, LEADER, 40.0));
         stills.push(crash(w + 152.0, "count = 2, busiest = false"));
-        stills.push(still(w + 155.0, OWNER, 8.0));
-        stills.push(crash(w + 215.0, OWNER));
-        stills.push(still(w + 215.6, OWNER, 5.0));
+        stills.push(still(w + 155.0, LEADER, 8.0));
+        stills.push(crash(w + 215.0, LEADER));
+        stills.push(still(w + 215.6, LEADER, 5.0));
         days.push(("own-still", stills));
 
         // Users ask ten times as often; the owner is silent for more than a minute, another one loses
         // the state service, and it is down for all; the owner ends.
         let mut asked = vec![fault(w, "poll_storm", "factor = 10.0, for_s = 220.0")];
-        asked.push(fault(w + 15.0, "node_down", &format!("{OWNER}, for_s = 75.0")));
+        asked.push(fault(w + 15.0, "node_down", &format!("{LEADER}, for_s = 75.0")));
         asked.push(fault(
             w + 40.0,
             "node_cut",
-            &format!("{OWNER}, from_state = true, for_s = 40.0, mode = \"refuse\""),
+            &format!("{LEADER}, from_state = true, for_s = 40.0, mode = \"refuse\""),
         ));
         asked.push(fault(w + 70.0, "peers_refuse", "for_s = 30.0"));
         asked.push(outage(w + 110.0, 15.0));
-        asked.push(crash(w + 150.0, OWNER));
+        asked.push(crash(w + 150.0, LEADER));
         asked.push(fault(w + 180.0, "boot_trouble", "fail = 0.3, factor = 0.05, for_s = 60.0"));
         days.push(("own-asked", asked));
 
@@ -357,15 +357,15 @@
         // come, and ends of the owner.
         let mut guests = vec![fault(w + 20.0, "machine_sick", &format!("count = {}, for_s = 120.0", count(0.01)))];
         guests.push(fault(w + 60.0, "boot_trouble", "fail = 0.3, factor = 2.0, for_s = 60.0"));
-        guests.push(crash(w + 90.0, OWNER));
-        guests.push(still(w + 140.0, OWNER, 6.0));
+        guests.push(crash(w + 90.0, LEADER));
+        guests.push(still(w + 140.0, LEADER, 6.0));
         guests.push(crash(w + 190.0, &all));
         days.push(("own-guests", guests));
 
         // Limits that are lowered in the middle of a roll, and quick ends around it.
         if let Some(limits) = &self.limits {
             let mut lower = vec![fault(w + 75.0, "state_limits", limits)];
-            lower.extend((0..3).map(|i| crash(w + 74.0 + f64::from(i), OWNER)));
+            lower.extend((0..3).map(|i| crash(w + 74.0 + f64::from(i), LEADER)));
             lower.push(crash(w + 100.0, &all));
             lower.push(crash(w + 101.0, &all));
             days.push(("own-limits", lower));
--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -4,9 +4,9 @@
 use crate::clock;
 use crate::job_status::{JobStatus, Lookup, status_of_item};
 use crate::jobs::job_key;
-use crate::node::{Cell, Node, Place, Standing};
+use crate::node::{Cell, LeadershipStatus, Node, Place};
 use crate::peer::{JobAnswer as PeerAnswer, Outcome, Verb};
-use crate::responses::{owner_tells, record_tells};
+use crate::responses::{status_from_leader, status_from_record};
 use crate::wire::JobState;
 use std::time::Duration;
 
@@ -21,9 +21,9 @@
             Place::In(c) => c,
             Place::Answered(w) => return w,
         };
-        let lookup = match cell.standing(clock::now()) {
-            Standing::Owner => cell.about_here(verb, id).await,
-            Standing::Other(node) => {
+        let lookup = match cell.leadership_status(clock::now()) {
+            LeadershipStatus::Leading => cell.about_here(verb, id).await,
+            LeadershipStatus::Following(node) => {
                 if let Some(t) = self.final_known(id) {
                     return Lookup::Known(t);
                 }
@@ -33,7 +33,7 @@
                     None => self.about_stored(verb, id).await,
                 }
             }
-            Standing::Nobody => self.about_stored(verb, id).await,
+            LeadershipStatus::NoLeader => self.about_stored(verb, id).await,
         };
         if lookup == Lookup::Unable {
             self.forget_cell(id);
@@ -63,7 +63,7 @@
         match self.state.get(&job_key(id), turn(verb)).await {
             Ok(None) => Lookup::Absent,
             Ok(Some(item)) => {
-                let lookup = record_tells(verb, &item);
+                let lookup = status_from_record(verb, &item);
                 if let Lookup::Known(told) = lookup {
                     self.note_final(id, told);
                 }
@@ -90,7 +90,7 @@
             let Some((token, seen)) = seen else { return Lookup::Unable };
             match seen {
                 Some(shown) => {
-                    if let Some(told) = owner_tells(verb, shown) {
+                    if let Some(told) = status_from_leader(verb, shown) {
                         return Lookup::Known(told);
                     }
                     if now - began > if verb == Verb::Show { SETTLES_WITHIN_S } else { CANCELS_WITHIN_S } {
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -11,14 +11,14 @@
 use crate::peer::Verb;
 use crate::responses::{about_answer, report_answer, unable};
 use crate::shard::Heard;
-use crate::state::Turn;
+use crate::state::RequestPriority;
 use crate::wire;
 use http_types::Method;
 use lupinspur_accounts::Reading;
 
 /// A poll comes again anyway; a cancellation is what its user waits for.
-fn turn(verb: Verb) -> Turn {
-    if verb == Verb::Show { Turn::Spare } else { Turn::InTurn }
+fn turn(verb: Verb) -> RequestPriority {
+    if verb == Verb::Show { RequestPriority::BestEffort } else { RequestPriority::Normal }
 }
 
 impl Node {
@@ -76,7 +76,7 @@
                     self.note_answer(&class, &team, Reading::Cancelled, lookup != Lookup::Unable, began);
                 }
                 log::debug!("{verb:?} {id} is answered with {lookup:?}");
-                about_answer(verb, id, lookup, self.owner_acts_until(id))
+                about_answer(verb, id, lookup, self.leader_lease_valid_until(id))
             }
         }
     }
@@ -92,11 +92,11 @@
         if matches!(heard, Some(Heard::Reply(_))) {
             cell.wake();
         }
-        report_answer(heard, cell.acts_until(), || cell.elsewhere(now))
+        report_answer(heard, cell.lease_valid_until(), || cell.elsewhere(now))
     }
 
     /// The end of this controller's lease, if it owns this job.
-    fn owner_acts_until(&self, id: &str) -> Option<f64> {
-        self.knows_job(id, clock::now()).and_then(|c| c.acts_until())
+    fn leader_lease_valid_until(&self, id: &str) -> Option<f64> {
+        self.knows_job(id, clock::now()).and_then(|c| c.lease_valid_until())
     }
 }
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -6,10 +6,10 @@
 use crate::jobs::{JobRecord, RECORD_GROWS_BY, job_key};
 use crate::node::Node;
 use crate::peer::Verb;
-use crate::responses::{job_answer, record_tells, resubmission_answer, unable};
+use crate::responses::{job_answer, resubmission_answer, status_from_record, unable};
 use crate::shard::{Unfit, judge};
-use crate::state::{COMMIT_TIMEOUT, Commit, StateError, Turn};
-use crate::wire::{self, Change, Condition, JobRequest, JobState, Kind};
+use crate::state::{COMMIT_TIMEOUT, CompareAndSwap, RequestPriority, StateError};
+use crate::wire::{self, Compare, JobRequest, JobState, Kind, Mutation};
 use lupinspur_accounts::Reading;
 use lupinspur_elastic::Sizes;
 use std::time::Duration;
@@ -108,7 +108,7 @@
         let began = clock::now();
         if let Some(cell) = self.knows_job(&id, began) {
             let lookup = cell.about_here(Verb::Show, &id).await;
-            return resubmission_answer(&id, lookup, cell.acts_until());
+            return resubmission_answer(&id, lookup, cell.lease_valid_until());
         }
         if let Some(t) = self.final_known(&id) {
             return job_answer(200, &id, t, false);
@@ -143,10 +143,10 @@
         let mut limit = ACCEPT_FIRST_TIMEOUT;
         loop {
             // If absent: of a submission and its repetitions, on any nodes, one is accepted.
-            let condition = Condition { key: key.clone(), version: 0 };
-            let change = Change::Put { key: key.clone(), value: value.clone(), lease: None };
-            match self.state.commit_within(limit, vec![condition], vec![change], Turn::First).await {
-                Ok(Commit::Applied(version)) => {
+            let condition = Compare { key: key.clone(), version: 0 };
+            let change = Mutation::Put { key: key.clone(), value: value.clone(), lease: None };
+            match self.state.commit_within(limit, vec![condition], vec![change], RequestPriority::Urgent).await {
+                Ok(CompareAndSwap::Applied(version)) => {
                     let now = clock::now();
                     self.note_cell(&id, home.unwrap_or_default());
                     let add = |s: &mut crate::shard::Shard| {
@@ -157,7 +157,7 @@
                     }
                     return job_answer(201, &id, JobStatus { state: JobState::Queued, done: 0, running: 0 }, false);
                 }
-                Ok(Commit::Failed(_)) => return self.accepted_before(&id).await,
+                Ok(CompareAndSwap::Conflict(_)) => return self.accepted_before(&id).await,
                 // It may or may not be stored: the next try tells.
                 Err(StateError::Unknown) if clock::now() - began < ACCEPT_WITHIN_S => {
                     limit = (limit * 2).min(COMMIT_TIMEOUT);
@@ -172,18 +172,18 @@
         let mut lookup = self.about(Verb::Show, id).await;
         if !matches!(lookup, Lookup::Known(_)) {
             // It is stored, and so accepted: what its record says was true after it was submitted again.
-            lookup = match self.state.get(&job_key(id), Turn::InTurn).await {
-                Ok(Some(item)) => record_tells(Verb::Show, &item),
+            lookup = match self.state.get(&job_key(id), RequestPriority::Normal).await {
+                Ok(Some(item)) => status_from_record(Verb::Show, &item),
                 _ => Lookup::Unable,
             };
         }
-        resubmission_answer(id, lookup, self.owner_acts_until(id))
+        resubmission_answer(id, lookup, self.leader_lease_valid_until(id))
     }
 
     /// A submission that can never run, unless it was accepted already: then a repetition
     /// must not hear that it was refused, whatever has become of limits since.
     async fn never(&self, id: &str, why: &str) -> Outgoing {
-        match self.state.get(&job_key(id), Turn::InTurn).await {
+        match self.state.get(&job_key(id), RequestPriority::Normal).await {
             Ok(None) => Outgoing::error(422, why),
             Ok(Some(_)) => self.accepted_before(id).await,
             Err(_) => unable(),
@@ -209,7 +209,7 @@
         if let Some(kind) = here.or_else(|| self.accepted_kind(need)) {
             return of_kind(kind);
         }
-        match self.state.get(&job_key(need), Turn::InTurn).await {
+        match self.state.get(&job_key(need), RequestPriority::Normal).await {
             Ok(None) => Need::Wrong("no such job was accepted"),
             Ok(Some(item)) => match serde_json::from_value::<JobRecord>(item.value) {
                 Ok(r) => {
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -3,14 +3,14 @@
 //! [`Audit`] takes every key in order and keeps only what is open; [`run`] reads the pages, at a
 //! rate that leaves the state service to the controllers.
 
-use crate::election::{CLAIM_PREFIX, Claim, TYPES_KEY};
+use crate::election::{LEADERSHIP_PREFIX, LeadershipRecord, MACHINE_TYPES_KEY};
 use crate::fleet::machine_groups::{RACK_PREFIX, RackRecord};
 use crate::fleet::{FLEET_KEY, MACHINE_PREFIX, MachineRecord};
 use crate::http::Client;
 use crate::jobs::{JOB_PREFIX, PART_PREFIX, PROGRESS_PREFIX, Phase, ProgressRecord};
 use crate::settings::Settings;
 use crate::shard::{FleetRecord, job_of};
-use crate::wire::{self, Item, Items};
+use crate::wire::{self, KeyValue, KeyValuePage};
 use http_types::Method;
 use lupinspur_quota::stored::{HEAD as QUOTA_HEAD, Head, PREFIX as QUOTA_PREFIX, Part, generation_of};
 use serde::de::DeserializeOwned;
@@ -56,7 +56,7 @@
     machines: HashMap<String, String>,
     /// The checkpoint's values, and what they say once they are all there: they come before
     /// the jobs.
-    values: Vec<Item>,
+    values: Vec<KeyValue>,
     checkpoint: Option<Checkpoint>,
     quotas: Option<u64>,
     parts: Vec<String>,
@@ -84,10 +84,10 @@
         (PART_PREFIX, "progress"),
         (RACK_PREFIX, "racks"),
         (MACHINE_PREFIX, "machines of an earlier version"),
-        (TYPES_KEY, "machine types"),
+        (MACHINE_TYPES_KEY, "machine types"),
         ("own/node/", "cells"),
         ("cells/", "cells"),
-        (CLAIM_PREFIX, "claims"),
+        (LEADERSHIP_PREFIX, "claims"),
         (lupinspur_recovery::PREFIX, "checkpoint"),
         (QUOTA_PREFIX, "quotas"),
         (FLEET_KEY, "fleet"),
@@ -104,7 +104,7 @@
         }
     }
 
-    fn read<T: DeserializeOwned>(&mut self, i: &Item) -> Option<T> {
+    fn read<T: DeserializeOwned>(&mut self, i: &KeyValue) -> Option<T> {
         match T::deserialize(&i.value) {
             Ok(v) => Some(v),
             Err(e) => {
@@ -115,7 +115,7 @@
     }
 
     /// One key; they come in the order of their names.
-    pub fn take(&mut self, i: Item) {
+    pub fn take(&mut self, i: KeyValue) {
         let of = kind(&i.key);
         let bytes = i.value.to_string().len() as u64;
         let size = self.out.kinds.entry(of.into()).or_default();
@@ -142,7 +142,7 @@
             }
             "machine types" => _ = self.read::<Vec<wire::MachineType>>(&i),
             "cells" => {}
-            "claims" => _ = self.read::<Claim>(&i),
+            "claims" => _ = self.read::<LeadershipRecord>(&i),
             "fleet" => _ = self.read::<FleetRecord>(&i),
             "checkpoint" => self.values.push(i),
             "quotas" if i.key == QUOTA_HEAD => self.quotas = self.read::<Head>(&i).map(|h| h.generation),
@@ -171,7 +171,7 @@
         }
     }
 
-    fn job(&mut self, i: &Item) {
+    fn job(&mut self, i: &KeyValue) {
         let r = match job_of(&i.key, &i.value) {
             Ok(r) => r,
             Err(e) => return self.fault(&i.key, e),
@@ -203,7 +203,7 @@
         }
     }
 
-    fn rack(&mut self, i: &Item) {
+    fn rack(&mut self, i: &KeyValue) {
         let Some(r) = self.read::<RackRecord>(i) else { return };
         let names = |what: &str, at: &[u32], of: usize| {
             at.iter().find(|n| **n as usize >= of).map(|n| format!("names {what} {n} of {of}"))
@@ -253,7 +253,7 @@
     FLEET_KEY,
     JOB_PREFIX,
     MACHINE_PREFIX,
-    CLAIM_PREFIX,
+    LEADERSHIP_PREFIX,
     PART_PREFIX,
     PROGRESS_PREFIX,
     QUOTA_PREFIX,
@@ -272,7 +272,7 @@
         let began = crate::clock::now();
         let query = wire::list_query(prefix, &after, 1000);
         let answer = http.call(settings.state, Method::Get, &query, None, Duration::from_secs(10)).await;
-        let page: Items = match answer {
+        let page: KeyValuePage = match answer {
             Ok((200, b)) => serde_json::from_slice(&b).map_err(|e| format!("a page after {after:?}: {e}"))?,
             Ok((400, _)) if prefix.is_empty() && after.is_empty() => {
                 prefixes = PREFIXES.to_vec();
@@ -286,7 +286,7 @@
             Err(e) => return Err(format!("the state service at {}: {e}", settings.state)),
         };
         after = page.items.last().map(|i| i.key.clone()).unwrap_or_default();
-        if !page.more || page.items.is_empty() {
+        if !page.has_more || page.items.is_empty() {
             (at, after) = (at + 1, String::new());
         }
         page.items.into_iter().for_each(|i| audit.take(i));
@@ -331,7 +331,7 @@
     fn findings(items: Vec<(&str, Value, u64)>) -> Findings {
         let mut a = Audit::default();
         for (key, value, version) in items {
-            a.take(Item { key: key.into(), value, version, lease: None });
+            a.take(KeyValue { key: key.into(), value, version, lease: None });
         }
         a.finish()
     }
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -2,7 +2,7 @@
 
 use crate::clock;
 use crate::http::{CallError, Client};
-use crate::rate_limiter::Budget;
+use crate::rate_limiter::RateLimiter;
 use crate::wire::{self, ListedMachine, MachineList, MachineNames, MachineType, RentRequest, Types};
 use async_io::Timer;
 use http_types::Method;
@@ -26,12 +26,16 @@
 pub struct CloudClient {
     addr: SocketAddr,
     http: Client,
-    budget: Mutex<Budget>,
+    rate_limiter: Mutex<RateLimiter>,
 }
 
 impl CloudClient {
     pub fn new(s: &crate::settings::Settings) -> CloudClient {
-        let c = CloudClient { addr: s.cloud, http: Client::new(3, 3), budget: Mutex::new(Budget::new(1.0, 1.0)) };
+        let c = CloudClient {
+            addr: s.cloud,
+            http: Client::new(3, 3),
+            rate_limiter: Mutex::new(RateLimiter::new(1.0, 1.0)),
+        };
         c.set_share(s, 0, 1);
         c
     }
@@ -44,11 +48,11 @@
         } else {
             s.cloud_rps * 0.1 / (s.peers.len().max(1) as f64)
         };
-        *self.lock() = Budget::new(rate, if leader { rate * 1.5 } else { 1.0 });
+        *self.lock() = RateLimiter::new(rate, if leader { rate * 1.5 } else { 1.0 });
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Budget> {
-        self.budget.lock().unwrap_or_else(|e| e.into_inner())
+    fn lock(&self) -> std::sync::MutexGuard<'_, RateLimiter> {
+        self.rate_limiter.lock().unwrap_or_else(|e| e.into_inner())
     }
 
     /// Waits for its turn, which may take long.
@@ -59,7 +63,7 @@
         path: &str,
         body: Option<Vec<u8>>,
     ) -> Result<(u16, Vec<u8>), CloudError> {
-        while !self.lock().try_take(clock::now(), 1) {
+        while !self.lock().try_acquire(clock::now(), 1) {
             Timer::after(Duration::from_millis(25)).await;
         }
         self.call_now(may_be_sent, method, path, body).await
--- a/src/job_status.rs
+++ b/src/job_status.rs
@@ -1,7 +1,7 @@
 //! What can be told of a job, by whom, and by its record alone.
 
 use crate::jobs::{JobRecord, Phase};
-use crate::wire::{self, Item, JobState};
+use crate::wire::{self, JobState, KeyValue};
 
 /// A job as a user is told about it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -35,7 +35,7 @@
 /// What a stored record alone tells of a job. A repeated submission was once answered
 /// with "queued" because the record was there, whatever it said: the job had been
 /// called cancelled before.
-pub fn status_of_item(item: &Item) -> Option<JobStatus> {
+pub fn status_of_item(item: &KeyValue) -> Option<JobStatus> {
     let r: JobRecord = serde::Deserialize::deserialize(&item.value).ok()?;
     Some(status_of(&r))
 }
--- a/src/node/failover.rs
+++ b/src/node/failover.rs
@@ -37,22 +37,22 @@
 
 impl Cell {
     /// Reads everything that the shard needs to go on.
-    pub(super) async fn load(self: &Arc<Self>, token: u64) {
+    pub(super) async fn load_state(self: &Arc<Self>, token: u64) {
         let began = clock::now();
-        self.share_out();
+        self.update_rate_shares();
         let loaded = async {
             self.takes_all.store(self.others_are_nobody_s(token).await?, Ordering::Relaxed);
             let (records, revision) = self.read_jobs().await?;
-            let (mut progress, _) = self.state.list(PROGRESS_PREFIX, Turn::InTurn).await?;
-            progress.extend(self.state.list(PART_PREFIX, Turn::InTurn).await?.0);
+            let (mut progress, _) = self.state.list(PROGRESS_PREFIX, RequestPriority::Normal).await?;
+            progress.extend(self.state.list(PART_PREFIX, RequestPriority::Normal).await?.0);
             let machines = self.list_own(MACHINE_PREFIX).await?;
             let racks = self.list_own(RACK_PREFIX).await?;
-            let fleet = self.state.get(&self.outer(FLEET_KEY), Turn::InTurn).await?.map(|i| self.inner(i));
+            let fleet = self.state.get(&self.outer(FLEET_KEY), RequestPriority::Normal).await?.map(|i| self.inner(i));
             let (taken_in, stale) = self.read_merged().await?;
             let shares = self.read_shares().await?;
             let away = self.read_away().await?;
             let quotas = match &self.quotas {
-                Some(_) => self.state.list(PREFIX, Turn::InTurn).await?.0,
+                Some(_) => self.state.list(PREFIX, RequestPriority::Normal).await?.0,
                 None => Vec::new(),
             };
             if self.cells().len() > 1 && !self.takes_all() {
@@ -90,15 +90,16 @@
                     racks: parse_items(racks).filter_map(|(k, r, v)| Some((RackIx::new(number(&k)?), r, v))).collect(),
                     fleet: fleet.and_then(|i| parse_items(vec![i]).next()).map(|(_, r, v)| (r, v)),
                     quotas: self.quotas.clone().map(|file| {
-                        let (head, parts): (Vec<Item>, Vec<Item>) = quotas.into_iter().partition(|i| i.key == HEAD);
+                        let (head, parts): (Vec<KeyValue>, Vec<KeyValue>) =
+                            quotas.into_iter().partition(|i| i.key == HEAD);
                         let head = parse_items(head).next().map(|(_, h, v)| (h, v));
                         LoadedQuotas { file, head, parts: parse_items(parts).collect() }
                     }),
                 };
                 let machines = loaded.machines.len() + loaded.racks.iter().map(|r| r.1.machines.len()).sum::<usize>();
-                if lock(&self.own).token() != Some(token) {
+                if lock(&self.election).token() != Some(token) {
                     log::warn!("the claim was lost while everything was read");
-                    self.share_out();
+                    self.update_rate_shares();
                     return;
                 }
                 let now = clock::now();
@@ -174,7 +175,7 @@
         }
         let revision = self
             .state
-            .each(JOB_PREFIX, Turn::InTurn, |i| records.take(self, &i.key, &i.value, i.version, false))
+            .for_each(JOB_PREFIX, RequestPriority::Normal, |i| records.take(self, &i.key, &i.value, i.version, false))
             .await?;
         log::info!("read every job's record: {} are open, {} are over", records.jobs.len(), records.over);
         records.found.revision = revision;
@@ -190,7 +191,7 @@
                     from = ev.revision.max(from);
                     for e in ev.events {
                         if let (Some(key), Some(value)) = (e.put, e.value) {
-                            self.take_job(token, &Item { key, value, version: e.version, lease: None });
+                            self.take_job(token, &KeyValue { key, value, version: e.version, lease: None });
                         }
                     }
                     self.caught_up(token, from);
@@ -202,13 +203,13 @@
                 }
                 Err(StateError::TooOld) => {
                     log::warn!("changes of jobs were missed: reading every record");
-                    let take = |i: Item| {
+                    let take = |i: KeyValue| {
                         // What is over and not known here changes nothing.
                         if job_of(&i.key, &i.value).map_or(true, |r| r.phase == Phase::Open) {
                             self.take_job(token, &i);
                         }
                     };
-                    if let Ok(revision) = self.state.each(JOB_PREFIX, Turn::InTurn, take).await {
+                    if let Ok(revision) = self.state.for_each(JOB_PREFIX, RequestPriority::Normal, take).await {
                         from = revision;
                         self.caught_up(token, from);
                     }
@@ -272,7 +273,9 @@
     }
 
     async fn read_need(&self, token: u64, id: &str) -> bool {
-        let Ok(Some(item)) = self.state.get(&crate::jobs::job_key(id), Turn::InTurn).await else { return false };
+        let Ok(Some(item)) = self.state.get(&crate::jobs::job_key(id), RequestPriority::Normal).await else {
+            return false;
+        };
         self.take_job(token, &item);
         // A later shard reads it itself: this record may be older than its claim.
         let now = clock::now();
--- a/src/node/loops.rs
+++ b/src/node/loops.rs
@@ -36,7 +36,7 @@
                     log::info!("{:.0} s: {}", now - told.0, s.summary(&told.2));
                     told = (now, s.token, s.counts);
                 }
-                s.writable = self.state.answers(now);
+                s.writable = self.state.is_responsive(now);
                 s.tick(now);
                 s.deaf(now)
             });
@@ -45,7 +45,7 @@
                     // The workers cannot reach us, though the state service can: others may do better.
                     log::warn!("no worker is heard: stepping down");
                     let mut lease = None;
-                    self.lose(|o| lease = o.step_down(now));
+                    self.leadership_lost(|o| lease = o.step_down(now));
                     if let Some(l) = lease {
                         let _ = self.state.revoke(l).await;
                     }
@@ -76,11 +76,11 @@
             }
             while running < MOST_COMMITS {
                 let now = clock::now();
-                let available = self.state.writes_available();
+                let available = self.state.available_writes();
                 let ops = self.state.txn_ops.min(available);
                 let spare = available.saturating_sub(4);
                 let writes = (ops > 0)
-                    .then(|| self.with_shard(now, |s| (s.token, s.next_writes(ops, TXN_BYTES, spare, now))))
+                    .then(|| self.with_shard(now, |s| (s.token, s.next_writes(ops, MAX_TRANSACTION_BYTES, spare, now))))
                     .flatten();
                 let Some((token, writes)) = writes.filter(|w| !w.1.is_empty()) else { break };
                 running += 1;
@@ -97,27 +97,27 @@
     }
 
     pub(super) async fn write(&self, token: u64, writes: Vec<crate::shard::Write>) {
-        let mut conditions = vec![Condition { key: self.claim_key.clone(), version: token }];
-        conditions.extend(writes.iter().map(|w| Condition { key: self.outer(&w.key), version: w.version }));
-        let outer = |c: &Change| match c.clone() {
-            Change::Put { key, value, lease } => Change::Put { key: self.outer(&key), value, lease },
-            Change::Delete { key } => Change::Delete { key: self.outer(&key) },
+        let mut conditions = vec![Compare { key: self.leadership_key.clone(), version: token }];
+        conditions.extend(writes.iter().map(|w| Compare { key: self.outer(&w.key), version: w.version }));
+        let outer = |c: &Mutation| match c.clone() {
+            Mutation::Put { key, value, lease } => Mutation::Put { key: self.outer(&key), value, lease },
+            Mutation::Delete { key } => Mutation::Delete { key: self.outer(&key) },
         };
         let changes = writes.iter().map(|w| outer(&w.change)).collect();
-        let outcome = self.state.commit(conditions, changes, Turn::InTurn).await;
+        let outcome = self.state.commit(conditions, changes, RequestPriority::Normal).await;
         let mine = |f: &mut dyn FnMut(&mut Shard)| {
             if let Some(s) = lock(&self.shard).as_mut().filter(|s| s.token == token) {
                 f(s);
             }
         };
         match outcome {
-            Ok(Commit::Applied(revision)) => self.stored(token, writes, revision),
-            Ok(Commit::Failed(_)) | Err(StateError::Unknown) => {
+            Ok(CompareAndSwap::Applied(revision)) => self.stored(token, writes, revision),
+            Ok(CompareAndSwap::Conflict(_)) | Err(StateError::Unknown) => {
                 // Some version is not what was thought, or nobody knows: ask for each key.
                 let (mut stand, mut wanted) = (Vec::new(), Vec::new());
                 for w in writes {
                     let item = loop {
-                        match self.state.get(&self.outer(&w.key), Turn::InTurn).await {
+                        match self.state.get(&self.outer(&w.key), RequestPriority::Normal).await {
                             Ok(i) => break i,
                             Err(_) => Timer::after(Duration::from_millis(200)).await,
                         };
@@ -129,7 +129,7 @@
                     mine(&mut |s| s.on_version(&w.key, version));
                     if w.stands_as(item.as_ref()) { stand.push((w, version)) } else { wanted.push(w) }
                 }
-                self.look_at_claim().await;
+                self.read_leadership_record().await;
                 for (w, version) in stand {
                     self.stored(token, vec![w], version);
                 }
@@ -197,7 +197,7 @@
     fn may_still_send(&self, send: &DirectSend) -> bool {
         let (now, token) = (clock::now(), send.body.token);
         let permitted = self.with_shard(now, |s| (s.token == token).then(|| s.still_permits(send))).flatten();
-        let left = self.acts_until().map_or(0.0, |until| until - now);
+        let left = self.lease_valid_until().map_or(0.0, |until| until - now);
         let (commands, session) = (send.body.commands.len(), send.body.session);
         match permitted {
             Some(Ok(())) => {
@@ -320,7 +320,7 @@
             self.tell_alarms(&alarms, "this controller's door");
             if now - reports_at >= SUMMARY_EVERY_S {
                 let taken = |n: &AtomicU64| n.swap(0, Ordering::Relaxed);
-                let (sent_on, turned_away) = (taken(&self.sent_on), taken(&self.turned_away));
+                let (sent_on, turned_away) = (taken(&self.heartbeats_redirected), taken(&self.heartbeats_rejected));
                 if sent_on + turned_away > 0 {
                     log::info!("{:.0} s: {sent_on} reports sent on, {turned_away} turned away", now - reports_at);
                 }
@@ -333,7 +333,7 @@
     /// limit: those that are refused ask again at times of their own. The last of five
     /// once asked together with the others for ever, and was refused every time.
     pub(super) async fn learn_types(self: Arc<Self>) {
-        let turn_s = (self.settings.peers.len() + 1) as f64 / self.settings.cloud_rps;
+        let campaign_delay_s = (self.settings.peers.len() + 1) as f64 / self.settings.cloud_rps;
         loop {
             let first = self.types().is_empty();
             let pause_s = match self.cloud.types(first).await {
@@ -348,8 +348,8 @@
                     // Prices matter to the owner; the others judge submissions by sizes.
                     if mine { TYPES_EVERY_S } else { TYPES_EVERY_S * 3.0 }
                 }
-                _ if first => turn_s.min(2.0),
-                _ => turn_s,
+                _ if first => campaign_delay_s.min(2.0),
+                _ => campaign_delay_s,
             };
             Timer::after(Duration::from_secs_f64(pause_s * (0.5 + fastrand::f64()))).await;
         }
--- a/src/node/merging.rs
+++ b/src/node/merging.rs
@@ -37,9 +37,9 @@
         }
         log::info!("the cells merge: cell 0 takes in what the others had");
         for c in self.cells().iter().filter(|c| c.ix.0 != 0) {
-            c.leave_claim();
+            c.resign();
         }
-        self.share_out();
+        self.update_rate_shares();
     }
 
     /// No plan is in force any more: there is one cell, as if there had never been others.
@@ -51,14 +51,14 @@
         self.merging.store(false, Ordering::Relaxed);
         lock(&self.job_cells).clear();
         lock(&self.machine_cells).clear();
-        let one = Cell::new(self.clone(), CellIx(0), CLAIM_KEY.into());
-        one.saw_claim(None);
-        self.put_cells(vec![one]);
-        self.share_out();
+        let one = Cell::new(self.clone(), CellIx(0), LEADERSHIP_KEY.into());
+        one.observe_record(None);
+        self.replace_shards(vec![one]);
+        self.update_rate_shares();
     }
 }
 
-fn claimed_by(i: &Item) -> &str {
+fn record_holder(i: &KeyValue) -> &str {
     i.value.get("node").and_then(serde_json::Value::as_str).unwrap_or_default()
 }
 
@@ -68,27 +68,27 @@
     }
 
     /// The claims of all other cells, as they are stored.
-    async fn others_claims(&self, cells: u32) -> Result<Vec<(String, Option<Item>)>, StateError> {
-        let (claims, _) = self.state.list(CLAIM_PREFIX, Turn::InTurn).await?;
+    async fn other_leadership_records(&self, cells: u32) -> Result<Vec<(String, Option<KeyValue>)>, StateError> {
+        let (claims, _) = self.state.list(LEADERSHIP_PREFIX, RequestPriority::Normal).await?;
         let of = |key: String| {
             let item = claims.iter().find(|i| i.key == key).cloned();
             (key, item)
         };
-        Ok((1..cells).map(crate::election::cell_claim_key).map(of).collect())
+        Ok((1..cells).map(crate::election::shard_leadership_key).map(of).collect())
     }
 
     /// May this claim take in what all the others had?
     pub(super) async fn others_are_nobody_s(&self, token: u64) -> Result<bool, StateError> {
         let plan = lock(&self.in_force).clone();
         let Some(plan) = plan.filter(|_| self.merges() && self.ix.0 == 0) else { return Ok(false) };
-        let claims = self.others_claims(plan.cells).await?;
-        Ok(may_take_in(token, claims.iter().map(|(_, i)| i.as_ref().map(|i| (claimed_by(i), i.version)))))
+        let claims = self.other_leadership_records(plan.cells).await?;
+        Ok(may_take_in(token, claims.iter().map(|(_, i)| i.as_ref().map(|i| (record_holder(i), i.version)))))
     }
 
     /// Steps down, so that the claim goes at once.
-    pub(super) fn leave_claim(self: &Arc<Self>) {
+    pub(super) fn resign(self: &Arc<Self>) {
         let mut lease = None;
-        self.lose(|o| lease = o.step_down(clock::now()));
+        self.leadership_lost(|o| lease = o.step_down(clock::now()));
         if let Some(l) = lease {
             let me = self.clone();
             EX.spawn(async move { _ = me.state.revoke(l).await }).detach();
@@ -98,66 +98,67 @@
     /// The first step: all controllers want one cell.
     pub(super) async fn begin_merging(&self, token: u64, plan: &lupinspur_cells::Plan) {
         let Some(wanted) = self.plan.clone() else { return };
-        let Ok((items, _)) = self.state.list(PRESENT_PREFIX, Turn::InTurn).await else { return };
+        let Ok((items, _)) = self.state.list(PRESENT_PREFIX, RequestPriority::Normal).await else { return };
         let present: Vec<Presence> = parse_items(items).map(|(_, p, _)| p).collect();
         if !comes_into_force(&wanted, &self.settings.nodes(), &present) {
             return;
         }
-        let Ok(Some(stands)) = self.state.get(CLAIM_KEY, Turn::InTurn).await else { return };
+        let Ok(Some(stands)) = self.state.get(LEADERSHIP_KEY, RequestPriority::Normal).await else { return };
         if Cell::plan_in(&stands).is_none_or(|f| f.merging) {
             return;
         }
         let Ok(value) = serde_json::to_value(InForce::merging(plan.clone())) else { return };
         let conditions = vec![
-            Condition { key: self.claim_key.clone(), version: token },
-            Condition { key: CLAIM_KEY.into(), version: stands.version },
+            Compare { key: self.leadership_key.clone(), version: token },
+            Compare { key: LEADERSHIP_KEY.into(), version: stands.version },
         ];
-        let change = Change::Put { key: CLAIM_KEY.into(), value, lease: None };
+        let change = Mutation::Put { key: LEADERSHIP_KEY.into(), value, lease: None };
         // Whatever becomes of it, the watch tells.
-        let _ = self.state.commit(conditions, vec![change], Turn::InTurn).await;
+        let _ = self.state.commit(conditions, vec![change], RequestPriority::Normal).await;
     }
 
     /// The next step of a merging, by the owner of cell 0.
     pub(super) async fn merge(self: &Arc<Self>, token: u64, plan: &lupinspur_cells::Plan) {
-        let Ok(claims) = self.others_claims(plan.cells).await else { return };
+        let Ok(claims) = self.other_leadership_records(plan.cells).await else { return };
         let free: Vec<&String> = claims.iter().filter(|(_, i)| i.is_none()).map(|(k, _)| k).collect();
         if !free.is_empty() {
-            let Ok(value) = serde_json::to_value(Claim::new(NOBODY, "merged")) else { return };
+            let Ok(value) = serde_json::to_value(LeadershipRecord::new(NOBODY, "merged")) else { return };
             for keys in free.chunks(self.state.txn_ops) {
-                let mut conditions = vec![Condition { key: self.claim_key.clone(), version: token }];
-                conditions.extend(keys.iter().map(|k| Condition { key: (*k).clone(), version: 0 }));
-                let put = |k: &&String| Change::Put { key: (*k).clone(), value: value.clone(), lease: None };
-                let _ = self.state.commit(conditions, keys.iter().map(put).collect(), Turn::InTurn).await;
+                let mut conditions = vec![Compare { key: self.leadership_key.clone(), version: token }];
+                conditions.extend(keys.iter().map(|k| Compare { key: (*k).clone(), version: 0 }));
+                let put = |k: &&String| Mutation::Put { key: (*k).clone(), value: value.clone(), lease: None };
+                let _ = self.state.commit(conditions, keys.iter().map(put).collect(), RequestPriority::Normal).await;
             }
             return;
         }
-        if !claims.iter().all(|(_, i)| i.as_ref().is_some_and(|i| claimed_by(i) == NOBODY)) {
+        if !claims.iter().all(|(_, i)| i.as_ref().is_some_and(|i| record_holder(i) == NOBODY)) {
             return;
         }
         let read_at = *lock(&self.read_at);
         if !self.takes_all() {
-            return self.raise_claim(token).await;
+            return self.reacquire_leadership(token).await;
         }
         if read_at.0 != token || !self.nothing_left(plan, read_at.1).await {
             return;
         }
-        let Ok(Some(stands)) = self.state.get(CLAIM_KEY, Turn::InTurn).await else { return };
-        let gone = [CLAIM_KEY.to_owned(), self.claim_key.clone()].into_iter().chain(claims.into_iter().map(|c| c.0));
-        let gone: Vec<Change> = gone.map(|key| Change::Delete { key }).take(self.state.txn_ops).collect();
+        let Ok(Some(stands)) = self.state.get(LEADERSHIP_KEY, RequestPriority::Normal).await else { return };
+        let gone =
+            [LEADERSHIP_KEY.to_owned(), self.leadership_key.clone()].into_iter().chain(claims.into_iter().map(|c| c.0));
+        let gone: Vec<Mutation> = gone.map(|key| Mutation::Delete { key }).take(self.state.txn_ops).collect();
         let conditions = vec![
-            Condition { key: self.claim_key.clone(), version: token },
-            Condition { key: CLAIM_KEY.into(), version: stands.version },
+            Compare { key: self.leadership_key.clone(), version: token },
+            Compare { key: LEADERSHIP_KEY.into(), version: stands.version },
         ];
         // From the moment that it is sent somebody else may own: this one has ended before.
-        self.lose(|o| o.lease_lost());
-        let _ = self.state.commit(conditions, gone, Turn::First).await;
+        self.leadership_lost(|o| o.lease_lost());
+        let _ = self.state.commit(conditions, gone, RequestPriority::Urgent).await;
     }
 
     /// Does nothing of the others stand any more, and does a checkpoint of since then tell of all jobs?
     async fn nothing_left(&self, plan: &lupinspur_cells::Plan, read_at: u64) -> bool {
         let prefixes = (1..plan.cells).map(|c| format!("c{c}/")).chain([CELLS_PREFIX.to_owned()]);
         for prefix in prefixes {
-            match self.state.list(&prefix, Turn::InTurn).await {
+            match self.state.list(&prefix, RequestPriority::Normal).await {
                 Ok((items, _)) if items.is_empty() => {}
                 _ => return false,
             }
@@ -175,13 +176,13 @@
             return Ok((racks, stale));
         }
         for c in 1..self.cells().len() {
-            let (items, _) = self.state.list(&format!("c{c}/"), Turn::InTurn).await?;
-            let (of_racks, rest): (Vec<Item>, Vec<Item>) =
+            let (items, _) = self.state.list(&format!("c{c}/"), RequestPriority::Normal).await?;
+            let (of_racks, rest): (Vec<KeyValue>, Vec<KeyValue>) =
                 items.into_iter().partition(|i| i.key.starts_with(&format!("c{c}/{RACK_PREFIX}")));
             stale.extend(rest.into_iter().map(|i| (i.key, i.version)));
             racks.extend(parse_items::<RackRecord>(of_racks));
         }
-        let (items, _) = self.state.list(CELLS_PREFIX, Turn::InTurn).await?;
+        let (items, _) = self.state.list(CELLS_PREFIX, RequestPriority::Normal).await?;
         stale.extend(items.into_iter().map(|i| (i.key, i.version)));
         Ok((racks, stale))
     }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -13,7 +13,10 @@
 
 use crate::clock;
 use crate::cloud::{CloudClient, CloudError};
-use crate::election::{AWAY_S, CLAIM_KEY, CLAIM_PREFIX, Claim, Next, Ownership, SeenClaim, TYPES_KEY, away_key};
+use crate::election::{
+    CRASH_LOOP_BACKOFF_S, ElectionStep, LEADERSHIP_KEY, LEADERSHIP_PREFIX, LeaderElection, LeadershipRecord,
+    MACHINE_TYPES_KEY, ObservedRecord, backoff_key,
+};
 use crate::fleet::machine_groups::RACK_PREFIX;
 use crate::fleet::{FLEET_KEY, MACHINE_PREFIX};
 use crate::health::Health;
@@ -23,9 +26,9 @@
 use crate::peer::Peers;
 use crate::settings::Settings;
 use crate::shard::{CloudCall, Counts, DirectSend, Found, Loaded, LoadedQuotas, Shard, job_of};
-use crate::state::{Commit, StateClient, StateError, TXN_BYTES, Turn};
+use crate::state::{CompareAndSwap, KvClient, MAX_TRANSACTION_BYTES, RequestPriority, StateError};
 use crate::tuning::Tuning;
-use crate::wire::{Change, Condition, Item, Kind, MachineType, RentRequest};
+use crate::wire::{Compare, KeyValue, Kind, MachineType, Mutation, RentRequest};
 use crate::worker::WorkerClient;
 use async_channel::{Receiver, Sender};
 use async_executor::Executor;
@@ -77,10 +80,10 @@
 
 /// Who acts, as far as this node knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Standing {
-    Owner,
-    Other(String),
-    Nobody,
+pub enum LeadershipStatus {
+    Leading,
+    Following(String),
+    NoLeader,
 }
 
 struct Wakes {
@@ -98,12 +101,12 @@
     quotas: Option<Plan>,
     /// The operators' file of elastic jobs.
     pub elastic: Option<lupinspur_elastic::Plan>,
-    pub state: StateClient,
+    pub state: KvClient,
     pub cloud: CloudClient,
     pub workers: WorkerClient,
     pub peers: Peers,
     /// Who this process is, in every claim that it makes.
-    me: Claim,
+    own_record: LeadershipRecord,
     cells: Mutex<Cells>,
     /// The operators' file of cells, and the plan that is in force.
     plan: Option<lupinspur_cells::Plan>,
@@ -120,15 +123,15 @@
     accepted: Mutex<LruCache<String, Kind>>,
     /// What users were answered at this controller's door, by class and team.
     door: Mutex<Book>,
-    state_ok: Mutex<f64>,
+    state_answered_at: Mutex<f64>,
     health: Mutex<Health>,
     /// The machine types as the state service has them.
     types_stored: Mutex<Option<StoredTypes>>,
     /// Whether the cloud itself told the types.
     types_asked: AtomicBool,
     /// Reports that were sent on to the owner, and those that could not be answered at all.
-    sent_on: AtomicU64,
-    turned_away: AtomicU64,
+    heartbeats_redirected: AtomicU64,
+    heartbeats_rejected: AtomicU64,
 }
 
 /// The machine types that the state service holds, and the revision of their last change.
@@ -144,7 +147,7 @@
     m.lock().unwrap_or_else(|e| e.into_inner())
 }
 
-fn parse_items<T: DeserializeOwned>(items: Vec<Item>) -> impl Iterator<Item = (String, T, u64)> {
+fn parse_items<T: DeserializeOwned>(items: Vec<KeyValue>) -> impl Iterator<Item = (String, T, u64)> {
     items.into_iter().filter_map(|i| match serde_json::from_value(i.value) {
         Ok(v) => Some((i.key, v, i.version)),
         Err(e) => {
@@ -156,13 +159,13 @@
 
 impl Node {
     pub fn new(settings: Settings, tuning: Tuning, features: Features) -> Node {
-        let me = Claim::new(settings.node.clone(), format!("{:016x}", fastrand::u64(..)));
+        let me = LeadershipRecord::new(settings.node.clone(), format!("{:016x}", fastrand::u64(..)));
         Node {
-            state: StateClient::new(&settings),
+            state: KvClient::new(&settings),
             cloud: CloudClient::new(&settings),
             workers: WorkerClient::new(&settings),
             peers: Peers::new(&EX, &settings),
-            me,
+            own_record: me,
             cells: Mutex::default(),
             plan: features.cells,
             in_force: Mutex::default(),
@@ -174,12 +177,12 @@
             finals: Mutex::new(LruCache::new(MOST_KEPT)),
             accepted: Mutex::new(LruCache::new(MOST_KEPT)),
             door: Mutex::new(Book::new(settings.terms.clone())),
-            state_ok: Mutex::new(-100.0),
+            state_answered_at: Mutex::new(-100.0),
             health: Mutex::default(),
             types_stored: Mutex::default(),
             types_asked: AtomicBool::new(false),
-            sent_on: AtomicU64::new(0),
-            turned_away: AtomicU64::new(0),
+            heartbeats_redirected: AtomicU64::new(0),
+            heartbeats_rejected: AtomicU64::new(0),
             settings,
             tuning,
             quotas: features.quotas,
@@ -188,23 +191,23 @@
     }
 
     /// Sets all loops going.
-    pub fn begin(self: &Arc<Self>) {
+    pub fn spawn_loops(self: &Arc<Self>) {
         let n = || self.clone();
-        self.put_cells(vec![Cell::new(n(), CellIx(0), CLAIM_KEY.into())]);
+        self.replace_shards(vec![Cell::new(n(), CellIx(0), LEADERSHIP_KEY.into())]);
         EX.spawn(n().learn_types()).detach();
-        EX.spawn(n().watch_claims()).detach();
+        EX.spawn(n().watch_leadership()).detach();
         EX.spawn(n().tell_door()).detach();
         EX.spawn(n().offer_plan()).detach();
     }
 
     /// These cells from now on, in the order of their numbers.
-    fn put_cells(self: &Arc<Self>, cells: Vec<Arc<Cell>>) {
+    fn replace_shards(self: &Arc<Self>, cells: Vec<Arc<Cell>>) {
         let before = std::mem::replace(&mut *lock(&self.cells), Arc::new(cells.clone()));
         for c in before.iter() {
             c.closed.store(true, Ordering::Relaxed);
-            c.lose(|o| o.lease_lost());
+            c.leadership_lost(|o| o.lease_lost());
         }
-        cells.iter().for_each(Cell::begin);
+        cells.iter().for_each(Cell::spawn_loops);
     }
 
     pub fn cells(&self) -> Cells {
@@ -212,14 +215,14 @@
     }
 
     /// How many cells this process holds a claim of.
-    fn owned(&self) -> usize {
-        self.cells().iter().filter(|c| lock(&c.own).token().is_some()).count()
+    fn shards_led(&self) -> usize {
+        self.cells().iter().filter(|c| lock(&c.election).token().is_some()).count()
     }
 
     /// What this process may spend at the services follows from what it owns.
-    fn share_out(&self) {
+    fn update_rate_shares(&self) {
         let of = if self.merges() { 1 } else { self.cells().len() };
-        let owned = self.owned();
+        let owned = self.shards_led();
         self.state.set_share(&self.settings, owned, of);
         self.cloud.set_share(&self.settings, owned, of);
     }
@@ -235,8 +238,8 @@
 
     pub fn healthy(&self) -> bool {
         let now = clock::now();
-        let (useful, owns) = (!lock(&self.types).is_empty(), self.owns_some(now));
-        let answered = *lock(&self.state_ok);
+        let (useful, owns) = (!lock(&self.types).is_empty(), self.leads_any_shard(now));
+        let answered = *lock(&self.state_answered_at);
         lock(&self.health).says(useful, owns, answered, now)
     }
 
@@ -267,7 +270,7 @@
     }
 
     fn state_answered(&self) {
-        *lock(&self.state_ok) = clock::now();
+        *lock(&self.state_answered_at) = clock::now();
     }
 
     /// Something may be there to place, in some cell that is owned here.
@@ -276,7 +279,7 @@
     }
 
     /// Does this controller own any cell?
-    fn owns_some(&self, now: f64) -> bool {
-        self.cells().iter().any(|c| c.standing(now) == Standing::Owner)
+    fn leads_any_shard(&self, now: f64) -> bool {
+        self.cells().iter().any(|c| c.leadership_status(now) == LeadershipStatus::Leading)
     }
 }
--- a/src/node/routing.rs
+++ b/src/node/routing.rs
@@ -52,7 +52,7 @@
     /// Where this job is to be asked for. One that this node has not met yet is asked for at the
     /// other owners; only what none of them knows costs a request to the state service. With a
     /// request for each, polls took all that there were of booking's hundred a second.
-    pub async fn place_of(&self, id: &str, turn: Turn) -> Place {
+    pub async fn place_of(&self, id: &str, turn: RequestPriority) -> Place {
         if let Some(c) = self.only() {
             return Place::In(c);
         }
@@ -66,7 +66,7 @@
         if let Some(c) = noted.and_then(|c| self.cell(c)) {
             return Place::In(c);
         }
-        for node in self.other_owners(clock::now()) {
+        for node in self.other_leaders(clock::now()) {
             let q = MachineQuestion { machine: String::new(), job: id.to_owned() };
             if let Some(a) = self.peers.ask_expects(&node, q).await.filter(|a| a.known)
                 && let Some(c) = self.cell(CellIx(a.cell))
@@ -121,8 +121,9 @@
         if let Some(c) = noted.and_then(|c| cells.get(c.ix())) {
             return Some(c.clone());
         }
-        let mut looked: Vec<bool> = cells.iter().map(|c| c.standing(now) == Standing::Owner).collect();
-        for node in self.other_owners(now) {
+        let mut looked: Vec<bool> =
+            cells.iter().map(|c| c.leadership_status(now) == LeadershipStatus::Leading).collect();
+        for node in self.other_leaders(now) {
             let q = MachineQuestion { machine: machine.to_owned(), job: String::new() };
             let Some(a) = self.peers.ask_expects(&node, q).await else { continue };
             if a.known {
@@ -140,7 +141,7 @@
         }
         let plan = lock(&self.in_force).clone()?;
         let first = plan.cell_of_stranger(machine);
-        let obeyed = |c: &&Arc<Cell>| lock(&c.own).version_seen().is_some_and(|v| v >= token);
+        let obeyed = |c: &&Arc<Cell>| lock(&c.election).observed_version().is_some_and(|v| v >= token);
         let cell = cells.get(first.ix()).filter(obeyed).or_else(|| cells.iter().find(obeyed))?;
         lock(&self.machine_cells).put(machine.to_owned(), cell.ix);
         Some(cell.clone())
@@ -163,10 +164,10 @@
     }
 
     /// The other controllers that own cells.
-    fn other_owners(&self, now: f64) -> Vec<String> {
+    fn other_leaders(&self, now: f64) -> Vec<String> {
         let mut owners: Vec<String> = Vec::new();
         for c in self.cells().iter() {
-            if let Standing::Other(node) = c.standing(now)
+            if let LeadershipStatus::Following(node) = c.leadership_status(now)
                 && !owners.contains(&node)
             {
                 owners.push(node);
@@ -190,7 +191,7 @@
     }
 
     /// The other way round.
-    pub(super) fn inner(&self, mut item: Item) -> Item {
+    pub(super) fn inner(&self, mut item: KeyValue) -> KeyValue {
         if self.ix.0 != 0
             && let Some(key) = item.key.strip_prefix(&format!("c{}/", self.ix.0))
         {
@@ -200,8 +201,8 @@
     }
 
     /// Everything of this cell under a prefix.
-    pub(super) async fn list_own(&self, prefix: &str) -> Result<Vec<Item>, StateError> {
-        let (items, _) = self.state.list(&self.outer(prefix), Turn::InTurn).await?;
+    pub(super) async fn list_own(&self, prefix: &str) -> Result<Vec<KeyValue>, StateError> {
+        let (items, _) = self.state.list(&self.outer(prefix), RequestPriority::Normal).await?;
         Ok(items.into_iter().map(|i| self.inner(i)).collect())
     }
 
@@ -211,7 +212,7 @@
     }
 
     /// Is this claim nobody's, with the plan in it?
-    pub(super) fn plan_in(item: &Item) -> Option<InForce> {
+    pub(super) fn plan_in(item: &KeyValue) -> Option<InForce> {
         if item.value.get("node").and_then(serde_json::Value::as_str) != Some(NOBODY) {
             return None;
         }
--- a/src/node/shard_exchange/activation.rs
+++ b/src/node/shard_exchange/activation.rs
@@ -24,12 +24,12 @@
             if !renewed {
                 lease = self.state.grant(PRESENT_MS).await.ok();
                 let key = format!("{PRESENT_PREFIX}{}", self.settings.node);
-                let change = Change::Put { key, value: value.clone(), lease };
-                if lease.is_some() && self.state.commit(vec![], vec![change], Turn::First).await.is_err() {
+                let change = Mutation::Put { key, value: value.clone(), lease };
+                if lease.is_some() && self.state.commit(vec![], vec![change], RequestPriority::Urgent).await.is_err() {
                     lease = None;
                 }
             }
-            if in_force.is_none() && self.owns_some(clock::now()) {
+            if in_force.is_none() && self.leads_any_shard(clock::now()) {
                 self.bring_into_force(&plan).await;
             }
             Timer::after(OFFER_EVERY).await;
@@ -39,12 +39,12 @@
     /// The owner of the one cell that there is puts the plan in its claim's place, once everybody
     /// understands it.
     async fn bring_into_force(self: &Arc<Self>, plan: &lupinspur_cells::Plan) {
-        let Ok((items, _)) = self.state.list(PRESENT_PREFIX, Turn::First).await else { return };
+        let Ok((items, _)) = self.state.list(PRESENT_PREFIX, RequestPriority::Urgent).await else { return };
         let present: Vec<Presence> = parse_items(items).map(|(_, p, _)| p).collect();
         if !comes_into_force(plan, &self.settings.nodes(), &present) {
             return;
         }
-        let Ok(before) = self.state.get(LEDGER_KEY, Turn::First).await else { return };
+        let Ok(before) = self.state.get(LEDGER_KEY, RequestPriority::Urgent).await else { return };
         let cells = self.cells();
         let Some(cell) = cells.first().filter(|_| cells.len() == 1) else { return };
         let now = clock::now();
@@ -78,38 +78,41 @@
             return;
         }
         // Of a merging in which not all places of claims could be cleared at once.
-        let Ok((left, _)) = self.state.list(CELL_CLAIMS, Turn::First).await else { return };
+        let Ok((left, _)) = self.state.list(CELL_CLAIMS, RequestPriority::Urgent).await else { return };
         for some in left.chunks(self.state.txn_ops) {
-            let mut conditions = vec![Condition { key: CLAIM_KEY.into(), version: token }];
-            conditions.extend(some.iter().map(|i| Condition { key: i.key.clone(), version: i.version }));
-            let gone = some.iter().map(|i| Change::Delete { key: i.key.clone() }).collect();
-            if !matches!(self.state.commit(conditions, gone, Turn::First).await, Ok(Commit::Applied(_))) {
+            let mut conditions = vec![Compare { key: LEADERSHIP_KEY.into(), version: token }];
+            conditions.extend(some.iter().map(|i| Compare { key: i.key.clone(), version: i.version }));
+            let gone = some.iter().map(|i| Mutation::Delete { key: i.key.clone() }).collect();
+            if !matches!(
+                self.state.commit(conditions, gone, RequestPriority::Urgent).await,
+                Ok(CompareAndSwap::Applied(_))
+            ) {
                 return;
             }
         }
         let conditions = vec![
-            Condition { key: CLAIM_KEY.into(), version: token },
-            Condition { key: LEDGER_KEY.into(), version: before.map_or(0, |i| i.version) },
+            Compare { key: LEADERSHIP_KEY.into(), version: token },
+            Compare { key: LEDGER_KEY.into(), version: before.map_or(0, |i| i.version) },
         ];
         let changes = vec![
-            Change::Put { key: LEDGER_KEY.into(), value: shares, lease: None },
-            Change::Put { key: CLAIM_KEY.into(), value: claim, lease: None },
+            Mutation::Put { key: LEDGER_KEY.into(), value: shares, lease: None },
+            Mutation::Put { key: LEADERSHIP_KEY.into(), value: claim, lease: None },
         ];
         // From the moment that it is sent the cells may be owned by others, who wait for nobody.
-        lock(&cell.own).suspend(true);
-        match self.state.commit(conditions, changes, Turn::First).await {
-            Ok(Commit::Applied(_)) => self.enter_cells(plan.clone()),
+        lock(&cell.election).suspend(true);
+        match self.state.commit(conditions, changes, RequestPriority::Urgent).await {
+            Ok(CompareAndSwap::Applied(_)) => self.enter_cells(plan.clone()),
             // It may be stored, now or later. Without this claim it can't be any more.
             Err(StateError::Unknown) => {
                 log::warn!("nobody knows whether the plan of cells came into force: giving the claim up");
-                cell.leave_claim();
+                cell.resign();
             }
             // Whoever still holds the claim knows that it was not stored; later it cannot be, since what it
             // was conditional on would have to change first.
             outcome => {
                 log::info!("the plan of cells did not come into force: {outcome:?}");
-                lock(&cell.own).suspend(false);
-                cell.look_at_claim().await;
+                lock(&cell.election).suspend(false);
+                cell.read_leadership_record().await;
                 let whole = Ledger::begin(&limits(&self.settings.teams), 1, CellIx(0));
                 cell.with_shard(clock::now(), |s| s.set_shares(&self.settings.teams, &whole, CellIx(0)));
             }
@@ -130,11 +133,11 @@
             }
         }
         log::info!("{} cells are in force", plan.cells);
-        let cell = |c| Cell::new(self.clone(), CellIx(c), crate::election::cell_claim_key(c));
+        let cell = |c| Cell::new(self.clone(), CellIx(c), crate::election::shard_leadership_key(c));
         let cells: Vec<Arc<Cell>> = (0..plan.cells).map(cell).collect();
         // As far as this process knows nobody has claimed them: what it hears next may say more.
-        cells.iter().for_each(|c| c.saw_claim(None));
-        self.put_cells(cells);
+        cells.iter().for_each(|c| c.observe_record(None));
+        self.replace_shards(cells);
         *lock(&self.cell_exchange) = CellExchange::default();
         EX.spawn(self.clone().watch_cells()).detach();
     }
--- a/src/node/shard_exchange/machine_transfers.rs
+++ b/src/node/shard_exchange/machine_transfers.rs
@@ -29,7 +29,7 @@
         if lock(&self.in_force).is_none() {
             return Ok(BTreeSet::new());
         }
-        let (items, _) = self.state.list(machine_transfer::PREFIX, Turn::InTurn).await?;
+        let (items, _) = self.state.list(machine_transfer::PREFIX, RequestPriority::Normal).await?;
         let mut away = BTreeSet::new();
         for (key, h, version) in parse_items::<Handover>(items) {
             if h.from == self.ix {
@@ -54,7 +54,7 @@
             (hands, order, has_to_raise(self.ix, token, moves, token_of))
         };
         if raise {
-            return self.raise_claim(token).await;
+            return self.reacquire_leadership(token).await;
         }
         let hold_s = plan.picture_s * HOLD_PICTURES;
         let now = clock::now();
@@ -99,11 +99,13 @@
     /// that were set aside for this stay so until it is known whose they are.
     async fn put_handover(&self, token: u64, key: &str, version: u64, h: Handover) {
         let Ok(value) = serde_json::to_value(&h) else { return };
-        let conditions =
-            vec![Condition { key: self.claim_key.clone(), version: token }, Condition { key: key.to_owned(), version }];
-        let changes = vec![Change::Put { key: key.to_owned(), value, lease: None }];
+        let conditions = vec![
+            Compare { key: self.leadership_key.clone(), version: token },
+            Compare { key: key.to_owned(), version },
+        ];
+        let changes = vec![Mutation::Put { key: key.to_owned(), value, lease: None }];
         let stored = self.surely(token, conditions, changes).await;
-        match self.state.get(key, Turn::InTurn).await {
+        match self.state.get(key, RequestPriority::Normal).await {
             Ok(Some(item)) => self.observe(item),
             Ok(None) => {}
             Err(_) => return,
--- a/src/node/shard_exchange/mod.rs
+++ b/src/node/shard_exchange/mod.rs
@@ -48,10 +48,15 @@
         let mut from: Option<u64> = None;
         while lock(&self.in_force).is_some() {
             let heard = match from {
-                None => self.state.list(CELLS_PREFIX, Turn::InTurn).await,
+                None => self.state.list(CELLS_PREFIX, RequestPriority::Normal).await,
                 Some(r) => self.state.watch(CELLS_PREFIX, r, WATCH_WAIT).await.map(|ev| {
-                    let item = |e: crate::wire::Event| {
-                        Some(Item { key: e.put?, value: e.value.unwrap_or_default(), version: e.version, lease: None })
+                    let item = |e: crate::wire::WatchEvent| {
+                        Some(KeyValue {
+                            key: e.put?,
+                            value: e.value.unwrap_or_default(),
+                            version: e.version,
+                            lease: None,
+                        })
                     };
                     (ev.events.into_iter().filter_map(item).collect(), ev.revision.max(r))
                 }),
@@ -70,7 +75,7 @@
         }
     }
 
-    pub(super) fn observe(&self, item: Item) {
+    pub(super) fn observe(&self, item: KeyValue) {
         if item.key == LEDGER_KEY {
             if let Ok(l) = serde_json::from_value::<Ledger>(item.value) {
                 self.observe_ledger(l, item.version);
@@ -116,11 +121,11 @@
                 && value.to_string().len() <= self.settings.value_bytes()
             {
                 let key = format!("{PICTURES}{}", self.ix.0);
-                let change = Change::Put { key, value, lease: None };
-                let claim = Condition { key: self.claim_key.clone(), version: token };
-                let _ = self.state.commit(vec![claim], vec![change], Turn::InTurn).await;
+                let change = Mutation::Put { key, value, lease: None };
+                let claim = Compare { key: self.leadership_key.clone(), version: token };
+                let _ = self.state.commit(vec![claim], vec![change], RequestPriority::Normal).await;
             }
-            if self.state.answers(clock::now()) {
+            if self.state.is_responsive(clock::now()) {
                 if self.goes_back() && self.ix.0 == 0 {
                     self.begin_merging(token, &plan).await;
                 }
@@ -143,17 +148,17 @@
     /// Sends a write until it is certain that it will not be applied later: one whose answer was lost
     /// goes again, and finds what it is conditional on as it was or changed. True: it is stored;
     /// none: it may be, which a reader tells; false: it is not.
-    pub(super) async fn surely(&self, token: u64, conditions: Vec<Condition>, changes: Vec<Change>) -> Option<bool> {
+    pub(super) async fn surely(&self, token: u64, conditions: Vec<Compare>, changes: Vec<Mutation>) -> Option<bool> {
         let mut lost = false;
         loop {
-            match self.state.commit(conditions.clone(), changes.clone(), Turn::InTurn).await {
-                Ok(Commit::Applied(_)) => return Some(true),
-                Ok(Commit::Failed(_)) => return if lost { None } else { Some(false) },
+            match self.state.commit(conditions.clone(), changes.clone(), RequestPriority::Normal).await {
+                Ok(CompareAndSwap::Applied(_)) => return Some(true),
+                Ok(CompareAndSwap::Conflict(_)) => return if lost { None } else { Some(false) },
                 Err(StateError::NotExecuted(_)) if !lost => return Some(false),
                 Err(StateError::Unknown) => lost = true,
                 Err(_) => {}
             }
-            if lock(&self.own).token() != Some(token) {
+            if lock(&self.election).token() != Some(token) {
                 return None;
             }
             Timer::after(Duration::from_millis(300)).await;
--- a/src/node/shard_exchange/quota_shares.rs
+++ b/src/node/shard_exchange/quota_shares.rs
@@ -24,7 +24,7 @@
         if lock(&self.in_force).is_none() || self.takes_all() {
             return Ok(None);
         }
-        let item = self.state.get(LEDGER_KEY, Turn::InTurn).await?;
+        let item = self.state.get(LEDGER_KEY, RequestPriority::Normal).await?;
         let read = item.and_then(|i| Some((serde_json::from_value::<Ledger>(i.value).ok()?, i.version)));
         match read {
             Some((l, version)) => {
@@ -60,8 +60,8 @@
         token: u64,
         (ledger, version): (Ledger, u64),
         given: Vec<Gift>,
-        mut conditions: Vec<Condition>,
-        mut changes: Vec<Change>,
+        mut conditions: Vec<Compare>,
+        mut changes: Vec<Mutation>,
     ) -> Option<bool> {
         let next = ledger.after(&given)?;
         self.giving.store(true, Ordering::Relaxed);
@@ -78,14 +78,14 @@
         let mut stored = Some(false);
         if fits == Some(true) {
             let value = serde_json::to_value(&next).unwrap_or_default();
-            conditions.push(Condition { key: self.claim_key.clone(), version: token });
-            conditions.push(Condition { key: LEDGER_KEY.into(), version });
-            changes.push(Change::Put { key: LEDGER_KEY.into(), value, lease: None });
+            conditions.push(Compare { key: self.leadership_key.clone(), version: token });
+            conditions.push(Compare { key: LEDGER_KEY.into(), version });
+            changes.push(Mutation::Put { key: LEDGER_KEY.into(), value, lease: None });
             stored = self.surely(token, conditions, changes).await;
             // Whatever became of it: the state service's own word on the shares, before anything is
             // counted on again.
-            while stored != Some(false) && lock(&self.own).token() == Some(token) {
-                if let Ok(Some(item)) = self.state.get(LEDGER_KEY, Turn::InTurn).await
+            while stored != Some(false) && lock(&self.election).token() == Some(token) {
+                if let Ok(Some(item)) = self.state.get(LEDGER_KEY, RequestPriority::Normal).await
                     && let Ok(l) = serde_json::from_value::<Ledger>(item.value)
                 {
                     self.observe_ledger(l, item.version);
--- a/src/node/shard_exchange/rebalance.rs
+++ b/src/node/shard_exchange/rebalance.rs
@@ -21,7 +21,7 @@
         let known = lock(&self.cell_exchange).orders.clone();
         let (stored, version) = match known {
             Some(o) => o,
-            None => match self.state.get(ORDERS_KEY, Turn::InTurn).await {
+            None => match self.state.get(ORDERS_KEY, RequestPriority::Normal).await {
                 Ok(None) => (Orders::default(), 0),
                 Ok(Some(item)) => return self.observe(item),
                 Err(_) => return,
@@ -45,12 +45,14 @@
             return;
         }
         let conditions = vec![
-            Condition { key: self.claim_key.clone(), version: token },
-            Condition { key: ORDERS_KEY.into(), version },
+            Compare { key: self.leadership_key.clone(), version: token },
+            Compare { key: ORDERS_KEY.into(), version },
         ];
-        let changes = vec![Change::Put { key: ORDERS_KEY.into(), value: value.clone(), lease: None }];
-        if let Ok(Commit::Applied(version)) = self.state.commit(conditions, changes, Turn::InTurn).await {
-            self.observe(Item { key: ORDERS_KEY.into(), value, version, lease: None });
+        let changes = vec![Mutation::Put { key: ORDERS_KEY.into(), value: value.clone(), lease: None }];
+        if let Ok(CompareAndSwap::Applied(version)) =
+            self.state.commit(conditions, changes, RequestPriority::Normal).await
+        {
+            self.observe(KeyValue { key: ORDERS_KEY.into(), value, version, lease: None });
         }
     }
 }
--- a/src/node/shard_exchange/spill.rs
+++ b/src/node/shard_exchange/spill.rs
@@ -7,8 +7,8 @@
     /// here, set aside for the other cell, would be started by nobody. None where the claim is lost, or
     /// the record can't be read.
     async fn is_elsewhere(&self, token: u64, key: &str) -> Option<bool> {
-        while lock(&self.own).token() == Some(token) {
-            match self.state.get(key, Turn::InTurn).await {
+        while lock(&self.election).token() == Some(token) {
+            match self.state.get(key, RequestPriority::Normal).await {
                 Ok(item) => {
                     let record = item.and_then(|i| job_of(&i.key, &i.value).ok())?;
                     return Some(self.cell_of_record(&record) != self.ix);
@@ -52,8 +52,8 @@
                 })
                 .into_iter()
                 .collect();
-            let conditions = vec![Condition { key: key.clone(), version: at }];
-            let changes = vec![Change::Put { key: key.clone(), value, lease: None }];
+            let conditions = vec![Compare { key: key.clone(), version: at }];
+            let changes = vec![Mutation::Put { key: key.clone(), value, lease: None }];
             let stored = self.part_with(token, (ledger, version), given, conditions, changes).await;
             // Its own record has the last word on whose it is.
             let theirs = match stored {
--- a/src/node/shard_runtime.rs
+++ b/src/node/shard_runtime.rs
@@ -7,12 +7,12 @@
 pub struct Cell {
     pub(super) node: Arc<Node>,
     pub ix: CellIx,
-    pub(super) claim_key: String,
-    pub(super) own: Mutex<Ownership>,
+    pub(super) leadership_key: String,
+    pub(super) election: Mutex<LeaderElection>,
     pub(super) shard: Mutex<Option<Shard>>,
     pub(super) wakes: Wakes,
-    pub(super) claiming: AtomicBool,
-    pub(super) loading: AtomicBool,
+    pub(super) campaign_in_progress: AtomicBool,
+    pub(super) failover_in_progress: AtomicBool,
     /// A part of its share is on its way to another cell.
     pub(super) giving: AtomicBool,
     /// Another set of cells has taken its place: its loops end.
@@ -32,7 +32,7 @@
 
 /// Takes a job's record in. Knowing of it needs no right to act: what came while the lease was
 /// in doubt would be missing afterwards. One that is another cell's is not, or no longer, ours.
-pub(super) fn take_into(cell: &Cell, s: &mut Shard, item: &Item, now: f64) {
+pub(super) fn take_into(cell: &Cell, s: &mut Shard, item: &KeyValue, now: f64) {
     match job_of(&item.key, &item.value) {
         Ok(r) if cell.concerns(&r) => _ = s.add_job(r, item.version, now),
         Ok(r) => s.left(&r.job.id, now),
@@ -44,13 +44,13 @@
 }
 
 impl Cell {
-    pub(super) fn new(node: Arc<Node>, ix: CellIx, claim_key: String) -> Arc<Cell> {
-        let own = Ownership::new(node.me.clone(), node.tuning.claim_s);
+    pub(super) fn new(node: Arc<Node>, ix: CellIx, leadership_key: String) -> Arc<Cell> {
+        let own = LeaderElection::new(node.own_record.clone(), node.tuning.leader_lease_s);
         Arc::new(Cell {
             node,
             ix,
-            claim_key,
-            own: Mutex::new(own),
+            leadership_key,
+            election: Mutex::new(own),
             shard: Mutex::new(None),
             wakes: Wakes {
                 writer: async_channel::bounded(1),
@@ -58,8 +58,8 @@
                 pace: async_channel::bounded(1),
                 needs: async_channel::bounded(1),
             },
-            claiming: AtomicBool::new(false),
-            loading: AtomicBool::new(false),
+            campaign_in_progress: AtomicBool::new(false),
+            failover_in_progress: AtomicBool::new(false),
             giving: AtomicBool::new(false),
             closed: AtomicBool::new(false),
             read_at: Mutex::default(),
@@ -67,10 +67,10 @@
         })
     }
 
-    pub(super) fn begin(self: &Arc<Self>) {
+    pub(super) fn spawn_loops(self: &Arc<Self>) {
         let c = || self.clone();
-        EX.spawn(c().keep_types()).detach();
-        EX.spawn(c().keep_lease()).detach();
+        EX.spawn(c().store_machine_types_loop()).detach();
+        EX.spawn(c().renew_lease_loop()).detach();
         EX.spawn(c().ticks()).detach();
         EX.spawn(c().writer()).detach();
         EX.spawn(c().direct()).detach();
@@ -87,18 +87,18 @@
 
     /// Lets `f` see the shard while this node surely owns it.
     pub fn with_shard<T>(&self, now: f64, f: impl FnOnce(&mut Shard) -> T) -> Option<T> {
-        let token = lock(&self.own).may_act(now)?;
+        let token = lock(&self.election).valid_token(now)?;
         let mut guard = lock(&self.shard);
         guard.as_mut().filter(|s| s.token == token).map(f)
     }
 
-    pub fn standing(&self, now: f64) -> Standing {
-        let own = lock(&self.own);
-        if own.may_act(now).is_some() {
+    pub fn leadership_status(&self, now: f64) -> LeadershipStatus {
+        let own = lock(&self.election);
+        if own.valid_token(now).is_some() {
             drop(own);
-            return if lock(&self.shard).is_some() { Standing::Owner } else { Standing::Nobody };
+            return if lock(&self.shard).is_some() { LeadershipStatus::Leading } else { LeadershipStatus::NoLeader };
         }
-        own.other_owner().map_or(Standing::Nobody, |n| Standing::Other(n.to_owned()))
+        own.other_leader().map_or(LeadershipStatus::NoLeader, |n| LeadershipStatus::Following(n.to_owned()))
     }
 
     /// Something may be there to place: the next tick comes soon.
@@ -114,7 +114,7 @@
     /// A stored job that the shard did not know of yet. `token`: of the shard for which it was read. A later
     /// one has read everything itself, after that: a job that is over need not be known to it, and would be
     /// open again by an older record.
-    pub fn take_job(&self, token: u64, item: &Item) {
+    pub fn take_job(&self, token: u64, item: &KeyValue) {
         let now = clock::now();
         if let Some(s) = lock(&self.shard).as_mut().filter(|s| s.token == token) {
             take_into(self, s, item, now);
@@ -123,22 +123,22 @@
     }
 
     /// Until when what is made up now may be said.
-    pub fn acts_until(&self) -> Option<f64> {
-        lock(&self.own).acts_until()
+    pub fn lease_valid_until(&self) -> Option<f64> {
+        lock(&self.election).lease_valid_until()
     }
 
     /// How a report is answered that this controller cannot take. Who has not heard from the state
     /// service for longer than a claim lasts does not know who owns: sent on to an owner that is
     /// gone, a worker waits for 4 s and more, and may be sent back here.
     pub fn elsewhere(&self, now: f64) -> Option<String> {
-        let known = now - *lock(&self.state_ok) < self.tuning.claim_s + WATCH_WAIT.as_secs_f64();
-        match self.standing(now) {
-            Standing::Other(node) if known => {
-                self.sent_on.fetch_add(1, Ordering::Relaxed);
+        let known = now - *lock(&self.state_answered_at) < self.tuning.leader_lease_s + WATCH_WAIT.as_secs_f64();
+        match self.leadership_status(now) {
+            LeadershipStatus::Following(node) if known => {
+                self.heartbeats_redirected.fetch_add(1, Ordering::Relaxed);
                 Some(node)
             }
             _ => {
-                self.turned_away.fetch_add(1, Ordering::Relaxed);
+                self.heartbeats_rejected.fetch_add(1, Ordering::Relaxed);
                 None
             }
         }
--- a/src/peer_server.rs
+++ b/src/peer_server.rs
@@ -2,7 +2,7 @@
 
 use crate::clock;
 use crate::job_status::{Lookup, valid_id};
-use crate::node::{Cell, Node, Standing};
+use crate::node::{Cell, LeadershipStatus, Node};
 use crate::peer::{
     JobAnswer, JobQuestion, MachineAnswer, MachineQuestion, Outcome, Owner, QuotaAnswer, QuotaQuestion, ServiceAnswer,
     ServiceQuestion,
@@ -11,16 +11,16 @@
 use lupinspur_cells::CellIx;
 use std::sync::Arc;
 
-pub struct OwnerSide(pub Arc<Node>);
+pub struct LeaderService(pub Arc<Node>);
 
-impl OwnerSide {
+impl LeaderService {
     fn cell(&self, ix: u32) -> Result<Arc<Cell>, tonic::Status> {
         self.0.cell(CellIx(ix)).ok_or_else(|| tonic::Status::not_found(format!("there is no cell {ix}")))
     }
 }
 
 #[tonic::async_trait]
-impl Owner for OwnerSide {
+impl Owner for LeaderService {
     async fn expects(
         &self,
         request: tonic::Request<MachineQuestion>,
@@ -44,9 +44,9 @@
         }
         let now = clock::now();
         let cell = self.cell(q.cell)?;
-        let told = match cell.standing(now) {
-            Standing::Owner => cell.with_shard(now, |s| s.quota_report(&q.job)),
-            Standing::Other(node) if !q.passed_on => {
+        let told = match cell.leadership_status(now) {
+            LeadershipStatus::Leading => cell.with_shard(now, |s| s.quota_report(&q.job)),
+            LeadershipStatus::Following(node) if !q.passed_on => {
                 let passed_on = QuotaQuestion { passed_on: true, ..q };
                 return match self.0.peers.ask_quotas(&node, passed_on).await {
                     Some(a) => Ok(tonic::Response::new(a)),
@@ -68,9 +68,9 @@
         let now = clock::now();
         let q = request.into_inner();
         let cell = self.cell(q.cell)?;
-        let told = match cell.standing(now) {
-            Standing::Owner => cell.with_shard(now, |s| s.service_told(now)),
-            Standing::Other(node) if !q.passed_on => {
+        let told = match cell.leadership_status(now) {
+            LeadershipStatus::Leading => cell.with_shard(now, |s| s.service_told(now)),
+            LeadershipStatus::Following(node) if !q.passed_on => {
                 let answer = self.0.peers.ask_service(&node, q.cell).await;
                 answer.and_then(|a| serde_json::from_str::<ServiceTold>(&a.json).ok())
             }
@@ -91,11 +91,13 @@
         let now = clock::now();
         let q = request.into_inner();
         let cell = self.cell(q.cell)?;
-        let json = match cell.standing(now) {
-            Standing::Owner => cell
+        let json = match cell.leadership_status(now) {
+            LeadershipStatus::Leading => cell
                 .with_shard(now, |s| s.elastic_report())
                 .map(|t| t.map(|t| serde_json::to_string(&t)).transpose().map(Option::unwrap_or_default)),
-            Standing::Other(node) if !q.passed_on => self.0.peers.ask_elastic(&node, q.cell).await.map(|a| Ok(a.json)),
+            LeadershipStatus::Following(node) if !q.passed_on => {
+                self.0.peers.ask_elastic(&node, q.cell).await.map(|a| Ok(a.json))
+            }
             _ => None,
         };
         match json {
@@ -112,8 +114,8 @@
         }
         let verb = q.verb();
         let cell = self.cell(q.cell)?;
-        let lookup = match cell.standing(clock::now()) {
-            Standing::Owner => cell.about_here(verb, &q.job).await,
+        let lookup = match cell.leadership_status(clock::now()) {
+            LeadershipStatus::Leading => cell.about_here(verb, &q.job).await,
             _ => Lookup::Unable,
         };
         let mut a = JobAnswer::default();
--- a/src/responses.rs
+++ b/src/responses.rs
@@ -6,7 +6,7 @@
 use crate::jobs::{JobRecord, Phase};
 use crate::peer::Verb;
 use crate::shard::{Heard, Shown};
-use crate::wire::{Item, JobAnswer, Redirect};
+use crate::wire::{JobAnswer, KeyValue, Redirect};
 
 /// The answer of whoever cannot or may not act.
 pub fn unable() -> Outgoing {
@@ -20,40 +20,40 @@
     Outgoing::json(status, &answer)
 }
 
-/// What is known of a job. What may yet change is sent only until `acts_until`, the end of this
+/// What is known of a job. What may yet change is sent only until `lease_valid_until`, the end of this
 /// controller's lease if it owns the job; ends never change.
-fn known_answer(id: &str, job: JobStatus, counts: bool, acts_until: Option<f64>) -> Outgoing {
+fn known_answer(id: &str, job: JobStatus, counts: bool, lease_valid_until: Option<f64>) -> Outgoing {
     let answer = job_answer(200, id, job, counts);
-    if job.is_final() { answer } else { answer.until(acts_until) }
+    if job.is_final() { answer } else { answer.until(lease_valid_until) }
 }
 
 /// The answer to a question or a cancellation.
-pub fn about_answer(verb: Verb, id: &str, lookup: Lookup, acts_until: Option<f64>) -> Outgoing {
+pub fn about_answer(verb: Verb, id: &str, lookup: Lookup, lease_valid_until: Option<f64>) -> Outgoing {
     match lookup {
-        Lookup::Known(job) => known_answer(id, job, verb == Verb::Show, acts_until),
+        Lookup::Known(job) => known_answer(id, job, verb == Verb::Show, lease_valid_until),
         Lookup::Absent => Outgoing::error(404, "no such job"),
         Lookup::Unable => unable(),
     }
 }
 
 /// The answer to a submission of a job that was accepted before.
-pub fn resubmission_answer(id: &str, lookup: Lookup, acts_until: Option<f64>) -> Outgoing {
+pub fn resubmission_answer(id: &str, lookup: Lookup, lease_valid_until: Option<f64>) -> Outgoing {
     match lookup {
-        Lookup::Known(job) => known_answer(id, job, false, acts_until),
+        Lookup::Known(job) => known_answer(id, job, false, lease_valid_until),
         Lookup::Absent | Lookup::Unable => unable(),
     }
 }
 
 /// The answer to a worker's report. `heard`: what the shard makes of it, none where this controller may not
-/// act; `acts_until`: the end of its lease, after which the answer is not sent any more; `owner`: the
+/// act; `lease_valid_until`: the end of its lease, after which the answer is not sent any more; `owner`: the
 /// controller to report to instead, asked for only where this one does not take the report.
 pub fn report_answer(
     heard: Option<Heard>,
-    acts_until: Option<f64>,
+    lease_valid_until: Option<f64>,
     owner: impl FnOnce() -> Option<String>,
 ) -> Outgoing {
     match heard {
-        Some(Heard::Reply(reply)) => Outgoing::json(200, &reply).until(acts_until),
+        Some(Heard::Reply(reply)) => Outgoing::json(200, &reply).until(lease_valid_until),
         Some(Heard::Stale) => unable(),
         Some(Heard::Superseded) | None => match owner() {
             Some(node) => Outgoing::json(421, &Redirect { report_to: Some(node) }),
@@ -64,7 +64,7 @@
 
 /// What the owner tells of a job that it knows; none: not yet. A cancellation is confirmed only once it is
 /// stored, and until then there is nothing to say to it.
-pub fn owner_tells(verb: Verb, shown: Shown) -> Option<JobStatus> {
+pub fn status_from_leader(verb: Verb, shown: Shown) -> Option<JobStatus> {
     match shown {
         Shown::Told(state, done, running) => {
             let job = JobStatus { state, done, running };
@@ -78,7 +78,7 @@
 /// told of them, so that an open record was true when it was read, unless the job may be cancelled together
 /// with one that it needs: that is stored for the needed one first. A cancellation is confirmed by nobody
 /// who cannot store it.
-pub fn record_tells(verb: Verb, item: &Item) -> Lookup {
+pub fn status_from_record(verb: Verb, item: &KeyValue) -> Lookup {
     match status_of_item(item) {
         Some(job) if job.is_final() => Lookup::Known(job),
         Some(job) if verb == Verb::Show && !may_be_doomed(item) => Lookup::Known(job),
@@ -87,7 +87,7 @@
 }
 
 /// Is this an open record of a job that waits or waited for others?
-fn may_be_doomed(item: &Item) -> bool {
+fn may_be_doomed(item: &KeyValue) -> bool {
     serde_json::from_value::<JobRecord>(item.value.clone())
         .is_ok_and(|r| r.phase == Phase::Open && !r.job.needs().is_empty())
 }
--- a/src/run.rs
+++ b/src/run.rs
@@ -2,7 +2,7 @@
 
 use crate::clock;
 use crate::node::{EX, Features, Node};
-use crate::peer_server::OwnerSide;
+use crate::peer_server::LeaderService;
 use crate::settings::Settings;
 use crate::tuning::Tuning;
 use async_io::Async;
@@ -41,8 +41,8 @@
     log::info!("{} in {} listens on {}", settings.node, settings.zone, settings.listen);
     let node = Arc::new(Node::new(settings, tuning, features));
     let n = || node.clone();
-    node.begin();
-    EX.spawn(crate::peer::serve(&EX, peer_listener, Arc::new(OwnerSide(n())))).detach();
+    node.spawn_loops();
+    EX.spawn(crate::peer::serve(&EX, peer_listener, Arc::new(LeaderService(n())))).detach();
     let handler = Arc::new(move |req| {
         let me = node.clone();
         async move { me.handle(req).await }
--- a/src/state/limits.rs
+++ b/src/state/limits.rs
@@ -53,12 +53,12 @@
     }
 
     /// Our rates, if they are others than before.
-    pub(super) fn changed(&mut self, now: f64) -> Option<Rates> {
+    pub(super) fn changed_rates(&mut self, now: f64) -> Option<Rates> {
         let lowered = now < self.lowered_until;
-        (lowered != std::mem::replace(&mut self.lowered, lowered)).then(|| self.ours())
+        (lowered != std::mem::replace(&mut self.lowered, lowered)).then(|| self.own_rates())
     }
 
-    pub(super) fn ours(&self) -> Rates {
+    pub(super) fn own_rates(&self) -> Rates {
         let all = if self.lowered { self.next } else { self.now };
         Rates { requests: all.requests * self.share.requests, writes: all.writes * self.share.writes }
     }
@@ -78,17 +78,17 @@
         let mut l = Limits::new(&settings(&with_next));
         for i in 0..6 {
             l.refused(f64::from(i) * 5.0);
-            assert_eq!(l.changed(f64::from(i) * 5.0), None, "refusals now and then");
+            assert_eq!(l.changed_rates(f64::from(i) * 5.0), None, "refusals now and then");
         }
         (0..4).for_each(|i| l.refused(100.0 + f64::from(i) * 0.3));
-        assert_eq!(l.changed(101.0), Some(Rates { requests: 100.0, writes: 10.0 }));
-        assert_eq!(l.changed(110.0), None, "said once");
-        assert_eq!(l.changed(125.0), Some(Rates { requests: 100.0, writes: 30.0 }), "tried again later");
+        assert_eq!(l.changed_rates(101.0), Some(Rates { requests: 100.0, writes: 10.0 }));
+        assert_eq!(l.changed_rates(110.0), None, "said once");
+        assert_eq!(l.changed_rates(125.0), Some(Rates { requests: 100.0, writes: 30.0 }), "tried again later");
         (0..4).for_each(|i| l.refused(126.0 + f64::from(i) * 0.3));
-        assert_eq!(l.changed(127.0), Some(Rates { requests: 100.0, writes: 10.0 }), "and still refused");
-        assert_eq!(l.changed(900.0), None, "so that it is not tried again every few seconds");
+        assert_eq!(l.changed_rates(127.0), Some(Rates { requests: 100.0, writes: 10.0 }), "and still refused");
+        assert_eq!(l.changed_rates(900.0), None, "so that it is not tried again every few seconds");
         let mut same = Limits::new(&settings(text));
         (0..9).for_each(|i| same.refused(100.0 + f64::from(i) * 0.1));
-        assert_eq!(same.changed(101.0), None);
+        assert_eq!(same.changed_rates(101.0), None);
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -4,8 +4,11 @@
 
 use crate::clock;
 use crate::http::{CallError, Client};
-use crate::rate_limiter::Budget;
-use crate::wire::{self, Change, Condition, Events, Item, Items, LeaseAnswer, LeaseRequest, Revision, Txn};
+use crate::rate_limiter::RateLimiter;
+use crate::wire::{
+    self, CommitReply, Compare, KeyValue, KeyValuePage, LeaseGrantReply, LeaseGrantRequest, Mutation, Transaction,
+    WatchReply,
+};
 use async_io::Timer;
 use http_types::Method;
 use limits::{Limits, Rates};
@@ -32,28 +35,28 @@
 /// there was no owner: submissions waited behind them, and the node could not read who the
 /// new owner was, so that it went on asking the state service for every poll.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
+pub enum RequestPriority {
     /// Leases, claims and watches: they cannot wait.
-    First,
-    InTurn,
+    Urgent,
+    Normal,
     /// What is asked again anyway: it is refused at once rather than kept waiting.
-    Spare,
+    BestEffort,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Commit {
+pub enum CompareAndSwap {
     Applied(u64),
-    Failed(Vec<String>),
+    Conflict(Vec<String>),
 }
 
-pub struct StateClient {
+pub struct KvClient {
     addr: SocketAddr,
     http: Client,
     watches: Client,
-    requests: Mutex<Budget>,
-    writes: Mutex<Budget>,
+    requests: Mutex<RateLimiter>,
+    writes: Mutex<RateLimiter>,
     /// When it last answered, and when it last did not.
-    heard: Mutex<(f64, f64)>,
+    last_outcomes: Mutex<(f64, f64)>,
     pub txn_ops: usize,
     limits: Mutex<Limits>,
 }
@@ -61,29 +64,29 @@
 /// How long the answer to a transaction is waited for.
 pub const COMMIT_TIMEOUT: Duration = Duration::from_millis(2500);
 /// Renewals go out more often than this.
-const ANSWERED_WITHIN_S: f64 = 2.5;
+const RESPONSIVE_WITHIN_S: f64 = 2.5;
 /// Largest transaction that is sent, with room for its frame.
-pub const TXN_BYTES: usize = 56 * 1024;
+pub const MAX_TRANSACTION_BYTES: usize = 56 * 1024;
 
 fn parse<T: DeserializeOwned>(body: &[u8]) -> Result<T, StateError> {
     serde_json::from_slice(body).map_err(|_| StateError::Unknown)
 }
 
-impl StateClient {
-    pub fn new(s: &crate::settings::Settings) -> StateClient {
-        let client = StateClient {
+impl KvClient {
+    pub fn new(s: &crate::settings::Settings) -> KvClient {
+        let client = KvClient {
             addr: s.state,
             http: Client::new(8, 8),
             watches: Client::new(2, 2),
-            requests: Mutex::new(Budget::new(1.0, 1.0)),
-            writes: Mutex::new(Budget::new(1.0, 1.0)),
-            heard: Mutex::new((-100.0, -100.0)),
+            requests: Mutex::new(RateLimiter::new(1.0, 1.0)),
+            writes: Mutex::new(RateLimiter::new(1.0, 1.0)),
+            last_outcomes: Mutex::new((-100.0, -100.0)),
             txn_ops: s.least_txn_ops(),
             limits: Mutex::new(Limits::new(s)),
         };
-        let ours = client.shared(s, 0, 1);
-        *lock(&client.requests) = Budget::begun(ours.requests, ours.requests);
-        *lock(&client.writes) = Budget::begun(ours.writes, ours.writes);
+        let ours = client.own_rates(s, 0, 1);
+        *lock(&client.requests) = RateLimiter::new_after_restart(ours.requests, ours.requests);
+        *lock(&client.writes) = RateLimiter::new_after_restart(ours.writes, ours.writes);
         client
     }
 
@@ -91,12 +94,12 @@
     /// more than the whole, since bursts seldom meet: the service's own 429 is the
     /// last word, and whoever gets one pauses. `owned` of so many cells are this controller's.
     pub fn set_share(&self, s: &crate::settings::Settings, owned: usize, of: usize) {
-        let ours = self.shared(s, owned, of);
-        *lock(&self.requests) = Budget::new(ours.requests, ours.requests);
-        *lock(&self.writes) = Budget::new(ours.writes, ours.writes);
+        let ours = self.own_rates(s, owned, of);
+        *lock(&self.requests) = RateLimiter::new(ours.requests, ours.requests);
+        *lock(&self.writes) = RateLimiter::new(ours.writes, ours.writes);
     }
 
-    fn shared(&self, s: &crate::settings::Settings, owned: usize, of: usize) -> Rates {
+    fn own_rates(&self, s: &crate::settings::Settings, owned: usize, of: usize) -> Rates {
         let others = s.peers.len().max(1) as f64;
         let part = owned as f64 / of.max(1) as f64;
         let (requests, writes) = match owned {
@@ -106,41 +109,51 @@
         };
         let mut limits = lock(&self.limits);
         limits.share = Rates { requests, writes };
-        limits.ours()
+        limits.own_rates()
     }
 
     /// Keeps to the limits that seem to hold.
-    fn obey(&self, now: f64) {
-        let changed = lock(&self.limits).changed(now);
+    fn apply_limits(&self, now: f64) {
+        let changed = lock(&self.limits).changed_rates(now);
         if let Some(r) = changed {
             log::info!(
                 "the state service's limits: {:.1} requests and {:.1} writes a second are ours",
                 r.requests,
                 r.writes
             );
-            lock(&self.requests).change(now, r.requests, r.requests);
-            lock(&self.writes).change(now, r.writes, r.writes);
+            lock(&self.requests).set_rate(now, r.requests, r.requests);
+            lock(&self.writes).set_rate(now, r.writes, r.writes);
         }
     }
 
     /// Does the service answer, as far as the last calls tell?
-    pub fn answers(&self, now: f64) -> bool {
-        let (ok, failed) = *lock(&self.heard);
-        ok > failed && now - ok < ANSWERED_WITHIN_S
+    pub fn is_responsive(&self, now: f64) -> bool {
+        let (ok, failed) = *lock(&self.last_outcomes);
+        ok > failed && now - ok < RESPONSIVE_WITHIN_S
     }
 
-    pub fn writes_available(&self) -> usize {
+    pub fn available_writes(&self) -> usize {
         let now = clock::now();
-        self.obey(now);
+        self.apply_limits(now);
         lock(&self.writes).available(now)
     }
 
-    async fn take(&self, which: &Mutex<Budget>, turn: Turn, n: usize, limit: Duration) -> Result<(), StateError> {
+    async fn acquire(
+        &self,
+        which: &Mutex<RateLimiter>,
+        turn: RequestPriority,
+        n: usize,
+        limit: Duration,
+    ) -> Result<(), StateError> {
         let until = clock::now() + limit.as_secs_f64();
         loop {
             let taken = {
-                let (mut budget, now) = (lock(which), clock::now());
-                if turn == Turn::First { budget.try_take_first(now, n) } else { budget.try_take(now, n) }
+                let (mut rate_limiter, now) = (lock(which), clock::now());
+                if turn == RequestPriority::Urgent {
+                    rate_limiter.try_acquire_urgent(now, n)
+                } else {
+                    rate_limiter.try_acquire(now, n)
+                }
             };
             if taken {
                 return Ok(());
@@ -152,26 +165,26 @@
         }
     }
 
-    async fn take_request(&self, turn: Turn, limit: Duration) -> Result<(), StateError> {
+    async fn acquire_request(&self, turn: RequestPriority, limit: Duration) -> Result<(), StateError> {
         let now = clock::now();
         match turn {
-            Turn::First => lock(&self.requests).take_ahead(now, 1),
-            Turn::InTurn => self.take(&self.requests, turn, 1, limit).await?,
-            Turn::Spare if lock(&self.requests).take_spare(now) => {}
-            Turn::Spare => return Err(StateError::NotExecuted(429)),
+            RequestPriority::Urgent => lock(&self.requests).acquire_with_debt(now, 1),
+            RequestPriority::Normal => self.acquire(&self.requests, turn, 1, limit).await?,
+            RequestPriority::BestEffort if lock(&self.requests).try_acquire_spare(now) => {}
+            RequestPriority::BestEffort => return Err(StateError::NotExecuted(429)),
         }
         Ok(())
     }
 
     async fn call(
         &self,
-        turn: Turn,
+        turn: RequestPriority,
         method: Method,
         path: &str,
         body: Option<Vec<u8>>,
         limit: Duration,
     ) -> Result<(u16, Vec<u8>), StateError> {
-        self.take_request(turn, limit).await?;
+        self.acquire_request(turn, limit).await?;
         self.send(method, path, body, limit).await
     }
 
@@ -185,8 +198,8 @@
     ) -> Result<(u16, Vec<u8>), StateError> {
         let outcome = self.http.call(self.addr, method, path, body, limit).await;
         match &outcome {
-            Ok((503, _)) | Err(_) => lock(&self.heard).1 = clock::now(),
-            Ok(_) => lock(&self.heard).0 = clock::now(),
+            Ok((503, _)) | Err(_) => lock(&self.last_outcomes).1 = clock::now(),
+            Ok(_) => lock(&self.last_outcomes).0 = clock::now(),
         }
         match outcome {
             Ok((429, _)) => {
@@ -200,7 +213,7 @@
         }
     }
 
-    pub async fn get(&self, key: &str, turn: Turn) -> Result<Option<Item>, StateError> {
+    pub async fn get(&self, key: &str, turn: RequestPriority) -> Result<Option<KeyValue>, StateError> {
         let path = format!("{}/{key}", wire::KV_PATH);
         match self.call(turn, Method::Get, &path, None, Duration::from_millis(1500)).await? {
             (200, b) => Ok(Some(parse(&b)?)),
@@ -210,14 +223,19 @@
     }
 
     /// All items under a prefix, and a revision from which a watch misses nothing.
-    pub async fn list(&self, prefix: &str, turn: Turn) -> Result<(Vec<Item>, u64), StateError> {
+    pub async fn list(&self, prefix: &str, turn: RequestPriority) -> Result<(Vec<KeyValue>, u64), StateError> {
         let mut all = Vec::new();
-        let revision = self.each(prefix, turn, |i| all.push(i)).await?;
+        let revision = self.for_each(prefix, turn, |i| all.push(i)).await?;
         Ok((all, revision))
     }
 
     /// The same, item by item: no more than a page of them is held at a time.
-    pub async fn each(&self, prefix: &str, turn: Turn, mut take: impl FnMut(Item)) -> Result<u64, StateError> {
+    pub async fn for_each(
+        &self,
+        prefix: &str,
+        turn: RequestPriority,
+        mut take: impl FnMut(KeyValue),
+    ) -> Result<u64, StateError> {
         let mut after = String::new();
         let mut from = None;
         loop {
@@ -226,10 +244,10 @@
             if s != 200 {
                 return Err(StateError::NotExecuted(s));
             }
-            let page: Items = parse(&b)?;
+            let page: KeyValuePage = parse(&b)?;
             from.get_or_insert(page.revision);
             after = page.items.last().map(|i| i.key.clone()).unwrap_or_default();
-            let more = page.more && !page.items.is_empty();
+            let more = page.has_more && !page.items.is_empty();
             page.items.into_iter().for_each(&mut take);
             if !more {
                 return Ok(from.unwrap_or(0));
@@ -241,10 +259,10 @@
     /// more, take what those leave.
     pub async fn commit(
         &self,
-        conditions: Vec<Condition>,
-        changes: Vec<Change>,
-        turn: Turn,
-    ) -> Result<Commit, StateError> {
+        conditions: Vec<Compare>,
+        changes: Vec<Mutation>,
+        turn: RequestPriority,
+    ) -> Result<CompareAndSwap, StateError> {
         self.commit_within(COMMIT_TIMEOUT, conditions, changes, turn).await
     }
 
@@ -253,19 +271,20 @@
     pub async fn commit_within(
         &self,
         limit: Duration,
-        conditions: Vec<Condition>,
-        changes: Vec<Change>,
-        turn: Turn,
-    ) -> Result<Commit, StateError> {
+        conditions: Vec<Compare>,
+        changes: Vec<Mutation>,
+        turn: RequestPriority,
+    ) -> Result<CompareAndSwap, StateError> {
         let n = changes.len();
-        let body = serde_json::to_vec(&Txn { conditions, changes }).map_err(|_| StateError::NotExecuted(400))?;
+        let body = serde_json::to_vec(&Transaction { compares: conditions, mutations: changes })
+            .map_err(|_| StateError::NotExecuted(400))?;
         let until = clock::now() + COMMIT_TIMEOUT.as_secs_f64();
         loop {
-            self.take(&self.writes, turn, n, Duration::from_secs(3)).await?;
-            self.take_request(Turn::InTurn, COMMIT_TIMEOUT).await?;
+            self.acquire(&self.writes, turn, n, Duration::from_secs(3)).await?;
+            self.acquire_request(RequestPriority::Normal, COMMIT_TIMEOUT).await?;
             match self.send(Method::Post, wire::TXN_PATH, Some(body.clone()), limit).await {
-                Ok((200, b)) => return Ok(Commit::Applied(parse::<Revision>(&b)?.revision)),
-                Ok((409, b)) => return Ok(Commit::Failed(parse::<Revision>(&b)?.failed)),
+                Ok((200, b)) => return Ok(CompareAndSwap::Applied(parse::<CommitReply>(&b)?.revision)),
+                Ok((409, b)) => return Ok(CompareAndSwap::Conflict(parse::<CommitReply>(&b)?.failed)),
                 Ok((400, b)) if b.windows(13).any(|w| w == b"no such lease") => return Err(StateError::NoSuchLease),
                 Ok((s, b)) => {
                     log::error!("commit refused with {s}: {}", String::from_utf8_lossy(&b));
@@ -275,7 +294,7 @@
                 Err(StateError::NotExecuted(429)) if clock::now() < until => {
                     let now = clock::now();
                     lock(&self.limits).refused(now);
-                    self.obey(now);
+                    self.apply_limits(now);
                     lock(&self.writes).drain(now);
                 }
                 Err(e) => return Err(e),
@@ -284,16 +303,19 @@
     }
 
     pub async fn grant(&self, ttl_ms: u64) -> Result<u64, StateError> {
-        let body = serde_json::to_vec(&LeaseRequest { ttl_ms }).map_err(|_| StateError::Unknown)?;
-        match self.call(Turn::First, Method::Post, wire::LEASES_PATH, Some(body), Duration::from_secs(2)).await? {
-            (200, b) => Ok(parse::<LeaseAnswer>(&b)?.lease),
+        let body = serde_json::to_vec(&LeaseGrantRequest { ttl_ms }).map_err(|_| StateError::Unknown)?;
+        match self
+            .call(RequestPriority::Urgent, Method::Post, wire::LEASES_PATH, Some(body), Duration::from_secs(2))
+            .await?
+        {
+            (200, b) => Ok(parse::<LeaseGrantReply>(&b)?.lease),
             (s, _) => Err(StateError::NotExecuted(s)),
         }
     }
 
     pub async fn renew(&self, lease: u64, limit: Duration) -> Result<(), StateError> {
         let path = format!("{}/{lease}/{}", wire::LEASES_PATH, wire::RENEW_END);
-        match self.call(Turn::First, Method::Post, &path, Some(b"{}".to_vec()), limit).await? {
+        match self.call(RequestPriority::Urgent, Method::Post, &path, Some(b"{}".to_vec()), limit).await? {
             (200, _) => Ok(()),
             (404, _) => Err(StateError::NoSuchLease),
             (s, _) => Err(StateError::NotExecuted(s)),
@@ -303,11 +325,11 @@
     /// Ends a lease at once; its keys go with it.
     pub async fn revoke(&self, lease: u64) -> Result<(), StateError> {
         let path = format!("{}/{lease}", wire::LEASES_PATH);
-        self.call(Turn::First, Method::Delete, &path, None, Duration::from_secs(1)).await.map(|_| ())
+        self.call(RequestPriority::Urgent, Method::Delete, &path, None, Duration::from_secs(1)).await.map(|_| ())
     }
 
-    pub async fn watch(&self, prefix: &str, from: u64, wait: Duration) -> Result<Events, StateError> {
-        self.take_request(Turn::First, Duration::ZERO).await?;
+    pub async fn watch(&self, prefix: &str, from: u64, wait: Duration) -> Result<WatchReply, StateError> {
+        self.acquire_request(RequestPriority::Urgent, Duration::ZERO).await?;
         let q = wire::watch_query(prefix, from, wait.as_millis() as u64);
         match self.watches.call(self.addr, Method::Get, &q, None, wait + Duration::from_secs(3)).await {
             Ok((200, b)) => parse(&b),
--- a/src/tuning.rs
+++ b/src/tuning.rs
@@ -21,7 +21,7 @@
 
 impl Flags {
     pub fn tuning(&self) -> Tuning {
-        Tuning { extra: self.extra, window_s: self.window_s, hold_s: self.hold_s, claim_s: self.claim_s }
+        Tuning { extra: self.extra, window_s: self.window_s, hold_s: self.hold_s, leader_lease_s: self.claim_s }
     }
 
     pub fn check(&self) -> Result<(), String> {
--- a/tests/answering.rs
+++ b/tests/answering.rs
@@ -3,9 +3,9 @@
 
 use lupinspur::job_status::{JobStatus, Lookup, status_of_item};
 use lupinspur::peer::Verb;
-use lupinspur::responses::{about_answer, owner_tells, record_tells, report_answer, resubmission_answer};
+use lupinspur::responses::{about_answer, report_answer, resubmission_answer, status_from_leader, status_from_record};
 use lupinspur::shard::{Heard, Shown};
-use lupinspur::wire::{Item, JobState, ReportReply};
+use lupinspur::wire::{JobState, KeyValue, ReportReply};
 use serde_json::{Value, json};
 
 const ID: &str = "req-000001";
@@ -15,7 +15,7 @@
 const LEASE_ENDS: f64 = 12.5;
 
 /// The record of a job that needs these others.
-fn stored(phase: &str, needs: &[&str]) -> Item {
+fn stored(phase: &str, needs: &[&str]) -> KeyValue {
     let mut value = json!({"at_ms": 0, "phase": phase, "job": {
         "id": ID, "breed": "b", "herd": "t", "habit": "batch", "precedence": "idle", "seeds": 7,
         "cpus": 1.0, "cards": 0.0, "memory_gb": 1.0, "same_place": false, "scatter": false, "fallow": true,
@@ -23,7 +23,7 @@
     if !needs.is_empty() {
         value["job"]["awaits"] = json!(needs);
     }
-    Item { key: format!("job/{ID}"), value, version: 3, lease: None }
+    KeyValue { key: format!("job/{ID}"), value, version: 3, lease: None }
 }
 
 fn body(answer: &lupinspur::http::Outgoing) -> Value {
@@ -45,27 +45,27 @@
 /// reads the open record afterwards would tell "queued" of a job that its user may know as cancelled.
 #[test]
 fn an_open_record_of_a_job_that_needs_others_tells_nothing() {
-    assert_eq!(record_tells(Verb::Show, &stored("open", &[])), Lookup::Known(QUEUED));
-    assert_eq!(record_tells(Verb::Show, &stored("open", &["req-000002"])), Lookup::Unable);
-    assert_eq!(record_tells(Verb::Show, &stored("cancelled", &["req-000002"])), Lookup::Known(CANCELLED));
+    assert_eq!(status_from_record(Verb::Show, &stored("open", &[])), Lookup::Known(QUEUED));
+    assert_eq!(status_from_record(Verb::Show, &stored("open", &["req-000002"])), Lookup::Unable);
+    assert_eq!(status_from_record(Verb::Show, &stored("cancelled", &["req-000002"])), Lookup::Known(CANCELLED));
 }
 
 /// Who does not own the job can store no cancellation, and so confirms none; an end that is stored it tells.
 #[test]
 fn a_cancellation_is_not_answered_by_an_open_record() {
-    assert_eq!(record_tells(Verb::Cancel, &stored("open", &[])), Lookup::Unable);
-    assert_eq!(record_tells(Verb::Cancel, &stored("cancelled", &[])), Lookup::Known(CANCELLED));
+    assert_eq!(status_from_record(Verb::Cancel, &stored("open", &[])), Lookup::Unable);
+    assert_eq!(status_from_record(Verb::Cancel, &stored("cancelled", &[])), Lookup::Known(CANCELLED));
 }
 
 /// The owner confirms a cancellation once it is stored, and tells nothing while an end is being stored.
 #[test]
 fn the_owner_confirms_a_cancellation_only_once_it_is_stored() {
     let queued = Shown::Told(JobState::Queued, 0, 0);
-    assert_eq!(owner_tells(Verb::Cancel, queued), None);
-    assert_eq!(owner_tells(Verb::Show, queued), Some(QUEUED));
-    assert_eq!(owner_tells(Verb::Cancel, Shown::Told(JobState::Cancelled, 0, 0)), Some(CANCELLED));
-    assert_eq!(owner_tells(Verb::Show, Shown::Settling), None);
-    assert_eq!(owner_tells(Verb::Cancel, Shown::Settling), None);
+    assert_eq!(status_from_leader(Verb::Cancel, queued), None);
+    assert_eq!(status_from_leader(Verb::Show, queued), Some(QUEUED));
+    assert_eq!(status_from_leader(Verb::Cancel, Shown::Told(JobState::Cancelled, 0, 0)), Some(CANCELLED));
+    assert_eq!(status_from_leader(Verb::Show, Shown::Settling), None);
+    assert_eq!(status_from_leader(Verb::Cancel, Shown::Settling), None);
 }
 
 /// An answer to a report renews the worker's lease and carries commands: it is sent only while this
--- a/tests/claims/controllers.rs
+++ b/tests/claims/controllers.rs
@@ -1,7 +1,7 @@
 //! Controllers of the real program, between stand-ins for the state service and the cloud.
 
 use crate::http::{free_port, lock, server};
-use crate::state_service::{CLAIM_KEY, Store, state_service};
+use crate::state_service::{LEADERSHIP_KEY, Store, state_service};
 use http_types::Method;
 use lupinspur::http::{Client, Incoming, Outgoing};
 use serde_json::{Value, json};
@@ -106,7 +106,7 @@
 
     pub fn until_claimed(&self) {
         let began = Instant::now();
-        while !lock(&self.store).values.contains_key(CLAIM_KEY) {
+        while !lock(&self.store).values.contains_key(LEADERSHIP_KEY) {
             assert!(began.elapsed() < Duration::from_secs(20), "nobody claims");
             std::thread::sleep(Duration::from_millis(20));
         }
@@ -114,7 +114,7 @@
 
     pub fn owner(&self) -> usize {
         let store = lock(&self.store);
-        let node = store.values.get(CLAIM_KEY).and_then(|v| v.value["node"].as_str()).expect("an owner");
+        let node = store.values.get(LEADERSHIP_KEY).and_then(|v| v.value["node"].as_str()).expect("an owner");
         node.trim_start_matches('n').parse().expect("a controller's number")
     }
 
--- a/tests/claims/main.rs
+++ b/tests/claims/main.rs
@@ -13,7 +13,7 @@
 use lupinspur::intern::{Index, JobIx};
 use lupinspur::jobs::Phase;
 use lupinspur::shard::{What, Write};
-use lupinspur::wire::{Change, Item};
+use lupinspur::wire::{KeyValue, Mutation};
 use serde_json::{Value, json};
 use state_service::{Conflict, Store, TOLD_BY_TEST};
 use std::time::{Duration, Instant};
@@ -183,20 +183,20 @@
 /// the version that the write was conditional on, whatever is in it.
 #[test]
 fn a_write_was_carried_out_only_where_its_key_has_changed() {
-    let item = |value: &Value, version| Item { key: "rack/1".into(), value: value.clone(), version, lease: None };
+    let item = |value: &Value, version| KeyValue { key: "rack/1".into(), value: value.clone(), version, lease: None };
     let (wanted, other) = (json!({"machines": ["host-1"]}), json!({"machines": []}));
     let put = |what| Write {
         key: "rack/1".into(),
         version: 4,
         what,
-        change: Change::Put { key: "rack/1".into(), value: wanted.clone(), lease: None },
+        change: Mutation::Put { key: "rack/1".into(), value: wanted.clone(), lease: None },
         bytes: 0,
     };
     let w = put(What::Checkpoint);
     assert!(w.stands_as(Some(&item(&wanted, 9))));
     assert!(!w.stands_as(Some(&item(&wanted, 4))), "another one may come later");
     assert!(!w.stands_as(Some(&item(&other, 9))) && !w.stands_as(None));
-    let delete = Write { change: Change::Delete { key: "rack/1".into() }, ..put(What::Cleanup) };
+    let delete = Write { change: Mutation::Delete { key: "rack/1".into() }, ..put(What::Cleanup) };
     assert!(delete.stands_as(None) && !delete.stands_as(Some(&item(&wanted, 9))));
     let mut record =
         json!({"at_ms": 0, "phase": "cancelled", "ended_ms": 7, "job": controllers::job_request("req-000003")});
--- a/tests/claims/state_service.rs
+++ b/tests/claims/state_service.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-pub const CLAIM_KEY: &str = "own/0";
+pub const LEADERSHIP_KEY: &str = "own/0";
 /// Controllers that begin together all find no claim while the first one is being stored.
 const CLAIM_TAKES: Duration = Duration::from_millis(400);
 
@@ -55,13 +55,13 @@
 /// Does this transaction bring a plan of cells into force?
 pub fn is_plan(transaction: &Value) -> bool {
     let writes = transaction["writes"].as_array().into_iter().flatten();
-    writes.into_iter().any(|w| w["set"] == CLAIM_KEY && w["v"]["node"] == "(cells)")
+    writes.into_iter().any(|w| w["set"] == LEADERSHIP_KEY && w["v"]["node"] == "(cells)")
 }
 
 /// Is this transaction an owner's? Those are conditional on its claim.
 pub fn is_fenced(transaction: &Value) -> bool {
     let conditions = transaction["if"].as_array().into_iter().flatten();
-    let claim = |c: &Value| c["path"].as_str().is_some_and(|p| p == CLAIM_KEY || p.starts_with("own/c/"));
+    let claim = |c: &Value| c["path"].as_str().is_some_and(|p| p == LEADERSHIP_KEY || p.starts_with("own/c/"));
     conditions.into_iter().any(|c| claim(c) && c["stamp"] != 0)
 }
 
@@ -189,7 +189,7 @@
         }
         (Method::Get, "kv", None) => lock(&store).list(&param(&request.query, "under").unwrap_or_default()),
         (Method::Post, "commit", None) => {
-            if body["writes"][0]["set"] == CLAIM_KEY {
+            if body["writes"][0]["set"] == LEADERSHIP_KEY {
                 Timer::after(CLAIM_TAKES).await;
             }
             if lock(&store).loses(&body) {
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -8,8 +8,8 @@
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use lupinspur::cloud::{CloudClient, CloudError};
-use lupinspur::state::{Commit, StateClient, StateError, Turn};
-use lupinspur::wire::{Change, RentRequest};
+use lupinspur::state::{CompareAndSwap, KvClient, RequestPriority, StateError};
+use lupinspur::wire::{Mutation, RentRequest};
 use one_service::settings;
 use serde_json::{Value, json};
 use std::net::{SocketAddr, TcpListener};
@@ -64,9 +64,9 @@
     let executor = Executor::new();
     let pages = [page(&["job/req-1", "job/req-2"], 41, true), page(&["job/req-3"], 57, false)];
     let (address, asked) = service(&executor, &[(200, &pages[0]), (200, &pages[1])]);
-    let client = StateClient::new(&settings(address));
+    let client = KvClient::new(&settings(address));
     let (items, revision) =
-        async_io::block_on(executor.run(client.list("job/", Turn::First))).expect("both pages are read");
+        async_io::block_on(executor.run(client.list("job/", RequestPriority::Urgent))).expect("both pages are read");
     let keys: Vec<&str> = items.iter().map(|i| i.key.as_str()).collect();
     assert_eq!(keys, ["job/req-1", "job/req-2", "job/req-3"]);
     assert_eq!(revision, 41, "a watch from here misses nothing");
@@ -82,7 +82,7 @@
     let (state, _) = service(&executor, &[(200, &jobs), (503, "{}")]);
     let (cloud, _) = service(&executor, &[(200, &listed), (503, "{}")]);
     async_io::block_on(executor.run(async {
-        let read = StateClient::new(&settings(state)).list("job/", Turn::First).await;
+        let read = KvClient::new(&settings(state)).list("job/", RequestPriority::Urgent).await;
         assert_eq!(read.map(|_| ()), Err(StateError::NotExecuted(503)));
         let read = CloudClient::new(&settings(cloud)).list().await;
         assert_eq!(read.map(|_| ()), Err(CloudError::Refused(503)), "machines of the first page alone");
@@ -108,16 +108,16 @@
 fn a_transaction_whose_answer_cannot_be_read_may_have_been_executed() {
     let executor = Executor::new();
     let outcome = async |status, body| {
-        let client = StateClient::new(&settings(service(&executor, &[(status, body)]).0));
-        let change = Change::Put { key: "job/req-1".into(), value: json!({}), lease: None };
-        client.commit(Vec::new(), vec![change], Turn::First).await
+        let client = KvClient::new(&settings(service(&executor, &[(status, body)]).0));
+        let change = Mutation::Put { key: "job/req-1".into(), value: json!({}), lease: None };
+        client.commit(Vec::new(), vec![change], RequestPriority::Urgent).await
     };
     async_io::block_on(executor.run(async {
         assert_eq!(outcome(200, "{\"almanac\": 4").await, Err(StateError::Unknown));
         assert_eq!(outcome(409, "{\"failed\": [\"job/r").await, Err(StateError::Unknown));
         assert_eq!(
             outcome(409, "{\"failed\": [\"job/req-1\"], \"almanac\": 4}").await,
-            Ok(Commit::Failed(vec!["job/req-1".into()]))
+            Ok(CompareAndSwap::Conflict(vec!["job/req-1".into()]))
         );
         assert_eq!(outcome(400, "{\"error\": \"no such lease\"}").await, Err(StateError::NoSuchLease));
         assert_eq!(outcome(400, "{\"error\": \"malformed\"}").await, Err(StateError::NotExecuted(400)));
@@ -129,8 +129,8 @@
 fn a_key_is_absent_by_404_alone() {
     let executor = Executor::new();
     let read = async |status, body| {
-        let client = StateClient::new(&settings(service(&executor, &[(status, body)]).0));
-        client.get("job/req-1", Turn::First).await.map(|item| item.is_some())
+        let client = KvClient::new(&settings(service(&executor, &[(status, body)]).0));
+        client.get("job/req-1", RequestPriority::Urgent).await.map(|item| item.is_some())
     };
     async_io::block_on(executor.run(async {
         assert_eq!(read(404, "{\"almanac\": 3}").await, Ok(false));
@@ -147,7 +147,7 @@
 fn a_lease_is_over_by_404_alone() {
     let executor = Executor::new();
     let renewed = async |status| {
-        let client = StateClient::new(&settings(service(&executor, &[(status, "{}")]).0));
+        let client = KvClient::new(&settings(service(&executor, &[(status, "{}")]).0));
         client.renew(7, Duration::from_secs(1)).await
     };
     async_io::block_on(executor.run(async {
@@ -164,7 +164,7 @@
 fn changes_that_are_gone_are_told_from_a_refusal() {
     let executor = Executor::new();
     let watched = async |status, body| {
-        let client = StateClient::new(&settings(service(&executor, &[(status, body)]).0));
+        let client = KvClient::new(&settings(service(&executor, &[(status, body)]).0));
         client.watch("job/", 4, Duration::ZERO).await.map(|e| e.revision)
     };
     async_io::block_on(executor.run(async {
--- a/tests/fencing/stand_ins.rs
+++ b/tests/fencing/stand_ins.rs
@@ -18,7 +18,7 @@
     answered_instead: AtomicU64,
     leases: AtomicU64,
     /// The controller's lease has ended; until it asks for another.
-    lease_ended: AtomicBool,
+    lease_expired: AtomicBool,
     /// The cloud's list of machines.
     listed: Mutex<Vec<Value>>,
     /// Machines that the cloud was asked to delete.
@@ -32,7 +32,7 @@
         }
         if request.path == "/grants" {
             self.leases.fetch_add(1, Ordering::Relaxed);
-            self.lease_ended.store(false, Ordering::Relaxed);
+            self.lease_expired.store(false, Ordering::Relaxed);
         }
         let answer = match request.path.starts_with("/grants/") {
             true => self.renew(),
@@ -77,7 +77,7 @@
     }
 
     fn renew(&self) -> Outgoing {
-        if self.lease_ended.load(Ordering::Relaxed) {
+        if self.lease_expired.load(Ordering::Relaxed) {
             return Outgoing::json(404, &json!({}));
         }
         lock(&self.store).renewed = Some(Instant::now());
@@ -110,7 +110,7 @@
     /// The controller's lease ends, and its claim with it; returns the claim's version.
     pub fn end_lease(&self) -> u64 {
         let before = self.claim().expect("a claim");
-        self.lease_ended.store(true, Ordering::Relaxed);
+        self.lease_expired.store(true, Ordering::Relaxed);
         let drop = json!({"if": [], "writes": [{"drop": CLAIM}]});
         assert_eq!(lock(&self.store).commit(&drop).status, 200);
         before
--- a/tests/golden/keys.rs
+++ b/tests/golden/keys.rs
@@ -1,6 +1,6 @@
 //! The keys under which values are stored, and the paths of requests.
 
-use lupinspur::election::{CLAIM_KEY, CLAIM_PREFIX, TYPES_KEY, away_key, cell_claim_key};
+use lupinspur::election::{LEADERSHIP_KEY, LEADERSHIP_PREFIX, MACHINE_TYPES_KEY, backoff_key, shard_leadership_key};
 use lupinspur::fleet::machine_groups::{RACK_PREFIX, rack_key};
 use lupinspur::fleet::{FLEET_KEY, MACHINE_PREFIX, machine_key};
 use lupinspur::intern::{Index, RackIx};
@@ -13,11 +13,11 @@
 
 #[test]
 fn keys_of_leadership() {
-    assert_eq!(CLAIM_PREFIX, "own/");
-    assert_eq!(CLAIM_KEY, "own/0");
-    assert_eq!(cell_claim_key(3), "own/c/3");
-    assert_eq!(TYPES_KEY, "own/types");
-    assert_eq!(away_key("sprig-2"), "own/away/sprig-2");
+    assert_eq!(LEADERSHIP_PREFIX, "own/");
+    assert_eq!(LEADERSHIP_KEY, "own/0");
+    assert_eq!(shard_leadership_key(3), "own/c/3");
+    assert_eq!(MACHINE_TYPES_KEY, "own/types");
+    assert_eq!(backoff_key("sprig-2"), "own/away/sprig-2");
     assert_eq!(activation::NOBODY, "(cells)");
 }
 
