--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -193,47 +193,47 @@
     assert!(!read.more);
 }
 
-fn item(lease: Option<u64>) -> Item {
-    Item { key: "job/req-1".into(), value: serde_json::json!({"a": [1, null]}), version: 412, lease }
+fn item(lease: Option<u64>) -> KeyValue {
+    KeyValue { key: "job/req-1".into(), value: serde_json::json!({"a": [1, null]}), version: 412, lease }
 }
 
 #[test]
 fn state_value_and_list() {
     same("state_value", &item(Some(7)));
     same("state_value_without_lease", &item(None));
-    same("state_list", &Items { items: vec![item(Some(7)), item(None)], more: true, revision: 431 });
+    same("state_list", &KeyValuePage { items: vec![item(Some(7)), item(None)], has_more: true, revision: 431 });
 }
 
 #[test]
 fn state_commit() {
-    let put = |key: &str, lease| Change::Put { key: key.into(), value: serde_json::json!({"node": "n"}), lease };
-    let changes = vec![put("own/0", Some(7)), put("job/req-1", None), Change::Delete { key: "rack/3".into() }];
-    let conditions = vec![Condition { key: "own/0".into(), version: 41 }];
-    same("state_commit", &Txn { conditions, changes });
-    same("state_commit_compares_only", &Txn { conditions: Vec::new(), changes: Vec::new() });
+    let put = |key: &str, lease| Mutation::Put { key: key.into(), value: serde_json::json!({"node": "n"}), lease };
+    let changes = vec![put("own/0", Some(7)), put("job/req-1", None), Mutation::Delete { key: "rack/3".into() }];
+    let conditions = vec![Compare { key: "own/0".into(), version: 41 }];
+    same("state_commit", &Transaction { compares: conditions, mutations: changes });
+    same("state_commit_compares_only", &Transaction { compares: Vec::new(), mutations: Vec::new() });
 }
 
 #[test]
 fn state_commit_answer() {
-    same("state_commit_applied", &Revision { revision: 432, failed: Vec::new() });
-    same("state_commit_failed", &Revision { revision: 431, failed: vec!["own/0".into()] });
+    same("state_commit_applied", &CommitReply { revision: 432, failed: Vec::new() });
+    same("state_commit_failed", &CommitReply { revision: 431, failed: vec!["own/0".into()] });
 }
 
 #[test]
 fn state_lease() {
-    same("state_lease_request", &LeaseRequest { ttl_ms: 5000 });
-    same("state_lease_answer", &LeaseAnswer { lease: 7 });
+    same("state_lease_request", &LeaseGrantRequest { ttl_ms: 5000 });
+    same("state_lease_answer", &LeaseGrantReply { lease: 7 });
 }
 
 #[test]
 fn state_watch() {
-    let put = Event {
+    let put = WatchEvent {
         put: Some("job/req-1".into()),
         delete: None,
         value: Some(serde_json::json!({"phase": "open"})),
         version: 433,
     };
-    let delete = Event { put: None, delete: Some("rack/3".into()), value: None, version: 432 };
-    same("state_watch", &Events { revision: 433, events: vec![put, delete] });
-    same("state_watch_nothing", &Events { revision: 433, events: Vec::new() });
+    let delete = WatchEvent { put: None, delete: Some("rack/3".into()), value: None, version: 432 };
+    same("state_watch", &WatchReply { revision: 433, events: vec![put, delete] });
+    same("state_watch_nothing", &WatchReply { revision: 433, events: Vec::new() });
 }
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -1,7 +1,7 @@
 //! Values at the state service, but for those that cells exchange.
 
 use crate::{Samples, as_stored};
-use lupinspur::election::Claim;
+use lupinspur::election::LeadershipRecord;
 use lupinspur::fleet::MachineRecord;
 use lupinspur::fleet::machine_groups::{RackMachine, RackRecord};
 use lupinspur::jobs::{JobRecord, Phase, ProgressRecord};
@@ -38,15 +38,23 @@
 
 #[test]
 fn leadership_record() {
-    let record = Claim { at_ms: 1_700_000_000_123, short_lives: 2, ..Claim::new("sprig-2", "5f3a") };
+    let record = LeadershipRecord {
+        acquired_at_ms: 1_700_000_000_123,
+        consecutive_crashes: 2,
+        ..LeadershipRecord::new("sprig-2", "5f3a")
+    };
     same("leadership_record", &record);
-    same("leadership_record_of_an_earlier_version", &Claim::new("sprig-2", "5f3a"));
+    same("leadership_record_of_an_earlier_version", &LeadershipRecord::new("sprig-2", "5f3a"));
 }
 
 /// The same type under another key: the controller that left its leadership to others.
 #[test]
 fn backoff_record() {
-    let record = Claim { at_ms: 1_700_000_000_456, short_lives: 3, ..Claim::new("sprig-1", "77b0") };
+    let record = LeadershipRecord {
+        acquired_at_ms: 1_700_000_000_456,
+        consecutive_crashes: 3,
+        ..LeadershipRecord::new("sprig-1", "77b0")
+    };
     same("backoff_record", &record);
 }
 
--- a/tests/loopback/several_cells.rs
+++ b/tests/loopback/several_cells.rs
@@ -57,14 +57,14 @@
     ids
 }
 
-pub fn claim_key(cell: usize) -> String {
+pub fn leadership_key(cell: usize) -> String {
     format!("own/c/{cell}")
 }
 
 /// Which controller owns a cell, by its claim.
 pub fn owner_of(cluster: &Cluster, cell: usize) -> Option<usize> {
     let store = lock(&cluster.store);
-    store.keys.get(&claim_key(cell))?.0["node"].as_str()?.strip_prefix('n')?.parse().ok()
+    store.keys.get(&leadership_key(cell))?.0["node"].as_str()?.strip_prefix('n')?.parse().ok()
 }
 
 pub fn until_all_owned(cluster: &Cluster) {
@@ -80,7 +80,7 @@
 
 /// The version of a cell's claim; 0: there is none.
 pub fn claim_of(cluster: &Cluster, cell: usize) -> u64 {
-    lock(&cluster.store).keys.get(&claim_key(cell)).map_or(0, |claim| claim.1)
+    lock(&cluster.store).keys.get(&leadership_key(cell)).map_or(0, |claim| claim.1)
 }
 
 /// The cell that a job's record names.
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -4,7 +4,7 @@
 //! The structs in `frozen` are that version's, to the letter where serde looks at them.
 //! They are never to be changed with the code: they say what an old node understands.
 
-use lupinspur::election::Claim;
+use lupinspur::election::LeadershipRecord;
 use lupinspur::fleet::machine_groups::{RackMachine, RackRecord};
 use lupinspur::fleet::{FLEET_KEY, MachineRecord};
 use lupinspur::intern::{Index, TeamIx};
@@ -179,7 +179,7 @@
     let fleet: FleetRecord = read(&json!({"pools":[{"type":"g8","active":["a"],"preemptive":["b"],"target":4,
         "spot":6,"on_demand":1}]}));
     assert_eq!(fleet.pools[0].preemptive, ["b"]);
-    let claim: Claim = read(&json!({"node":"n1","nonce":"00c0ffee"}));
+    let claim: LeadershipRecord = read(&json!({"node":"n1","nonce":"00c0ffee"}));
     assert_eq!(claim.node, "n1");
     assert_eq!((FLEET_KEY, jobs::JOB_PREFIX, jobs::PROGRESS_PREFIX), ("fleet/0", "job/", "prog/"));
 }
@@ -233,7 +233,7 @@
     };
     let there: frozen::FleetRecord = read(&serde_json::to_value(FleetRecord { pools: vec![pool] }).expect("JSON"));
     assert_eq!(there.pools[0].target, 4);
-    let claim = Claim { at_ms: 5, short_lives: 1, ..Claim::new("n1", "0") };
+    let claim = LeadershipRecord { acquired_at_ms: 5, consecutive_crashes: 1, ..LeadershipRecord::new("n1", "0") };
     let there: frozen::Claim = read(&serde_json::to_value(claim).expect("JSON"));
     assert_eq!(there.node, "n1");
 }
--- a/tests/traces/events/owner.rs
+++ b/tests/traces/events/owner.rs
@@ -31,7 +31,7 @@
                 }
                 (loaded.quotas, loaded.elastic) = (quotas, self.elastic.clone());
                 self.sent.clear();
-                let tuning = Tuning { extra: 2, window_s: 10.0, hold_s: 30.0, claim_s: 6.0 };
+                let tuning = Tuning { extra: 2, window_s: 10.0, hold_s: 30.0, leader_lease_s: 6.0 };
                 let mut shard = Shard::new(&self.settings.params(), tuning, token, types(), loaded, now);
                 shard.carry_accounts(handed(self.store.iter().map(|(k, v)| (k.as_str(), &v.0))), now);
                 self.shard = Some(shard);
--- a/tests/traces/racks.rs
+++ b/tests/traces/racks.rs
@@ -6,7 +6,7 @@
 use lupinspur::fleet::{Held, HeldState};
 use lupinspur::intern::JobIx;
 use lupinspur::settings::Settings;
-use lupinspur::wire::Change;
+use lupinspur::wire::Mutation;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Guards against a machine full of tiny jobs whose record is over the value limit: it
@@ -120,7 +120,7 @@
     for step in 0..100 {
         let writes = w.shard().next_writes(4, 50_000, 4, 1.1);
         for change in writes.iter().map(|w| &w.change) {
-            if let Change::Put { key, value, .. } = change {
+            if let Mutation::Put { key, value, .. } = change {
                 assert!(value.to_string().len() <= 2048, "{key} is too large");
             }
         }
--- a/tests/traces/world.rs
+++ b/tests/traces/world.rs
@@ -6,7 +6,7 @@
 use lupinspur::jobs::{JobRecord, job_key};
 use lupinspur::settings::Settings;
 use lupinspur::shard::{ACCOUNTS_PREFIX, DirectSend, Shard, Write};
-use lupinspur::wire::{Change, Command, JobRequest, Report, TaskReport};
+use lupinspur::wire::{Command, JobRequest, Mutation, Report, TaskReport};
 use lupinspur_model::stored;
 use lupinspur_quota::Plan;
 use serde::de::DeserializeOwned;
@@ -112,8 +112,8 @@
         self.revision += 1;
         for w in writes {
             match &w.change {
-                Change::Put { key, value, .. } => _ = self.store.insert(key.clone(), (value.clone(), self.revision)),
-                Change::Delete { key } => _ = self.store.remove(key),
+                Mutation::Put { key, value, .. } => _ = self.store.insert(key.clone(), (value.clone(), self.revision)),
+                Mutation::Delete { key } => _ = self.store.remove(key),
             }
         }
         self.revision
@@ -193,7 +193,7 @@
 }
 
 fn write_text(w: &Write) -> String {
-    let Change::Put { value, .. } = &w.change else { return format!("{}: deleted", w.key) };
+    let Mutation::Put { value, .. } = &w.change else { return format!("{}: deleted", w.key) };
     let brief = match (value.get("phase"), value.get("machines"), value.get("done")) {
         (Some(p), _, _) => format!("phase {}", p.as_str().unwrap_or("?")),
         (_, Some(_), _) => rack_text(value),
--- a/tests/unanswered.rs
+++ b/tests/unanswered.rs
@@ -9,8 +9,8 @@
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use lupinspur::cloud::{CloudClient, CloudError};
 use lupinspur::shard::Direct;
-use lupinspur::state::{Commit, StateClient, StateError, Turn};
-use lupinspur::wire::{Change, Condition, DirectCommands, RentRequest};
+use lupinspur::state::{CompareAndSwap, KvClient, RequestPriority, StateError};
+use lupinspur::wire::{Compare, DirectCommands, Mutation, RentRequest};
 use lupinspur::worker::WorkerClient;
 use one_service::settings;
 use serde_json::json;
@@ -60,15 +60,15 @@
 fn a_transaction_without_an_answer_may_have_been_executed() {
     let executor = Executor::new();
     let outcome = async |address| {
-        let client = StateClient::new(&settings(address));
-        let condition = Condition { key: "own/0".into(), version: 3 };
-        let change = Change::Put { key: "job/req-1".into(), value: json!({}), lease: None };
-        client.commit(vec![condition], vec![change], Turn::First).await
+        let client = KvClient::new(&settings(address));
+        let condition = Compare { key: "own/0".into(), version: 3 };
+        let change = Mutation::Put { key: "job/req-1".into(), value: json!({}), lease: None };
+        client.commit(vec![condition], vec![change], RequestPriority::Urgent).await
     };
     async_io::block_on(executor.run(async {
         assert_eq!(outcome(stand_in(&executor, Then::Closes)).await, Err(StateError::Unknown));
         assert_eq!(outcome(stand_in(&executor, Then::Refuses)).await, Err(StateError::NotExecuted(503)));
-        assert_eq!(outcome(stand_in(&executor, Then::Executes)).await, Ok(Commit::Applied(7)));
+        assert_eq!(outcome(stand_in(&executor, Then::Executes)).await, Ok(CompareAndSwap::Applied(7)));
         assert_eq!(outcome(nobody()).await, Err(StateError::NotExecuted(0)));
     }));
 }
--- a/tests/waiting.rs
+++ b/tests/waiting.rs
@@ -128,7 +128,7 @@
 impl Day {
     fn new(seed: u64) -> Day {
         let settings = Settings::parse(&settings::settings(TEAMS)).expect("settings");
-        let tuning = Tuning { extra: 2, window_s: 4.0, hold_s: 15.0, claim_s: 6.0 };
+        let tuning = Tuning { extra: 2, window_s: 4.0, hold_s: 15.0, leader_lease_s: 6.0 };
         let shard = Shard::new(&settings.params(), tuning, TOKEN, types(), Loaded::default(), 0.0);
         let mut random = fastrand::Rng::with_seed(seed);
         let worker = |i: usize| {
