--- a/crates/model/src/cancelled.rs
+++ b/crates/model/src/cancelled.rs
@@ -9,7 +9,7 @@
 use crate::CANCEL_S;
 use crate::messages::Message;
 use crate::world::World;
-use lupinspur_wire::{Command, Op};
+use lupinspur_wire::{Command, CommandKind};
 
 impl World {
     fn cancellation_confirmed_at(&self, id: &str) -> f64 {
@@ -23,7 +23,8 @@
             Message::Commands { send, .. } => &send.body.commands,
             _ => return,
         };
-        let starts = (0..commands.len()).filter(|i| commands[*i].op == Op::Start && !is_stopped(commands, *i));
+        let starts =
+            (0..commands.len()).filter(|i| commands[*i].kind == CommandKind::Start && !is_stopped(commands, *i));
         let tasks = starts.map(|i| &commands[i].task);
         let late = |task: &&String| self.cancellation_confirmed_at(job_of(task)) < self.now;
         if let Some(task) = tasks.into_iter().find(late) {
@@ -62,7 +63,7 @@
 /// Does a later command of the same message stop what this one starts?
 fn is_stopped(commands: &[Command], start: usize) -> bool {
     let begun = &commands[start];
-    let stops = |c: &Command| c.op == Op::Stop && c.task == begun.task && c.attempt == begun.attempt;
+    let stops = |c: &Command| c.kind == CommandKind::Stop && c.task == begun.task && c.attempt == begun.attempt;
     commands[start..].iter().any(stops)
 }
 
--- a/crates/model/src/controllers.rs
+++ b/crates/model/src/controllers.rs
@@ -13,7 +13,7 @@
 use lupinspur_scheduler::election::{LeaderElection, LeadershipRecord};
 use lupinspur_scheduler::intern::Index;
 use lupinspur_scheduler::jobs::{JOB_PREFIX, JobRecord};
-use lupinspur_scheduler::shard::{CloudCall, Direct, DirectSend, Shard};
+use lupinspur_scheduler::shard::{CloudCall, PushOutcome, PushRequest, Shard};
 use lupinspur_wire::ListedMachine;
 use serde_json::json;
 use std::collections::HashMap;
@@ -151,21 +151,21 @@
         if wrong == Some(Wrong::Resolved) {
             let all: Vec<_> = s.machines.present.iter().copied().collect();
             for m in all {
-                s.machines.at_mut(m).unresolved_until = None;
-                s.machines.at_mut(m).stored_jobs.clear();
+                s.machines[m].reconcile_deadline = None;
+                s.machines[m].stored_jobs.clear();
             }
             let jobs: Vec<_> = s.jobs.live.iter().copied().collect();
-            jobs.into_iter().for_each(|j| s.jobs.at_mut(j).shadowed_by = 0);
+            jobs.into_iter().for_each(|j| s.jobs[j].unreconciled_machines = 0);
         }
         if wrong == Some(Wrong::Spot) {
             let all: Vec<_> = s.machines.present.iter().copied().collect();
-            all.into_iter().for_each(|m| s.machines.at_mut(m).spot = false);
+            all.into_iter().for_each(|m| s.machines[m].spot = false);
         }
         wrong_decisions::apply(wrong, s, now);
-        let deaf = s.deaf(now);
-        let mut directs: Vec<(usize, DirectSend)> = Vec::new();
-        while let Some(d) = s.next_direct(now) {
-            directs.push((self.by_name[&*s.machines.at(d.machine).name], d));
+        let deaf = s.is_partitioned_from_workers(now);
+        let mut directs: Vec<(usize, PushRequest)> = Vec::new();
+        while let Some(d) = s.next_push(now) {
+            directs.push((self.by_name[&*s.machines[d.machine].name], d));
         }
         let rentals = s.launches.pending.clone();
         let mut writes = Vec::new();
@@ -200,13 +200,13 @@
         for (to, send) in directs {
             let after = self.latency();
             if no_workers {
-                self.send(1.2, Message::Outcome { node: i, life, send, outcome: Direct::Unknown });
+                self.send(1.2, Message::Outcome { node: i, life, send, outcome: PushOutcome::Unknown });
             } else if now < self.late_commands && self.rng.bool() || after > UNANSWERED_S {
                 // Given up, and executed later all the same.
                 let late = if after > UNANSWERED_S { after } else { 2.0 + self.rng.f64() * 30.0 };
-                let copy = DirectSend { starts: send.starts.clone(), body: send.body.clone(), ..send };
+                let copy = PushRequest { starts: send.starts.clone(), body: send.body.clone(), ..send };
                 self.send(late, Message::Commands { node: i, life, to, send, outcome: false });
-                self.send(2.5, Message::Outcome { node: i, life, send: copy, outcome: Direct::Unknown });
+                self.send(2.5, Message::Outcome { node: i, life, send: copy, outcome: PushOutcome::Unknown });
             } else {
                 self.send(after, Message::Commands { node: i, life, to, send, outcome: true });
             }
@@ -278,6 +278,6 @@
         let names = rental.names;
         self.misjudge_rented(node, token, &names);
         let Some(s) = self.nodes[node].shard_of(token) else { return };
-        if names.is_empty() { s.refused(l, now) } else { s.on_rented(l, &names, now) }
+        if names.is_empty() { s.on_rental_refused(l, now) } else { s.on_rented(l, &names, now) }
     }
 }
--- a/crates/model/src/late_reports.rs
+++ b/crates/model/src/late_reports.rs
@@ -2,7 +2,7 @@
 
 use crate::messages::Message;
 use crate::world::World;
-use lupinspur_wire::Report;
+use lupinspur_wire::Heartbeat;
 
 /// Copies that are kept at most.
 const MOST_KEPT: usize = 200;
@@ -11,14 +11,14 @@
 
 #[derive(Default)]
 pub(crate) struct LateReports {
-    kept: Vec<Report>,
+    kept: Vec<Heartbeat>,
     /// The newest token of a leader, by cell.
     leaders: Vec<u64>,
 }
 
 impl World {
     /// A copy of half of the reports is kept while the trouble lasts.
-    pub(crate) fn keep_report(&mut self, report: &Report) {
+    pub(crate) fn keep_report(&mut self, report: &Heartbeat) {
         let lasts = self.now < self.spells.copies_for_next_leader;
         if lasts && self.late_reports.kept.len() < MOST_KEPT && self.chance.bool() {
             self.late_reports.kept.push(report.clone());
--- a/crates/model/src/machines.rs
+++ b/crates/model/src/machines.rs
@@ -5,7 +5,7 @@
 use crate::users::job_done;
 use crate::world::{World, ZONES};
 use crate::{LEASE_S, REPORT_S};
-use lupinspur_wire::{Command, Op, Report, TaskReport};
+use lupinspur_wire::{Command, CommandKind, Heartbeat, TaskReport};
 use serde_json::json;
 use std::collections::BTreeMap;
 
@@ -31,7 +31,7 @@
     pub(crate) up_at: f64,
     pub(crate) born: f64,
     pub(crate) gone: bool,
-    pub(crate) session: u64,
+    pub(crate) incarnation: u64,
     pub(crate) seq: u64,
     pub(crate) token: u64,
     pub(crate) renewed: f64,
@@ -61,7 +61,7 @@
         alive && self.tasks.get(task).is_some_and(|t| matches!(t.state, State::Runs(_) | State::Saves(_)))
     }
 
-    pub(crate) fn report(&mut self, wrong: Option<Wrong>) -> Report {
+    pub(crate) fn report(&mut self, wrong: Option<Wrong>) -> Heartbeat {
         let errors_are_done = wrong == Some(Wrong::ErrorsAreDone);
         self.seq += 1;
         let task = |(n, t): (&String, &Task)| -> TaskReport {
@@ -75,14 +75,14 @@
             serde_json::from_value(json!({"seed": n, "sowing": t.attempt, "bloom": bloom, "wilt": wilt}))
                 .expect("a task")
         };
-        Report {
+        Heartbeat {
             machine: self.name.clone(),
             addr: "127.0.0.1:9".into(),
             type_name: "m32".into(),
             zone: ZONES[self.zone].into(),
             spot: self.spot,
-            session: self.session,
-            seq: self.seq,
+            incarnation: self.incarnation,
+            sequence: self.seq,
             token: self.token,
             notice_s: None,
             tasks: self.tasks.iter().map(task).collect(),
@@ -108,7 +108,7 @@
         let m = &mut self.machines[i];
         if lease_over {
             m.tasks.clear();
-            m.session += 1;
+            m.incarnation += 1;
             (m.renewed, m.waits) = (now, None);
         }
         let mut changed = false;
@@ -195,15 +195,15 @@
         let fetch = 0.3 + self.rng.f64() + self.slow_fetch();
         let m = &mut self.machines[i];
         for c in commands {
-            match c.op {
-                Op::Start => {
+            match c.kind {
+                CommandKind::Start => {
                     m.tasks
                         .entry(c.task.clone())
                         .or_insert(Task { attempt: c.attempt, state: State::Fetches(now + fetch) });
                 }
-                Op::Stop if wrong == Some(Wrong::Stops) => {}
-                Op::Stop if wrong == Some(Wrong::IgnoresStopsAfterHang) && m.hangs > 0.0 => {}
-                Op::Stop => {
+                CommandKind::Stop if wrong == Some(Wrong::Stops) => {}
+                CommandKind::Stop if wrong == Some(Wrong::IgnoresStopsAfterHang) && m.hangs > 0.0 => {}
+                CommandKind::Stop => {
                     let saves_s = self.jobs.get(c.task.split('/').next().unwrap_or("")).map_or(0.0, |j| j.spec.save_s);
                     if let Some(t) = m.tasks.get_mut(&c.task).filter(|t| t.attempt == c.attempt) {
                         let mercy = saves_s > 0.0 && c.grace_s.is_some_and(|g| g >= saves_s);
@@ -215,7 +215,7 @@
                         };
                     }
                 }
-                Op::Forget => {
+                CommandKind::Forget => {
                     if m.tasks
                         .get(&c.task)
                         .is_some_and(|t| t.attempt == c.attempt && matches!(t.state, State::Ended(_)))
--- a/crates/model/src/messages.rs
+++ b/crates/model/src/messages.rs
@@ -5,8 +5,8 @@
 use crate::trouble::Wrong;
 use crate::world::World;
 use lupinspur_scheduler::election::{LEADERSHIP_KEY, shard_leadership_key};
-use lupinspur_scheduler::shard::{Direct, DirectSend, Heard};
-use lupinspur_wire::{Command, DirectCommands, Mutation, Report};
+use lupinspur_scheduler::shard::{HeartbeatOutcome, PushOutcome, PushRequest};
+use lupinspur_wire::{Command, Heartbeat, Mutation, PushedCommands};
 use std::time::Instant;
 
 /// After this a controller knows that direct commands have no answer.
@@ -22,13 +22,13 @@
 pub(crate) enum Message {
     Report {
         node: usize,
-        report: Report,
+        report: Heartbeat,
         machine: usize,
         sent: f64,
     },
     Answer {
         machine: usize,
-        session: u64,
+        incarnation: u64,
         sent: f64,
         answer: Option<(u64, Vec<Command>)>,
         to: usize,
@@ -37,14 +37,14 @@
         node: usize,
         life: u64,
         to: usize,
-        send: DirectSend,
+        send: PushRequest,
         outcome: bool,
     },
     Outcome {
         node: usize,
         life: u64,
-        send: DirectSend,
-        outcome: Direct,
+        send: PushRequest,
+        outcome: PushOutcome,
     },
     Commit {
         commit: LeaderCommit,
@@ -83,29 +83,29 @@
                     let after = n.still - now;
                     return self.send(after, Message::Report { node, report, machine, sent });
                 }
-                let session = report.session;
+                let incarnation = report.incarnation;
                 let report = self.misread(node, report, machine == usize::MAX);
                 let cell = self.cell_of_machine(node, &report.machine, report.token);
                 let began = Instant::now();
-                let heard = cell.and_then(|c| Some(self.nodes[node].acting(c, now)?.on_report(&report, now)));
+                let heard = cell.and_then(|c| Some(self.nodes[node].acting(c, now)?.on_heartbeat(&report, now)));
                 if let Some(c) = cell {
                     self.counts.processor[c] += began.elapsed().as_secs_f64();
                 }
                 if let Some(c) = cell.filter(|_| heard.is_some()) {
-                    let answered = matches!(heard, Some(Heard::Reply(_)));
+                    let answered = matches!(heard, Some(HeartbeatOutcome::Reply(_)));
                     self.observe_report(node, c, &report, machine == usize::MAX, answered);
                 }
                 let (answer, to) = match (heard, cell) {
-                    (Some(Heard::Reply(r)), _) => (Some((r.token, r.commands)), node),
-                    (Some(Heard::Stale), _) | (_, None) => (None, usize::MAX),
+                    (Some(HeartbeatOutcome::Reply(r)), _) => (Some((r.token, r.commands)), node),
+                    (Some(HeartbeatOutcome::Stale), _) | (_, None) => (None, usize::MAX),
                     (_, Some(c)) => (None, self.leader_known_to(node, c).unwrap_or(usize::MAX)),
                 };
                 if machine != usize::MAX {
                     let after = self.latency();
-                    self.send(after, Message::Answer { machine, session, sent, answer, to });
+                    self.send(after, Message::Answer { machine, incarnation, sent, answer, to });
                 }
             }
-            Message::Answer { machine, session, sent, answer, to } => {
+            Message::Answer { machine, incarnation, sent, answer, to } => {
                 let linked = self.linked(self.machines[machine].at, machine);
                 let m = &mut self.machines[machine];
                 let waited = m.waits == Some((sent, sent + 4.0));
@@ -116,7 +116,7 @@
                 m.waits = None;
                 match answer {
                     Some((token, commands)) => {
-                        if token >= m.token && m.session == session {
+                        if token >= m.token && m.incarnation == incarnation {
                             m.token = token;
                             m.renewed = sent;
                             self.obey(machine, &commands);
@@ -131,9 +131,9 @@
                     return self.hold_commands(held, node, life, i, send, outcome);
                 }
                 let m = &self.machines[i];
-                let DirectCommands { token, session, commands } = send.body.clone();
+                let PushedCommands { token, incarnation, commands } = send.body.clone();
                 let token_holds = token >= m.token || wrong == Some(Wrong::IgnoresTokens);
-                let good = token_holds && session == m.session;
+                let good = token_holds && incarnation == m.incarnation;
                 self.observe_commands(i, &send, !outcome, good);
                 if good {
                     self.machines[i].token = token.max(self.machines[i].token);
@@ -142,7 +142,7 @@
                 let report = self.machines[i].report(self.wrong);
                 if outcome {
                     let after = self.latency();
-                    let outcome = Direct::Answered { executed: good, report: Some(report) };
+                    let outcome = PushOutcome::Answered { executed: good, report: Some(report) };
                     self.send(after, Message::Outcome { node, life, send, outcome });
                 }
             }
@@ -157,7 +157,7 @@
                 }
                 let outcome = self.misjudge_outcome(node, &send, outcome);
                 if let Some(s) = self.nodes[node].shard_of(send.body.token) {
-                    s.on_direct(&send, outcome, now);
+                    s.on_push_outcome(&send, outcome, now);
                 }
             }
             Message::Again { conditions, changes } => {
@@ -199,16 +199,16 @@
 
     /// Their sender does not learn what becomes of them. What is held up by a hang is executed when the machine
     /// goes on, and half of what is held up by a cut when the cut is over.
-    fn hold_commands(&mut self, held: HeldUp, node: usize, life: u64, to: usize, send: DirectSend, outcome: bool) {
+    fn hold_commands(&mut self, held: HeldUp, node: usize, life: u64, to: usize, send: PushRequest, outcome: bool) {
         if let HeldUp::Until(until) = held
             && (self.linked(node, to) || self.chance.bool())
         {
-            let copy = DirectSend { starts: send.starts.clone(), body: send.body.clone(), ..send };
+            let copy = PushRequest { starts: send.starts.clone(), body: send.body.clone(), ..send };
             let message = Message::Commands { node, life, to, send: copy, outcome: false };
             self.under_way.push((until, message));
         }
         if outcome {
-            self.send(UNANSWERED_S, Message::Outcome { node, life, send, outcome: Direct::Unknown });
+            self.send(UNANSWERED_S, Message::Outcome { node, life, send, outcome: PushOutcome::Unknown });
         }
     }
 
--- a/crates/model/src/observer.rs
+++ b/crates/model/src/observer.rs
@@ -4,8 +4,8 @@
 use crate::transactions::COMMIT_LIMIT_S;
 use crate::users::{Job, job_done};
 use crate::world::World;
-use lupinspur_scheduler::shard::DirectSend;
-use lupinspur_wire::{JobState, Report};
+use lupinspur_scheduler::shard::PushRequest;
+use lupinspur_wire::{Heartbeat, JobState};
 use std::collections::{BTreeSet, HashMap};
 
 /// What happens within this of a takeover happens at it.
@@ -222,7 +222,7 @@
     }
 
     /// Direct commands have come to a machine, some after their sender gave them up.
-    pub(crate) fn observe_commands(&mut self, machine: usize, send: &DirectSend, late: bool, executed: bool) {
+    pub(crate) fn observe_commands(&mut self, machine: usize, send: &PushRequest, late: bool, executed: bool) {
         let unreporting = self.now < self.machines[machine].mute;
         let deposed = self.observer.cells.iter().all(|c| c.token != send.body.token);
         let cancelled = |id: &str| self.jobs.get(id).is_some_and(|j| j.told_cancelled_at < self.now);
@@ -236,10 +236,10 @@
     }
 
     /// A report, or a late copy of one, has come to a controller that leads the machine's cell.
-    pub(crate) fn observe_report(&mut self, node: usize, cell: usize, report: &Report, copy: bool, answered: bool) {
-        let age = (report.session, report.seq);
+    pub(crate) fn observe_report(&mut self, node: usize, cell: usize, report: &Heartbeat, copy: bool, answered: bool) {
+        let age = (report.incarnation, report.sequence);
         let newest = self.observer.newest_reports.entry((node, report.machine.clone())).or_default();
-        let (overtaken, earlier_session) = (age < *newest, report.session < newest.0);
+        let (overtaken, earlier_session) = (age < *newest, report.incarnation < newest.0);
         *newest = age.max(*newest);
         let new_leader = self.observer.cells.get(cell).is_some_and(|c| {
             let leads = c.leader == Some((node, self.nodes[node].life));
--- a/crates/model/src/rules.rs
+++ b/crates/model/src/rules.rs
@@ -77,19 +77,21 @@
         };
         let Some(j) = s.jobs.find(id) else { return "the owner does not know it".into() };
         let shares = self.store.read::<Ledger>(LEDGER_KEY).map(|l| l.0.teams);
-        let job = s.jobs.at(j);
+        let job = &s.jobs[j];
         let held: Vec<String> = s
             .machines
             .iter()
-            .flat_map(|(_, m)| m.tasks.iter().filter(|(k, _)| k.0 == j).map(move |(k, h)| (m, k, h)))
-            .map(|(m, k, h)| format!("{}: {:?} of session {} (suspect {}) {h:?}", k.1, m.name, m.session, m.suspect))
+            .flat_map(|(_, m)| m.assignments.iter().filter(|(k, _)| k.0 == j).map(move |(k, h)| (m, k, h)))
+            .map(|(m, k, h)| {
+                format!("{}: {:?} of session {} (suspect {}) {h:?}", k.1, m.name, m.incarnation, m.suspected)
+            })
             .collect();
         let team = &s.teams[job.team.ix()];
         format!(
             "shares {shares:?}, {} of {} held, {} shadowed, not before {:.1}, failed on {}, team uses {} of {}, {} machines; {held:?}; {:?}",
-            job.held,
+            job.assigned,
             job.spec.tasks,
-            job.shadowed_by,
+            job.unreconciled_machines,
             job.not_before,
             job.failed_on.len(),
             team.cpus_used,
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -193,7 +193,7 @@
             up_at,
             born: self.now,
             gone: false,
-            session: 1,
+            incarnation: 1,
             seq: 0,
             token: 0,
             renewed: up_at,
@@ -248,7 +248,7 @@
                 self.observe_loss(m);
                 let machine = &mut self.machines[m];
                 machine.tasks.clear();
-                machine.session += 1;
+                machine.incarnation += 1;
                 (machine.renewed, machine.waits) = (now, None);
             }
             Kind::Dies => {
--- a/crates/model/tests/handing.rs
+++ b/crates/model/tests/handing.rs
@@ -4,7 +4,7 @@
 use lupinspur_model::stored::types;
 use lupinspur_scheduler::params::{Params, Team, Tuning};
 use lupinspur_scheduler::shard::{Loaded, Shard};
-use lupinspur_wire::{ListedMachine, Report};
+use lupinspur_wire::{Heartbeat, ListedMachine};
 use serde_json::json;
 use std::collections::HashMap;
 
@@ -39,15 +39,15 @@
     ["a", "b", "c"][machine % 3]
 }
 
-fn report(machine: usize, seq: u64) -> Report {
-    Report {
+fn report(machine: usize, seq: u64) -> Heartbeat {
+    Heartbeat {
         machine: name(machine),
         addr: "127.0.0.1:9".into(),
         type_name: "m32".into(),
         zone: zone(machine).into(),
         spot: false,
-        session: 1,
-        seq,
+        incarnation: 1,
+        sequence: seq,
         token: TOKEN,
         notice_s: None,
         tasks: Vec::new(),
@@ -72,7 +72,7 @@
         let now = step as f64 * STEP_S;
         shard.writable = true;
         if step % reports_every == 0 {
-            (0..MACHINES).for_each(|m| _ = shard.on_report(&report(m, step + 1), now));
+            (0..MACHINES).for_each(|m| _ = shard.on_heartbeat(&report(m, step + 1), now));
             let list: Vec<ListedMachine> = (0..MACHINES).map(|m| listed(m, now)).collect();
             shard.on_list(&list, false, now);
         }
@@ -83,7 +83,7 @@
         let writes = shard.next_writes(8, 50_000, 8, now);
         revision += 1;
         shard.on_applied(writes, revision, now);
-        _ = shard.next_direct(now);
+        _ = shard.next_push(now);
     }
     shard.set_aside().len()
 }
--- a/crates/scheduler/src/fleet/machine.rs
+++ b/crates/scheduler/src/fleet/machine.rs
@@ -8,21 +8,21 @@
 use std::sync::Arc;
 
 /// Reports that show nothing of what was answered before, after which a machine is taken not to hear.
-pub const UNHEEDED: u32 = 2;
+pub const MAX_MISSED_ACKNOWLEDGEMENTS: u32 = 2;
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Phase {
     Booting,
     Up,
     /// Empty, and set aside for another cell: it gets nothing, and is not returned.
-    Leaving,
+    Draining,
     /// To be deleted: marked in the state service first, then returned.
-    Retiring,
+    Terminating,
     Gone,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub enum HeldState {
+pub enum AssignmentState {
     /// Chosen; the machine's record does not name the job yet.
     Planned,
     /// The start may have reached the machine.
@@ -32,50 +32,50 @@
     Saving,
 }
 
-impl HeldState {
+impl AssignmentState {
     /// Has its machine taken the start?
-    pub fn begun(self) -> bool {
-        matches!(self, HeldState::Fetching | HeldState::Running | HeldState::Saving)
+    pub fn has_started(self) -> bool {
+        matches!(self, AssignmentState::Fetching | AssignmentState::Running | AssignmentState::Saving)
     }
 }
 
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct Assignment {
     pub attempt: u64,
-    pub state: HeldState,
-    pub since: f64,
+    pub state: AssignmentState,
+    pub assigned_at: f64,
     pub running_since: f64,
     /// Stop it, with this much time to save.
-    pub stop: Option<f64>,
-    pub stop_sent: f64,
+    pub stop_grace_s: Option<f64>,
+    pub stop_sent_at: f64,
     /// The last time a start was sent, and the last time in the reply to a report.
-    pub sent: f64,
-    pub replied: f64,
+    pub start_sent_at: f64,
+    pub start_replied_at: f64,
 }
 
 /// An attempt that the machine still reports and that is not held.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Leftover {
+pub enum UnassignedAttempt {
     /// It has not ended, and is told to stop. As long as it is listed its task starts nowhere else.
     Orphaned(TaskState),
     Ended,
 }
 
-impl Leftover {
+impl UnassignedAttempt {
     pub fn is_orphaned(self) -> bool {
-        matches!(self, Leftover::Orphaned(_))
+        matches!(self, UnassignedAttempt::Orphaned(_))
     }
 }
 
 /// An attempt that has not ended, of a task that nobody here knows.
 #[derive(Clone, PartialEq, Eq, Debug)]
-pub struct UnknownAttempt {
+pub struct UnrecognizedAttempt {
     pub task: String,
     pub attempt: u64,
     pub state: TaskState,
 }
 
-impl UnknownAttempt {
+impl UnrecognizedAttempt {
     /// The job that its task's name tells, and the task's number.
     pub fn job(&self) -> Option<(&str, u32)> {
         split_task(&self.task)
@@ -94,25 +94,25 @@
 pub struct Machine {
     pub name: std::sync::Arc<str>,
     pub addr: Option<SocketAddr>,
-    pub ty: TypeIx,
+    pub machine_type: TypeIx,
     pub zone: ZoneIx,
     pub spot: bool,
     pub phase: Phase,
-    pub born: f64,
-    pub session: u64,
-    pub seq: u64,
+    pub first_seen_at: f64,
+    pub incarnation: u64,
+    pub sequence: u64,
     /// Sessions up to this one are over for certain.
-    pub dead_session: u64,
+    pub expired_incarnation: u64,
     pub reported_token: bool,
     /// The time until which an earlier owner's tasks may be on it, if unresolved.
-    pub unresolved_until: Option<f64>,
+    pub reconcile_deadline: Option<f64>,
     /// When the last renewal of its lease was sent by this owner.
-    pub last_ok: Option<f64>,
-    pub last_heard: f64,
-    pub tasks: TaskMap<Held>,
+    pub lease_renewed_at: Option<f64>,
+    pub last_heartbeat_at: f64,
+    pub assignments: TaskMap<Assignment>,
     /// How many of them belong to services.
-    pub services: usize,
-    pub leftovers: TaskMap<(u64, Leftover)>,
+    pub service_tasks: usize,
+    pub unassigned: TaskMap<(u64, UnassignedAttempt)>,
     pub cpus_used: f64,
     pub cards_used: f64,
     pub memory_used: f64,
@@ -125,47 +125,47 @@
     /// was split. They go when its rack's value is stored.
     pub old_values: Vec<Arc<str>>,
     pub images: Vec<CachedImage>,
-    pub notice_until: Option<f64>,
+    pub reclaimed_at: Option<f64>,
     pub cordoned: bool,
     /// Part of the on-demand base: services first, batch work only in what they leave.
-    pub base: bool,
-    pub fails: Vec<(JobIx, f64)>,
+    pub in_on_demand_base: bool,
+    pub recent_failures: Vec<(JobIx, f64)>,
     pub quarantined_until: f64,
     /// Since when it is set aside for good.
-    pub aside_since: f64,
+    pub quarantined_since: f64,
     /// What runs there of jobs that nobody here knows: they are over, and it is to go.
-    pub unknown: Vec<UnknownAttempt>,
+    pub unrecognized_attempts: Vec<UnrecognizedAttempt>,
     /// Jobs that the stored record names and that nobody here knows: while the machine is unresolved it may hold
     /// tasks of them, should they come to be known.
-    pub unknown_jobs: Vec<Arc<str>>,
+    pub unrecognized_jobs: Vec<Arc<str>>,
     /// Starts sent directly that got no answer yet: these attempts may still arrive.
-    pub loose: TaskMap<u64>,
-    pub direct_busy: bool,
-    pub direct_not_before: f64,
+    pub unacknowledged_starts: TaskMap<u64>,
+    pub push_in_flight: bool,
+    pub push_not_before: f64,
     /// Direct calls that it left unanswered since it was last heard.
-    pub unanswered: u32,
+    pub unanswered_pushes: u32,
     /// A report is overdue: it is asked directly whether it is there.
-    pub suspect: bool,
+    pub suspected: bool,
     /// Known by reports of an earlier owner's time alone: it counts for nothing before it shows that it
     /// hears us. A late copy of what a machine said that is long gone looks like this.
-    pub unproven: bool,
+    pub heard_only_before_failover: bool,
     /// When this owner last answered a report of its present session.
-    pub answered: Option<f64>,
+    pub heartbeat_answered_at: Option<f64>,
     /// When its present session was first heard of.
-    pub session_since: f64,
+    pub incarnation_since: f64,
     /// Sessions in a row that ended though their reports were answered: the answers were lost.
-    pub lost_sessions: u32,
+    pub unacknowledged_incarnations: u32,
     /// Reports of its own in a row that showed nothing of what the answers before had told it.
-    pub unheeded: u32,
+    pub missed_acknowledgements: u32,
     /// It gets nothing new until then: by then it has shown whether answers reach it.
-    pub trusted_from: f64,
+    pub commandable_from: f64,
     /// When this owner last answered a report of its own, or first heard of it.
-    pub own_report: f64,
+    pub own_heartbeat_at: f64,
     /// It answers direct questions, and its own reports stay away: whoever waits for answers in vain
     /// asks one controller after the other. Until two of them come in time again.
-    pub astray: bool,
+    pub heartbeat_path_lost: bool,
     pub listed: bool,
-    pub missing: u32,
+    pub missed_listings: u32,
     pub deleting: bool,
 }
 
@@ -174,21 +174,21 @@
         Machine {
             name,
             addr: None,
-            ty,
+            machine_type: ty,
             zone,
             spot,
             phase: Phase::Booting,
-            born: now,
-            session: 0,
-            seq: 0,
-            dead_session: 0,
+            first_seen_at: now,
+            incarnation: 0,
+            sequence: 0,
+            expired_incarnation: 0,
             reported_token: false,
-            unresolved_until: None,
-            last_ok: None,
-            last_heard: now,
-            tasks: TaskMap::new(),
-            services: 0,
-            leftovers: TaskMap::new(),
+            reconcile_deadline: None,
+            lease_renewed_at: None,
+            last_heartbeat_at: now,
+            assignments: TaskMap::new(),
+            service_tasks: 0,
+            unassigned: TaskMap::new(),
             cpus_used: 0.0,
             cards_used: 0.0,
             memory_used: 0.0,
@@ -197,95 +197,97 @@
             rack: None,
             old_values: Vec::new(),
             images: Vec::new(),
-            notice_until: None,
+            reclaimed_at: None,
             cordoned: false,
-            base: false,
-            fails: Vec::new(),
+            in_on_demand_base: false,
+            recent_failures: Vec::new(),
             quarantined_until: 0.0,
-            aside_since: f64::MIN,
-            unknown: Vec::new(),
-            unknown_jobs: Vec::new(),
-            loose: TaskMap::new(),
-            direct_busy: false,
-            direct_not_before: 0.0,
-            unanswered: 0,
-            suspect: false,
-            unproven: false,
-            answered: None,
-            session_since: now,
-            lost_sessions: 0,
-            unheeded: 0,
-            trusted_from: f64::MIN,
-            own_report: now,
-            astray: false,
+            quarantined_since: f64::MIN,
+            unrecognized_attempts: Vec::new(),
+            unrecognized_jobs: Vec::new(),
+            unacknowledged_starts: TaskMap::new(),
+            push_in_flight: false,
+            push_not_before: 0.0,
+            unanswered_pushes: 0,
+            suspected: false,
+            heard_only_before_failover: false,
+            heartbeat_answered_at: None,
+            incarnation_since: now,
+            unacknowledged_incarnations: 0,
+            missed_acknowledgements: 0,
+            commandable_from: f64::MIN,
+            own_heartbeat_at: now,
+            heartbeat_path_lost: false,
             listed: false,
-            missing: 0,
+            missed_listings: 0,
             deleting: false,
         }
     }
 
     /// Was this task told to stop, and will it be gone soon? One whose start had no answer and may still be on
     /// its way has no end that can be waited for.
-    pub fn is_leaving(&self, key: &TaskKey, held: &Held) -> bool {
-        let may_come_late = !self.direct_busy && self.loose.contains_key(key);
-        held.stop.is_some() && (held.state.begun() || !may_come_late)
+    pub fn is_stopping(&self, key: &TaskKey, held: &Assignment) -> bool {
+        let may_come_late = !self.push_in_flight && self.unacknowledged_starts.contains_key(key);
+        held.stop_grace_s.is_some() && (held.state.has_started() || !may_come_late)
     }
 
     /// Was this start withdrawn before it got an answer? It may be carried out until the session ends, or the
     /// machine is deleted.
-    pub fn is_lost(&self, key: &TaskKey, held: &Held) -> bool {
-        let unanswered = !self.direct_busy && self.loose.contains_key(key);
-        held.stop.is_some() && held.state == HeldState::Commanded && unanswered
+    pub fn is_lost_start(&self, key: &TaskKey, held: &Assignment) -> bool {
+        let unanswered = !self.push_in_flight && self.unacknowledged_starts.contains_key(key);
+        held.stop_grace_s.is_some() && held.state == AssignmentState::Commanded && unanswered
     }
 
     /// Was a start withdrawn and lost before this time?
     pub fn lost_start_before(&self, time: f64) -> bool {
-        self.tasks.iter().any(|(k, h)| self.is_lost(k, h) && h.since < time)
+        self.assignments.iter().any(|(k, h)| self.is_lost_start(k, h) && h.assigned_at < time)
     }
 
     /// Is nothing on it, lost starts aside?
     pub fn is_empty(&self) -> bool {
-        self.tasks.iter().all(|(k, h)| self.is_lost(k, h))
+        self.assignments.iter().all(|(k, h)| self.is_lost_start(k, h))
     }
 
     /// Set aside for good, because several jobs failed here.
-    pub fn faulty(&self) -> bool {
+    pub fn is_quarantined(&self) -> bool {
         self.quarantined_until == f64::INFINITY
     }
 
     /// Does what we say reach it, as far as it has shown? Its reports prove nothing of that.
-    pub fn hears(&self, now: f64) -> bool {
-        self.unheeded < UNHEEDED && !self.astray && now >= self.trusted_from
+    pub fn can_receive_commands(&self, now: f64) -> bool {
+        self.missed_acknowledgements < MAX_MISSED_ACKNOWLEDGEMENTS
+            && !self.heartbeat_path_lost
+            && now >= self.commandable_from
     }
 
     /// Something of ours was lost on the way to it, and it has not shown since that it hears.
-    pub fn doubted(&self) -> bool {
-        self.lost_sessions > 1 || self.unheeded > 0
+    pub fn command_path_in_doubt(&self) -> bool {
+        self.unacknowledged_incarnations > 1 || self.missed_acknowledgements > 0
     }
 
-    pub fn resolved(&self) -> bool {
-        self.unresolved_until.is_none()
+    pub fn is_reconciled(&self) -> bool {
+        self.reconcile_deadline.is_none()
     }
 
     /// Left only because it is not needed now: it takes tasks again where it is.
-    pub fn could_stay(&self, now: f64, silent_s: f64) -> bool {
-        self.cordoned && self.takes(now, silent_s)
+    pub fn could_be_uncordoned(&self, now: f64, heartbeat_timeout_s: f64) -> bool {
+        self.cordoned && self.accepts_tasks(now, heartbeat_timeout_s)
     }
 
     /// May new tasks be started on it?
-    pub fn usable(&self, now: f64, silent_s: f64) -> bool {
-        !self.cordoned && self.takes(now, silent_s)
+    pub fn is_usable(&self, now: f64, heartbeat_timeout_s: f64) -> bool {
+        !self.cordoned && self.accepts_tasks(now, heartbeat_timeout_s)
     }
 
-    fn takes(&self, now: f64, silent_s: f64) -> bool {
+    fn accepts_tasks(&self, now: f64, heartbeat_timeout_s: f64) -> bool {
         self.phase == Phase::Up
-            && self.resolved()
+            && self.is_reconciled()
             && self.reported_token
-            && self.hears(now)
-            && !self.suspect
-            && self.notice_until.is_none()
+            && self.can_receive_commands(now)
+            && !self.suspected
+            && self.reclaimed_at.is_none()
             && now >= self.quarantined_until
-            && now - self.last_heard < silent_s
+            && now - self.last_heartbeat_at < heartbeat_timeout_s
     }
 
     pub fn has_image(&self, image: ImageIx) -> bool {
@@ -294,7 +296,7 @@
 
     /// GB to fetch until this image is there. Fetches at the same time share the
     /// rate, so those under way count in full.
-    pub fn to_fetch_gb(&self, image: ImageIx, gb: f64) -> f64 {
+    pub fn remaining_fetch_gb(&self, image: ImageIx, gb: f64) -> f64 {
         let under_way: f64 = self.images.iter().filter(|i| !i.ready).map(|i| i.gb).sum();
         match self.images.iter().find(|i| i.image == image) {
             Some(i) if i.ready => 0.0,
@@ -304,7 +306,7 @@
     }
 
     /// The most recently used images stay within the cache.
-    pub fn used_image(&mut self, image: ImageIx, gb: f64, cache_gb: f64) {
+    pub fn touch_image(&mut self, image: ImageIx, gb: f64, cache_gb: f64) {
         let ready = self.has_image(image);
         self.images.retain(|i| i.image != image);
         self.images.push(CachedImage { image, gb, ready });
@@ -315,7 +317,7 @@
     }
 
     /// A task that needs this image runs or ran: it is there.
-    pub fn image_ready(&mut self, image: ImageIx, gb: f64) {
+    pub fn mark_image_ready(&mut self, image: ImageIx, gb: f64) {
         match self.images.iter_mut().find(|i| i.image == image) {
             Some(i) => i.ready = true,
             None => self.images.push(CachedImage { image, gb, ready: true }),
--- a/crates/scheduler/src/fleet/machine_groups.rs
+++ b/crates/scheduler/src/fleet/machine_groups.rs
@@ -38,8 +38,8 @@
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub addr: String,
     /// Once set, never used again.
-    #[serde(default, skip_serializing_if = "is_false")]
-    pub retiring: bool,
+    #[serde(rename = "retiring", default, skip_serializing_if = "is_false")]
+    pub terminating: bool,
     /// It fails its tasks: a successor need not learn that again.
     #[serde(default, skip_serializing_if = "is_false")]
     pub faulty: bool,
@@ -62,7 +62,7 @@
             type_name: self.type_name.clone(),
             zone: self.zone.clone(),
             spot: self.spot,
-            retiring: x.retiring,
+            terminating: x.terminating,
             faulty: x.faulty,
             jobs: x.jobs.iter().filter_map(|j| self.jobs.get(*j as usize).cloned()).collect(),
             images: x.images.iter().filter_map(|i| self.images.get(*i as usize).cloned()).collect(),
--- a/crates/scheduler/src/fleet/machines.rs
+++ b/crates/scheduler/src/fleet/machines.rs
@@ -13,29 +13,35 @@
     pub present: BTreeSet<MachineIx>,
     /// Machines that should hear from us directly: at hundreds of machines, looking
     /// through all of them for each command took most of the time there is.
-    pub direct_due: BTreeSet<MachineIx>,
+    pub push_due: BTreeSet<MachineIx>,
     /// Those among them that go before all others, by rank.
-    direct_first: BTreeSet<(First, MachineIx)>,
+    push_first: BTreeSet<(PushUrgency, MachineIx)>,
 }
 
 /// Why a machine hears from us before others do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum First {
+pub enum PushUrgency {
     /// Something of a job that was cancelled runs there, or may by its record.
     Cancelled,
     /// Its record names a job that is over, nobody knows how.
-    Over,
+    JobOver,
 }
 
-impl Machines {
-    pub fn at(&self, m: MachineIx) -> &Machine {
+impl std::ops::Index<MachineIx> for Machines {
+    type Output = Machine;
+
+    fn index(&self, m: MachineIx) -> &Machine {
         &self.list[m.ix()]
     }
+}
 
-    pub fn at_mut(&mut self, m: MachineIx) -> &mut Machine {
+impl std::ops::IndexMut<MachineIx> for Machines {
+    fn index_mut(&mut self, m: MachineIx) -> &mut Machine {
         &mut self.list[m.ix()]
     }
+}
 
+impl Machines {
     pub fn find(&self, name: &str) -> Option<MachineIx> {
         self.by_name.get(name).copied()
     }
@@ -49,27 +55,27 @@
     /// its time from when its user was told, whoever owns meanwhile: owners that ended within a
     /// second, sixty in a row, each began with the same machines and never came to the one where
     /// a cancelled task ran on.
-    pub fn direct_first(&mut self, m: MachineIx, why: First) {
-        self.direct_due.insert(m);
-        self.direct_first.insert((why, m));
+    pub fn push_first(&mut self, m: MachineIx, why: PushUrgency) {
+        self.push_due.insert(m);
+        self.push_first.insert((why, m));
     }
 
     /// The next machine that should hear from us directly, of those that may.
-    pub fn next_direct(&mut self, ready: impl Fn(&Machine) -> bool) -> Option<MachineIx> {
-        let first = self.direct_first.iter().copied().find(|f| ready(self.at(f.1)));
+    pub fn next_push(&mut self, ready: impl Fn(&Machine) -> bool) -> Option<MachineIx> {
+        let first = self.push_first.iter().copied().find(|f| ready(&self[f.1]));
         if let Some(f) = first {
-            self.direct_first.remove(&f);
+            self.push_first.remove(&f);
             return Some(f.1);
         }
-        let m = self.direct_due.iter().copied().find(|&m| ready(self.at(m)))?;
-        self.direct_due.remove(&m);
+        let m = self.push_due.iter().copied().find(|&m| ready(&self[m]))?;
+        self.push_due.remove(&m);
         Some(m)
     }
 
     /// A machine that is long gone leaves, with its name.
-    pub fn give_back(&mut self, m: MachineIx) {
-        self.direct_due.remove(&m);
-        self.direct_first.retain(|f| f.1 != m);
+    pub fn remove(&mut self, m: MachineIx) {
+        self.push_due.remove(&m);
+        self.push_first.retain(|f| f.1 != m);
         self.forget_name(m);
         self.list.remove(m);
     }
@@ -95,6 +101,6 @@
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (MachineIx, &Machine)> {
-        self.present.iter().map(|&m| (m, self.at(m)))
+        self.present.iter().map(|&m| (m, &self[m]))
     }
 }
--- a/crates/scheduler/src/fleet/mod.rs
+++ b/crates/scheduler/src/fleet/mod.rs
@@ -12,8 +12,11 @@
 mod types;
 pub mod zones;
 
-pub use machine::{CachedImage, Held, HeldState, Leftover, Machine, Phase, UNHEEDED, UnknownAttempt};
-pub use machines::{First, Machines};
+pub use machine::{
+    Assignment, AssignmentState, CachedImage, MAX_MISSED_ACKNOWLEDGEMENTS, Machine, Phase, UnassignedAttempt,
+    UnrecognizedAttempt,
+};
+pub use machines::{Machines, PushUrgency};
 pub use types::Types;
 
 use serde::{Deserialize, Serialize};
@@ -37,7 +40,8 @@
     pub zone: String,
     pub spot: bool,
     /// Once set, never used again.
-    pub retiring: bool,
+    #[serde(rename = "retiring")]
+    pub terminating: bool,
     /// It fails its tasks: a successor need not learn that again.
     #[serde(default)]
     pub faulty: bool,
--- a/crates/scheduler/src/jobs/job.rs
+++ b/crates/scheduler/src/jobs/job.rs
@@ -16,9 +16,9 @@
 const LATE_GIVES_WAY_MS: u64 = 60_000;
 /// A task is in one place.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Slot {
+pub enum TaskSlot {
     Queued,
-    Held(MachineIx),
+    Assigned(MachineIx),
     /// Completed; the result is kept at the state service or not yet.
     Done {
         stored: bool,
@@ -54,16 +54,16 @@
     pub priority: Priority,
     /// When it has to be done for the sake of the jobs that need it, in milliseconds of the day.
     pub due_ms: Option<u64>,
-    pub tasks: Vec<Slot>,
+    pub tasks: Vec<TaskSlot>,
     pub queue: VecDeque<u32>,
     pub done: u32,
-    pub held: u32,
+    pub assigned: u32,
     pub running: u32,
     /// Tasks whose start a machine has taken: they fetch their image, run or save.
-    pub begun: u32,
+    pub started: u32,
     pub dirty_chunks: BTreeSet<u32>,
     /// Unresolved machines that may hold tasks of this job.
-    pub shadowed_by: u32,
+    pub unreconciled_machines: u32,
     /// An earlier owner's record of a machine names it.
     pub recorded: bool,
     /// Machines on which it failed lately.
@@ -106,7 +106,7 @@
 
     /// How far its tasks are, as the accounts count them.
     pub fn progress(&self) -> Tasks {
-        Tasks { begun: self.begun, running: self.running, done: self.done }
+        Tasks { begun: self.started, running: self.running, done: self.done }
     }
 
     /// Tasks that still want a machine or have one.
@@ -160,7 +160,7 @@
 
     pub fn has_queued(&mut self) -> bool {
         while let Some(&t) = self.queue.front() {
-            if self.tasks[t as usize] == Slot::Queued {
+            if self.tasks[t as usize] == TaskSlot::Queued {
                 return true;
             }
             self.queue.pop_front();
--- a/crates/scheduler/src/jobs/mod.rs
+++ b/crates/scheduler/src/jobs/mod.rs
@@ -3,7 +3,7 @@
 mod job;
 mod records;
 
-pub use job::{Job, Slot};
+pub use job::{Job, TaskSlot};
 pub use records::{
     JOB_PREFIX, JobRecord, PART_PREFIX, PROGRESS_PREFIX, Phase, ProgressRecord, RECORD_GROWS_BY, chunk_tasks, job_key,
     part_key, progress_key,
@@ -34,6 +34,20 @@
     Some((job, task.parse().ok()?))
 }
 
+impl std::ops::Index<JobIx> for Jobs {
+    type Output = Job;
+
+    fn index(&self, j: JobIx) -> &Job {
+        &self.list[j.ix()]
+    }
+}
+
+impl std::ops::IndexMut<JobIx> for Jobs {
+    fn index_mut(&mut self, j: JobIx) -> &mut Job {
+        &mut self.list[j.ix()]
+    }
+}
+
 impl Jobs {
     pub fn new(chunk: u32, earlier_chunk: u32, zones: usize) -> Jobs {
         Jobs { chunk, earlier_chunk, zones, ..Jobs::default() }
@@ -55,14 +69,6 @@
         }
     }
 
-    pub fn at(&self, j: JobIx) -> &Job {
-        &self.list[j.ix()]
-    }
-
-    pub fn at_mut(&mut self, j: JobIx) -> &mut Job {
-        &mut self.list[j.ix()]
-    }
-
     /// Takes in a stored job. A job that is known already is left as it is.
     pub fn add(&mut self, r: JobRecord, team: TeamIx, now: f64) -> JobIx {
         if let Some(j) = self.find(&r.job.id) {
@@ -91,14 +97,14 @@
             freed_ms: r.at_ms,
             priority: r.job.priority,
             due_ms: None,
-            tasks: vec![Slot::Queued; n as usize],
+            tasks: vec![TaskSlot::Queued; n as usize],
             queue: (0..n).collect(),
             done: if r.phase == Phase::Done { r.job.tasks } else { 0 },
-            held: 0,
+            assigned: 0,
             running: 0,
-            begun: 0,
+            started: 0,
             dirty_chunks: BTreeSet::new(),
-            shadowed_by: 0,
+            unreconciled_machines: 0,
             recorded: false,
             failed_on: Vec::new(),
             failed_at: f64::MIN,
@@ -123,12 +129,12 @@
     /// Marks a task done, wherever it was. True if it was not done before.
     pub fn mark_done(&mut self, j: JobIx, t: u32, stored: bool) -> bool {
         let chunk = self.chunk;
-        let job = self.at_mut(j);
+        let job = &mut self[j];
         let Some(slot) = job.tasks.get_mut(t as usize) else { return false };
-        if let Slot::Done { .. } = slot {
+        if let TaskSlot::Done { .. } = slot {
             return false;
         }
-        *slot = Slot::Done { stored };
+        *slot = TaskSlot::Done { stored };
         job.done += 1;
         if !stored {
             job.dirty_chunks.insert(t / chunk);
@@ -142,27 +148,27 @@
     /// The key of a chunk's progress. A job of one chunk has the same key and value in
     /// every version.
     pub fn progress_key(&self, j: JobIx, chunk: u32) -> String {
-        let job = self.at(j);
+        let job = &self[j];
         if job.spec.tasks <= self.chunk { progress_key(&job.id, 0) } else { part_key(&job.id, chunk * self.chunk) }
     }
 
     /// Every key under which progress of this job may stand.
     pub fn progress_keys(&self, j: JobIx) -> impl Iterator<Item = String> {
-        let tasks = self.at(j).spec.tasks;
-        let earlier = (0..tasks.div_ceil(self.earlier_chunk)).map(move |c| progress_key(&self.at(j).id, c));
-        let parts = (0..tasks.div_ceil(self.chunk)).map(move |c| part_key(&self.at(j).id, c * self.chunk));
+        let tasks = self[j].spec.tasks;
+        let earlier = (0..tasks.div_ceil(self.earlier_chunk)).map(move |c| progress_key(&self[j].id, c));
+        let parts = (0..tasks.div_ceil(self.chunk)).map(move |c| part_key(&self[j].id, c * self.chunk));
         earlier.chain(parts)
     }
 
     pub fn progress(&self, j: JobIx, chunk: u32) -> ProgressRecord {
-        let job = self.at(j);
+        let job = &self[j];
         let from = (chunk * self.chunk) as usize;
         let to = (from + self.chunk as usize).min(job.tasks.len());
         let mut done = String::with_capacity((to - from).div_ceil(4));
         for four in job.tasks[from..to].chunks(4) {
             let mut d = 0;
             for (i, s) in four.iter().enumerate() {
-                if matches!(s, Slot::Done { .. }) {
+                if matches!(s, TaskSlot::Done { .. }) {
                     d |= 1 << i;
                 }
             }
@@ -186,12 +192,14 @@
     /// The tasks of a chunk that a stored record calls done are stored now.
     pub fn progress_stored(&mut self, j: JobIx, chunk: u32, r: &ProgressRecord) {
         let from = (chunk * self.chunk) as usize;
-        let job = self.at_mut(j);
+        let job = &mut self[j];
         for (i, c) in r.done.chars().enumerate() {
             let Some(d) = c.to_digit(16) else { continue };
             for b in 0..4 {
-                if let (true, Some(s @ Slot::Done { .. })) = (d & (1 << b) != 0, job.tasks.get_mut(from + i * 4 + b)) {
-                    *s = Slot::Done { stored: true };
+                if let (true, Some(s @ TaskSlot::Done { .. })) =
+                    (d & (1 << b) != 0, job.tasks.get_mut(from + i * 4 + b))
+                {
+                    *s = TaskSlot::Done { stored: true };
                 }
             }
         }
@@ -200,7 +208,7 @@
     /// A final phase is stored: from now on it may be told, and the tasks are of no more use.
     pub fn settled(&mut self, j: JobIx, phase: Phase) {
         self.live.remove(&j);
-        let job = self.at_mut(j);
+        let job = &mut self[j];
         job.phase = phase;
         job.wanted = phase;
         job.dirty_chunks.clear();
--- a/crates/scheduler/src/jobs/tests.rs
+++ b/crates/scheduler/src/jobs/tests.rs
@@ -18,14 +18,14 @@
         for t in (0..100_000).step_by(3) {
             jobs.mark_done(j, t, false);
         }
-        let chunks: Vec<u32> = jobs.at(j).dirty_chunks.iter().copied().collect();
+        let chunks: Vec<u32> = jobs[j].dirty_chunks.iter().copied().collect();
         let mut again = Jobs::new(jobs.chunk, jobs.earlier_chunk, 3);
-        again.add(JobRecord::accepted(jobs.at(j).spec.clone(), 0), TeamIx::new(0), 0.0);
+        again.add(JobRecord::accepted(jobs[j].spec.clone(), 0), TeamIx::new(0), 0.0);
         for c in chunks {
             let r = jobs.progress(j, c);
             assert!(serde_json::to_vec(&r).unwrap().len() <= limit);
             again.load_progress(j, c * jobs.chunk, &r);
         }
-        assert_eq!(again.at(j).tasks.iter().filter(|s| **s == Slot::Done { stored: true }).count(), 33_334);
+        assert_eq!(again[j].tasks.iter().filter(|s| **s == TaskSlot::Done { stored: true }).count(), 33_334);
     }
 }
--- a/crates/scheduler/src/shard/checkpointing.rs
+++ b/crates/scheduler/src/shard/checkpointing.rs
@@ -79,9 +79,9 @@
 impl Shard {
     /// A job that was taken in: it belongs into the checkpoint, or is over already.
     pub(super) fn remember(&mut self, j: JobIx, now: f64) {
-        let id = self.jobs.at(j).id.clone();
+        let id = self.jobs[j].id.clone();
         self.need_was_read(&id, now);
-        let job = self.jobs.at(j);
+        let job = &self.jobs[j];
         if job.phase == Phase::Open {
             self.recovery.writer.opened(&job.id);
         } else {
@@ -109,13 +109,13 @@
 
     /// The write of its end goes out.
     pub(super) fn end_sent(&mut self, j: JobIx) {
-        let id = self.jobs.at(j).id.clone();
+        let id = self.jobs[j].id.clone();
         self.recovery.known.sent(&id);
     }
 
     /// Its end is stored.
     pub(super) fn end_stored(&mut self, j: JobIx, now: f64) {
-        let id = self.jobs.at(j).id.clone();
+        let id = self.jobs[j].id.clone();
         self.recovery.known.settled(&id);
         self.elastic_leave(j);
         self.recovery.writer.ended(&id);
@@ -221,7 +221,7 @@
         if !self.recovery.unread_needs.remove(id) {
             return;
         }
-        let phase = self.jobs.find(id).map(|j| self.jobs.at(j).phase);
+        let phase = self.jobs.find(id).map(|j| self.jobs[j].phase);
         let level = self.takeover_log.level();
         let after_s = now - self.began;
         match phase {
@@ -249,7 +249,7 @@
         }
         let (mut due, mut seen) = (vec![j], HashSet::from([j]));
         while let Some(j) = due.pop() {
-            if self.jobs.at(j).spec.needs().iter().any(|need| unread.contains(need)) {
+            if self.jobs[j].spec.needs().iter().any(|need| unread.contains(need)) {
                 return true;
             }
             due.extend(self.graph.needs(j).iter().filter(|n| seen.insert(**n)));
@@ -259,7 +259,7 @@
 
     /// A job that is no longer this shard's leaves its memory at once.
     pub(super) fn forget_job(&mut self, j: JobIx) {
-        let id = self.jobs.at(j).id.clone();
+        let id = self.jobs[j].id.clone();
         self.recovery.writer.ended(&id);
         self.jobs.settled(j, Phase::Cancelled);
         self.graph.ended(j, Phase::Cancelled);
@@ -274,9 +274,9 @@
     /// These jobs leave, and nothing here may lead to them any more.
     fn name_no_more(&mut self, jobs: &BTreeSet<JobIx>) {
         for m in self.machines.present.clone() {
-            let m = self.machines.at_mut(m);
+            let m = &mut self.machines[m];
             m.stored_jobs.retain(|j| !jobs.contains(j));
-            m.fails.retain(|f| !jobs.contains(&f.0));
+            m.recent_failures.retain(|f| !jobs.contains(&f.0));
         }
         self.racks.list.values_mut().for_each(|r| r.forget(jobs));
     }
@@ -291,9 +291,9 @@
         self.sweep_jobs(now);
         while self.recovery.gone.front().is_some_and(|(t, _)| now - t > GONE_FOR_S) {
             let Some((_, m)) = self.recovery.gone.pop_front() else { break };
-            let machine = self.machines.at(m);
-            if machine.phase == MachinePhase::Gone && !machine.direct_busy && machine.tasks.is_empty() {
-                self.machines.give_back(m);
+            let machine = &self.machines[m];
+            if machine.phase == MachinePhase::Gone && !machine.push_in_flight && machine.assignments.is_empty() {
+                self.machines.remove(m);
             } else {
                 self.recovery.gone.push_back((now, m));
             }
@@ -319,7 +319,7 @@
         // What a machine may still hold, or start late, is counted by its job.
         let mut kept: BTreeSet<JobIx> = BTreeSet::new();
         for (_, m) in self.machines.iter() {
-            let keys = m.tasks.keys().chain(m.leftovers.keys()).chain(m.loose.keys());
+            let keys = m.assignments.keys().chain(m.unassigned.keys()).chain(m.unacknowledged_starts.keys());
             kept.extend(keys.map(|k| k.0).filter(|j| over.contains(j)));
         }
         kept.extend(self.finals.iter().chain(&self.progress_due).filter(|j| over.contains(j)));
--- a/crates/scheduler/src/shard/cloud_calls.rs
+++ b/crates/scheduler/src/shard/cloud_calls.rs
@@ -1,6 +1,6 @@
 //! What the cloud is asked for and answers: machines rented, deleted and listed.
 
-use super::sizing::REPORT_SPREAD;
+use super::sizing::HEARTBEAT_JITTER;
 use super::{Shard, sizing::staying};
 use crate::fleet::Phase as MachinePhase;
 use crate::fleet::launch::Launch;
@@ -19,18 +19,18 @@
 
 impl Shard {
     /// Marked in the state service first, then deleted; never used again.
-    pub(super) fn retire(&mut self, m: MachineIx) {
-        let machine = self.machines.at_mut(m);
-        if matches!(machine.phase, MachinePhase::Leaving | MachinePhase::Retiring | MachinePhase::Gone) {
+    pub(super) fn terminate(&mut self, m: MachineIx) {
+        let machine = &mut self.machines[m];
+        if matches!(machine.phase, MachinePhase::Draining | MachinePhase::Terminating | MachinePhase::Gone) {
             return;
         }
-        machine.phase = MachinePhase::Retiring;
+        machine.phase = MachinePhase::Terminating;
         if machine.rack.is_some() || !machine.old_values.is_empty() {
             self.want_record(m);
             // What was on a machine that is lost waits for its deletion, and that for this: by
             // starts alone, such racks once stood behind all others until the leases were over.
-            let machine = self.machines.at(m);
-            let (tasks, services) = (machine.tasks.len(), machine.services > 0);
+            let machine = &self.machines[m];
+            let (tasks, services) = (machine.assignments.len(), machine.service_tasks > 0);
             if let Some(rack) = machine.rack.and_then(|r| self.racks.list.get_mut(&r)) {
                 rack.held_up(tasks, services);
             }
@@ -44,14 +44,14 @@
         for &m in machines {
             self.deletes.remove(&m);
             self.kept_no_more(m);
-            self.all_gone(m);
+            self.on_machine_emptied(m);
             self.take_out(m);
         }
     }
 
     /// A machine is no longer this shard's, and no value that is stored from now on names it.
     pub(super) fn take_out(&mut self, m: MachineIx) {
-        let machine = self.machines.at_mut(m);
+        let machine = &mut self.machines[m];
         machine.phase = MachinePhase::Gone;
         machine.deleting = false;
         let rack = machine.rack.take();
@@ -68,19 +68,19 @@
 
     pub fn on_delete_failed(&mut self, machines: &[MachineIx]) {
         for &m in machines {
-            self.machines.at_mut(m).deleting = false;
+            self.machines[m].deleting = false;
         }
     }
 
     pub fn next_delete(&mut self) -> Option<CloudCall> {
         let due: Vec<MachineIx> =
-            self.deletes.iter().copied().filter(|&m| !self.machines.at(m).deleting).take(MOST_DELETED).collect();
+            self.deletes.iter().copied().filter(|&m| !self.machines[m].deleting).take(MOST_DELETED).collect();
         if due.is_empty() {
             return None;
         }
-        let names = due.iter().map(|&m| self.machines.at(m).name.to_string()).collect();
+        let names = due.iter().map(|&m| self.machines[m].name.to_string()).collect();
         for &m in &due {
-            self.machines.at_mut(m).deleting = true;
+            self.machines[m].deleting = true;
         }
         Some(CloudCall::Delete(due, names))
     }
@@ -91,14 +91,14 @@
             self.machines.add(n, l.ty, l.zone, l.spot, now);
         }
         if names.len() < l.count {
-            self.refused(l, now);
+            self.on_rental_refused(l, now);
         } else {
             self.launches.granted(l.ty, l.zone, l.spot);
         }
     }
 
     /// No capacity, or not for all: this zone is preemptive for now.
-    pub fn refused(&mut self, l: &Launch, now: f64) {
+    pub fn on_rental_refused(&mut self, l: &Launch, now: f64) {
         self.launches.finished(&l.name);
         self.launches.refused(l.ty, l.zone, l.spot, now);
         if let (true, Some(p)) = (l.spot, self.pools.get_mut(&l.ty)) {
@@ -124,28 +124,28 @@
                 }
             };
             listed.insert(m);
-            let machine = self.machines.at_mut(m);
+            let machine = &mut self.machines[m];
             machine.listed = true;
-            machine.missing = 0;
+            machine.missed_listings = 0;
             // A successor does not know how old a machine is that it found recorded: until it
             // counted it from the cloud's word, every takeover kept what was not needed for
             // another minute, hundreds of machines of it.
-            machine.born = machine.born.min(now - l.age_s);
+            machine.first_seen_at = machine.first_seen_at.min(now - l.age_s);
             if machine.addr.is_none() {
                 machine.addr = l.addr.parse().ok();
             }
             if l.state == ListedState::Failed {
-                self.retire(m);
+                self.terminate(m);
             }
         }
         let missing: Vec<MachineIx> =
             self.machines.iter().filter(|(i, m)| m.listed && !listed.contains(i)).map(|(i, _)| i).collect();
         for i in missing {
-            let m = self.machines.at_mut(i);
-            m.missing += 1;
+            let m = &mut self.machines[i];
+            m.missed_listings += 1;
             // Gone from two lists and silent: a deletion says for certain that it is gone.
-            if m.missing >= 2 && now - m.last_heard > self.report_s * REPORT_SPREAD + 0.5 {
-                self.retire(i);
+            if m.missed_listings >= 2 && now - m.last_heartbeat_at > self.report_s * HEARTBEAT_JITTER + 0.5 {
+                self.terminate(i);
             }
         }
     }
@@ -153,7 +153,7 @@
     pub(super) fn rent(&mut self, ty: TypeIx, spot: bool, short: usize, now: f64) {
         let zones = self.types.zones.len();
         let mut current = self.launches.pending_in(spot, zones);
-        for (_, m) in self.machines.iter().filter(|(_, m)| m.ty == ty && m.spot == spot && staying(m, now)) {
+        for (_, m) in self.machines.iter().filter(|(_, m)| m.machine_type == ty && m.spot == spot && staying(m, now)) {
             current[m.zone.ix()] += 1;
         }
         let mut asked: BTreeMap<ZoneIx, usize> = BTreeMap::new();
--- a/crates/scheduler/src/shard/consistency.rs
+++ b/crates/scheduler/src/shard/consistency.rs
@@ -29,28 +29,31 @@
         self.compared.last = None;
         let mut tasks = 0;
         for j in next {
-            if tasks > 0 && tasks + self.jobs.at(j).tasks.len() > MOST_TASKS {
+            if tasks > 0 && tasks + self.jobs[j].tasks.len() > MOST_TASKS {
                 break;
             }
-            tasks += self.jobs.at(j).tasks.len();
+            tasks += self.jobs[j].tasks.len();
             self.compared.last = Some(j);
             self.compare_job(j);
         }
     }
 
     fn compare_job(&mut self, j: JobIx) {
-        let job = self.jobs.at(j);
+        let job = &self.jobs[j];
         if !job.open() {
             return;
         }
-        let nowhere = |t: u32, s: &Slot| match s {
-            Slot::Held(m) => self.machines.list.get(*m).is_none_or(|m| !m.tasks.contains_key(&(j, t))),
+        let nowhere = |t: u32, s: &TaskSlot| match s {
+            TaskSlot::Assigned(m) => self.machines.list.get(*m).is_none_or(|m| !m.assignments.contains_key(&(j, t))),
             _ => false,
         };
         let lost: Vec<u32> = (0u32..).zip(&job.tasks).filter(|(t, s)| nowhere(*t, s)).map(|(t, _)| t).collect();
-        let queued = job.tasks.iter().filter(|s| **s == Slot::Queued).count() + lost.len();
-        let waits =
-            if queued == 0 { 0 } else { job.queue.iter().filter(|t| job.tasks[**t as usize] == Slot::Queued).count() };
+        let queued = job.tasks.iter().filter(|s| **s == TaskSlot::Queued).count() + lost.len();
+        let waits = if queued == 0 {
+            0
+        } else {
+            job.queue.iter().filter(|t| job.tasks[**t as usize] == TaskSlot::Queued).count()
+        };
         let over = !job.is_service() && job.done == job.spec.tasks;
         if lost.is_empty() && waits >= queued && !over {
             return;
@@ -61,12 +64,12 @@
             lost.len()
         );
         self.compared.mended += 1;
-        let job = self.jobs.at_mut(j);
+        let job = &mut self.jobs[j];
         for t in &lost {
-            job.tasks[*t as usize] = Slot::Queued;
+            job.tasks[*t as usize] = TaskSlot::Queued;
         }
-        job.held = job.held.saturating_sub(lost.len() as u32);
-        job.queue = (0u32..).zip(&job.tasks).filter(|(_, s)| **s == Slot::Queued).map(|(t, _)| t).collect();
+        job.assigned = job.assigned.saturating_sub(lost.len() as u32);
+        job.queue = (0u32..).zip(&job.tasks).filter(|(_, s)| **s == TaskSlot::Queued).map(|(t, _)| t).collect();
         if over {
             job.wanted = Phase::Done;
             self.finals.insert(j);
--- a/crates/scheduler/src/shard/dependencies.rs
+++ b/crates/scheduler/src/shard/dependencies.rs
@@ -28,7 +28,7 @@
         if !self.graph.waits(j) {
             return NeedsState::Met;
         }
-        let mut missing = self.jobs.at(j).spec.needs().iter().filter(|need| self.graph.is_stranger(need));
+        let mut missing = self.jobs[j].spec.needs().iter().filter(|need| self.graph.is_stranger(need));
         if self.graph.needs(j).is_empty() && missing.all(|need| self.is_unread(need)) {
             NeedsState::Unread
         } else {
@@ -39,9 +39,13 @@
     /// These jobs may wait for one that was unread, and is known to be open now: what runs of them is stopped.
     pub(super) fn stop_those_that_wait(&mut self, jobs: Vec<JobIx>) {
         for j in jobs {
-            let job = self.jobs.at(j);
-            if job.held > 0 && job.open() && self.needs_state(j) == NeedsState::Open {
-                log::warn!("{} waits for a job that is open, and {} tasks of it are held: stopped", job.id, job.held);
+            let job = &self.jobs[j];
+            if job.assigned > 0 && job.open() && self.needs_state(j) == NeedsState::Open {
+                log::warn!(
+                    "{} waits for a job that is open, and {} tasks of it are held: stopped",
+                    job.id,
+                    job.assigned
+                );
                 self.stop_all(j);
             }
         }
@@ -49,10 +53,10 @@
 
     /// A job that was just taken in: does it wait, and do others wait for it?
     pub(super) fn enter(&mut self, j: JobIx, now: f64) {
-        let job = self.jobs.at(j);
+        let job = &self.jobs[j];
         let (id, phase) = (job.id.clone(), job.phase);
         let needs = job.spec.needs.clone().unwrap_or_default();
-        let known = |id: &str| self.jobs.find(id).map(|n| (n, self.jobs.at(n).phase));
+        let known = |id: &str| self.jobs.find(id).map(|n| (n, self.jobs[n].phase));
         let news = self.graph.add(j, &id, phase, &needs, known);
         if phase == Phase::Open && !needs.is_empty() {
             if self.graph.waits(j) {
@@ -80,12 +84,12 @@
 
     fn follow(&mut self, news: News, now: f64) {
         for j in news.freed {
-            if self.jobs.at(j).open() {
+            if self.jobs[j].open() {
                 self.jobs.live.insert(j);
                 self.count_from_needs(j);
                 self.account_due(j);
                 self.place_due = true;
-                let (job, day) = (self.jobs.at(j), self.day_now_ms(now) as f64);
+                let (job, day) = (&self.jobs[j], self.day_now_ms(now) as f64);
                 log::debug!(
                     "{} ({}) waits for nothing any more, {:.1} s after its acceptance and {:.1} s before it is due",
                     job.id,
@@ -98,7 +102,7 @@
         let since = if self.loading { f64::MIN } else { now };
         for j in news.doomed {
             self.jobs.live.remove(&j);
-            let job = self.jobs.at_mut(j);
+            let job = &mut self.jobs[j];
             if job.phase == Phase::Open && job.wanted == Phase::Open {
                 job.wanted = Phase::Cancelled;
                 job.doomed = Some(since);
@@ -111,16 +115,16 @@
     /// A job's times, its deadline aside, count from the end of the last job that it needs.
     /// An end that 0.1.0 stored has no time: there the job's own acceptance stands for it.
     fn count_from_needs(&mut self, j: JobIx) {
-        let needs = self.jobs.at(j).spec.needs();
-        let ends = needs.iter().filter_map(|n| self.jobs.find(n)).map(|n| self.jobs.at(n).ended_ms);
+        let needs = self.jobs[j].spec.needs();
+        let ends = needs.iter().filter_map(|n| self.jobs.find(n)).map(|n| self.jobs[n].ended_ms);
         let last = ends.max().unwrap_or(0);
-        let job = self.jobs.at_mut(j);
+        let job = &mut self.jobs[j];
         job.freed_ms = job.freed_ms.max(last);
     }
 
     /// Cancellations that follow from others, and whether they may wait no longer.
     pub(super) fn doom_presses(&self, j: JobIx, now: f64) -> bool {
-        self.jobs.at(j).doomed.is_some_and(|since| now - since > self.cancel_s * DOOM_WAITS_SHARE)
+        self.jobs[j].doomed.is_some_and(|since| now - since > self.cancel_s * DOOM_WAITS_SHARE)
     }
 
     /// Seconds that a job takes once it may start, its image included.
@@ -136,9 +140,9 @@
         let mut due: BTreeSet<JobIx> = BTreeSet::from_iter(jobs);
         while let Some(j) = due.pop_first() {
             self.graph.looked_at += 1;
-            let job = self.jobs.at(j);
+            let job = &self.jobs[j];
             let (mut priority, mut due_ms) = (job.spec.priority, None);
-            for k in self.graph.after(j).iter().map(|k| self.jobs.at(*k)).filter(|k| k.open()) {
+            for k in self.graph.after(j).iter().map(|k| &self.jobs[*k]).filter(|k| k.open()) {
                 priority = priority.min(k.priority);
                 let has_due = k.spec.deadline_s.is_some() || k.due_ms.is_some();
                 if has_due {
@@ -146,7 +150,7 @@
                     due_ms = Some(due_ms.unwrap_or(u64::MAX).min(start));
                 }
             }
-            let job = self.jobs.at_mut(j);
+            let job = &mut self.jobs[j];
             if (job.priority, job.due_ms) != (priority, due_ms) {
                 (job.priority, job.due_ms) = (priority, due_ms);
                 due.extend(self.graph.needs(j).iter().copied());
--- a/crates/scheduler/src/shard/elastic.rs
+++ b/crates/scheduler/src/shard/elastic.rs
@@ -2,11 +2,11 @@
 //!
 //! Without the operators' file there is no pool, and every array is as large as there is room.
 
-use super::sizing::REPORT_SPREAD;
+use super::sizing::HEARTBEAT_JITTER;
 use super::{Shard, type_fits};
-use crate::fleet::{HeldState, Machine};
+use crate::fleet::{AssignmentState, Machine};
 use crate::intern::{JobIx, MachineIx};
-use crate::jobs::{Job, Phase, Slot, TaskKey};
+use crate::jobs::{Job, Phase, TaskKey, TaskSlot};
 use crate::params::Params;
 use crate::times::stretched;
 use lupinspur_elastic::pool::{Row, Times};
@@ -41,7 +41,7 @@
 
 fn timing(report_s: f64, lease_s: f64, claim_s: f64, plan: &Plan) -> Timing {
     Timing {
-        report_s: report_s * REPORT_SPREAD,
+        report_s: report_s * HEARTBEAT_JITTER,
         lease_s: stretched(lease_s),
         answer_s: ANSWER_S,
         grace_s: plan.grace_s,
@@ -55,7 +55,7 @@
     /// An open array that declares sizes, or whose class has some.
     pub(super) fn elastic_enter(&mut self, j: JobIx) {
         let Some(pool) = &self.elastic else { return };
-        let job = self.jobs.at(j);
+        let job = &self.jobs[j];
         if job.phase != Phase::Open || job.is_service() {
             return;
         }
@@ -79,17 +79,15 @@
 
     /// One elastic job as it stands. What was told to stop, by whomever, is leaving.
     fn elastic_held(&self, job: &Job) -> Held {
-        let leaves = |(t, s): (u32, &Slot)| match s {
-            Slot::Held(m) => self
-                .machines
-                .at(*m)
-                .tasks
+        let leaves = |(t, s): (u32, &TaskSlot)| match s {
+            TaskSlot::Assigned(m) => self.machines[*m]
+                .assignments
                 .get(&(job.ix, t))
-                .is_some_and(|h| h.stop.is_some() || h.state == HeldState::Saving),
+                .is_some_and(|h| h.stop_grace_s.is_some() || h.state == AssignmentState::Saving),
             _ => false,
         };
         let leaving = (0u32..).zip(&job.tasks).filter(|(t, s)| leaves((*t, s))).count() as u32;
-        Held { unfinished: job.unfinished(), held: job.held, leaving }
+        Held { unfinished: job.unfinished(), held: job.assigned, leaving }
     }
 
     /// Tasks of a job that may be started: at its own standing, and beyond that with what is idle.
@@ -104,7 +102,7 @@
     pub(crate) fn surpluses(&self) -> HashMap<JobIx, u32> {
         let Some(pool) = &self.elastic else { return HashMap::new() };
         let of = |(j, _): (JobIx, Sizes)| {
-            let job = self.jobs.get(j).filter(|job| job.held > 0)?;
+            let job = self.jobs.get(j).filter(|job| job.assigned > 0)?;
             Some((j, pool.surplus(j, self.elastic_held(job)))).filter(|(_, n)| *n > 0)
         };
         pool.jobs().filter_map(of).collect()
@@ -112,8 +110,8 @@
 
     /// A task makes room: one of a surplus in two steps, with a deadline; any other as it may.
     pub(crate) fn give_room(&mut self, m: MachineIx, k: TaskKey) {
-        let job = self.jobs.at(k.0);
-        let planned = self.machines.at(m).tasks.get(&k).is_none_or(|h| h.state == HeldState::Planned);
+        let job = &self.jobs[k.0];
+        let planned = self.machines[m].assignments.get(&k).is_none_or(|h| h.state == AssignmentState::Planned);
         let held = self.elastic_held(job);
         let surplus = self.elastic.as_ref().is_some_and(|p| p.surplus(k.0, held) > 0);
         if !surplus || planned {
@@ -123,7 +121,7 @@
         let Some(pool) = &mut self.elastic else { return };
         let mercy = pool.mercy(grace);
         pool.shrink(k.0, k, mercy, held.held - held.leaving - 1, now);
-        log::debug!("{}/{} gives room back, with {mercy:.1} s to save", self.jobs.at(k.0).id, k.1);
+        log::debug!("{}/{} gives room back, with {mercy:.1} s to save", self.jobs[k.0].id, k.1);
         self.stop_task(m, k, mercy);
     }
 
@@ -131,7 +129,7 @@
     pub(super) fn elastic_gone(&mut self, k: TaskKey) {
         let now = self.ticked;
         if let Some(took) = self.elastic.as_mut().and_then(|p| p.gone(k, now)) {
-            log::debug!("{}/{} gave its room back after {took:.2} s", self.jobs.at(k.0).id, k.1);
+            log::debug!("{}/{} gave its room back after {took:.2} s", self.jobs[k.0].id, k.1);
         }
     }
 
@@ -139,10 +137,11 @@
     pub(super) fn keep_elastic(&mut self, now: f64) {
         let Some(pool) = &mut self.elastic else { return };
         for k in pool.due(now) {
-            let Some(Slot::Held(m)) = self.jobs.get(k.0).and_then(|j| j.tasks.get(k.1 as usize)).copied() else {
+            let Some(TaskSlot::Assigned(m)) = self.jobs.get(k.0).and_then(|j| j.tasks.get(k.1 as usize)).copied()
+            else {
                 continue;
             };
-            log::info!("{}/{} did not save in time: stopped without", self.jobs.at(k.0).id, k.1);
+            log::info!("{}/{} did not save in time: stopped without", self.jobs[k.0].id, k.1);
             self.stop_task(m, k, 0.0);
         }
         if now - self.elastic_looked < LOOK_EVERY_S {
@@ -162,15 +161,15 @@
         let free: Vec<(crate::intern::TypeIx, bool, f64, f64, f64)> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.usable(now, fresh))
+            .filter(|(_, m)| m.is_usable(now, fresh))
             .map(|(_, m)| {
-                let t = self.types.get(m.ty);
-                (m.ty, m.spot, t.cpus - m.cpus_used, t.memory_gb - m.memory_used, t.cards - m.cards_used)
+                let t = self.types.get(m.machine_type);
+                (m.machine_type, m.spot, t.cpus - m.cpus_used, t.memory_gb - m.memory_used, t.cards - m.cards_used)
             })
             .filter(|f| f.2 > super::EPS)
             .collect();
         let room = |(j, _): (JobIx, Sizes)| {
-            let job = self.jobs.get(j).filter(|job| job.open() && job.shadowed_by == 0)?;
+            let job = self.jobs.get(j).filter(|job| job.open() && job.unreconciled_machines == 0)?;
             let r = &job.spec;
             let many = |free: f64, need: f64| if need > 0.0 { (free + super::EPS) / need } else { f64::from(u32::MAX) };
             let n: f64 = free
@@ -186,7 +185,7 @@
     /// Has an elastic job grown here? Nothing is rented for growth, but what it uses is not
     /// returned under it: the work is the same, and only sooner done.
     pub(super) fn grown_on(&self, m: &Machine) -> bool {
-        self.elastic.as_ref().is_some_and(|p| m.tasks.keys().any(|k| p.sizes(k.0).is_some()))
+        self.elastic.as_ref().is_some_and(|p| m.assignments.keys().any(|k| p.sizes(k.0).is_some()))
     }
 
     /// What people are told: every elastic job, and the shrinks.
@@ -199,7 +198,7 @@
                 smallest: s.smallest,
                 largest: s.largest,
                 wanted: pool.wanted(j).unwrap_or(0),
-                held: job.held,
+                held: job.assigned,
                 shrinks: pool.under_way(j),
             })
         };
@@ -221,7 +220,7 @@
         for (j, s) in pool.jobs() {
             let Some(job) = self.jobs.get(j) else { continue };
             n += 1;
-            held += job.held;
+            held += job.assigned;
             smallest += s.smallest.min(job.unfinished());
             wanted += pool.wanted(j).unwrap_or(0).min(job.unfinished());
         }
--- a/crates/scheduler/src/shard/failover.rs
+++ b/crates/scheduler/src/shard/failover.rs
@@ -75,7 +75,7 @@
             elastic_looked: now,
             others_wait: false,
             accounts: service_levels::Glue::new(token, now),
-            occupation: live_attempts::Occupation::default(),
+            live_attempts: live_attempts::LiveAttemptIndex::default(),
             recovery: checkpointing::Glue::new(value_bytes, &loaded.checkpoint, now),
             quotas: loaded.quotas.as_ref().map(|q| Quotas::new(&s.teams, q, value_bytes)),
             team_names,
@@ -88,9 +88,9 @@
             late_at: f64::MIN,
             stages: Stages::default(),
             takeover_log: TakeoverLog::default(),
-            most_unresponsive: false,
+            suspected_partition: false,
             list_read: false,
-            zones_asked: BTreeMap::new(),
+            zones_probed_at: BTreeMap::new(),
             fresh: loaded.machines.is_empty() && loaded.racks.is_empty(),
             day_ms: 0.0,
             report_s: s.report_s,
@@ -150,9 +150,9 @@
         for (key, r, v) in loaded.progress {
             shard.versions.insert(key.clone(), v);
             match shard.progress_of(&key) {
-                Some((j, from)) if shard.jobs.at(j).phase == Phase::Open => {
+                Some((j, from)) if shard.jobs[j].phase == Phase::Open => {
                     shard.jobs.load_progress(j, from, &r);
-                    if shard.jobs.at(j).wanted != Phase::Open {
+                    if shard.jobs[j].wanted != Phase::Open {
                         shard.finals.insert(j);
                     }
                 }
@@ -244,7 +244,7 @@
     pub(super) fn restore_rack(&mut self, i: RackIx, mut r: RackRecord, version: u64, now: f64) {
         let Some(ty) = self.types.names.find(&r.type_name) else {
             log::warn!("{} is of unknown type {}", rack_key(i), r.type_name);
-            self.hold_back(&r.jobs);
+            self.defer_job(&r.jobs);
             return;
         };
         let zone = self.types.zones.intern(&r.zone);
@@ -258,7 +258,7 @@
         // that names a machine of another rack, is replaced: its machines go to other racks,
         // and only when all of those are stored does it go.
         let names_another =
-            |x: &RackMachine| self.machines.find(&x.machine).is_some_and(|m| self.machines.at(m).rack.is_some());
+            |x: &RackMachine| self.machines.find(&x.machine).is_some_and(|m| self.machines[m].rack.is_some());
         let old = bytes > self.value_bytes || r.machines.iter().any(names_another);
         if !old {
             let names: Vec<JobIx> = r.jobs.iter().filter_map(|id| self.jobs.find(id)).collect();
@@ -271,7 +271,7 @@
             match self.restore_machine(&name, own, now) {
                 Some(m) if old => self.names_too(&key, m),
                 Some(m) => {
-                    self.machines.at_mut(m).rack = Some(i);
+                    self.machines[m].rack = Some(i);
                     self.racks.open(i, ty, zone, r.spot).members.insert(m);
                 }
                 None => {}
@@ -283,14 +283,14 @@
     }
 
     /// Machines that cannot be taken in may hold tasks of these jobs until their leases are surely over.
-    fn hold_back(&mut self, jobs: &[String]) {
+    fn defer_job(&mut self, jobs: &[String]) {
         let until = self.began + stretched(self.lease_s);
         for id in jobs {
             if let Some(j) = self.jobs.find(id) {
-                let job = self.jobs.at_mut(j);
+                let job = &mut self.jobs[j];
                 job.not_before = job.not_before.max(until);
             } else {
-                self.occupation.hold_back(id, until);
+                self.live_attempts.defer_job(id, until);
             }
         }
     }
@@ -298,7 +298,7 @@
     /// This value names the machine besides its rack's.
     pub(super) fn names_too(&mut self, key: &Arc<str>, m: MachineIx) {
         if self.racks.old_values.entry(key.clone()).or_default().insert(m) {
-            self.machines.at_mut(m).old_values.push(key.clone());
+            self.machines[m].old_values.push(key.clone());
         }
     }
 
@@ -308,27 +308,27 @@
     pub(super) fn restore_machine(&mut self, name: &str, r: MachineRecord, now: f64) -> Option<MachineIx> {
         let Some(ty) = self.types.names.find(&r.type_name) else {
             log::warn!("machine {name} is of unknown type {}", r.type_name);
-            self.hold_back(&r.jobs);
+            self.defer_job(&r.jobs);
             return None;
         };
         let zone = self.types.zones.intern(&r.zone);
         let m = self.machines.add(name, ty, zone, r.spot, now);
-        let mut jobs = std::mem::take(&mut self.machines.at_mut(m).stored_jobs);
+        let mut jobs = std::mem::take(&mut self.machines[m].stored_jobs);
         let mut first = None;
         for id in &r.jobs {
             match self.jobs.find(id) {
-                Some(j) if self.jobs.at(j).phase == Phase::Open => {
-                    self.jobs.at_mut(j).recorded = true;
+                Some(j) if self.jobs[j].phase == Phase::Open => {
+                    self.jobs[j].recorded = true;
                     if jobs.insert(j) {
-                        self.jobs.at_mut(j).shadowed_by += 1;
+                        self.jobs[j].unreconciled_machines += 1;
                     }
                 }
-                Some(j) if self.jobs.at(j).phase == Phase::Cancelled => first = Some(First::Cancelled),
-                Some(_) => first = first.or(Some(First::Over)),
+                Some(j) if self.jobs[j].phase == Phase::Cancelled => first = Some(PushUrgency::Cancelled),
+                Some(_) => first = first.or(Some(PushUrgency::JobOver)),
                 None => {
-                    first = first.or(Some(First::Over));
-                    self.occupation.may_hold(id, m);
-                    self.machines.at_mut(m).unknown_jobs.push(id.as_str().into());
+                    first = first.or(Some(PushUrgency::JobOver));
+                    self.live_attempts.note_possible_holder(id, m);
+                    self.machines[m].unrecognized_jobs.push(id.as_str().into());
                 }
             }
         }
@@ -338,11 +338,11 @@
             .map(|(i, gb)| CachedImage { image: self.jobs.images.intern(i), gb: *gb, ready: true })
             .collect();
         let until = self.began + stretched(self.lease_s);
-        let machine = self.machines.at_mut(m);
+        let machine = &mut self.machines[m];
         machine.addr = r.addr.parse().ok().or(machine.addr);
-        let retiring = r.retiring || machine.phase == MachinePhase::Retiring;
-        machine.phase = if retiring { MachinePhase::Retiring } else { MachinePhase::Up };
-        machine.unresolved_until = Some(until);
+        let retiring = r.terminating || machine.phase == MachinePhase::Terminating;
+        machine.phase = if retiring { MachinePhase::Terminating } else { MachinePhase::Up };
+        machine.reconcile_deadline = Some(until);
         machine.stored_jobs = jobs;
         machine.images = images;
         machine.record_stored = true;
@@ -350,8 +350,8 @@
             machine.quarantined_until = f64::INFINITY;
         }
         match first {
-            Some(why) => self.machines.direct_first(m, why),
-            None => _ = self.machines.direct_due.insert(m),
+            Some(why) => self.machines.push_first(m, why),
+            None => _ = self.machines.push_due.insert(m),
         }
         if retiring {
             self.deletes.insert(m);
@@ -360,15 +360,15 @@
     }
 
     /// From now on it is known what this machine holds.
-    pub(crate) fn resolve(&mut self, m: MachineIx) {
-        let machine = self.machines.at_mut(m);
-        if machine.unresolved_until.take().is_some() {
+    pub(crate) fn mark_reconciled(&mut self, m: MachineIx) {
+        let machine = &mut self.machines[m];
+        if machine.reconcile_deadline.take().is_some() {
             for j in machine.stored_jobs.clone() {
-                let job = self.jobs.at_mut(j);
-                job.shadowed_by = job.shadowed_by.saturating_sub(1);
+                let job = &mut self.jobs[j];
+                job.unreconciled_machines = job.unreconciled_machines.saturating_sub(1);
             }
-            for id in std::mem::take(&mut self.machines.at_mut(m).unknown_jobs) {
-                self.occupation.holds_no_more(&id, m);
+            for id in std::mem::take(&mut self.machines[m].unrecognized_jobs) {
+                self.live_attempts.clear_possible_holder(&id, m);
             }
             self.place_due = true;
         }
@@ -380,13 +380,13 @@
         let waited = now - self.began;
         let rounds = if self.fresh { 0.5 } else { 1.5 };
         waited > self.report_s * 3.0
-            || (waited > self.report_s * rounds && self.machines.iter().all(|(_, m)| m.resolved()))
+            || (waited > self.report_s * rounds && self.machines.iter().all(|(_, m)| m.is_reconciled()))
     }
 
     /// Tells once how long each stage of the takeover took.
     pub(super) fn tell_stages(&mut self, now: f64) {
         let s = &mut self.stages;
-        if s.told || !self.machines.present.iter().all(|m| self.machines.list[m.ix()].resolved()) {
+        if s.told || !self.machines.present.iter().all(|m| self.machines.list[m.ix()].is_reconciled()) {
             return;
         }
         let resolved = *s.resolved.get_or_insert(now - self.began);
--- a/crates/scheduler/src/shard/graceful_eviction.rs
+++ b/crates/scheduler/src/shard/graceful_eviction.rs
@@ -2,7 +2,7 @@
 
 use super::Shard;
 use super::placement::{Promised, taken_by};
-use crate::fleet::{Held, HeldState, Phase as MachinePhase};
+use crate::fleet::{Assignment, AssignmentState, Phase as MachinePhase};
 use crate::intern::MachineIx;
 use crate::jobs::TaskKey;
 
@@ -24,9 +24,9 @@
     /// only where another machine can take them at once. Of many machines, several are
     /// left at a time: a hundred waited for minutes otherwise, paid for a few replicas.
     pub(super) fn move_one_service(&mut self, now: f64) {
-        let moving = |s: &Self, k: &TaskKey, h: &Held| {
-            let job = s.jobs.at(k.0);
-            job.is_service() && job.held == job.spec.tasks && h.state == HeldState::Running
+        let moving = |s: &Self, k: &TaskKey, h: &Assignment| {
+            let job = &s.jobs[k.0];
+            job.is_service() && job.assigned == job.spec.tasks && h.state == AssignmentState::Running
         };
         let most = (self.leaving().count() / MACHINES_A_MOVE).max(1);
         for (m, k) in self.movable(most, moving, now) {
@@ -37,9 +37,9 @@
     /// So do batch tasks that can save: a machine that is nearly empty waits for its
     /// longest task otherwise. Only such whose start has counted by now.
     pub(super) fn move_saved_tasks(&mut self, now: f64) {
-        let moving = |s: &Self, k: &TaskKey, h: &Held| {
-            let spec = &s.jobs.at(k.0).spec;
-            spec.checkpoint_s > 0.0 && h.state == HeldState::Running && now - h.running_since > COUNTED_S
+        let moving = |s: &Self, k: &TaskKey, h: &Assignment| {
+            let spec = &s.jobs[k.0].spec;
+            spec.checkpoint_s > 0.0 && h.state == AssignmentState::Running && now - h.running_since > COUNTED_S
         };
         let most = (self.leaving().count() / MACHINES_A_MOVE).max(MOST_MOVED);
         for (m, k) in self.movable(most, moving, now) {
@@ -52,7 +52,7 @@
     fn movable(
         &mut self,
         most: usize,
-        moving: impl Fn(&Self, &TaskKey, &Held) -> bool,
+        moving: impl Fn(&Self, &TaskKey, &Assignment) -> bool,
         now: f64,
     ) -> Vec<(MachineIx, TaskKey)> {
         let mut out = Vec::new();
@@ -63,8 +63,8 @@
         leaving.rotate_left(first);
         let mut promised = Promised::default();
         for i in leaving {
-            for (k, h) in self.machines.at(i).tasks.iter().filter(|(_, h)| h.stop.is_none()) {
-                let job = self.jobs.at(k.0);
+            for (k, h) in self.machines[i].assignments.iter().filter(|(_, h)| h.stop_grace_s.is_none()) {
+                let job = &self.jobs[k.0];
                 if !moving(self, k, h) || !job.open() {
                     continue;
                 }
--- a/crates/scheduler/src/shard/large_jobs.rs
+++ b/crates/scheduler/src/shard/large_jobs.rs
@@ -138,8 +138,8 @@
 
 impl Shard {
     pub(super) fn size_came(&mut self, j: JobIx) {
-        if self.jobs.at(j).phase == Phase::Open {
-            self.largest.came(&self.jobs.at(j).spec);
+        if self.jobs[j].phase == Phase::Open {
+            self.largest.came(&self.jobs[j].spec);
         }
     }
 
@@ -149,12 +149,12 @@
         let now_ms = self.day_now_ms(now);
         let mut told = Vec::new();
         for &j in &self.jobs.live {
-            let job = self.jobs.at(j);
+            let job = &self.jobs[j];
             if job.told_largest || !job.open() || job.at_fault() {
                 continue;
             }
             let waited_s = now_ms.saturating_sub(job.freed_ms) / 1000;
-            let begun = job.begun > 0 || job.done > 0;
+            let begun = job.started > 0 || job.done > 0;
             if !begun && waited_s <= PROMISED_S {
                 continue;
             }
@@ -165,7 +165,7 @@
             told.push((j, one.then_some(begun && waited_s <= PROMISED_S)));
         }
         for (j, served) in told {
-            let job = self.jobs.at_mut(j);
+            let job = &mut self.jobs[j];
             job.told_largest = true;
             if let Some(served) = served {
                 if !served {
@@ -179,7 +179,7 @@
 
     /// The first part of this job's tasks, if it is to go ahead of other batch work now.
     pub(crate) fn first_part(&self, j: JobIx, now_ms: u64) -> Option<u32> {
-        let job = self.jobs.at(j);
+        let job = &self.jobs[j];
         let waited_s = now_ms.saturating_sub(job.freed_ms) / 1000;
         if waited_s < BEGINS_AFTER_S || job.spec.priority == Priority::Production || job.at_fault() {
             return None;
@@ -191,7 +191,7 @@
             1 => tasks.div_ceil(2),
             _ => tasks,
         };
-        Some(goes.saturating_sub(job.held + job.done)).filter(|n| *n > 0)
+        Some(goes.saturating_sub(job.assigned + job.done)).filter(|n| *n > 0)
     }
 
     /// A batch task starts that takes so many cpus.
@@ -208,11 +208,11 @@
     /// Will its team's limit let a task of this job run once the team's other batch work is over? Where
     /// services hold too much of the limit nothing must wait for it: it would wait for ever.
     pub(crate) fn limit_will_do(&self, j: JobIx) -> bool {
-        let job = self.jobs.at(j);
+        let job = &self.jobs[j];
         let team = &self.teams[job.team.ix()].spec;
-        let services = self.jobs.live.iter().map(|i| self.jobs.at(*i)).filter(|o| o.team == job.team && o.is_service());
+        let services = self.jobs.live.iter().map(|i| &self.jobs[*i]).filter(|o| o.team == job.team && o.is_service());
         let (cpus, cards) = services.fold((0.0, 0.0), |(c, g), o| {
-            let n = f64::from(o.held);
+            let n = f64::from(o.assigned);
             (c + n * o.spec.cpus, g + n * o.spec.cards)
         });
         let fits = |max: f64, held: f64, need: f64| max <= 0.0 || held + need <= max + EPS;
@@ -222,29 +222,29 @@
     /// No machine has room for a task of this job: one is kept free of other batch work until it has.
     /// What may be stopped for it there is stopped.
     pub(crate) fn keep_machine(&mut self, j: JobIx, now: f64) {
-        let job = self.jobs.at(j);
+        let job = &self.jobs[j];
         let kept = self.largest.kept.iter().find(|(_, k)| k.0 == j).map(|(m, _)| *m);
         let most = (self.machines.present.len() / KEPT_SHARE).max(1);
         if self.largest.in_a_row.in_break(now) || kept.is_none() && self.largest.kept.len() >= most {
             return;
         }
-        let silent_s = self.fresh_s();
+        let heartbeat_timeout_s = self.fresh_s();
         let could = |m: &crate::fleet::Machine| {
-            !m.base
-                && m.usable(now, silent_s)
-                && may_run_beside(self, job, m, job.held, job.in_zone(m.zone))
-                && type_fits(&job.spec, self.types.get(m.ty))
+            !m.in_on_demand_base
+                && m.is_usable(now, heartbeat_timeout_s)
+                && may_run_beside(self, job, m, job.assigned, job.in_zone(m.zone))
+                && type_fits(&job.spec, self.types.get(m.machine_type))
         };
         // Until what must be waited for there is over, in seconds, about.
         let clears = |m: &crate::fleet::Machine| {
-            let left = m.tasks.iter().filter(|(k, _)| self.jobs.at(k.0).spec.priority <= job.spec.priority);
-            left.map(|(k, h)| match self.jobs.at(k.0).spec.estimate_s {
+            let left = m.assignments.iter().filter(|(k, _)| self.jobs[k.0].spec.priority <= job.spec.priority);
+            left.map(|(k, h)| match self.jobs[k.0].spec.estimate_s {
                 0.0 => f64::INFINITY,
-                s => (s - (now - h.since)).max(1.0),
+                s => (s - (now - h.assigned_at)).max(1.0),
             })
             .fold(0.0, f64::max)
         };
-        let m = kept.filter(|m| could(self.machines.at(*m))).or_else(|| {
+        let m = kept.filter(|m| could(&self.machines[*m])).or_else(|| {
             let all = self.machines.iter().filter(|(i, m)| could(m) && !self.largest.kept.contains_key(i));
             // One with services never clears: kept, it would only be lost to everybody.
             let clears = all.map(|(i, m)| (clears(m), i)).filter(|c| c.0.is_finite());
@@ -254,13 +254,13 @@
         self.largest.in_a_row.kept(now);
         if kept != Some(m) {
             self.largest.kept.retain(|_, k| k.0 != j);
-            log::info!("machine {} is kept for {}", self.machines.at(m).name, self.jobs.at(j).id);
+            log::info!("machine {} is kept for {}", self.machines[m].name, self.jobs[j].id);
             self.largest.kept.insert(m, (j, now));
         }
-        let priority = self.jobs.at(j).spec.priority;
-        let gives = |k: &TaskKey, h: &Held| h.stop.is_none() && self.jobs.at(k.0).spec.priority > priority;
+        let priority = self.jobs[j].spec.priority;
+        let gives = |k: &TaskKey, h: &Assignment| h.stop_grace_s.is_none() && self.jobs[k.0].spec.priority > priority;
         let gives: Vec<TaskKey> =
-            self.machines.at(m).tasks.iter().filter(|(k, h)| gives(k, h)).map(|(k, _)| *k).collect();
+            self.machines[m].assignments.iter().filter(|(k, h)| gives(k, h)).map(|(k, _)| *k).collect();
         if self.writable {
             gives.into_iter().for_each(|k| self.stop_gently(m, k));
         }
@@ -287,7 +287,7 @@
         }
         let (jobs, machines) = (&self.jobs, &self.machines);
         self.largest.kept.retain(|m, (j, since)| {
-            let waits = jobs.get(*j).is_some_and(|j| j.open() && j.unfinished() > j.held);
+            let waits = jobs.get(*j).is_some_and(|j| j.open() && j.unfinished() > j.assigned);
             let there = machines.list.get(*m).is_some_and(|m| m.phase == MachinePhase::Up && !m.cordoned);
             waits && there && now - *since < KEPT_FOR_S
         });
--- a/crates/scheduler/src/shard/live_attempts.rs
+++ b/crates/scheduler/src/shard/live_attempts.rs
@@ -5,28 +5,28 @@
 //! starts nowhere else. A held attempt occupies its slot ([`Slot::Held`]); this is the index of all others.
 
 use super::Shard;
-use crate::fleet::{Leftover, UnknownAttempt};
+use crate::fleet::{UnassignedAttempt, UnrecognizedAttempt};
 use crate::intern::{JobIx, MachineIx};
-use crate::jobs::{Slot, TaskKey};
+use crate::jobs::{TaskKey, TaskSlot};
 use std::collections::{BTreeSet, HashMap};
 
 /// Attempts that are listed and not held, by task; and machines that may hold tasks of jobs that are not known here.
 #[derive(Debug, Default)]
-pub(super) struct Occupation {
+pub(super) struct LiveAttemptIndex {
     /// Machines that list an orphaned attempt of the task.
     orphaned: HashMap<TaskKey, BTreeSet<MachineIx>>,
     /// Machines that list attempts of an unknown job, or whose stored records name it.
-    unknown_jobs: HashMap<String, BTreeSet<MachineIx>>,
+    unrecognized_jobs: HashMap<String, BTreeSet<MachineIx>>,
     /// Until when nothing may start of an unknown job, which a record names that could not be taken in.
-    held_back: HashMap<String, f64>,
+    deferred_jobs: HashMap<String, f64>,
 }
 
-impl Occupation {
-    pub(super) fn orphan_listed(&mut self, key: TaskKey, m: MachineIx) {
+impl LiveAttemptIndex {
+    pub(super) fn insert_orphan(&mut self, key: TaskKey, m: MachineIx) {
         self.orphaned.entry(key).or_default().insert(m);
     }
 
-    pub(super) fn orphan_gone(&mut self, key: TaskKey, m: MachineIx) {
+    pub(super) fn remove_orphan(&mut self, key: TaskKey, m: MachineIx) {
         if let Some(machines) = self.orphaned.get_mut(&key) {
             machines.remove(&m);
             if machines.is_empty() {
@@ -36,81 +36,83 @@
     }
 
     /// A machine that lists an orphaned attempt of this task.
-    pub(super) fn orphan_on(&self, key: &TaskKey) -> Option<MachineIx> {
+    pub(super) fn machine_listing_orphan(&self, key: &TaskKey) -> Option<MachineIx> {
         self.orphaned.get(key).and_then(|machines| machines.first().copied())
     }
 
-    pub(super) fn may_hold(&mut self, job: &str, m: MachineIx) {
-        self.unknown_jobs.entry(job.to_owned()).or_default().insert(m);
+    pub(super) fn note_possible_holder(&mut self, job: &str, m: MachineIx) {
+        self.unrecognized_jobs.entry(job.to_owned()).or_default().insert(m);
     }
 
-    pub(super) fn holds_no_more(&mut self, job: &str, m: MachineIx) {
-        if let Some(machines) = self.unknown_jobs.get_mut(job) {
+    pub(super) fn clear_possible_holder(&mut self, job: &str, m: MachineIx) {
+        if let Some(machines) = self.unrecognized_jobs.get_mut(job) {
             machines.remove(&m);
             if machines.is_empty() {
-                self.unknown_jobs.remove(job);
+                self.unrecognized_jobs.remove(job);
             }
         }
     }
 
-    pub(super) fn hold_back(&mut self, job: &str, until: f64) {
-        let known = self.held_back.entry(job.to_owned()).or_insert(until);
+    pub(super) fn defer_job(&mut self, job: &str, until: f64) {
+        let known = self.deferred_jobs.entry(job.to_owned()).or_insert(until);
         *known = known.max(until);
     }
 }
 
 impl Shard {
     /// A job came to be known after machines were heard or restored that hold or may hold tasks of it.
-    pub(super) fn occupy_by_unknown(&mut self, j: JobIx, now: f64) {
-        let id = self.jobs.at(j).id.clone();
-        if let Some(until) = self.occupation.held_back.remove(&*id) {
-            let job = self.jobs.at_mut(j);
+    pub(super) fn resolve_unrecognized_job(&mut self, j: JobIx, now: f64) {
+        let id = self.jobs[j].id.clone();
+        if let Some(until) = self.live_attempts.deferred_jobs.remove(&*id) {
+            let job = &mut self.jobs[j];
             job.not_before = job.not_before.max(until);
         }
-        for m in self.occupation.unknown_jobs.remove(&*id).unwrap_or_default() {
-            self.shadow_by_record(m, j);
-            self.take_unknown(m, j, now);
+        for m in self.live_attempts.unrecognized_jobs.remove(&*id).unwrap_or_default() {
+            self.block_until_reconciled(m, j);
+            self.settle_unrecognized_attempts(m, j, now);
         }
     }
 
     /// The stored record of an unresolved machine names the job, which was not known when it was read.
-    fn shadow_by_record(&mut self, m: MachineIx, j: JobIx) {
-        let job = self.jobs.at_mut(j);
+    fn block_until_reconciled(&mut self, m: MachineIx, j: JobIx) {
+        let job = &mut self.jobs[j];
         let Some(machine) = self.machines.list.get_mut(m) else { return };
-        let before = machine.unknown_jobs.len();
-        machine.unknown_jobs.retain(|id| *id != job.id);
-        let named = machine.unknown_jobs.len() < before;
-        if named && job.open() && !machine.resolved() && machine.stored_jobs.insert(j) {
-            job.shadowed_by += 1;
+        let before = machine.unrecognized_jobs.len();
+        machine.unrecognized_jobs.retain(|id| *id != job.id);
+        let named = machine.unrecognized_jobs.len() < before;
+        if named && job.open() && !machine.is_reconciled() && machine.stored_jobs.insert(j) {
+            job.unreconciled_machines += 1;
             job.recorded = true;
         }
     }
 
     /// Attempts of the job that the machine lists, and that were of no known task until now.
-    fn take_unknown(&mut self, m: MachineIx, j: JobIx, now: f64) {
+    fn settle_unrecognized_attempts(&mut self, m: MachineIx, j: JobIx, now: f64) {
         let Some(machine) = self.machines.list.get_mut(m) else { return };
-        let id = self.jobs.at(j).id.clone();
-        let of_job = |unknown: &UnknownAttempt| unknown.job().is_some_and(|(job, _)| *job == *id);
-        let listed: Vec<_> = machine.unknown.extract_if(.., |unknown| of_job(unknown)).collect();
+        let id = self.jobs[j].id.clone();
+        let of_job = |unknown: &UnrecognizedAttempt| unknown.job().is_some_and(|(job, _)| *job == *id);
+        let listed: Vec<_> = machine.unrecognized_attempts.extract_if(.., |unknown| of_job(unknown)).collect();
         for unknown in listed {
             match self.key_of(&unknown.task) {
-                Some(key) => self.take_unheld(m, key, unknown.attempt, unknown.state, now),
-                None => self.machines.at_mut(m).unknown.push(unknown),
+                Some(key) => self.settle_unassigned_attempt(m, key, unknown.attempt, unknown.state, now),
+                None => self.machines[m].unrecognized_attempts.push(unknown),
             }
         }
     }
 
     /// A slot is free, and a machine lists an attempt of its task all the same: that attempt is held, and the task
     /// is not queued.
-    pub(super) fn hold_orphan(&mut self, key: TaskKey) -> bool {
-        let job = self.jobs.at(key.0);
-        let free = job.open() && job.tasks.get(key.1 as usize) == Some(&Slot::Queued);
-        let Some(m) = self.occupation.orphan_on(&key).filter(|_| free) else { return false };
-        let Some(&(attempt, Leftover::Orphaned(state))) = self.machines.at(m).leftovers.get(&key) else { return false };
-        if self.machines.at(m).tasks.contains_key(&key) {
+    pub(super) fn adopt_orphan_of_free_slot(&mut self, key: TaskKey) -> bool {
+        let job = &self.jobs[key.0];
+        let free = job.open() && job.tasks.get(key.1 as usize) == Some(&TaskSlot::Queued);
+        let Some(m) = self.live_attempts.machine_listing_orphan(&key).filter(|_| free) else { return false };
+        let Some(&(attempt, UnassignedAttempt::Orphaned(state))) = self.machines[m].unassigned.get(&key) else {
+            return false;
+        };
+        if self.machines[m].assignments.contains_key(&key) {
             return false;
         }
-        self.take_unheld(m, key, attempt, state, self.ticked);
+        self.settle_unassigned_attempt(m, key, attempt, state, self.ticked);
         true
     }
 }
--- a/crates/scheduler/src/shard/machine_records.rs
+++ b/crates/scheduler/src/shard/machine_records.rs
@@ -6,7 +6,7 @@
 impl Shard {
     /// The machine is recorded by its rack, or gone: no other value needs to name it.
     pub(crate) fn recorded_or_gone(&mut self, m: MachineIx) {
-        for key in std::mem::take(&mut self.machines.at_mut(m).old_values) {
+        for key in std::mem::take(&mut self.machines[m].old_values) {
             if self.racks.left_old_value(&key, m) {
                 self.cleanup.insert(key.to_string());
             }
@@ -23,7 +23,7 @@
         for half in members.chunks(members.len().div_ceil(2)) {
             let i = self.racks.set_apart((rack.ty, rack.zone, rack.spot), half.iter().copied().collect());
             for &m in half {
-                self.machines.at_mut(m).rack = Some(i);
+                self.machines[m].rack = Some(i);
                 if stored {
                     self.names_too(&key, m);
                 }
@@ -41,9 +41,9 @@
         for (&i, rack) in &self.racks.list {
             let waits = self.racks_due.contains(&i) || self.in_flight.contains(&rack_key(i));
             let takes = |m: &MachineIx| {
-                let m = self.machines.at(*m);
-                let free = self.types.get(m.ty).cpus - m.cpus_used;
-                m.phase == MachinePhase::Up && m.resolved() && !m.cordoned && free + EPS >= self.service_cpus
+                let m = &self.machines[*m];
+                let free = self.types.get(m.machine_type).cpus - m.cpus_used;
+                m.phase == MachinePhase::Up && m.is_reconciled() && !m.cordoned && free + EPS >= self.service_cpus
             };
             if rack.cramped(self.value_bytes) && !waits && rack.members.iter().any(takes) {
                 crowded.push(i);
@@ -69,7 +69,7 @@
     pub(super) fn rack_of(&mut self, m: MachineIx) -> RackIx {
         let value_bytes = self.value_bytes;
         let machine = &mut self.machines.list[m.ix()];
-        let sort = (machine.ty, machine.zone, machine.spot);
+        let sort = (machine.machine_type, machine.zone, machine.spot);
         *machine.rack.get_or_insert_with(|| self.racks.join(m, sort, value_bytes))
     }
 
@@ -83,7 +83,7 @@
     /// Can this machine's record name one more job?
     pub(crate) fn record_has_room(&self, m: &crate::fleet::Machine, j: JobIx, id: &str) -> bool {
         m.stored_jobs.contains(&j)
-            || m.tasks.range((j, 0)..=(j, u32::MAX)).next().is_some()
+            || m.assignments.range((j, 0)..=(j, u32::MAX)).next().is_some()
             || m.rack.and_then(|r| self.racks.list.get(&r)).is_none_or(|r| r.has_room(j, id, self.value_bytes))
     }
 }
--- a/crates/scheduler/src/shard/machine_transfers.rs
+++ b/crates/scheduler/src/shard/machine_transfers.rs
@@ -46,19 +46,19 @@
     /// Nothing is on this machine, nothing that was said to it can yet start anything there, and no
     /// value besides its rack's names it.
     fn is_bare(&self, m: MachineIx) -> bool {
-        let x = self.machines.at(m);
+        let x = &self.machines[m];
         x.phase == MachinePhase::Up
-            && x.resolved()
+            && x.is_reconciled()
             && x.reported_token
-            && !x.doubted()
-            && !x.direct_busy
-            && x.tasks.is_empty()
-            && x.leftovers.is_empty()
-            && x.loose.is_empty()
-            && x.unknown.is_empty()
+            && !x.command_path_in_doubt()
+            && !x.push_in_flight
+            && x.assignments.is_empty()
+            && x.unassigned.is_empty()
+            && x.unacknowledged_starts.is_empty()
+            && x.unrecognized_attempts.is_empty()
             && x.old_values.is_empty()
-            && x.notice_until.is_none()
-            && !x.faulty()
+            && x.reclaimed_at.is_none()
+            && !x.is_quarantined()
             && !self.hands.arriving.contains(&*x.name)
     }
 
@@ -69,7 +69,7 @@
             return true;
         }
         let since = *self.hands.empty_since.entry(m).or_insert(now);
-        let cpus = self.types.get(self.machines.at(m).ty).cpus;
+        let cpus = self.types.get(self.machines[m].machine_type).cpus;
         if let Some((to, left)) = self.hands.order
             // A whole machine for a part of one: else a cell that is short by less would wait for ever.
             && left > 0.0
@@ -78,7 +78,7 @@
         {
             self.hands.order = Some((to, left - cpus));
             self.hands.chosen.insert(m, to);
-            self.machines.at_mut(m).phase = MachinePhase::Leaving;
+            self.machines[m].phase = MachinePhase::Draining;
             return false;
         }
         now - since > self.hands.hold_s
@@ -92,17 +92,17 @@
     /// Cpus of machines that other cells may have.
     pub(super) fn idle_cpus(&self) -> f64 {
         let bare = self.hands.empty_since.keys().filter(|m| self.is_bare(**m));
-        bare.map(|m| self.types.get(self.machines.at(*m).ty).cpus).sum()
+        bare.map(|m| self.types.get(self.machines[*m].machine_type).cpus).sum()
     }
 
     /// What was set aside for other cells, as the next owner has to know it.
     pub fn set_aside(&self) -> Vec<(CellIx, Handed)> {
         let handed = |(m, to): (&MachineIx, &CellIx)| {
-            let x = self.machines.at(*m);
+            let x = &self.machines[*m];
             let handed = Handed {
                 machine: x.name.to_string(),
                 addr: x.addr.map(|a| a.to_string()).unwrap_or_default(),
-                type_name: self.types.names.name(x.ty).to_string(),
+                type_name: self.types.names.name(x.machine_type).to_string(),
                 zone: self.types.zones.name(x.zone).to_string(),
                 spot: x.spot,
             };
@@ -129,7 +129,7 @@
                 continue;
             }
             self.hands.empty_since.remove(&m);
-            let machine = self.machines.at_mut(m);
+            let machine = &mut self.machines[m];
             if !stored {
                 machine.phase = MachinePhase::Up;
                 continue;
@@ -185,7 +185,7 @@
             self.hands.arriving.insert(h.machine.clone());
             if let Some(m) = self.machines.find(&h.machine) {
                 // It may have come by itself, before the word of it.
-                if self.machines.at(m).phase == MachinePhase::Up && self.machines.at(m).rack.is_none() {
+                if self.machines[m].phase == MachinePhase::Up && self.machines[m].rack.is_none() {
                     self.want_record(m);
                 }
                 continue;
@@ -194,10 +194,10 @@
             let zone = self.types.zones.intern(&h.zone);
             log::info!("machine {} comes from another cell", h.machine);
             let m = self.machines.add(&h.machine, ty, zone, h.spot, now);
-            let machine = self.machines.at_mut(m);
+            let machine = &mut self.machines[m];
             machine.addr = h.addr.parse().ok();
             machine.phase = MachinePhase::Up;
-            self.machines.direct_due.insert(m);
+            self.machines.push_due.insert(m);
             self.want_record(m);
         }
     }
@@ -205,7 +205,7 @@
     /// Does this machine stand in a stored value of this cell, or is it gone?
     pub fn settled(&self, machine: &str) -> bool {
         self.machines.find(machine).is_none_or(|m| {
-            let x = self.machines.at(m);
+            let x = &self.machines[m];
             x.record_stored || x.phase == MachinePhase::Gone
         })
     }
--- a/crates/scheduler/src/shard/mod.rs
+++ b/crates/scheduler/src/shard/mod.rs
@@ -37,10 +37,10 @@
 pub use admission::{Unfit, judge, type_fits};
 pub use checkpointing::{Found, job_of};
 pub use cloud_calls::CloudCall;
-pub use commands::{Direct, DirectSend};
+pub use commands::{PushOutcome, PushRequest};
 pub use elastic::{ElasticReport, bound as elastic_bound};
 pub use failover::Loaded;
-pub use heartbeats::Heard;
+pub use heartbeats::HeartbeatOutcome;
 pub use permission::{Forbidden, Lapsed};
 pub use quotas::{LoadedQuotas, QuotaReport, Quotas, Row as QuotaRow, fits_values, team_limits};
 pub use rebalancing::limits;
@@ -53,9 +53,11 @@
 use crate::fleet::machine_groups::{RackMachine, RackRecord, Racks, rack_key};
 use crate::fleet::mixture::{Mixture, Target};
 use crate::fleet::zones::ZoneLists;
-use crate::fleet::{CachedImage, First, Held, HeldState, MachineRecord, Machines, Phase as MachinePhase, Types};
+use crate::fleet::{
+    Assignment, AssignmentState, CachedImage, MachineRecord, Machines, Phase as MachinePhase, PushUrgency, Types,
+};
 use crate::intern::{Index, JobIx, MachineIx, Names, RackIx, TeamIx, TypeIx, ZoneIx};
-use crate::jobs::{Job, JobRecord, Jobs, PART_PREFIX, PROGRESS_PREFIX, Phase, ProgressRecord, Slot, TaskKey};
+use crate::jobs::{Job, JobRecord, Jobs, PART_PREFIX, PROGRESS_PREFIX, Phase, ProgressRecord, TaskKey, TaskSlot};
 use crate::params::{Params, Team, Tuning};
 use crate::times::stretched;
 use crate::wire::{JobState, Kind, MachineType};
@@ -131,7 +133,7 @@
     pub(crate) others_wait: bool,
     accounts: service_levels::Glue,
     recovery: checkpointing::Glue,
-    occupation: live_attempts::Occupation,
+    live_attempts: live_attempts::LiveAttemptIndex,
     pub team_names: Names<TeamIx>,
     pub pools: BTreeMap<TypeIx, Pool>,
     pub launches: Launches,
@@ -151,11 +153,11 @@
     stages: failover::Stages,
     takeover_log: failover::TakeoverLog,
     /// Most machines were asked whether they are there, and did not answer.
-    pub(crate) most_unresponsive: bool,
+    pub(crate) suspected_partition: bool,
     /// Has the cloud told this owner which machines there are?
     pub(crate) list_read: bool,
     /// When all machines of a zone were last asked whether they are there.
-    zones_asked: BTreeMap<ZoneIx, f64>,
+    zones_probed_at: BTreeMap<ZoneIx, f64>,
     /// The time of day at the steady clock's zero, in milliseconds.
     pub day_ms: f64,
     pub report_s: f64,
@@ -232,7 +234,7 @@
         *known = (*known).max(version);
         if let Some(j) = self.jobs.find(&r.job.id) {
             // Our own write, whose answer comes later or never: nobody else ends jobs of ours.
-            if self.jobs.at(j).final_sent && self.jobs.at(j).wanted == r.phase {
+            if self.jobs[j].final_sent && self.jobs[j].wanted == r.phase {
                 self.end_stands(j, r.phase, now);
             }
             return Some(j);
@@ -252,14 +254,14 @@
         self.elastic_enter(j);
         self.enter(j, now);
         self.account_due(j);
-        self.occupy_by_unknown(j, now);
+        self.resolve_unrecognized_job(j, now);
         Some(j)
     }
 
     /// What a user may be told of a job, if it is known here.
     pub fn show(&self, id: &str) -> Option<Shown> {
         let ix = self.jobs.find(id)?;
-        let j = self.jobs.at(ix);
+        let j = &self.jobs[ix];
         // Another node may have read the final phase already, and told it: a slow answer
         // to our write once made a cancelled job "queued" again. One that is cancelled with a job
         // that it needs may be told neither as it was, long after that one's user was told, nor as
@@ -274,7 +276,7 @@
     /// A user wants the job cancelled. The answer waits until that is stored.
     pub fn cancel(&mut self, id: &str) -> bool {
         let Some(j) = self.jobs.find(id) else { return false };
-        let job = self.jobs.at_mut(j);
+        let job = &mut self.jobs[j];
         // On its way to another cell: that one cancels it, if it gets there.
         if job.leaving {
             return true;
@@ -285,7 +287,7 @@
             self.stop_all(j);
         }
         // Its user waits for the answer now, whatever else it is cancelled for.
-        let doomed = &mut self.jobs.at_mut(j).doomed;
+        let doomed = &mut self.jobs[j].doomed;
         *doomed = doomed.map(|_| f64::MIN);
         true
     }
@@ -302,26 +304,26 @@
 
     /// How long a machine has been silent, not counting what this owner could not hear
     /// because it was not entitled to answer.
-    pub(crate) fn silence(&self, m: &crate::fleet::Machine, now: f64) -> f64 {
-        now - m.last_heard.max(self.resumed)
+    pub(crate) fn heartbeat_age(&self, m: &crate::fleet::Machine, now: f64) -> f64 {
+        now - m.last_heartbeat_at.max(self.resumed)
     }
 
     /// How long this machine has sent this owner no report by itself, counted in the same way.
-    pub(crate) fn own_silence(&self, m: &crate::fleet::Machine, now: f64) -> f64 {
-        now - m.own_report.max(self.resumed)
+    pub(crate) fn own_heartbeat_age(&self, m: &crate::fleet::Machine, now: f64) -> f64 {
+        now - m.own_heartbeat_at.max(self.resumed)
     }
 
     /// Is no worker heard at all, though several should report? Of a machine that the cloud does not list
     /// nobody hears anything: after all machines had died, each owner took itself for the one that is cut off,
     /// and none stayed for long enough to rent others.
-    pub fn deaf(&self, now: f64) -> bool {
+    pub fn is_partitioned_from_workers(&self, now: f64) -> bool {
         // Those that were asked because their reports are overdue say nothing, and nobody else
         // said anything just now either: that tells sooner than the last one's silence.
-        let limit = if self.most_unresponsive { self.report_s / 2.0 + 1.0 } else { self.report_s * 1.25 + 2.0 };
+        let limit = if self.suspected_partition { self.report_s / 2.0 + 1.0 } else { self.report_s * 1.25 + 2.0 };
         let mut expected = 0;
         for (_, m) in self.machines.iter().filter(|(_, m)| m.phase == MachinePhase::Up) {
-            expected += usize::from(!self.list_read || m.listed && m.missing == 0);
-            if self.silence(m, now) < limit {
+            expected += usize::from(!self.list_read || m.listed && m.missed_listings == 0);
+            if self.heartbeat_age(m, now) < limit {
                 return false;
             }
         }
@@ -342,7 +344,7 @@
         self.keep_elastic(now);
         if now - self.watched_at >= WATCH_EVERY_S {
             self.watched_at = now;
-            self.watch_machines(now);
+            self.check_machines(now);
         }
         // Time alone changes what waiting work may take.
         if self.others_wait && now - self.looked_again_at >= LOOK_AGAIN_EVERY_S {
--- a/crates/scheduler/src/shard/permission.rs
+++ b/crates/scheduler/src/shard/permission.rs
@@ -1,11 +1,11 @@
 //! Whether what was decided may still be done. Between a decision and its sending lie queues, connections that are
 //! opened and pauses of the process: it is asked once more when the bytes are about to leave.
 
-use super::{DirectSend, Shard};
-use crate::fleet::{Held, Phase as MachinePhase};
+use super::{PushRequest, Shard};
+use crate::fleet::{Assignment, Phase as MachinePhase};
 use crate::intern::MachineIx;
-use crate::jobs::{Phase, Slot, TaskKey};
-use crate::wire::Op;
+use crate::jobs::{Phase, TaskKey, TaskSlot};
+use crate::wire::CommandKind;
 
 /// Why an act that was decided may not be done any more.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
@@ -22,34 +22,34 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Forbidden {
     #[error("its job is over, or is being ended")]
-    Over,
+    JobOver,
     #[error("it is held by a machine, or done")]
     NotQueued,
     #[error("a machine that was not heard yet may hold tasks of its job")]
     MayRunElsewhere,
     #[error("its machine has not shown the token of this owner")]
-    MachineUnknown,
+    MachineNotReconciled,
     #[error("an earlier start of it may yet arrive there")]
-    EarlierStart,
+    StartUnacknowledged,
     #[error("a machine lists an attempt of it that has not ended")]
     Occupied,
     #[error("its job waits for others, or their records were not read yet")]
-    NeedsNotMet,
+    DependenciesUnmet,
 }
 
 impl Shard {
     /// Do these commands still follow from what is known? Asked at the moment of sending.
-    pub fn still_permits(&self, send: &DirectSend) -> Result<(), Lapsed> {
-        let machine = self.machines.at(send.machine);
+    pub fn check_push_still_valid(&self, send: &PushRequest) -> Result<(), Lapsed> {
+        let machine = &self.machines[send.machine];
         if machine.phase != MachinePhase::Up {
             return Err(Lapsed::Machine);
         }
-        if machine.session != send.body.session {
-            return Err(Lapsed::Session { then: send.body.session, now: machine.session });
+        if machine.incarnation != send.body.incarnation {
+            return Err(Lapsed::Session { then: send.body.incarnation, now: machine.incarnation });
         }
-        for command in send.body.commands.iter().filter(|c| c.op == Op::Start) {
-            let held = self.key_of(&command.task).and_then(|k| machine.tasks.get(&k));
-            let wanted = |h: &Held| h.attempt == command.attempt && h.stop.is_none();
+        for command in send.body.commands.iter().filter(|c| c.kind == CommandKind::Start) {
+            let held = self.key_of(&command.task).and_then(|k| machine.assignments.get(&k));
+            let wanted = |h: &Assignment| h.attempt == command.attempt && h.stop_grace_s.is_none();
             if !held.is_some_and(wanted) {
                 return Err(Lapsed::Withdrawn { task: command.task.clone(), attempt: command.attempt });
             }
@@ -59,21 +59,21 @@
 
     /// May this task be started on this machine? What a start rests on, asked once more before it is held.
     pub fn may_start(&self, m: MachineIx, key: TaskKey) -> Result<(), Forbidden> {
-        let (job, machine) = (self.jobs.at(key.0), self.machines.at(m));
+        let (job, machine) = (&self.jobs[key.0], &self.machines[m]);
         if job.phase != Phase::Open || job.wanted != Phase::Open || job.leaving {
-            Err(Forbidden::Over)
-        } else if job.tasks.get(key.1 as usize) != Some(&Slot::Queued) {
+            Err(Forbidden::JobOver)
+        } else if job.tasks.get(key.1 as usize) != Some(&TaskSlot::Queued) {
             Err(Forbidden::NotQueued)
-        } else if job.shadowed_by > 0 {
+        } else if job.unreconciled_machines > 0 {
             Err(Forbidden::MayRunElsewhere)
-        } else if !machine.reported_token || !machine.resolved() {
-            Err(Forbidden::MachineUnknown)
-        } else if machine.loose.contains_key(&key) {
-            Err(Forbidden::EarlierStart)
-        } else if self.occupation.orphan_on(&key).is_some() {
+        } else if !machine.reported_token || !machine.is_reconciled() {
+            Err(Forbidden::MachineNotReconciled)
+        } else if machine.unacknowledged_starts.contains_key(&key) {
+            Err(Forbidden::StartUnacknowledged)
+        } else if self.live_attempts.machine_listing_orphan(&key).is_some() {
             Err(Forbidden::Occupied)
         } else if self.graph.waits(key.0) {
-            Err(Forbidden::NeedsNotMet)
+            Err(Forbidden::DependenciesUnmet)
         } else {
             Ok(())
         }
--- a/crates/scheduler/src/shard/placement/bin_packing.rs
+++ b/crates/scheduler/src/shard/placement/bin_packing.rs
@@ -28,7 +28,7 @@
 
 /// Would one task of this job fit on the machine, all constraints counted?
 pub fn fits(s: &Shard, job: &Job, m: &Machine) -> bool {
-    fits_beside(s, job, m, job.held, job.in_zone(m.zone))
+    fits_beside(s, job, m, job.assigned, job.in_zone(m.zone))
 }
 
 /// Would a task that leaves a machine in zone `from` fit on this one? It does not
@@ -37,7 +37,7 @@
 pub(super) fn fits_after_leaving(s: &Shard, job: &Job, m: &Machine, from: ZoneIx) -> bool {
     let in_zone = job.in_zone(m.zone);
     let itself = u32::from(m.zone == from);
-    fits_beside(s, job, m, job.held.saturating_sub(1), in_zone.saturating_sub(itself))
+    fits_beside(s, job, m, job.assigned.saturating_sub(1), in_zone.saturating_sub(itself))
 }
 
 /// Could another machine take a task of this job from `leaving`, with no fetch?
@@ -50,13 +50,13 @@
 
 /// The machine that could, besides what was promised already.
 pub fn taken_by(s: &Shard, job: &Job, leaving: MachineIx, promised: &Promised, now: f64) -> Option<MachineIx> {
-    let from = s.machines.at(leaving).zone;
+    let from = s.machines[leaving].zone;
     let takes = |i: MachineIx, m: &Machine| {
         let promised = promised.get(&i).copied().unwrap_or(0.0);
         i != leaving
-            && m.cpus_used + promised + job.spec.cpus <= s.types.get(m.ty).cpus + EPS
+            && m.cpus_used + promised + job.spec.cpus <= s.types.get(m.machine_type).cpus + EPS
             && job.image.is_none_or(|image| m.has_image(image))
-            && m.usable(now, s.fresh_s())
+            && m.is_usable(now, s.fresh_s())
             && fits_after_leaving(s, job, m, from)
     };
     s.machines.iter().find(|(i, m)| takes(*i, m)).map(|(i, _)| i)
@@ -66,7 +66,7 @@
 pub fn allows(s: &Shard, job: &Job, m: &Machine) -> bool {
     let spec = &job.spec;
     (spec.spot || !m.spot)
-        && spec.types.as_ref().is_none_or(|l| l.contains(&s.types.get(m.ty).name))
+        && spec.types.as_ref().is_none_or(|l| l.contains(&s.types.get(m.machine_type).name))
         && spec.zone.as_ref().is_none_or(|z| **z == **s.types.zones.name(m.zone))
 }
 
@@ -79,7 +79,7 @@
 }
 
 pub(super) fn fits_beside(s: &Shard, job: &Job, m: &Machine, held: u32, in_zone: u32) -> bool {
-    let t = s.types.get(m.ty);
+    let t = s.types.get(m.machine_type);
     let spec = &job.spec;
     let has_room = m.cpus_used + spec.cpus <= t.cpus + EPS
         && m.cards_used + spec.cards <= t.cards + EPS
@@ -94,7 +94,7 @@
     // In its cell; what came from another one has waited there, too, or each move would cost it all patience.
     let age_s = s.day_now_ms(s.ticked).saturating_sub(job.freed_ms) as f64 / 1000.0;
     let waited_s = if job.moves > 0 { age_s } else { s.ticked - job.since };
-    let nothing_runs = job.held == 0;
+    let nothing_runs = job.assigned == 0;
     job.spec.priority == Priority::Production
         || !job.spec.spot && waited_s > BASE_PATIENCE_S
         || nothing_runs && waited_s > LONGEST_BESIDE_ROOM_S
@@ -102,15 +102,15 @@
 
 /// Does the machine keep enough room for services if batch work takes this?
 pub(super) fn leaves_room(s: &Shard, job: &Job, m: &Machine) -> bool {
-    !m.base
+    !m.in_on_demand_base
         || may_fill_base(s, job)
-        || m.cpus_used + job.spec.cpus + SERVICE_ROOM * s.service_cpus <= s.types.get(m.ty).cpus + EPS
+        || m.cpus_used + job.spec.cpus + SERVICE_ROOM * s.service_cpus <= s.types.get(m.machine_type).cpus + EPS
 }
 
 /// Lower is better: seconds lost, roughly.
 pub(super) fn cost(s: &Shard, job: &Job, m: &Machine) -> f64 {
-    let t = s.types.get(m.ty);
-    let fetch = job.image.map_or(0.0, |i| m.to_fetch_gb(i, job.spec.image_gb) / t.fetch_gb_per_s.max(0.01));
+    let t = s.types.get(m.machine_type);
+    let fetch = job.image.map_or(0.0, |i| m.remaining_fetch_gb(i, job.spec.image_gb) / t.fetch_gb_per_s.max(0.01));
     let full = m.cpus_used / t.cpus.max(EPS);
     // Of an array that others wait for, one task that is lost with its spot machine holds
     // up the whole pipeline: on-demand machines that are there anyway are preferred.
@@ -119,13 +119,13 @@
         true => SPOT_WORTH_S,
         false => 0.0,
     };
-    let base = match (m.base, job.spec.priority == Priority::Production) {
+    let base = match (m.in_on_demand_base, job.spec.priority == Priority::Production) {
         (true, true) => -BASE_WORTH_S,
         (true, false) => BASE_WORTH_S,
         _ => 0.0,
     };
     // Services are spread over the base, so that room stays wherever an image is.
-    let pack = if m.base && job.is_service() { SPREAD_WORTH_S } else { -PACK_WORTH_S };
+    let pack = if m.in_on_demand_base && job.is_service() { SPREAD_WORTH_S } else { -PACK_WORTH_S };
     fetch + dear + base + pack * full
 }
 
@@ -141,7 +141,7 @@
 /// May an earlier start of this very task yet arrive on the machine? What became of that one can't be forgotten in
 /// this session, and the machine takes no second attempt beside it.
 pub(super) fn barred(m: &Machine, key: &crate::jobs::TaskKey) -> bool {
-    m.loose.contains_key(key)
+    m.unacknowledged_starts.contains_key(key)
 }
 
 /// Machines that could take this job, the best first, of those that have any room.
@@ -149,7 +149,7 @@
     let again = |i: MachineIx| if job.failed_on.contains(&i) { FAILED_THERE_S } else { 0.0 };
     let mut out: Vec<(f64, MachineIx)> = roomy
         .iter()
-        .map(|&i| (i, s.machines.at(i)))
+        .map(|&i| (i, &s.machines[i]))
         .filter(|(i, m)| fits(s, job, m) && leaves_room(s, job, m) && !avoids(s, job, *i, now))
         .map(|(i, m)| (cost(s, job, m) + again(i), i))
         .collect();
--- a/crates/scheduler/src/shard/placement/limits.rs
+++ b/crates/scheduler/src/shard/placement/limits.rs
@@ -6,11 +6,11 @@
 
 /// Cpus that machines with an unknown load may be using of a team's limit.
 pub(super) fn shadow(s: &Shard) -> f64 {
-    s.machines.iter().filter(|(_, m)| !m.resolved()).map(|(_, m)| s.types.get(m.ty).cpus).sum()
+    s.machines.iter().filter(|(_, m)| !m.is_reconciled()).map(|(_, m)| s.types.get(m.machine_type).cpus).sum()
 }
 
 pub(super) fn shadow_cards(s: &Shard) -> f64 {
-    s.machines.iter().filter(|(_, m)| !m.resolved()).map(|(_, m)| s.types.get(m.ty).cards).sum()
+    s.machines.iter().filter(|(_, m)| !m.is_reconciled()).map(|(_, m)| s.types.get(m.machine_type).cards).sum()
 }
 
 /// Does one more task stay within the team's limit?
@@ -38,7 +38,7 @@
         return false;
     }
     let on = |&(_, i): &(f64, MachineIx)| {
-        let (m, t) = (s.machines.at(i), s.types.get(s.machines.at(i).ty));
+        let (m, t) = (&s.machines[i], s.types.get(s.machines[i].machine_type));
         let most = many(t.cpus - m.cpus_used, r.cpus).min(many(t.memory_gb - m.memory_used, r.memory_gb));
         most.min(many(t.cards - m.cards_used, r.cards)).max(0.0).floor()
     };
--- a/crates/scheduler/src/shard/placement/pass.rs
+++ b/crates/scheduler/src/shard/placement/pass.rs
@@ -67,7 +67,7 @@
 }
 
 fn has_room(s: &Shard, m: &Machine, cpus: f64) -> bool {
-    m.cpus_used + cpus <= s.types.get(m.ty).cpus + EPS
+    m.cpus_used + cpus <= s.types.get(m.machine_type).cpus + EPS
 }
 
 impl<'a> Pass<'a> {
@@ -76,9 +76,9 @@
         let shadow = (shadow(s), shadow_cards(s));
         s.quota_unseen(shadow);
         let turns = turns(s, now);
-        let least_cpus = turns.iter().map(|t| s.jobs.at(t.job).spec.cpus).min_by(f64::total_cmp)?;
-        let silent_s = s.fresh_s();
-        let takes_any = |m: &Machine| has_room(s, m, least_cpus) && m.usable(now, silent_s);
+        let least_cpus = turns.iter().map(|t| s.jobs[t.job].spec.cpus).min_by(f64::total_cmp)?;
+        let heartbeat_timeout_s = s.fresh_s();
+        let takes_any = |m: &Machine| has_room(s, m, least_cpus) && m.is_usable(now, heartbeat_timeout_s);
         let roomy = s.machines.iter().filter(|(_, m)| takes_any(m)).map(|(i, _)| i).collect();
         s.look_at_kept(now);
         Some(Pass {
@@ -116,7 +116,7 @@
 
     fn take(&mut self, turn: &Turn) -> Next {
         let s = &mut *self.shard;
-        let job = s.jobs.at(turn.job);
+        let job = &s.jobs[turn.job];
         let urgent = job.spec.priority == Priority::Production;
         if !within_limit(s, job, self.shadow) {
             self.at_limit(turn, urgent);
@@ -138,7 +138,7 @@
         }
         let options = self.options(turn, urgent);
         let s = &mut *self.shard;
-        if turn.together && !fits_at_once(s, s.jobs.at(turn.job), &options, turn.most, self.shadow) {
+        if turn.together && !fits_at_once(s, &s.jobs[turn.job], &options, turn.most, self.shadow) {
             s.others_wait = true;
             return Next::Turn;
         }
@@ -146,7 +146,7 @@
         let next = self.start_tasks(turn, urgent, &options);
         if self.starts > before {
             let s = &*self.shard;
-            self.roomy.retain(|&i| has_room(s, s.machines.at(i), self.least_cpus));
+            self.roomy.retain(|&i| has_room(s, &s.machines[i], self.least_cpus));
         }
         next
     }
@@ -163,7 +163,7 @@
             }
             return;
         }
-        let team = s.jobs.at(turn.job).team;
+        let team = s.jobs[turn.job].team;
         if turn.first_part && s.limit_will_do(turn.job) && s.keep_limit(self.now) {
             self.limit_kept_for.entry(team).or_insert(turn.job);
         }
@@ -173,9 +173,9 @@
     fn options(&mut self, turn: &Turn, urgent: bool) -> Vec<(f64, MachineIx)> {
         let s = &mut *self.shard;
         s.looked_at += self.roomy.len() as u64;
-        let mut options = options(s, s.jobs.at(turn.job), &self.roomy, self.now);
+        let mut options = options(s, &s.jobs[turn.job], &self.roomy, self.now);
         if options.is_empty() {
-            self.hopeless.note(s, s.jobs.at(turn.job));
+            self.hopeless.note(s, &s.jobs[turn.job]);
             if turn.first_part {
                 s.keep_machine(turn.job, self.now);
             }
@@ -188,11 +188,11 @@
     fn start_tasks(&mut self, turn: &Turn, urgent: bool, options: &[(f64, MachineIx)]) -> Next {
         let mut started = 0;
         let mut full = 0;
-        while self.shard.jobs.at_mut(turn.job).has_queued() && started < turn.most {
+        while self.shard.jobs[turn.job].has_queued() && started < turn.most {
             if self.starts >= MOST_STARTS {
                 return Next::LaterPass;
             }
-            let job = self.shard.jobs.at(turn.job);
+            let job = &self.shard.jobs[turn.job];
             let Some(&task) = job.queue.front() else { break };
             if !within_limit(self.shard, job, self.shadow) {
                 break;
@@ -221,22 +221,22 @@
     /// The best machine that still takes this task; so many of the options before it are `full`.
     fn next_machine(&self, j: JobIx, task: u32, options: &[(f64, MachineIx)], full: &mut usize) -> Option<MachineIx> {
         let s = &*self.shard;
-        let job = s.jobs.at(j);
+        let job = &s.jobs[j];
         // A machine is filled before the next: what fitted may be full by now.
-        let takes = |m: MachineIx| fits(s, job, s.machines.at(m)) && leaves_room(s, job, s.machines.at(m));
+        let takes = |m: MachineIx| fits(s, job, &s.machines[m]) && leaves_room(s, job, &s.machines[m]);
         while options.get(*full).is_some_and(|o| !takes(o.1)) {
             *full += 1;
         }
-        let is_barred = |m: MachineIx| barred(s.machines.at(m), &(j, task));
+        let is_barred = |m: MachineIx| barred(&s.machines[m], &(j, task));
         options.iter().skip(*full).map(|o| o.1).find(|&m| !is_barred(m) && takes(m))
     }
 
     /// Does a service wait for room that other work makes for it, rather than go on this machine?
     fn room_is_coming(&mut self, turn: &Turn, found: Option<MachineIx>) -> bool {
         let s = &mut *self.shard;
-        let job = s.jobs.at(turn.job);
+        let job = &s.jobs[turn.job];
         // A service waits a moment for room where its image is, rather than for the image.
-        let fetches = found.is_some_and(|m| job.image.is_some_and(|i| !s.machines.at(m).has_image(i)));
+        let fetches = found.is_some_and(|m| job.image.is_some_and(|i| !s.machines[m].has_image(i)));
         let patient = self.now - job.since < ROOM_WAIT_S;
         let wants_room = found.is_none() || fetches && patient;
         if !wants_room || self.rooms_made >= MOST_ROOMS {
@@ -249,12 +249,12 @@
     /// Starts the first task that waits; false if too little is set apart for it, or it may not be started.
     fn start(&mut self, turn: &Turn, task: u32, machine: MachineIx, urgent: bool) -> bool {
         let s = &mut *self.shard;
-        let cpus = s.jobs.at(turn.job).spec.cpus;
+        let cpus = s.jobs[turn.job].spec.cpus;
         if turn.set_apart && s.late_credit < cpus {
             return false;
         }
-        s.jobs.at_mut(turn.job).queue.pop_front();
-        if !s.plan(machine, (turn.job, task), self.now) {
+        s.jobs[turn.job].queue.pop_front();
+        if !s.plan_start(machine, (turn.job, task), self.now) {
             return false;
         }
         if turn.set_apart {
--- a/crates/scheduler/src/shard/placement/preemption.rs
+++ b/crates/scheduler/src/shard/placement/preemption.rs
@@ -2,7 +2,7 @@
 
 use super::bin_packing::{avoids, barred, cost, may_run_beside, options, taken_at_once};
 use super::queue_order::Turn;
-use crate::fleet::{HeldState, Machine};
+use crate::fleet::{AssignmentState, Machine};
 use crate::intern::{JobIx, MachineIx};
 use crate::jobs::{Job, TaskKey};
 use crate::shard::{EPS, Shard, type_fits};
@@ -15,7 +15,7 @@
 
 /// Would a task of this job start now, or be made room for, if its limit let it?
 pub(super) fn has_place(s: &Shard, turn: &Turn, roomy: &[MachineIx], now: f64) -> bool {
-    !options(s, s.jobs.at(turn.job), roomy, now).is_empty() || room_for(s, turn, false, now).is_some()
+    !options(s, &s.jobs[turn.job], roomy, now).is_empty() || room_for(s, turn, false, now).is_some()
 }
 
 /// Stops work of lower priority where that lets a task of this job start, on one
@@ -28,7 +28,7 @@
         return with_image && move_replica(s, turn.job, now);
     };
     for k in victims {
-        log::debug!("{}/{} makes room", s.jobs.at(k.0).id, k.1);
+        log::debug!("{}/{} makes room", s.jobs[k.0].id, k.1);
         s.give_room(m, k);
     }
     true
@@ -36,24 +36,24 @@
 
 /// Where that would cost least, and what would be stopped there.
 fn room_for(s: &Shard, turn: &Turn, with_image: bool, now: f64) -> Option<(MachineIx, Vec<TaskKey>)> {
-    let job = s.jobs.at(turn.job);
-    let silent_s = s.fresh_s();
+    let job = &s.jobs[turn.job];
+    let heartbeat_timeout_s = s.fresh_s();
     let surpluses = s.surpluses();
     let next = job.queue.front().map(|task| (turn.job, *task));
     let mut options: Vec<(f64, MachineIx, Vec<TaskKey>)> = Vec::new();
     for (i, m) in s.machines.iter() {
         // Of services nothing can be stopped; the cheap questions come first.
-        if m.services == m.tasks.len() && s.types.get(m.ty).cpus < m.cpus_used + job.spec.cpus
+        if m.service_tasks == m.assignments.len() && s.types.get(m.machine_type).cpus < m.cpus_used + job.spec.cpus
             || m.spot && !job.spec.spot
             || with_image && !job.image.is_some_and(|i| m.has_image(i))
-            || !m.usable(now, silent_s)
+            || !m.is_usable(now, heartbeat_timeout_s)
         {
             continue;
         }
         // Room where the job may not run is no room for it: it would be waited for without end.
-        let t = s.types.get(m.ty);
+        let t = s.types.get(m.machine_type);
         if !type_fits(&job.spec, t)
-            || !may_run_beside(s, job, m, job.held, job.in_zone(m.zone))
+            || !may_run_beside(s, job, m, job.assigned, job.in_zone(m.zone))
             || avoids(s, job, i, now)
             || next.is_some_and(|key| barred(m, &key))
         {
@@ -69,8 +69,9 @@
 /// What would be stopped on this machine for one task of a job, and what that would cost; nothing if it would not do.
 fn room_on(s: &Shard, job: &Job, m: &Machine, surpluses: &HashMap<JobIx, u32>) -> Option<(f64, Vec<TaskKey>)> {
     // What is being stopped already will be free soon: wait for that first.
-    let coming: f64 = m.tasks.iter().filter(|(k, h)| m.is_leaving(k, h)).map(|(k, _)| s.jobs.at(k.0).spec.cpus).sum();
-    let t = s.types.get(m.ty);
+    let coming: f64 =
+        m.assignments.iter().filter(|(k, h)| m.is_stopping(k, h)).map(|(k, _)| s.jobs[k.0].spec.cpus).sum();
+    let t = s.types.get(m.machine_type);
     let mut free = t.cpus - m.cpus_used + coming;
     let mut memory = t.memory_gb - m.memory_used;
     let mut cards = t.cards - m.cards_used;
@@ -80,9 +81,9 @@
         if free + EPS >= job.spec.cpus && memory + EPS >= job.spec.memory_gb && cards + EPS >= job.spec.cards {
             break;
         }
-        free += s.jobs.at(k.0).spec.cpus;
-        memory += s.jobs.at(k.0).spec.memory_gb;
-        cards += s.jobs.at(k.0).spec.cards;
+        free += s.jobs[k.0].spec.cpus;
+        memory += s.jobs[k.0].spec.memory_gb;
+        cards += s.jobs[k.0].spec.cards;
         kept += if surplus { SURPLUS_WORTH_S } else { 1.0 };
         victims.push(k);
     }
@@ -95,16 +96,18 @@
 /// surplus.
 fn stoppable(s: &Shard, job: &Job, m: &Machine, surpluses: &HashMap<JobIx, u32>) -> Vec<(bool, TaskKey)> {
     let mut stoppable: Vec<_> = m
-        .tasks
+        .assignments
         .iter()
         .filter(|(k, h)| {
-            h.stop.is_none() && h.state != HeldState::Saving && s.jobs.at(k.0).spec.priority > job.spec.priority
+            h.stop_grace_s.is_none()
+                && h.state != AssignmentState::Saving
+                && s.jobs[k.0].spec.priority > job.spec.priority
         })
         .collect();
     // The least important first, then what has lost the least.
     stoppable.sort_by(|a, b| {
-        let (ja, jb) = (s.jobs.at(a.0.0), s.jobs.at(b.0.0));
-        jb.spec.priority.cmp(&ja.spec.priority).then(b.1.since.total_cmp(&a.1.since))
+        let (ja, jb) = (&s.jobs[a.0.0], &s.jobs[b.0.0]);
+        jb.spec.priority.cmp(&ja.spec.priority).then(b.1.assigned_at.total_cmp(&a.1.assigned_at))
     });
     if surpluses.is_empty() {
         return stoppable.iter().map(|(k, _)| (false, **k)).collect();
@@ -123,25 +126,26 @@
 /// Where a service's image is, only services are. One replica that can go on at
 /// once elsewhere leaves its place; true if one does, or is about to.
 fn move_replica(s: &mut Shard, waiting: JobIx, now: f64) -> bool {
-    let silent_s = s.fresh_s();
-    let job = s.jobs.at(waiting);
+    let heartbeat_timeout_s = s.fresh_s();
+    let job = &s.jobs[waiting];
     let Some(image) = job.image else { return false };
     let mut choice = None;
     let mut tried = 0;
     let serves = |m: &Machine| {
         !m.spot
             && m.has_image(image)
-            && m.usable(now, silent_s)
-            && may_run_beside(s, job, m, job.held, job.in_zone(m.zone))
+            && m.is_usable(now, heartbeat_timeout_s)
+            && may_run_beside(s, job, m, job.assigned, job.in_zone(m.zone))
     };
     for (i, m) in s.machines.iter().filter(|(_, m)| serves(m)) {
-        if m.tasks.iter().any(|(k, h)| m.is_leaving(k, h)) {
+        if m.assignments.iter().any(|(k, h)| m.is_stopping(k, h)) {
             return true;
         }
-        for (k, h) in &m.tasks {
-            let other = s.jobs.at(k.0);
+        for (k, h) in &m.assignments {
+            let other = &s.jobs[k.0];
             let enough = other.spec.cpus + EPS >= job.spec.cpus && other.spec.memory_gb + EPS >= job.spec.memory_gb;
-            if !other.is_service() || !enough || k.0 == waiting || h.state != HeldState::Running || !other.open() {
+            if !other.is_service() || !enough || k.0 == waiting || h.state != AssignmentState::Running || !other.open()
+            {
                 continue;
             }
             tried += 1;
@@ -157,8 +161,8 @@
         }
     }
     let Some((m, k)) = choice else { return false };
-    log::debug!("{}/{} moves for {}", s.jobs.at(k.0).id, k.1, s.jobs.at(waiting).id);
-    s.jobs.at_mut(k.0).avoid = Some((m, now + 5.0));
+    log::debug!("{}/{} moves for {}", s.jobs[k.0].id, k.1, s.jobs[waiting].id);
+    s.jobs[k.0].avoid = Some((m, now + 5.0));
     s.stop_gently(m, k);
     true
 }
--- a/crates/scheduler/src/shard/placement/queue_order.rs
+++ b/crates/scheduler/src/shard/placement/queue_order.rs
@@ -53,7 +53,7 @@
 pub(super) fn turns(s: &mut Shard, now: f64) -> Vec<Turn> {
     let now_ms = s.day_now_ms(now);
     let pressure = s.pressure();
-    let open = s.jobs.live.iter().map(|&j| s.jobs.at(j)).filter(|j| j.open());
+    let open = s.jobs.live.iter().map(|&j| &s.jobs[j]).filter(|j| j.open());
     let mut open: Vec<(Prospect, u64, u64, JobIx)> =
         open.map(|j| (s.prospect(j, now_ms), j.urgency_ms(now_ms, pressure), j.freed_ms, j.ix)).collect();
     // By age, as users count what is within a guarantee, and in the order of turns: of a team's
@@ -62,18 +62,18 @@
     open.sort_unstable_by_key(|o| (o.2, o.3));
     let mut by_age = Guarantees::new(s);
     let older: HashSet<JobIx> =
-        open.iter().filter(|o| by_age.take(s.jobs.at(o.3)) && o.0 == Prospect::InTime).map(|o| o.3).collect();
+        open.iter().filter(|o| by_age.take(&s.jobs[o.3]) && o.0 == Prospect::InTime).map(|o| o.3).collect();
     open.sort_unstable();
     let mut in_turn = Guarantees::new(s);
     let mut out = Vec::new();
     for (prospect, urgency, _, j) in open {
-        let guaranteed = in_turn.take(s.jobs.at(j)) || older.contains(&j);
-        let job = s.jobs.at_mut(j);
-        if job.shadowed_by > 0 || job.leaving || now < job.not_before || !job.has_queued() {
+        let guaranteed = in_turn.take(&s.jobs[j]) || older.contains(&j);
+        let job = &mut s.jobs[j];
+        if job.unreconciled_machines > 0 || job.leaving || now < job.not_before || !job.has_queued() {
             continue;
         }
-        let rank = rank(s, s.jobs.at(j), guaranteed, prospect, urgency);
-        turns_of(s, s.jobs.at(j), rank, &mut out);
+        let rank = rank(s, &s.jobs[j], guaranteed, prospect, urgency);
+        turns_of(s, &s.jobs[j], rank, &mut out);
     }
     first_parts(s, &mut out, now_ms);
     out.sort_by_key(|t| t.rank);
@@ -104,9 +104,9 @@
 fn turns_of(s: &Shard, job: &Job, rank: Rank, out: &mut Vec<Turn>) {
     let (mut own, beyond) = s.may_hold_more(job);
     if job.at_fault() {
-        own = own.min(job.wants().saturating_sub(job.held));
+        own = own.min(job.wants().saturating_sub(job.assigned));
     }
-    let together = own != u32::MAX && job.held == 0;
+    let together = own != u32::MAX && job.assigned == 0;
     if own > 0 {
         out.push(Turn { job: job.ix, rank, set_apart: false, most: own, together, first_part: false });
     }
@@ -120,7 +120,7 @@
 fn first_parts(s: &Shard, out: &mut Vec<Turn>, now_ms: u64) {
     let first = |t: &Turn| {
         let n = s.first_part(t.job, now_ms).filter(|_| t.rank.0 < GROWS && !t.together)?;
-        let rank = (1, 0, Prospect::InTime, Priority::Production, 0, s.jobs.at(t.job).freed_ms);
+        let rank = (1, 0, Prospect::InTime, Priority::Production, 0, s.jobs[t.job].freed_ms);
         Some(Turn { rank, most: n.min(t.most), first_part: true, ..*t })
     };
     let mut first: Vec<Turn> = out.iter().filter_map(first).collect();
@@ -129,8 +129,8 @@
     // What is set apart is for parts; that a job begins at all is not weighed against it. Where each waited
     // for the one before to be served, the last of twenty began after five minutes.
     let goes = |mut t: Turn| {
-        let job = s.jobs.at(t.job);
-        let begins = job.held + job.done == 0 && job.spec.tasks > 1 && begin > 0;
+        let job = &s.jobs[t.job];
+        let begins = job.assigned + job.done == 0 && job.spec.tasks > 1 && begin > 0;
         if left > 0.0 {
             left -= job.spec.cpus * f64::from(t.most);
         } else if begins {
@@ -148,7 +148,7 @@
 impl Shard {
     /// The jobs that wait, in the order in which they would get machines now.
     pub fn order_of_turns(&mut self, now: f64) -> Vec<String> {
-        turns(self, now).iter().map(|t| self.jobs.at(t.job).id.to_string()).collect()
+        turns(self, now).iter().map(|t| self.jobs[t.job].id.to_string()).collect()
     }
 }
 
@@ -156,10 +156,10 @@
 /// late, the oldest first, since they go after all that can be in time.
 fn set_apart(s: &mut Shard, turns: &mut Vec<Turn>) {
     let late = |t: &&Turn| t.rank.0 == BORROWS && t.rank.2 != Prospect::InTime;
-    let oldest = turns.iter().filter(late).min_by_key(|t| (s.jobs.at(t.job).freed_ms, t.job)).copied();
+    let oldest = turns.iter().filter(late).min_by_key(|t| (s.jobs[t.job].freed_ms, t.job)).copied();
     match oldest {
         None => s.late_credit = 0.0,
-        Some(t) if s.late_credit >= s.jobs.at(t.job).spec.cpus => {
+        Some(t) if s.late_credit >= s.jobs[t.job].spec.cpus => {
             let at = turns.partition_point(|t| t.rank.0 < BORROWS);
             turns.insert(at, Turn { set_apart: true, ..t });
         }
@@ -174,7 +174,7 @@
     if class != BORROWS || turn.set_apart {
         return None;
     }
-    let now = s.borrowing(s.jobs.at(turn.job));
+    let now = s.borrowing(&s.jobs[turn.job]);
     let later = Turn { rank: (class, now.0, prospect, priority, now.1, urgency), ..*turn };
     (now > (distance, share) && others.front().is_some_and(|o| o.rank < later.rank)).then_some(later)
 }
--- a/crates/scheduler/src/shard/placement/unplaceable.rs
+++ b/crates/scheduler/src/shard/placement/unplaceable.rs
@@ -72,8 +72,9 @@
 pub(in crate::shard) fn room_unusable_here(s: &Shard, now: f64) -> UnusableRoom {
     let shadow = (shadow(s), shadow_cards(s));
     let (mut shapes, mut waiting) = (Hopeless::default(), Vec::new());
-    for job in s.jobs.live.iter().map(|&j| s.jobs.at(j)) {
-        let held_up = job.shadowed_by > 0 || job.leaving || now < job.not_before || job.unfinished() <= job.held;
+    for job in s.jobs.live.iter().map(|&j| &s.jobs[j]) {
+        let held_up =
+            job.unreconciled_machines > 0 || job.leaving || now < job.not_before || job.unfinished() <= job.assigned;
         if !job.open() || held_up || shapes.covers(s, job) || !within_limit(s, job, shadow) {
             continue;
         }
@@ -84,12 +85,12 @@
         waiting.push(job);
     }
     let mut most = UnusableRoom::default();
-    for (i, m) in s.machines.iter().filter(|(_, m)| m.usable(now, s.fresh_s())) {
+    for (i, m) in s.machines.iter().filter(|(_, m)| m.is_usable(now, s.fresh_s())) {
         if waiting.iter().any(|job| fits(s, job, m) && leaves_room(s, job, m) && !avoids(s, job, i, now)) {
             continue;
         }
-        let free = s.types.get(m.ty).cpus - m.cpus_used;
-        let for_services = if m.base { SERVICE_ROOM * s.service_cpus } else { 0.0 };
+        let free = s.types.get(m.machine_type).cpus - m.cpus_used;
+        let for_services = if m.in_on_demand_base { SERVICE_ROOM * s.service_cpus } else { 0.0 };
         most.any_kind = most.any_kind.max(free - for_services);
         if !m.spot {
             most.on_demand = most.on_demand.max(free);
--- a/crates/scheduler/src/shard/quotas/mod.rs
+++ b/crates/scheduler/src/shard/quotas/mod.rs
@@ -9,7 +9,7 @@
 pub use report::{QuotaReport, Row};
 
 use super::{Shard, What, Write};
-use crate::fleet::HeldState;
+use crate::fleet::AssignmentState;
 use crate::intern::{Index, JobIx, MachineIx, TeamIx};
 use crate::jobs::{Job, TaskKey};
 use crate::params::Team;
@@ -145,7 +145,7 @@
     /// One task's use begins (1) or ends (-1) at every level above it.
     pub(in crate::shard) fn count_quota(&mut self, j: JobIx, sign: f64) {
         let Some(q) = &mut self.quotas else { return };
-        let job = self.jobs.at(j);
+        let job = &self.jobs[j];
         q.ledger.count(of_team(job.team), need_of(job).times(sign));
     }
 
@@ -238,7 +238,7 @@
         }
         let (held, leaving) = self.held_and_leaving(|_| true);
         for (m, k) in q.ledger.give_way(&held, &leaving) {
-            log::info!("{}/{} gives way to a lower quota", self.jobs.at(k.0).id, k.1);
+            log::info!("{}/{} gives way to a lower quota", self.jobs[k.0].id, k.1);
             self.stop_gently(m, k);
         }
     }
@@ -247,19 +247,19 @@
     fn held_and_leaving(&self, of: impl Fn(TeamIx) -> bool) -> (Vec<HeldTask>, Vec<(quota::TeamIx, Amount)>) {
         let (mut held, mut leaving) = (Vec::new(), Vec::new());
         for (m, machine) in self.machines.iter() {
-            for (k, h) in &machine.tasks {
-                let job = self.jobs.at(k.0);
+            for (k, h) in &machine.assignments {
+                let job = &self.jobs[k.0];
                 if !of(job.team) {
                     continue;
                 }
                 let (team, need) = (of_team(job.team), need_of(job));
-                if machine.is_leaving(k, h) || h.state == HeldState::Saving {
+                if machine.is_stopping(k, h) || h.state == AssignmentState::Saving {
                     leaving.push((team, need));
                 }
-                if h.stop.is_some() || h.state == HeldState::Saving {
+                if h.stop_grace_s.is_some() || h.state == AssignmentState::Saving {
                     continue;
                 }
-                let loses = if h.state == HeldState::Running && job.spec.checkpoint_s <= 0.0 {
+                let loses = if h.state == AssignmentState::Running && job.spec.checkpoint_s <= 0.0 {
                     self.ticked - h.running_since
                 } else {
                     0.0
@@ -292,18 +292,18 @@
             }
         };
         let above: Vec<LevelIx> =
-            waiting.iter().flat_map(|j| ledger.tree().path(of_team(self.jobs.at(*j).team)).to_vec()).collect();
+            waiting.iter().flat_map(|j| ledger.tree().path(of_team(self.jobs[*j].team)).to_vec()).collect();
         let below = |t: TeamIx| ledger.tree().path(of_team(t)).iter().any(|l| above.contains(l));
         let (mut held, mut leaving) = self.held_and_leaving(below);
         // Work of the same priority is stopped by nobody.
         held.retain(|h| h.priority > crate::wire::Priority::Production as u8);
         let mut out = Vec::new();
         let waits = |&j: &JobIx| {
-            let job = self.jobs.at(j);
-            std::iter::repeat_n(j, job.unfinished().saturating_sub(job.held) as usize)
+            let job = &self.jobs[j];
+            std::iter::repeat_n(j, job.unfinished().saturating_sub(job.assigned) as usize)
         };
         for j in waiting.iter().flat_map(waits).take(MOST_AT_LIMITS) {
-            let job = self.jobs.at(j);
+            let job = &self.jobs[j];
             let (team, need) = (of_team(job.team), need_of(job));
             let gives = ledger.make_room(team, need, &held, &leaving);
             let stays = |h: &HeldTask| !gives.contains(&h.task);
@@ -313,7 +313,7 @@
             out.extend(gives.into_iter().map(|t| (t, j)));
         }
         for ((m, k), j) in out {
-            log::info!("{}/{} gives way to {} within a limit", self.jobs.at(k.0).id, k.1, self.jobs.at(j).id);
+            log::info!("{}/{} gives way to {} within a limit", self.jobs[k.0].id, k.1, self.jobs[j].id);
             self.stop_gently(m, k);
         }
     }
--- a/crates/scheduler/src/shard/quotas/report.rs
+++ b/crates/scheduler/src/shard/quotas/report.rs
@@ -45,8 +45,8 @@
         let tree = q.ledger.tree();
         let mut waits: HashMap<LevelIx, f64> = HashMap::new();
         for &j in &self.jobs.live {
-            let job = self.jobs.at(j);
-            let n = if job.open() { job.unfinished().saturating_sub(job.held) } else { 0 };
+            let job = &self.jobs[j];
+            let n = if job.open() { job.unfinished().saturating_sub(job.assigned) } else { 0 };
             for l in tree.path(of_team(job.team)) {
                 *waits.entry(*l).or_default() += f64::from(n) * job.spec.cpus;
             }
@@ -90,14 +90,14 @@
 
     fn why_waits(&self, id: &str) -> String {
         let (Some(j), Some(q)) = (self.jobs.find(id), self.quotas.as_ref()) else { return "no such job here".into() };
-        let job = self.jobs.at(j);
+        let job = &self.jobs[j];
         if !job.open() {
             return "it is over".into();
         }
         if self.graph.waits(j) {
             return "it waits for jobs that it needs".into();
         }
-        if job.unfinished() <= job.held {
+        if job.unfinished() <= job.assigned {
             return "it does not wait".into();
         }
         if !q.in_force {
@@ -106,7 +106,7 @@
         let need = need_of(job);
         match q.ledger.may_start(of_team(job.team), need) {
             Err(l) => format!("{} is at its limit", q.ledger.tree().at(l).name),
-            Ok(()) if job.shadowed_by > 0 => "machines that may hold its tasks were not heard yet".into(),
+            Ok(()) if job.unreconciled_machines > 0 => "machines that may hold its tasks were not heard yet".into(),
             Ok(()) => match q.ledger.standing(of_team(job.team), need).distance {
                 0 => "it is within its guarantee and waits for room".into(),
                 d => format!("it would borrow, from {d} levels up, and waits for room"),
--- a/crates/scheduler/src/shard/rebalancing.rs
+++ b/crates/scheduler/src/shard/rebalancing.rs
@@ -41,8 +41,8 @@
     /// What may be in use of each team's limit: what is held or planned, and all of each machine
     /// of which nobody knows what is on it.
     pub fn in_use(&self) -> Vec<(String, Amount)> {
-        let unseen = self.machines.iter().filter(|(_, m)| !m.resolved()).fold(Amount::default(), |s, (_, m)| {
-            let t = self.types.get(m.ty);
+        let unseen = self.machines.iter().filter(|(_, m)| !m.is_reconciled()).fold(Amount::default(), |s, (_, m)| {
+            let t = self.types.get(m.machine_type);
             s.plus(Amount::new(t.cpus, t.cards))
         });
         let of = |t: &super::TeamState| (t.spec.name.clone(), Amount::new(t.cpus_used, t.cards_used).plus(unseen));
@@ -53,11 +53,14 @@
     pub fn picture(&self, cell: CellIx, now: f64) -> Picture {
         let mut p = Picture { cell, token: self.token, at_ms: self.day_now_ms(now), ..Picture::default() };
         for (_, m) in self.machines.iter() {
-            let cpus = self.types.get(m.ty).cpus;
+            let cpus = self.types.get(m.machine_type).cpus;
             match m.phase {
                 MachinePhase::Booting => p.boots += cpus,
                 // One that is to be returned is used again where demand rises.
-                MachinePhase::Up if m.usable(now, self.silent_s()) || m.could_stay(now, self.silent_s()) => {
+                MachinePhase::Up
+                    if m.is_usable(now, self.heartbeat_timeout_s())
+                        || m.could_be_uncordoned(now, self.heartbeat_timeout_s()) =>
+                {
                     p.room += (cpus - m.cpus_used).max(0.0)
                 }
                 _ => {}
@@ -67,11 +70,11 @@
         p.unusable = placement::room_unusable_here(self, now);
         let now_ms = p.at_ms;
         let mut wanted = vec![Amount::default(); self.teams.len()];
-        for job in self.jobs.live.iter().map(|&j| self.jobs.at(j)).filter(|j| j.open()) {
-            let waits = f64::from(job.unfinished().saturating_sub(job.held));
+        for job in self.jobs.live.iter().map(|&j| &self.jobs[j]).filter(|j| j.open()) {
+            let waits = f64::from(job.unfinished().saturating_sub(job.assigned));
             p.waits += waits * job.spec.cpus;
-            p.held += f64::from(job.held) * job.spec.cpus;
-            if job.held == 0 {
+            p.held += f64::from(job.assigned) * job.spec.cpus;
+            if job.assigned == 0 {
                 p.longest_s = p.longest_s.max(now_ms.saturating_sub(job.freed_ms) as f64 / 1000.0);
             }
             let all = f64::from(job.unfinished());
@@ -87,7 +90,12 @@
     pub fn may_leave(&self, now: f64) -> Vec<Waiting<JobIx>> {
         let now_ms = self.day_now_ms(now);
         let never = |job: &&Job| {
-            job.open() && job.held == 0 && job.done == 0 && job.shadowed_by == 0 && !job.leaving && !job.in_pipeline()
+            job.open()
+                && job.assigned == 0
+                && job.done == 0
+                && job.unreconciled_machines == 0
+                && !job.leaving
+                && !job.in_pipeline()
         };
         let waiting = |job: &Job| Waiting {
             job: job.ix,
@@ -97,7 +105,7 @@
             moves: job.moves,
             spot: job.spec.spot,
         };
-        let all = self.jobs.live.iter().map(|&j| self.jobs.at(j)).filter(never);
+        let all = self.jobs.live.iter().map(|&j| &self.jobs[j]).filter(never);
         all.filter(|j| self.graph.after(j.ix).is_empty() && !self.named_anywhere(j.ix))
             .take(MOST_OFFERED)
             .map(waiting)
@@ -108,21 +116,21 @@
     fn named_anywhere(&self, j: JobIx) -> bool {
         self.machines.iter().any(|(_, m)| {
             m.stored_jobs.contains(&j)
-                || m.leftovers.range((j, 0)..=(j, u32::MAX)).next().is_some()
-                || m.loose.range((j, 0)..=(j, u32::MAX)).next().is_some()
+                || m.unassigned.range((j, 0)..=(j, u32::MAX)).next().is_some()
+                || m.unacknowledged_starts.range((j, 0)..=(j, u32::MAX)).next().is_some()
         })
     }
 
     /// Does some machine list an attempt of this job that is not held here?
     fn listed_anywhere(&self, j: JobIx) -> bool {
-        self.machines.iter().any(|(_, m)| m.leftovers.range((j, 0)..=(j, u32::MAX)).any(|(_, l)| l.1.is_orphaned()))
+        self.machines.iter().any(|(_, m)| m.unassigned.range((j, 0)..=(j, u32::MAX)).any(|(_, l)| l.1.is_orphaned()))
     }
 
     /// The record with which a job goes to another cell, the version that it replaces, and what it
     /// takes of its team's limit. From here on nothing of it is started here.
     pub fn goes(&mut self, j: JobIx, to: CellIx) -> Option<(JobRecord, u64, TeamIx, Amount)> {
-        let version = *self.versions.get(&job_key(&self.jobs.at(j).id))?;
-        let job = self.jobs.at_mut(j);
+        let version = *self.versions.get(&job_key(&self.jobs[j].id))?;
+        let job = &mut self.jobs[j];
         job.leaving = true;
         let mut r = JobRecord::accepted(job.spec.clone(), job.at_ms);
         (r.cell, r.moves) = (Some(to.0), job.moves + 1);
@@ -133,7 +141,7 @@
     /// It stays after all.
     pub fn stays(&mut self, id: &str) {
         if let Some(j) = self.jobs.find(id) {
-            self.jobs.at_mut(j).leaving = false;
+            self.jobs[j].leaving = false;
             self.place_due = true;
         }
     }
@@ -141,9 +149,9 @@
     /// It is stored that this job is another cell's.
     pub fn left(&mut self, id: &str, now: f64) {
         let Some(j) = self.jobs.find(id) else { return };
-        let job = self.jobs.at(j);
-        if job.phase != Phase::Open || job.held > 0 || self.listed_anywhere(j) {
-            log::error!("{id} is another cell's, and has {} tasks here, or some that machines list", job.held);
+        let job = &self.jobs[j];
+        if job.phase != Phase::Open || job.assigned > 0 || self.listed_anywhere(j) {
+            log::error!("{id} is another cell's, and has {} tasks here, or some that machines list", job.assigned);
             return;
         }
         let key = job_key(id);
--- a/crates/scheduler/src/shard/responsiveness.rs
+++ b/crates/scheduler/src/shard/responsiveness.rs
@@ -2,49 +2,49 @@
 //! nothing is heard.
 
 use super::Shard;
-use super::sizing::REPORT_SPREAD;
+use super::sizing::HEARTBEAT_JITTER;
 use crate::fleet::{Machine, Phase};
 use crate::intern::ZoneIx;
 use std::collections::BTreeMap;
 
 /// Beyond half a report's interval, what counts as just now.
-const FRESH_EXTRA_S: f64 = 0.25;
+const RECENT_MARGIN_S: f64 = 0.25;
 /// So long after ticks came late, an answer that is missing may stand in our own queue.
-const LATE_COUNTS_S: f64 = 2.5;
+const LATE_TICK_MEMORY_S: f64 = 2.5;
 /// So many unresponsive machines, and one in so many of a zone, make the rest of it suspect.
-const LEAST_UNRESPONSIVE: usize = 3;
+const MIN_UNRESPONSIVE: usize = 3;
 const UNRESPONSIVE_SHARE: usize = 20;
 /// So many unresponsive machines of all, and it is rather this owner that is cut off.
-const UNRESPONSIVE_OWNER: (usize, usize) = (4, 5);
+const PARTITION_UNRESPONSIVE_SHARE: (usize, usize) = (4, 5);
 /// So many machines of other zones can tell that a zone is silent, and not this owner.
-const LEAST_WITNESSES: usize = 4;
+const MIN_WITNESSES: usize = 4;
 
 /// How many machines of some sort are up and were heard.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Responses {
+pub(super) struct Responsiveness {
     pub(super) up: usize,
-    lately: usize,
-    just_now: usize,
+    heard_lately: usize,
+    heard_recently: usize,
     /// Asked directly, without an answer.
     pub(super) unresponsive: usize,
     /// Responses, and what we say does not reach them.
     unreached: usize,
 }
 
-impl Responses {
-    fn add(&mut self, o: &Responses) {
+impl Responsiveness {
+    fn add(&mut self, o: &Responsiveness) {
         self.up += o.up;
-        self.lately += o.lately;
-        self.just_now += o.just_now;
+        self.heard_lately += o.heard_lately;
+        self.heard_recently += o.heard_recently;
         self.unresponsive += o.unresponsive;
         self.unreached += o.unreached;
     }
 
-    fn less(&self, o: &Responses) -> Responses {
-        Responses {
+    fn less(&self, o: &Responsiveness) -> Responsiveness {
+        Responsiveness {
             up: self.up - o.up,
-            lately: self.lately - o.lately,
-            just_now: self.just_now - o.just_now,
+            heard_lately: self.heard_lately - o.heard_lately,
+            heard_recently: self.heard_recently - o.heard_recently,
             unresponsive: self.unresponsive - o.unresponsive,
             unreached: self.unreached - o.unreached,
         }
@@ -53,32 +53,32 @@
     /// A machine that is unresponsive is given up sooner than others would be missed by an owner
     /// that is cut off itself: there it counts who was heard just now. Reports come in
     /// turn, so that half of all are heard in half of their interval.
-    fn many_just_now(&self) -> bool {
-        self.up >= LEAST_WITNESSES && self.just_now * 5 >= self.up * 2
+    fn many_heard_recently(&self) -> bool {
+        self.up >= MIN_WITNESSES && self.heard_recently * 5 >= self.up * 2
     }
 
     /// Where what we say reaches few of them, it is rather this owner whose words are lost.
     fn heeded(&self) -> bool {
-        self.up >= LEAST_WITNESSES && self.unreached * 2 <= self.up
+        self.up >= MIN_WITNESSES && self.unreached * 2 <= self.up
     }
 
     /// Where several are unresponsive the others of that zone are asked at once: a zone that is cut
     /// off is known as a whole then, before more is started there.
-    pub(super) fn makes_the_rest_suspect(&self) -> bool {
-        self.unresponsive >= LEAST_UNRESPONSIVE && self.unresponsive * UNRESPONSIVE_SHARE >= self.up
+    pub(super) fn suspects_whole_zone(&self) -> bool {
+        self.unresponsive >= MIN_UNRESPONSIVE && self.unresponsive * UNRESPONSIVE_SHARE >= self.up
     }
 }
 
 /// What is heard of all machines, and of those of each zone.
-pub(super) struct FleetResponses {
-    whole: Responses,
-    pub(super) by_zone: BTreeMap<ZoneIx, Responses>,
+pub(super) struct FleetResponsiveness {
+    whole: Responsiveness,
+    pub(super) by_zone: BTreeMap<ZoneIx, Responsiveness>,
     /// Did ticks come in time of late?
     pub(super) punctual: bool,
 }
 
-impl FleetResponses {
-    fn elsewhere(&self, zone: ZoneIx) -> Responses {
+impl FleetResponsiveness {
+    fn elsewhere(&self, zone: ZoneIx) -> Responsiveness {
         let here = self.by_zone.get(&zone).copied().unwrap_or_default();
         self.whole.less(&here)
     }
@@ -88,51 +88,51 @@
     /// machines of other zones are enough: when a zone was cut off and spot machines were
     /// taken at the same time, too few were heard in all, and everything in that zone
     /// waited for the end of its lease.
-    pub(super) fn blames_machines(&self, zone: ZoneIx) -> bool {
+    pub(super) fn rules_out_partition(&self, zone: ZoneIx) -> bool {
         let (whole, others) = (&self.whole, self.elsewhere(zone));
-        whole.lately * 5 >= (whole.up - 1.min(whole.up)) * 3
-            || others.up >= LEAST_WITNESSES && others.lately * 5 >= others.up * 4
+        whole.heard_lately * 5 >= (whole.up - 1.min(whole.up)) * 3
+            || others.up >= MIN_WITNESSES && others.heard_lately * 5 >= others.up * 4
     }
 
     /// Does it tell something of a machine in this zone that it does not answer?
-    pub(super) fn believes_unresponsive(&self, zone: ZoneIx) -> bool {
-        self.punctual && (self.whole.many_just_now() || self.elsewhere(zone).many_just_now())
+    pub(super) fn trusts_missing_replies(&self, zone: ZoneIx) -> bool {
+        self.punctual && (self.whole.many_heard_recently() || self.elsewhere(zone).many_heard_recently())
     }
 
     /// Does what we say reach most of the others?
-    pub(super) fn heeded_around(&self, zone: ZoneIx) -> bool {
+    pub(super) fn acknowledged_around(&self, zone: ZoneIx) -> bool {
         self.whole.heeded() || self.elsewhere(zone).heeded()
     }
 
     /// Is it rather this owner that is cut off?
-    pub(super) fn most_unresponsive(&self) -> bool {
+    pub(super) fn suspected_partition(&self) -> bool {
         let whole = &self.whole;
-        whole.up > 0 && whole.unresponsive * UNRESPONSIVE_OWNER.1 >= whole.up * UNRESPONSIVE_OWNER.0
+        whole.up > 0 && whole.unresponsive * PARTITION_UNRESPONSIVE_SHARE.1 >= whole.up * PARTITION_UNRESPONSIVE_SHARE.0
     }
 }
 
 impl Shard {
-    pub(super) fn responses(&self, now: f64) -> FleetResponses {
-        let mut whole = Responses::default();
-        let mut by_zone: BTreeMap<ZoneIx, Responses> = BTreeMap::new();
+    pub(super) fn responses(&self, now: f64) -> FleetResponsiveness {
+        let mut whole = Responsiveness::default();
+        let mut by_zone: BTreeMap<ZoneIx, Responsiveness> = BTreeMap::new();
         for (_, m) in self.machines.iter().filter(|(_, m)| m.phase == Phase::Up) {
-            let one = self.responses_of(m, now);
+            let one = self.responsiveness_of(m, now);
             whole.add(&one);
             by_zone.entry(m.zone).or_default().add(&one);
         }
-        FleetResponses { whole, by_zone, punctual: now - self.late_at > LATE_COUNTS_S }
+        FleetResponsiveness { whole, by_zone, punctual: now - self.late_at > LATE_TICK_MEMORY_S }
     }
 
-    fn responses_of(&self, m: &Machine, now: f64) -> Responses {
-        let fresh_s = self.report_s / 2.0 + FRESH_EXTRA_S;
+    fn responsiveness_of(&self, m: &Machine, now: f64) -> Responsiveness {
+        let fresh_s = self.report_s / 2.0 + RECENT_MARGIN_S;
         // One that is recorded and was never heard by this owner tells nothing.
-        let heard_within = |s: f64| usize::from(m.session > 0 && self.silence(m, now) < s);
-        Responses {
+        let heard_within = |s: f64| usize::from(m.incarnation > 0 && self.heartbeat_age(m, now) < s);
+        Responsiveness {
             up: 1,
-            lately: heard_within(self.report_s * REPORT_SPREAD + 1.0),
-            just_now: heard_within(fresh_s),
-            unresponsive: usize::from(m.suspect && m.unanswered > 0),
-            unreached: usize::from(m.session > 0 && m.doubted()),
+            heard_lately: heard_within(self.report_s * HEARTBEAT_JITTER + 1.0),
+            heard_recently: heard_within(fresh_s),
+            unresponsive: usize::from(m.suspected && m.unanswered_pushes > 0),
+            unreached: usize::from(m.incarnation > 0 && m.command_path_in_doubt()),
         }
     }
 }
--- a/crates/scheduler/src/shard/service_levels/mod.rs
+++ b/crates/scheduler/src/shard/service_levels/mod.rs
@@ -10,7 +10,7 @@
 use super::{Shard, What, Write};
 use crate::fleet::Phase as MachinePhase;
 use crate::intern::{Index, JobIx, TeamIx};
-use crate::jobs::{Job, Phase, Slot};
+use crate::jobs::{Job, Phase, TaskSlot};
 use lupinspur_accounts::inheritance::{Carried, Part, newest};
 use lupinspur_accounts::tracker::AccountIx;
 use lupinspur_accounts::tracker::{End, Entry};
@@ -149,7 +149,7 @@
 
     /// A job's time begins, or it is over by its record: the next tick enters it.
     pub(in crate::shard) fn account_due(&mut self, j: JobIx) {
-        if self.jobs.at(j).phase != Phase::Open || self.jobs.live.contains(&j) {
+        if self.jobs[j].phase != Phase::Open || self.jobs.live.contains(&j) {
             self.accounts.due.push(j);
         }
     }
@@ -177,13 +177,15 @@
 
     fn enter_account(&mut self, j: JobIx, now: f64) {
         let t = self.account_now(now);
-        let may_have_waited_s = self.accounts.arrivals.take(self.jobs.at(j).at_ms as f64 / 1000.0);
-        let job = self.jobs.at(j);
+        let may_have_waited_s = self.accounts.arrivals.take(self.jobs[j].at_ms as f64 / 1000.0);
+        let job = &self.jobs[j];
         let spec = &job.spec;
         let (from, submitted) = (job.freed_ms as f64 / 1000.0, job.at_ms as f64 / 1000.0);
         let began = self.account_now(self.began);
         // A machine that may hold it is named with it before its first start.
-        let seen = job.shadowed_by > 0 || job.done > 0 || job.tasks.iter().any(|s| matches!(s, Slot::Held(_)));
+        let seen = job.unreconciled_machines > 0
+            || job.done > 0
+            || job.tasks.iter().any(|s| matches!(s, TaskSlot::Assigned(_)));
         let late = self.sees_late_s(job, now);
         // What a fresh cluster's first jobs could start on has to be rented first.
         let boots = self.types.list.iter().map(|t| t.boot_s).fold(0.0, f64::max) * BOOTS_WITHIN;
@@ -199,7 +201,7 @@
             submitted: submitted + late,
             deadline_s: spec.deadline_s,
             may_have_started: submitted < began && seen,
-            seen_from: if submitted < began { began + self.silent_s() } else { from },
+            seen_from: if submitted < began { began + self.heartbeat_timeout_s() } else { from },
         };
         let end = match job.phase {
             Phase::Done => End::Done,
@@ -213,7 +215,7 @@
                 let ticket = self.book.enter(&entry, t);
                 self.book.runs(ticket, tasks, t);
                 let accounts = self.book.of(ticket);
-                let job = self.jobs.at_mut(j);
+                let job = &mut self.jobs[j];
                 (job.ticket, job.accounts) = (Some(ticket), accounts);
                 (job.serves_until, job.useful_until) = (until, useful);
                 return;
@@ -226,7 +228,7 @@
     /// The number of its tasks that run, or are done, has changed.
     pub(in crate::shard) fn account_runs(&mut self, j: JobIx, now: f64) {
         let t = self.account_now(now);
-        let job = self.jobs.at(j);
+        let job = &self.jobs[j];
         if let Some(ticket) = job.ticket {
             self.book.runs(ticket, job.progress(), t);
         }
@@ -234,7 +236,7 @@
 
     pub(in crate::shard) fn account_end(&mut self, j: JobIx, phase: Phase, now: f64) {
         let t = self.account_now(now);
-        let job = self.jobs.at_mut(j);
+        let job = &mut self.jobs[j];
         let ended = if job.ended_ms > 0 { job.ended_ms as f64 / 1000.0 } else { t };
         if let Some(ticket) = job.ticket.take() {
             self.book.ended(ticket, if phase == Phase::Done { End::Done } else { End::Cancelled }, ended, t);
@@ -244,9 +246,9 @@
     /// Enters what is due, and looks now and then at who has sunk.
     pub(in crate::shard) fn keep_accounts(&mut self, now: f64) {
         let mut due = std::mem::take(&mut self.accounts.due);
-        due.sort_by_key(|j| self.jobs.at(*j).at_ms);
+        due.sort_by_key(|j| self.jobs[*j].at_ms);
         for j in due {
-            if self.jobs.at(j).ticket.is_none() {
+            if self.jobs[j].ticket.is_none() {
                 self.enter_account(j, now);
             }
         }
@@ -273,9 +275,9 @@
         let now_ms = (t * 1000.0) as u64;
         let mut open: HashMap<AccountIx, (Vec<(f64, f64)>, f64)> = HashMap::new();
         for &j in &self.jobs.live {
-            let job = self.jobs.at(j);
+            let job = &self.jobs[j];
             let (Some(accounts), false, true) = (job.accounts, job.is_service(), job.open()) else { continue };
-            let held = f64::from(job.held) * job.spec.cpus;
+            let held = f64::from(job.assigned) * job.spec.cpus;
             for a in accounts {
                 open.entry(a).or_default().1 += held;
             }
@@ -285,7 +287,7 @@
             if now_ms < job.freed_ms + window / WAITED_PART {
                 continue;
             }
-            let tasks = f64::from(job.wants()) - f64::from(job.held) / 2.0;
+            let tasks = f64::from(job.wants()) - f64::from(job.assigned) / 2.0;
             let work = tasks * job.spec.estimate_s * job.spec.cpus;
             for a in accounts {
                 open.entry(a).or_default().0.push((work, (until - now_ms) as f64 / 1000.0));
@@ -298,7 +300,7 @@
     fn account_held(&mut self, since: f64, t: f64) {
         let mut asked = vec![0.0; self.teams.len()];
         for &j in &self.jobs.live {
-            let job = self.jobs.at(j);
+            let job = &self.jobs[j];
             if job.open() {
                 asked[job.team.ix()] += f64::from(job.wants()) * job.spec.cpus;
             }
@@ -331,7 +333,7 @@
 
     /// The class and team of a job that is known here.
     pub fn whose(&self, id: &str) -> Option<(String, String)> {
-        let spec = &self.jobs.at(self.jobs.find(id)?).spec;
+        let spec = &self.jobs[self.jobs.find(id)?].spec;
         Some((spec.class.clone(), spec.team.clone()))
     }
 
@@ -353,10 +355,10 @@
             .machines
             .iter()
             .filter(|(_, m)| m.phase == MachinePhase::Up)
-            .map(|(_, m)| self.types.get(m.ty).cpus)
+            .map(|(_, m)| self.types.get(m.machine_type).cpus)
             .sum();
-        let waits = self.jobs.live.iter().map(|&j| self.jobs.at(j)).filter(|j| j.open() && !j.is_service());
-        let waits: f64 = waits.map(|j| f64::from(j.wants().saturating_sub(j.held)) * j.spec.cpus).sum();
+        let waits = self.jobs.live.iter().map(|&j| &self.jobs[j]).filter(|j| j.open() && !j.is_service());
+        let waits: f64 = waits.map(|j| f64::from(j.wants().saturating_sub(j.assigned)) * j.spec.cpus).sum();
         if there > 0.0 { (waits / there).clamp(1.0, MOST_PRESSURE) } else { 1.0 }
     }
 
--- a/crates/scheduler/src/shard/sizing.rs
+++ b/crates/scheduler/src/shard/sizing.rs
@@ -9,7 +9,7 @@
 use std::collections::HashMap;
 
 /// Reports come at intervals of up to this many times the usual one.
-pub(super) const REPORT_SPREAD: f64 = 1.25;
+pub(super) const HEARTBEAT_JITTER: f64 = 1.25;
 const MOVE_EVERY_S: f64 = 1.0;
 /// The base is counted with room for this many more service tasks.
 const SPARE_TASKS: f64 = 2.0;
@@ -53,7 +53,7 @@
             self.teams.iter().map(|t| if t.spec.cpus_max > 0.0 { t.spec.cpus_max } else { f64::INFINITY }).collect();
         let mut above = self.quota_demand();
         for &j in &self.jobs.live {
-            let job = self.jobs.at(j);
+            let job = &self.jobs[j];
             if !job.open() {
                 continue;
             }
@@ -93,8 +93,8 @@
             let count = |spot: bool, ready: bool| {
                 self.machines
                     .iter()
-                    .filter(|(_, m)| m.ty == ty && m.spot == spot && staying(m, now))
-                    .filter(|(_, m)| m.phase == MachinePhase::Up && m.hears(now) || !ready)
+                    .filter(|(_, m)| m.machine_type == ty && m.spot == spot && staying(m, now))
+                    .filter(|(_, m)| m.phase == MachinePhase::Up && m.can_receive_commands(now) || !ready)
                     .count()
             };
             let (spot_up, spot_now, ordinary_now) = (count(true, true), count(true, false), count(false, false));
@@ -126,8 +126,8 @@
         let mut up: Vec<(ZoneIx, usize, MachineIx)> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.ty == ty && !m.spot && staying(m, now) && m.phase == MachinePhase::Up)
-            .map(|(i, m)| (m.zone, m.services, i))
+            .filter(|(_, m)| m.machine_type == ty && !m.spot && staying(m, now) && m.phase == MachinePhase::Up)
+            .map(|(i, m)| (m.zone, m.service_tasks, i))
             .collect();
         up.sort_by_key(|(zone, services, i)| (*zone, std::cmp::Reverse(*services), *i));
         let mut turn = 0;
@@ -140,7 +140,7 @@
         }
         in_turns.sort();
         for (rank, (_, _, i)) in in_turns.into_iter().enumerate() {
-            self.machines.at_mut(i).base = rank < count;
+            self.machines[i].in_on_demand_base = rank < count;
         }
     }
 
@@ -156,7 +156,7 @@
     ) {
         if wanted > there + pending {
             let mut short = wanted - there - pending;
-            let cordoned = self.cordoned(|m| m.ty == ty && m.spot == spot);
+            let cordoned = self.cordoned(|m| m.machine_type == ty && m.spot == spot);
             short -= self.use_again(cordoned.into_iter().rev().take(short));
             if short > 0 {
                 self.rent(ty, spot, short, now);
@@ -169,16 +169,22 @@
             let mut spare: Vec<(bool, usize, f64, MachineIx)> = self
                 .machines
                 .iter()
-                .filter(|(_, m)| m.ty == ty && m.spot == spot && staying(m, now) && !m.base && !self.grown_on(m))
+                .filter(|(_, m)| {
+                    m.machine_type == ty
+                        && m.spot == spot
+                        && staying(m, now)
+                        && !m.in_on_demand_base
+                        && !self.grown_on(m)
+                })
                 .filter(|(_, m)| !bound.at(ty, m.zone))
                 .map(|(i, m)| {
                     let up = m.phase == MachinePhase::Up;
-                    (up, m.services, if up { m.cpus_used } else { -m.born }, i)
+                    (up, m.service_tasks, if up { m.cpus_used } else { -m.first_seen_at }, i)
                 })
                 .collect();
             spare.sort_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)).then(a.2.total_cmp(&b.2)));
             for (_, _, _, i) in spare.into_iter().take(there - wanted) {
-                self.machines.at_mut(i).cordoned = true;
+                self.machines[i].cordoned = true;
             }
         }
     }
@@ -186,7 +192,7 @@
     /// Machines that were to be returned, and can be used still.
     pub(super) fn cordoned(&self, of_sort: impl Fn(&Machine) -> bool) -> Vec<MachineIx> {
         let usable =
-            |m: &Machine| m.cordoned && present(m) && m.notice_until.is_none() && !m.lost_start_before(f64::INFINITY);
+            |m: &Machine| m.cordoned && present(m) && m.reclaimed_at.is_none() && !m.lost_start_before(f64::INFINITY);
         self.machines.iter().filter(|(_, m)| usable(m) && of_sort(m)).map(|(i, _)| i).collect()
     }
 
@@ -194,7 +200,7 @@
     pub(super) fn use_again(&mut self, machines: impl Iterator<Item = MachineIx>) -> usize {
         let mut kept = 0;
         for m in machines {
-            self.machines.at_mut(m).cordoned = false;
+            self.machines[m].cordoned = false;
             self.place_due = true;
             kept += 1;
         }
@@ -225,5 +231,5 @@
 
 /// Does this machine count as part of the fleet?
 pub(super) fn staying(m: &Machine, now: f64) -> bool {
-    present(m) && !m.unproven && !m.cordoned && m.notice_until.is_none() && now >= m.quarantined_until
+    present(m) && !m.heard_only_before_failover && !m.cordoned && m.reclaimed_at.is_none() && now >= m.quarantined_until
 }
--- a/crates/scheduler/src/shard/summary.rs
+++ b/crates/scheduler/src/shard/summary.rs
@@ -32,19 +32,19 @@
             .jobs
             .live
             .iter()
-            .map(|&j| self.jobs.at(j))
+            .map(|&j| &self.jobs[j])
             .filter(|j| j.open())
-            .map(|j| j.unfinished().saturating_sub(j.held))
+            .map(|j| j.unfinished().saturating_sub(j.assigned))
             .sum();
         let up = |spot: bool, cordoned: bool| {
             let up = |m: &Machine| m.phase == MachinePhase::Up && m.spot == spot && m.cordoned == cordoned;
             self.machines.iter().filter(|(_, m)| up(m)).count()
         };
         let booting = self.machines.iter().filter(|(_, m)| m.phase == MachinePhase::Booting).count();
-        let unresolved = self.machines.iter().filter(|(_, m)| !m.resolved()).count();
+        let unresolved = self.machines.iter().filter(|(_, m)| !m.is_reconciled()).count();
         let mut held = BTreeMap::new();
-        for (k, h) in self.machines.iter().flat_map(|(_, m)| &m.tasks) {
-            *held.entry(h.state).or_insert(0.0) += self.jobs.at(k.0).spec.cpus;
+        for (k, h) in self.machines.iter().flat_map(|(_, m)| &m.assignments) {
+            *held.entry(h.state).or_insert(0.0) += self.jobs[k.0].spec.cpus;
         }
         let mix = self.pools.values().next().map(|p| p.mix).unwrap_or_default();
         format!(
--- a/crates/scheduler/src/shard/task_failures.rs
+++ b/crates/scheduler/src/shard/task_failures.rs
@@ -21,7 +21,7 @@
 const OF_ONE_JOB: usize = 3;
 /// A machine that was set aside is returned only then, in seconds: the jobs that failed on it may
 /// turn out to be at fault.
-pub(super) const KEPT_ASIDE_S: f64 = 12.0;
+pub(super) const QUARANTINE_S: f64 = 12.0;
 /// A replica that runs for so long, in seconds, runs well.
 pub(super) const RUNS_WELL_S: f64 = 10.0;
 
@@ -33,17 +33,17 @@
 
     /// Tasks that could use a machine now. Of a job at fault one at a time is tried.
     pub fn wants(&self) -> u32 {
-        if self.at_fault() { self.held.max(1).min(self.unfinished()) } else { self.unfinished() }
+        if self.at_fault() { self.assigned.max(1).min(self.unfinished()) } else { self.unfinished() }
     }
 }
 
 impl Shard {
     pub(super) fn task_failed(&mut self, m: MachineIx, k: TaskKey, now: f64) {
         // What fails on a machine that is faulty by others' failures says nothing of the job.
-        if self.machines.at(m).faulty() && self.fails_its_tasks(m, Some(k.0)) {
+        if self.machines[m].is_quarantined() && self.fails_its_tasks(m, Some(k.0)) {
             return;
         }
-        let job = self.jobs.at_mut(k.0);
+        let job = &mut self.jobs[k.0];
         job.failed_at = now;
         let before = job.at_fault();
         if !job.failed_on.contains(&m) {
@@ -56,7 +56,7 @@
         if !before {
             self.blame_job(k.0, now);
         }
-        let job = self.jobs.at_mut(k.0);
+        let job = &mut self.jobs[k.0];
         let excess = job.failed_on.len().saturating_sub(MOST_REMEMBERED);
         job.failed_on.drain(..excess);
         // Tasks that were started together fail together: that is one try.
@@ -68,14 +68,14 @@
 
     /// The job has shown that it is at fault: the machines that it failed on get their standing back.
     fn blame_job(&mut self, j: JobIx, now: f64) {
-        log::info!("{} fails on every machine: tried again now and then", self.jobs.at(j).id);
-        for m in self.jobs.at(j).failed_on.clone() {
+        log::info!("{} fails on every machine: tried again now and then", self.jobs[j].id);
+        for m in self.jobs[j].failed_on.clone() {
             // One that is long gone has left the memory.
             let Some(machine) = self.machines.get_mut(m) else { continue };
-            machine.fails.retain(|f| f.0 != j);
-            if machine.faulty() && machine.phase == MachinePhase::Up && !self.fails_its_tasks(m, None) {
-                log::info!("machine {} was not at fault", self.machines.at(m).name);
-                self.machines.at_mut(m).quarantined_until = now;
+            machine.recent_failures.retain(|f| f.0 != j);
+            if machine.is_quarantined() && machine.phase == MachinePhase::Up && !self.fails_its_tasks(m, None) {
+                log::info!("machine {} was not at fault", self.machines[m].name);
+                self.machines[m].quarantined_until = now;
                 self.want_record(m);
             }
         }
@@ -86,7 +86,7 @@
 
     /// The job has succeeded somewhere, or what it failed on was at fault.
     pub(super) fn absolve(&mut self, j: JobIx) {
-        let job = self.jobs.at_mut(j);
+        let job = &mut self.jobs[j];
         let was = job.at_fault();
         job.failed_on.clear();
         if was {
@@ -97,23 +97,23 @@
     }
 
     fn machine_failed(&mut self, m: MachineIx, j: JobIx, now: f64) {
-        let machine = self.machines.at_mut(m);
-        machine.fails.retain(|f| now - f.1 < TELLS_FOR_S);
-        machine.fails.push((j, now));
+        let machine = &mut self.machines[m];
+        machine.recent_failures.retain(|f| now - f.1 < TELLS_FOR_S);
+        machine.recent_failures.push((j, now));
         if !self.fails_its_tasks(m, None) {
             return;
         }
-        let machine = self.machines.at_mut(m);
-        if !machine.faulty() {
+        let machine = &mut self.machines[m];
+        if !machine.is_quarantined() {
             log::warn!("machine {} fails its tasks: set aside", machine.name);
             machine.quarantined_until = f64::INFINITY;
-            machine.aside_since = now;
+            machine.quarantined_since = now;
             self.want_record(m);
         }
-        let failed_here = |j: &&JobIx| self.jobs.at(**j).failed_on.contains(&m) && self.fails_its_tasks(m, Some(**j));
+        let failed_here = |j: &&JobIx| self.jobs[**j].failed_on.contains(&m) && self.fails_its_tasks(m, Some(**j));
         let cleared: Vec<JobIx> = self.jobs.live.iter().filter(failed_here).copied().collect();
         for j in cleared {
-            let job = self.jobs.at_mut(j);
+            let job = &mut self.jobs[j];
             let was = job.at_fault();
             job.failed_on.retain(|f| *f != m);
             if was && !job.at_fault() {
@@ -124,10 +124,10 @@
 
     /// Do failures of jobs that are not at fault speak against this machine, of others than this one?
     fn fails_its_tasks(&self, m: MachineIx, but: Option<JobIx>) -> bool {
-        let fails = &self.machines.at(m).fails;
+        let fails = &self.machines[m].recent_failures;
         let speak = |j: JobIx| Some(j) != but && self.jobs.get(j).is_some_and(|j| !j.at_fault());
         let mut jobs: Vec<JobIx> = fails.iter().map(|f| f.0).filter(|j| speak(*j)).collect();
-        let of_one = |j: &JobIx| self.jobs.at(*j).done > 0 && fails.iter().filter(|f| f.0 == *j).count() >= OF_ONE_JOB;
+        let of_one = |j: &JobIx| self.jobs[*j].done > 0 && fails.iter().filter(|f| f.0 == *j).count() >= OF_ONE_JOB;
         jobs.sort_unstable();
         jobs.dedup();
         jobs.len() >= 2 || jobs.iter().any(of_one)
--- a/crates/scheduler/src/shard/writes/batch.rs
+++ b/crates/scheduler/src/shard/writes/batch.rs
@@ -87,7 +87,7 @@
     /// do, until they press.
     fn finals_in_turn(&mut self, spare: usize, now: f64) -> Vec<JobIx> {
         let turn = |j: &JobIx| {
-            let job = self.jobs.at(*j);
+            let job = &self.jobs[*j];
             let follows = job.doomed.is_some() && !self.doom_presses(*j, now);
             (follows, job.wanted != Phase::Cancelled, job.doomed.is_some())
         };
@@ -106,7 +106,7 @@
 
     fn write_finals(&mut self, batch: &mut Batch, now: f64) -> ControlFlow<()> {
         for j in self.finals_in_turn(batch.spare, now) {
-            let job = self.jobs.at(j);
+            let job = &self.jobs[j];
             let key = job_key(&job.id);
             if self.in_flight.contains(&key) {
                 continue;
@@ -114,7 +114,7 @@
             let phase = job.wanted;
             let ended_ms = self.day_now_ms(now);
             let r = JobRecord::ended(&job.spec, job.at_ms, phase, ended_ms, self.value_bytes);
-            let job = self.jobs.at_mut(j);
+            let job = &mut self.jobs[j];
             job.final_sent = true;
             job.ended_ms = ended_ms;
             self.end_sent(j);
@@ -171,7 +171,7 @@
             return ControlFlow::Continue(());
         }
         for j in self.progress_due.clone() {
-            if self.jobs.at(j).wanted == Phase::Open {
+            if self.jobs[j].wanted == Phase::Open {
                 self.write_progress_of(j, batch)?;
             }
             self.progress_due.remove(&j);
@@ -181,7 +181,7 @@
     }
 
     fn write_progress_of(&mut self, j: JobIx, batch: &mut Batch) -> ControlFlow<()> {
-        let chunks: Vec<u32> = self.jobs.at(j).dirty_chunks.iter().copied().collect();
+        let chunks: Vec<u32> = self.jobs[j].dirty_chunks.iter().copied().collect();
         for c in chunks {
             let key = self.jobs.progress_key(j, c);
             if !batch.has_spare() {
@@ -190,7 +190,7 @@
             if self.in_flight.contains(&key) {
                 continue;
             }
-            self.jobs.at_mut(j).dirty_chunks.remove(&c);
+            self.jobs[j].dirty_chunks.remove(&c);
             let r = self.jobs.progress(j, c);
             batch.take(self.put(key, What::Progress(j, c, r.clone()), &r))?;
         }
--- a/crates/scheduler/src/shard/writes/group_values.rs
+++ b/crates/scheduler/src/shard/writes/group_values.rs
@@ -2,16 +2,16 @@
 
 use super::{Content, What, Write, sized};
 use crate::fleet::machine_groups::{RackMachine, RackRecord, rack_key};
-use crate::fleet::{Held, HeldState, Machine, Phase as MachinePhase};
+use crate::fleet::{Assignment, AssignmentState, Machine, Phase as MachinePhase};
 use crate::intern::{JobIx, MachineIx, RackIx};
 use crate::jobs::TaskKey;
 use crate::shard::Shard;
 use std::collections::{BTreeSet, HashMap};
 
 /// Jobs that nobody here knows and that this machine may hold: their names go on standing in its record.
-fn unknown_jobs(machine: &Machine) -> BTreeSet<&str> {
-    let listed = machine.unknown.iter().filter_map(|u| u.job().map(|(id, _)| id));
-    listed.chain(machine.unknown_jobs.iter().map(|id| &**id)).collect()
+fn unrecognized_jobs(machine: &Machine) -> BTreeSet<&str> {
+    let listed = machine.unrecognized_attempts.iter().filter_map(|u| u.job().map(|(id, _)| id));
+    listed.chain(machine.unrecognized_jobs.iter().map(|id| &**id)).collect()
 }
 
 impl Shard {
@@ -31,8 +31,8 @@
         }
         let (value, contents) = self.rack_value(r)?;
         for (m, jobs, _) in &contents {
-            let machine = self.machines.at_mut(*m);
-            if machine.resolved() {
+            let machine = &mut self.machines[*m];
+            if machine.is_reconciled() {
                 machine.stored_jobs.retain(|j| jobs.contains(j));
             }
         }
@@ -69,12 +69,13 @@
     fn put_off_planned(&mut self, r: RackIx) {
         let members: Vec<MachineIx> = self.racks.list.get(&r).into_iter().flat_map(|r| r.members.clone()).collect();
         for m in members {
-            let machine = self.machines.at(m);
-            let unnamed =
-                |(k, h): &(&TaskKey, &Held)| h.state == HeldState::Planned && !machine.stored_jobs.contains(&k.0);
-            let keys: Vec<TaskKey> = machine.tasks.iter().filter(unnamed).map(|(k, _)| *k).collect();
+            let machine = &self.machines[m];
+            let unnamed = |(k, h): &(&TaskKey, &Assignment)| {
+                h.state == AssignmentState::Planned && !machine.stored_jobs.contains(&k.0)
+            };
+            let keys: Vec<TaskKey> = machine.assignments.iter().filter(unnamed).map(|(k, _)| *k).collect();
             for k in keys {
-                self.release(m, k);
+                self.release_resources(m, k);
                 self.requeue(k);
             }
         }
@@ -93,24 +94,30 @@
         let mut contents = Vec::with_capacity(rack.members.len());
         let (mut job_at, mut image_at, mut unknown_at) = (HashMap::new(), HashMap::new(), HashMap::new());
         for &m in &rack.members {
-            let machine = self.machines.at(m);
-            let mut jobs: Vec<JobIx> = machine.tasks.keys().map(|k| k.0).collect();
-            if !machine.resolved() {
+            let machine = &self.machines[m];
+            let mut jobs: Vec<JobIx> = machine.assignments.keys().map(|k| k.0).collect();
+            if !machine.is_reconciled() {
                 jobs.extend(machine.stored_jobs.iter().copied());
             }
-            jobs.extend(machine.loose.keys().map(|k| k.0));
+            jobs.extend(machine.unacknowledged_starts.keys().map(|k| k.0));
             // What is listed and not held occupies its task under the next owner as well.
-            jobs.extend(machine.leftovers.iter().filter(|(_, leftover)| leftover.1.is_orphaned()).map(|(k, _)| k.0));
+            jobs.extend(
+                machine
+                    .unassigned
+                    .iter()
+                    .filter(|(_, unassigned_attempt)| unassigned_attempt.1.is_orphaned())
+                    .map(|(k, _)| k.0),
+            );
             jobs.sort_unstable();
             jobs.dedup();
             let mut place = |j: &JobIx| {
                 *job_at.entry(*j).or_insert_with(|| {
-                    record.jobs.push(self.jobs.at(*j).id.to_string());
+                    record.jobs.push(self.jobs[*j].id.to_string());
                     record.jobs.len() as u32 - 1
                 })
             };
             let mut places: Vec<u32> = jobs.iter().map(&mut place).collect();
-            places.extend(unknown_jobs(machine).into_iter().map(|id| {
+            places.extend(unrecognized_jobs(machine).into_iter().map(|id| {
                 *unknown_at.entry(id).or_insert_with(|| {
                     record.jobs.push(id.to_owned());
                     record.jobs.len() as u32 - 1
@@ -125,12 +132,12 @@
                     })
                 })
                 .collect();
-            let retiring = machine.phase == MachinePhase::Retiring;
+            let retiring = machine.phase == MachinePhase::Terminating;
             record.machines.push(RackMachine {
                 machine: machine.name.to_string(),
                 addr: machine.addr.map(|a| a.to_string()).unwrap_or_default(),
-                retiring,
-                faulty: machine.faulty(),
+                terminating: retiring,
+                faulty: machine.is_quarantined(),
                 jobs: places,
                 images,
             });
