--- a/crates/accounts/examples/cost.rs
+++ b/crates/accounts/examples/cost.rs
@@ -3,9 +3,9 @@
 //!
 //!     cargo run --release -p lupinspur-accounts --example cost
 
-use lupinspur_accounts::objectives::{Milestone, Terms};
-use lupinspur_accounts::tracker::{Book, End, Entry, Tasks};
-use lupinspur_accounts::underserved::Sunk;
+use lupinspur_accounts::objectives::{CompletionObjective, ServiceLevelObjectives};
+use lupinspur_accounts::tracker::{End, Entry, ServiceLevelTracker, Tasks};
+use lupinspur_accounts::underserved::Underserved;
 use std::collections::HashMap;
 use std::hint::black_box;
 use std::time::Instant;
@@ -17,10 +17,14 @@
     println!("{:>8} {:>8} {:>14} {:>14}", "classes", "teams", "ns an event", "us a look");
     for (classes, teams) in [(2u32, 4u32), (16, 32), (64, 128), (1000, 1000)] {
         let terms = |i: u32| {
-            let done = vec![Milestone::Deadline(1.0), Milestone::Deadline(1.5), Milestone::Within(180.0)];
-            (format!("c{i}"), Terms { wait_s: Some(30.0), done, grace_s: None })
+            let done = vec![
+                CompletionObjective::Deadline(1.0),
+                CompletionObjective::Deadline(1.5),
+                CompletionObjective::Within(180.0),
+            ];
+            (format!("c{i}"), ServiceLevelObjectives { wait_s: Some(30.0), done, grace_s: None })
         };
-        let mut book = Book::new((0..classes).map(terms).collect::<HashMap<_, _>>());
+        let mut book = ServiceLevelTracker::new((0..classes).map(terms).collect::<HashMap<_, _>>());
         let names: Vec<(String, String)> =
             (0..JOBS).map(|i| (format!("c{}", i % classes), format!("t{}", i % teams))).collect();
         let began = Instant::now();
@@ -48,7 +52,7 @@
         for i in 0..LOOKS {
             let now = 2000.0 + f64::from(i);
             book.advance(now);
-            black_box((Sunk::look(&book, &Default::default(), now), book.alarms(now)));
+            black_box((Underserved::look(&book, &Default::default(), now), book.alarms(now)));
         }
         println!(
             "{classes:>8} {teams:>8} {event:>14.0} {:>14.1}",
--- a/crates/accounts/examples/gate.rs
+++ b/crates/accounts/examples/gate.rs
@@ -7,7 +7,7 @@
 //! The second shows by class how far the owners' accounts agree with what was measured.
 
 use lupinspur_accounts::gate::{self, Judged, LOG_MARK, Nothing};
-use lupinspur_accounts::report::Told;
+use lupinspur_accounts::report::ServiceLevelReport;
 use std::process::ExitCode;
 
 fn text(path: &str) -> Result<String, Nothing> {
@@ -15,7 +15,7 @@
 }
 
 /// The program's own log, as the bench prints it.
-fn logged(path: &str, text: &str) -> Result<Vec<Told>, Nothing> {
+fn logged(path: &str, text: &str) -> Result<Vec<ServiceLevelReport>, Nothing> {
     let all = text.lines().filter_map(|l| l.split_once(LOG_MARK)).map(|l| serde_json::from_str(l.1));
     all.collect::<Result<_, _>>().map_err(|e| Nothing(format!("{path}: accounts: {e}")))
 }
--- a/crates/accounts/src/gate.rs
+++ b/crates/accounts/src/gate.rs
@@ -4,8 +4,8 @@
 //! targets, by class), a journal entry of a score (each aim as a line of text), and the
 //! accounts that the owner logs (by class and by team).
 
-use crate::report::{HALF, Row, Told};
-use crate::{Reading, Side};
+use crate::report::{ALERT_THRESHOLD, Row, ServiceLevelReport};
+use crate::{Reading, Subject};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
@@ -56,7 +56,7 @@
         for c in &all {
             let later = |o: &Candidate| o.kind == c.kind && o.class == c.class && !o.window && o.reach > c.reach;
             if c.window || all.iter().any(later) {
-                if c.share < HALF {
+                if c.share < ALERT_THRESHOLD {
                     self.notes.push(Under { source: source.to_owned(), reading: c.name.clone(), share: c.share });
                 }
             } else {
@@ -70,7 +70,7 @@
         if self.lowest.as_ref().is_none_or(|l| share < l.1) {
             self.lowest = Some((reading.clone(), share));
         }
-        if share < HALF {
+        if share < ALERT_THRESHOLD {
             self.under.push(Under { source: source.to_owned(), reading, share });
         }
     }
@@ -177,10 +177,10 @@
 
 /// The accounts of a day: the last that was logged, and with it the last of each chain of owners
 /// that was not handed over. What was lost between owners is unknown, and judged by nobody.
-fn together(lines: &[Told]) -> Vec<Row> {
-    let mut last: BTreeMap<u64, &Told> = BTreeMap::new();
+fn together(lines: &[ServiceLevelReport]) -> Vec<Row> {
+    let mut last: BTreeMap<u64, &ServiceLevelReport> = BTreeMap::new();
     last.extend(lines.iter().map(|t| (if t.chain > 0 { t.chain } else { t.owner }, t)));
-    let mut rows: BTreeMap<(Side, &str, u8), Row> = BTreeMap::new();
+    let mut rows: BTreeMap<(Subject, &str, u8), Row> = BTreeMap::new();
     for r in last.values().flat_map(|t| &t.rows) {
         let of = rows.entry((r.side, &r.name, r.reading as u8)).or_insert(Row {
             asked: 0.0,
@@ -196,7 +196,7 @@
     rows.into_values().collect()
 }
 
-pub fn accounts(source: &str, lines: &[Told]) -> Result<Judged, Nothing> {
+pub fn accounts(source: &str, lines: &[ServiceLevelReport]) -> Result<Judged, Nothing> {
     let mut out = Judged::default();
     for r in &together(lines) {
         // What few asked for says little: a single job would be none or all.
@@ -240,7 +240,7 @@
 
 /// How far the accounts of a day agree with its report. Accounts judge an array once, by the last
 /// multiple of its deadline, or where its class has none by the longest time.
-pub fn agreement(r: &Report, lines: &[Told]) -> Vec<Agreement> {
+pub fn agreement(r: &Report, lines: &[ServiceLevelReport]) -> Vec<Agreement> {
     let mut measured: BTreeMap<(String, u8), (Reading, bool, f64, f64)> = BTreeMap::new();
     for t in r.targets.iter().filter(|t| t.worst_s.is_none() && t.of.is_none_or(|n| n > 0.0)) {
         let (reading, deadline) = match t.kind.as_str() {
@@ -261,7 +261,7 @@
     }
     let rows = together(lines);
     let of = |((class, _), (reading, _, _, measured))| {
-        let row = rows.iter().find(|r| r.side == Side::Class && r.name == class && r.reading == reading);
+        let row = rows.iter().find(|r| r.side == Subject::Class && r.name == class && r.reading == reading);
         let (asked, unknown) = row.map_or((0.0, 0.0), |r| (r.asked, r.unknown as f64));
         let unknown = if asked + unknown > 0.0 { unknown / (asked + unknown) } else { 0.0 };
         Agreement { class, reading, measured, accounts: row.and_then(|r| r.share), unknown }
--- a/crates/accounts/src/inheritance.rs
+++ b/crates/accounts/src/inheritance.rs
@@ -10,9 +10,9 @@
 //! What the earlier book counted up to [`Carried::as_of`] is in the sums and must not be counted
 //! again; what it counted after that is lost, and told as unknown.
 
-use crate::tracker::Book;
+use crate::tracker::ServiceLevelTracker;
 use crate::window::{Share, Span};
-use crate::{READINGS, Side};
+use crate::{READINGS, Subject};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -22,11 +22,11 @@
 
 /// One account: its readings, in their order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Line(pub Side, pub String, pub Vec<Handed>);
+pub struct IndicatorTotals(pub Subject, pub String, pub Vec<ReadingTotals>);
 
 /// One reading: asked and served in all, the number unknown, asked and served in ten minutes.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
-pub struct Handed(pub f64, pub f64, pub u64, pub f64, pub f64);
+pub struct ReadingTotals(pub f64, pub f64, pub u64, pub f64, pub f64);
 
 /// One value of a round.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -40,7 +40,7 @@
     as_of: f64,
     /// The first owner whose accounts these are.
     chain: u64,
-    lines: Vec<Line>,
+    lines: Vec<IndicatorTotals>,
 }
 
 impl Part {
@@ -51,11 +51,11 @@
 
 /// What a successor goes on with.
 #[derive(Debug, Clone, PartialEq, Default)]
-pub struct Carried {
+pub struct InheritedTotals {
     pub round: u64,
     pub as_of: f64,
     pub chain: u64,
-    pub lines: Vec<Line>,
+    pub lines: Vec<IndicatorTotals>,
 }
 
 /// To a tenth: what is added up are jobs and seconds.
@@ -63,27 +63,27 @@
     (v * 10.0).round() / 10.0
 }
 
-impl Book {
+impl ServiceLevelTracker {
     /// The values of one round, each no longer than `limit` bytes as JSON. An account whose own
     /// line is longer than that is left out.
     pub fn hand_over(&mut self, round: u64, chain: u64, limit: usize, now: f64) -> Vec<Part> {
         self.advance(now);
-        let mut values: Vec<Vec<Line>> = vec![Vec::new()];
+        let mut values: Vec<Vec<IndicatorTotals>> = vec![Vec::new()];
         let mut room = limit.saturating_sub(FRAME);
         for a in &self.accounts {
             let of = |r| {
                 let (all, ten) = (a.sums(r).total, a.sums(r).over(Span::TenMinutes, now));
                 let unknown = a.unknown[r as usize];
-                Handed(tenth(all.asked), tenth(all.served), unknown, tenth(ten.asked), tenth(ten.served))
+                ReadingTotals(tenth(all.asked), tenth(all.served), unknown, tenth(ten.asked), tenth(ten.served))
             };
-            let mut sums: Vec<Handed> = READINGS.map(of).to_vec();
-            while sums.last().is_some_and(|s| *s == Handed::default()) {
+            let mut sums: Vec<ReadingTotals> = READINGS.map(of).to_vec();
+            while sums.last().is_some_and(|s| *s == ReadingTotals::default()) {
                 sums.pop();
             }
             if sums.is_empty() {
                 continue;
             }
-            let line = Line(a.side, a.name.clone(), sums);
+            let line = IndicatorTotals(a.side, a.name.clone(), sums);
             // A name may need escapes; nothing in a line is longer than this.
             let text = a.name.escape_default().count() + 24 + line.2.len() * 72;
             if text > limit.saturating_sub(FRAME) {
@@ -105,12 +105,12 @@
 
     /// Goes on with an earlier owner's sums. `within_s`: how far the two owners' times of day may
     /// lie apart; what fell due around the end of the earlier accounts is unknown.
-    pub fn carry(&mut self, c: &Carried, within_s: f64, now: f64) {
+    pub fn carry(&mut self, c: &InheritedTotals, within_s: f64, now: f64) {
         (self.settled_before, self.lost_until) = (c.as_of - within_s, c.as_of + within_s);
-        for Line(side, name, sums) in &c.lines {
+        for IndicatorTotals(side, name, sums) in &c.lines {
             let a = self.indicator(*side, name, now);
             let account = &mut self.accounts[a.ix()];
-            for (r, &Handed(asked, served, unknown, ten_asked, ten_served)) in READINGS.into_iter().zip(sums) {
+            for (r, &ReadingTotals(asked, served, unknown, ten_asked, ten_served)) in READINGS.into_iter().zip(sums) {
                 let ten = Share { asked: ten_asked, served: ten_served };
                 account.carried(r, Share { asked, served }, unknown, ten, c.as_of, now);
             }
@@ -119,7 +119,7 @@
 }
 
 /// The newest complete round among these values. None where there is none that can be read.
-pub fn newest(parts: impl IntoIterator<Item = Part>) -> Option<Carried> {
+pub fn newest_complete_round(parts: impl IntoIterator<Item = Part>) -> Option<InheritedTotals> {
     let mut rounds: BTreeMap<u64, BTreeMap<u32, Part>> = BTreeMap::new();
     for p in parts.into_iter().filter(|p| p.form == FORM) {
         rounds.entry(p.round).or_default().insert(p.n, p);
@@ -129,7 +129,7 @@
         let whole = (0..first.of).all(|n| parts.get(&n).is_some_and(|p| p.of == first.of && p.chain == first.chain));
         if whole {
             let lines = parts.into_values().filter(|p| p.n < first.of).flat_map(|p| p.lines).collect();
-            return Some(Carried { round, as_of: first.as_of, chain: first.chain, lines });
+            return Some(InheritedTotals { round, as_of: first.as_of, chain: first.chain, lines });
         }
     }
     None
--- a/crates/accounts/src/lib.rs
+++ b/crates/accounts/src/lib.rs
@@ -25,14 +25,14 @@
 pub mod underserved;
 pub mod window;
 
-pub use objectives::{Milestone, Terms};
-pub use report::{Alarm, Row, Told};
-pub use tracker::{Book, Entry, TicketIx};
+pub use objectives::{CompletionObjective, ServiceLevelObjectives};
+pub use report::{Alert, Row, ServiceLevelReport};
+pub use tracker::{Entry, ServiceLevelTracker, TrackedJobIndex};
 
 /// Classes and teams with accounts of their own; the others share one.
-pub const MOST_CLASSES: usize = 64;
-pub const MOST_TEAMS: usize = 128;
-pub const MOST_LEVELS: usize = 128;
+pub const MAX_CLASSES: usize = 64;
+pub const MAX_TEAMS: usize = 128;
+pub const MAX_LEVELS: usize = 128;
 /// The name under which the others are told.
 pub const OTHERS: &str = "(others)";
 
@@ -84,18 +84,18 @@
 /// Whose account: a class of jobs, a team, or a level of quotas that nest.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
-pub enum Side {
+pub enum Subject {
     Class,
     Team,
     Level,
 }
 
-impl Side {
+impl Subject {
     pub fn name(self) -> &'static str {
         match self {
-            Side::Class => "class",
-            Side::Team => "team",
-            Side::Level => "level",
+            Subject::Class => "class",
+            Subject::Team => "team",
+            Subject::Level => "level",
         }
     }
 }
--- a/crates/accounts/src/report.rs
+++ b/crates/accounts/src/report.rs
@@ -1,12 +1,12 @@
 //! Rows for people, and the warnings.
 
-use crate::tracker::Book;
+use crate::tracker::ServiceLevelTracker;
 use crate::window::{Share, Span};
-use crate::{READINGS, Reading, Side};
+use crate::{READINGS, Reading, Subject};
 use serde::{Deserialize, Serialize};
 
 /// Under this share a class or team counts as not served.
-pub const HALF: f64 = 0.5;
+pub const ALERT_THRESHOLD: f64 = 0.5;
 /// So many jobs, or so many seconds of replicas and cpus, make a window worth a warning.
 const LEAST_JOBS: f64 = 8.0;
 const LEAST_SECONDS: f64 = 60.0;
@@ -19,7 +19,7 @@
 /// One reading of one account. Shares are from 0 to 1; none where nothing was asked for.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Row {
-    pub side: Side,
+    pub side: Subject,
     pub name: String,
     pub reading: Reading,
     /// Jobs, or seconds of replicas or cpus.
@@ -34,7 +34,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Told {
+pub struct ServiceLevelReport {
     /// Who counted last.
     #[serde(default)]
     pub owner: u64,
@@ -50,8 +50,8 @@
 
 /// A reading that fell under a half in a window, or came back.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Alarm {
-    pub side: Side,
+pub struct Alert {
+    pub side: Subject,
     pub name: String,
     pub reading: Reading,
     pub span: Span,
@@ -60,9 +60,9 @@
     pub under: bool,
 }
 
-impl Book {
+impl ServiceLevelTracker {
     /// Every reading that has something, classes first.
-    pub fn told(&self, now: f64) -> Told {
+    pub fn told(&self, now: f64) -> ServiceLevelReport {
         let mut rows = Vec::new();
         for a in &self.accounts {
             for r in READINGS {
@@ -89,12 +89,12 @@
             }
         }
         rows.sort_by(|a, b| (a.side, &a.name, a.reading as u8).cmp(&(b.side, &b.name, b.reading as u8)));
-        Told { owner: 0, chain: 0, at_s: now, rows }
+        ServiceLevelReport { owner: 0, chain: 0, at_s: now, rows }
     }
 
     /// The lowest reading over ten minutes of one side, where enough was asked for.
-    pub fn lowest(&self, side: Side, now: f64) -> Option<(&str, Reading, f64)> {
-        let of = |a: &'_ crate::tracker::Account, r: Reading| {
+    pub fn lowest(&self, side: Subject, now: f64) -> Option<(&str, Reading, f64)> {
+        let of = |a: &'_ crate::tracker::ServiceLevelIndicator, r: Reading| {
             let s = a.sums(r).over(Span::TenMinutes, now);
             s.part().filter(|_| enough(r, s.asked))
         };
@@ -106,7 +106,7 @@
     }
 
     /// What fell under a half since the last call, or is back above it.
-    pub fn alarms(&mut self, now: f64) -> Vec<Alarm> {
+    pub fn alarms(&mut self, now: f64) -> Vec<Alert> {
         let mut out = Vec::new();
         for i in 0..self.accounts.len() {
             for r in READINGS {
@@ -118,10 +118,10 @@
                     }
                     let share = served / asked;
                     let key = (i, r, span == Span::Minute);
-                    let under = share < HALF;
+                    let under = share < ALERT_THRESHOLD;
                     if under != self.low.contains(&key) {
                         let (side, name) = (a.side, a.name.clone());
-                        out.push(Alarm { side, name, reading: r, span, share, asked, under });
+                        out.push(Alert { side, name, reading: r, span, share, asked, under });
                         if under {
                             self.low.insert(key)
                         } else {
@@ -135,7 +135,7 @@
     }
 }
 
-impl std::fmt::Display for Alarm {
+impl std::fmt::Display for Alert {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let side = self.side.name();
         let span = if self.span == Span::Minute { "a minute" } else { "ten minutes" };
--- a/crates/accounts/src/tracker/indicator.rs
+++ b/crates/accounts/src/tracker/indicator.rs
@@ -1,7 +1,7 @@
 //! One account: the sums of what was asked for and served.
 
 use crate::window::{Share, Sums, TEN_MINUTES_S};
-use crate::{READINGS, Reading, Side};
+use crate::{READINGS, Reading, Subject};
 use hdrhistogram::Histogram;
 
 /// Waits are kept in milliseconds up to a day, to one part in a hundred.
@@ -9,11 +9,11 @@
 
 /// One account, dense, classes and teams apart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct AccountIx(pub(super) u32);
+pub struct IndicatorIndex(pub(super) u32);
 
-impl AccountIx {
-    pub(crate) fn of(i: usize) -> AccountIx {
-        AccountIx(i as u32)
+impl IndicatorIndex {
+    pub(crate) fn of(i: usize) -> IndicatorIndex {
+        IndicatorIndex(i as u32)
     }
 
     pub fn ix(self) -> usize {
@@ -22,9 +22,9 @@
 }
 
 #[derive(Debug)]
-pub struct Account {
+pub struct ServiceLevelIndicator {
     pub name: String,
-    pub side: Side,
+    pub side: Subject,
     pub(super) sums: [Sums; READINGS.len()],
     /// Jobs of which a reading is not known, after a takeover.
     pub unknown: [u64; READINGS.len()],
@@ -35,13 +35,13 @@
     since: f64,
 }
 
-impl Account {
-    pub(super) fn new(name: &str, side: Side, now: f64) -> Account {
+impl ServiceLevelIndicator {
+    pub(super) fn new(name: &str, side: Subject, now: f64) -> ServiceLevelIndicator {
         let waits = Histogram::new_with_max(MOST_WAIT_MS, 2).unwrap_or_else(|_| {
             // The bounds are constants for which the library has a histogram.
             unreachable!("a histogram of a day in milliseconds")
         });
-        Account {
+        ServiceLevelIndicator {
             name: name.to_owned(),
             side,
             sums: std::array::from_fn(|_| Sums::default()),
--- a/crates/accounts/src/tracker/mod.rs
+++ b/crates/accounts/src/tracker/mod.rs
@@ -3,15 +3,15 @@
 mod indicator;
 mod tracked_job;
 
-pub use indicator::{Account, AccountIx};
-pub use tracked_job::{Entry, Tasks, TicketIx};
+pub use indicator::{IndicatorIndex, ServiceLevelIndicator};
+pub use tracked_job::{Entry, Tasks, TrackedJobIndex};
 
-use crate::objectives::Terms;
+use crate::objectives::ServiceLevelObjectives;
 use crate::window::{Share, Span};
-use crate::{MOST_CLASSES, MOST_LEVELS, MOST_TEAMS, OTHERS, Reading, Side};
+use crate::{MAX_CLASSES, MAX_LEVELS, MAX_TEAMS, OTHERS, Reading, Subject};
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
-use tracked_job::Ticket;
+use tracked_job::TrackedJob;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
@@ -35,11 +35,11 @@
 }
 
 #[derive(Debug)]
-pub struct Book {
-    terms: HashMap<String, Terms>,
-    pub accounts: Vec<Account>,
-    by_name: [HashMap<String, AccountIx>; 3],
-    tickets: Vec<Option<Ticket>>,
+pub struct ServiceLevelTracker {
+    terms: HashMap<String, ServiceLevelObjectives>,
+    pub accounts: Vec<ServiceLevelIndicator>,
+    by_name: [HashMap<String, IndicatorIndex>; 3],
+    tickets: Vec<Option<TrackedJob>>,
     /// Guards against a moment that belongs to an earlier job under the same number.
     generations: Vec<u32>,
     free: Vec<u32>,
@@ -60,9 +60,9 @@
     Ours,
 }
 
-impl Book {
-    pub fn new(terms: HashMap<String, Terms>) -> Book {
-        Book {
+impl ServiceLevelTracker {
+    pub fn new(terms: HashMap<String, ServiceLevelObjectives>) -> ServiceLevelTracker {
+        ServiceLevelTracker {
             terms,
             accounts: Vec::new(),
             by_name: Default::default(),
@@ -86,60 +86,60 @@
         }
     }
 
-    pub fn terms(&self, class: &str) -> Option<&Terms> {
+    pub fn terms(&self, class: &str) -> Option<&ServiceLevelObjectives> {
         self.terms.get(class)
     }
 
     /// The account of this name; one for all others once there are too many.
-    pub fn indicator(&mut self, side: Side, name: &str, now: f64) -> AccountIx {
+    pub fn indicator(&mut self, side: Subject, name: &str, now: f64) -> IndicatorIndex {
         let most = match side {
-            Side::Class => MOST_CLASSES,
-            Side::Team => MOST_TEAMS,
-            Side::Level => MOST_LEVELS,
+            Subject::Class => MAX_CLASSES,
+            Subject::Team => MAX_TEAMS,
+            Subject::Level => MAX_LEVELS,
         };
         let names = &mut self.by_name[side as usize];
         let name = if names.len() < most || names.contains_key(name) { name } else { OTHERS };
         if let Some(&a) = names.get(name) {
             return a;
         }
-        let a = AccountIx(self.accounts.len() as u32);
+        let a = IndicatorIndex(self.accounts.len() as u32);
         names.insert(name.to_owned(), a);
-        self.accounts.push(Account::new(name, side, now));
+        self.accounts.push(ServiceLevelIndicator::new(name, side, now));
         a
     }
 
     /// The accounts of an open job's class and team.
-    pub fn of(&self, t: TicketIx) -> Option<[AccountIx; 2]> {
+    pub fn of(&self, t: TrackedJobIndex) -> Option<[IndicatorIndex; 2]> {
         Some(self.tickets.get(t.0 as usize)?.as_ref()?.accounts)
     }
 
-    pub fn find(&self, side: Side, name: &str) -> Option<AccountIx> {
+    pub fn find(&self, side: Subject, name: &str) -> Option<IndicatorIndex> {
         self.by_name[side as usize].get(name).copied()
     }
 
-    fn of_job(&mut self, class: &str, team: &str, now: f64) -> [AccountIx; 2] {
-        [self.indicator(Side::Class, class, now), self.indicator(Side::Team, team, now)]
+    fn of_job(&mut self, class: &str, team: &str, now: f64) -> [IndicatorIndex; 2] {
+        [self.indicator(Subject::Class, class, now), self.indicator(Subject::Team, team, now)]
     }
 
     /// One job's outcome in a reading, for its class and its team.
-    fn count(&mut self, accounts: [AccountIx; 2], r: Reading, now: f64, served: bool) {
+    fn count(&mut self, accounts: [IndicatorIndex; 2], r: Reading, now: f64, served: bool) {
         self.count_part(accounts, r, now, f64::from(u8::from(served)));
     }
 
-    fn count_part(&mut self, accounts: [AccountIx; 2], r: Reading, now: f64, part: f64) {
+    fn count_part(&mut self, accounts: [IndicatorIndex; 2], r: Reading, now: f64, part: f64) {
         for a in accounts {
             self.accounts[a.ix()].add(r, now, 1.0, part);
         }
     }
 
-    fn cannot_tell(&mut self, accounts: [AccountIx; 2], r: Reading) {
+    fn cannot_tell(&mut self, accounts: [IndicatorIndex; 2], r: Reading) {
         for a in accounts {
             self.accounts[a.ix()].unknown[r as usize] += 1;
         }
     }
 
     /// A job whose time begins, or began under an earlier owner.
-    pub fn enter(&mut self, e: &Entry, now: f64) -> TicketIx {
+    pub fn enter(&mut self, e: &Entry, now: f64) -> TrackedJobIndex {
         let accounts = self.of_job(e.class, e.team, now);
         let terms = self.terms.get(e.class).cloned().unwrap_or_default();
         let wait = terms.wait_s.map(|w| e.from.max(e.waits_from) + w);
@@ -170,7 +170,7 @@
             self.generations.push(0);
             self.tickets.len() as u32 - 1
         });
-        self.tickets[n as usize] = Some(Ticket {
+        self.tickets[n as usize] = Some(TrackedJob {
             accounts,
             service: e.service,
             tasks: e.tasks,
@@ -191,11 +191,11 @@
         due(wait.filter(|_| !e.may_have_started), Due::Start);
         due(deadline, Due::Done);
         due(e.service.then_some(counts_from.max(e.seen_from)), Due::Count);
-        TicketIx(n)
+        TrackedJobIndex(n)
     }
 
     /// So many of a job's tasks were begun, run, and are done.
-    pub fn runs(&mut self, t: TicketIx, tasks: Tasks, now: f64) {
+    pub fn runs(&mut self, t: TrackedJobIndex, tasks: Tasks, now: f64) {
         let Tasks { begun, running, done } = tasks;
         let Some(ticket) = self.tickets.get_mut(t.0 as usize).and_then(Option::as_mut) else { return };
         let before = std::mem::replace(&mut ticket.running, running);
@@ -232,7 +232,7 @@
 
     /// A job is over, and its number is free for another. A start or an end that is not due
     /// yet counts for nothing where its user cancelled it.
-    pub fn ended(&mut self, t: TicketIx, end: End, ended: f64, now: f64) {
+    pub fn ended(&mut self, t: TrackedJobIndex, end: End, ended: f64, now: f64) {
         let Some(ticket) = self.tickets.get_mut(t.0 as usize).and_then(Option::take) else { return };
         self.generations[t.0 as usize] = self.generations[t.0 as usize].wrapping_add(1);
         self.free.push(t.0);
@@ -249,7 +249,7 @@
         }
     }
 
-    fn leave(&mut self, ticket: &Ticket, now: f64) {
+    fn leave(&mut self, ticket: &TrackedJob, now: f64) {
         for a in ticket.accounts.into_iter().filter(|_| ticket.counted) {
             let account = &mut self.accounts[a.ix()];
             account.integrate(now);
@@ -284,7 +284,7 @@
 
     /// Of what a team, or a level of nested quotas, asked for within its guarantee, what it held,
     /// in cpu-seconds.
-    pub fn held(&mut self, side: Side, name: &str, asked: f64, held: f64, now: f64) {
+    pub fn held(&mut self, side: Subject, name: &str, asked: f64, held: f64, now: f64) {
         let a = self.indicator(side, name, now);
         self.accounts[a.ix()].add(Reading::Held, now, asked, held.min(asked));
     }
@@ -330,7 +330,7 @@
     }
 
     /// A reading over a window, if anything was asked for.
-    pub fn part(&self, a: AccountIx, r: Reading, span: Span, now: f64) -> Share {
+    pub fn part(&self, a: IndicatorIndex, r: Reading, span: Span, now: f64) -> Share {
         self.accounts[a.ix()].sums(r).over(span, now)
     }
 
--- a/crates/accounts/src/tracker/tracked_job.rs
+++ b/crates/accounts/src/tracker/tracked_job.rs
@@ -1,10 +1,10 @@
 //! One job in the book, from its entry to its end.
 
-use super::AccountIx;
+use super::IndicatorIndex;
 
 /// An open job in the book. Valid until [`Book::ended`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct TicketIx(pub(super) u32);
+pub struct TrackedJobIndex(pub(super) u32);
 
 /// A job as it enters the book. Times are seconds of the day.
 #[derive(Debug, Clone)]
@@ -43,8 +43,8 @@
 }
 
 #[derive(Debug)]
-pub(super) struct Ticket {
-    pub(super) accounts: [AccountIx; 2],
+pub(super) struct TrackedJob {
+    pub(super) accounts: [IndicatorIndex; 2],
     pub(super) service: bool,
     pub(super) tasks: u32,
     pub(super) from: f64,
@@ -59,7 +59,7 @@
     pub(super) counted: bool,
 }
 
-impl Ticket {
+impl TrackedJob {
     /// Of its tasks, those that were begun in time.
     pub(super) fn begun(&self) -> f64 {
         f64::from(self.best.min(self.tasks)) / f64::from(self.tasks.max(1))
--- a/crates/accounts/src/underserved.rs
+++ b/crates/accounts/src/underserved.rs
@@ -6,13 +6,13 @@
 //! clearly less than the best of them.
 
 use crate::Reading;
-use crate::tracker::{AccountIx, Book};
+use crate::tracker::{IndicatorIndex, ServiceLevelTracker};
 use crate::window::Span;
 use std::collections::HashMap;
 
 /// Below this share an account has sunk. Above a half, since what is to be kept over a half
 /// must be helped before it is there.
-pub const FLOOR: f64 = 0.65;
+pub const UNDERSERVED_THRESHOLD: f64 = 0.65;
 /// So many jobs tell something.
 const LEAST_ASKED: f64 = 8.0;
 
@@ -25,14 +25,14 @@
 /// Jobs of an account that are open and not counted yet, and how many of them will be done in
 /// time if it goes on being served as it is.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Ahead {
+pub struct Forecast {
     pub open: f64,
     pub will: f64,
 }
 
 /// How many of an account's open jobs will be done in time, the most urgent first: each has its
 /// work in cpu-seconds and the seconds that are left. `cpus`: what the account holds now.
-pub fn ahead(mut jobs: Vec<(f64, f64)>, cpus: f64) -> Ahead {
+pub fn forecast(mut jobs: Vec<(f64, f64)>, cpus: f64) -> Forecast {
     jobs.sort_by(|a, b| a.1.total_cmp(&b.1));
     let (mut work, mut will) = (0.0, 0.0);
     for (own, left_s) in &jobs {
@@ -41,22 +41,22 @@
             (work, will) = (work + own, will + 1.0);
         }
     }
-    Ahead { open: jobs.len() as f64, will }
+    Forecast { open: jobs.len() as f64, will }
 }
 
 /// Which accounts have sunk, as of the last look.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Sunk(Vec<bool>);
+pub struct Underserved(Vec<bool>);
 
-impl Sunk {
+impl Underserved {
     /// Looks at every account once. `ahead`: what its open jobs will come to; a class of the
     /// lowest priority was once seen to sink only when its first jobs had waited in vain.
-    pub fn look(book: &Book, ahead: &HashMap<AccountIx, Ahead>, now: f64) -> Sunk {
+    pub fn look(book: &ServiceLevelTracker, ahead: &HashMap<IndicatorIndex, Forecast>, now: f64) -> Underserved {
         let share = |i: usize| {
             let a = &book.accounts[i];
             let of = |r: &Reading| {
                 let mut s = a.sums(*r).over(Span::TenMinutes, now);
-                if let (Reading::Done, Some(x)) = (r, ahead.get(&AccountIx::of(i))) {
+                if let (Reading::Done, Some(x)) = (r, ahead.get(&IndicatorIndex::of(i))) {
                     s.add(x.open, x.will);
                 }
                 s.part().filter(|_| s.asked >= LEAST_ASKED)
@@ -75,20 +75,22 @@
                 *second = *s;
             }
         }
-        let sunk = |(a, s): (&crate::tracker::Account, &Option<f64>)| {
+        let sunk = |(a, s): (&crate::tracker::ServiceLevelIndicator, &Option<f64>)| {
             let [first, second] = best[a.side as usize];
             let others = if *s == first { second } else { first };
-            s.is_some_and(|s| s < FLOOR && others.is_none_or(|o| o >= FLOOR || s < o - APART))
+            s.is_some_and(|s| {
+                s < UNDERSERVED_THRESHOLD && others.is_none_or(|o| o >= UNDERSERVED_THRESHOLD || s < o - APART)
+            })
         };
-        Sunk(book.accounts.iter().zip(&shares).map(sunk).collect())
+        Underserved(book.accounts.iter().zip(&shares).map(sunk).collect())
     }
 
-    pub fn has(&self, a: AccountIx) -> bool {
+    pub fn has(&self, a: IndicatorIndex) -> bool {
         self.0.get(a.ix()).copied().unwrap_or(false)
     }
 
     /// Of either a job's class or its team.
-    pub fn either(&self, accounts: [AccountIx; 2]) -> bool {
+    pub fn either(&self, accounts: [IndicatorIndex; 2]) -> bool {
         accounts.iter().any(|a| self.has(*a))
     }
 
--- a/crates/accounts/tests/book.rs
+++ b/crates/accounts/tests/book.rs
@@ -1,10 +1,10 @@
 //! The accounts, by small stories; and properties over random lives of jobs.
 
-use lupinspur_accounts::objectives::{Milestone, Terms};
-use lupinspur_accounts::tracker::{Book, End, Entry, Tasks};
-use lupinspur_accounts::underserved::{Ahead, Sunk, ahead};
+use lupinspur_accounts::objectives::{CompletionObjective, ServiceLevelObjectives};
+use lupinspur_accounts::tracker::{End, Entry, ServiceLevelTracker, Tasks};
+use lupinspur_accounts::underserved::{Forecast, Underserved, forecast};
 use lupinspur_accounts::window::Span;
-use lupinspur_accounts::{MOST_CLASSES, MOST_TEAMS, OTHERS, Reading, Side};
+use lupinspur_accounts::{MAX_CLASSES, MAX_TEAMS, OTHERS, Reading, Subject};
 use proptest::prelude::*;
 use std::collections::HashMap;
 
@@ -13,12 +13,16 @@
     Tasks { begun: running, running, done }
 }
 
-fn terms() -> HashMap<String, Terms> {
-    let done = vec![Milestone::Deadline(1.0), Milestone::Deadline(1.5), Milestone::Within(300.0)];
-    let array = Terms { wait_s: Some(30.0), done, grace_s: None };
-    let done = vec![Milestone::Within(100.0), Milestone::Within(200.0)];
-    let letters = Terms { wait_s: None, done, grace_s: None };
-    let desk = Terms { wait_s: Some(2.0), ..Terms::default() };
+fn terms() -> HashMap<String, ServiceLevelObjectives> {
+    let done = vec![
+        CompletionObjective::Deadline(1.0),
+        CompletionObjective::Deadline(1.5),
+        CompletionObjective::Within(300.0),
+    ];
+    let array = ServiceLevelObjectives { wait_s: Some(30.0), done, grace_s: None };
+    let done = vec![CompletionObjective::Within(100.0), CompletionObjective::Within(200.0)];
+    let letters = ServiceLevelObjectives { wait_s: None, done, grace_s: None };
+    let desk = ServiceLevelObjectives { wait_s: Some(2.0), ..ServiceLevelObjectives::default() };
     HashMap::from([("match".into(), array), ("letters".into(), letters), ("desk".into(), desk)])
 }
 
@@ -38,7 +42,7 @@
     }
 }
 
-fn share(b: &Book, side: Side, name: &str, r: Reading) -> (f64, f64) {
+fn share(b: &ServiceLevelTracker, side: Subject, name: &str, r: Reading) -> (f64, f64) {
     let a = b.find(side, name).expect("an account");
     let s = b.accounts[a.ix()].sums(r).total;
     (s.asked, s.served)
@@ -46,26 +50,26 @@
 
 #[test]
 fn each_job_counts_once_in_each_reading() {
-    let mut b = Book::new(terms());
+    let mut b = ServiceLevelTracker::new(terms());
     let one = b.enter(&entry("match", "red", 100.0), 100.0);
     let two = b.enter(&entry("match", "red", 100.0), 100.0);
     let three = b.enter(&entry("letters", "blue", 100.0), 100.0);
     b.runs(one, tasks(3, 0), 110.0);
-    assert_eq!(share(&b, Side::Class, "match", Reading::Started), (0.0, 0.0), "three of four tasks run");
+    assert_eq!(share(&b, Subject::Class, "match", Reading::Started), (0.0, 0.0), "three of four tasks run");
     b.runs(one, tasks(2, 2), 120.0);
     b.runs(one, tasks(4, 0), 121.0);
-    assert_eq!(share(&b, Side::Class, "match", Reading::Started), (1.0, 1.0));
+    assert_eq!(share(&b, Subject::Class, "match", Reading::Started), (1.0, 1.0));
     b.runs(two, tasks(1, 0), 125.0);
     b.advance(131.0);
-    assert_eq!(share(&b, Side::Class, "match", Reading::Started), (2.0, 1.25), "of the second one task in 30 s");
+    assert_eq!(share(&b, Subject::Class, "match", Reading::Started), (2.0, 1.25), "of the second one task in 30 s");
     b.runs(two, tasks(4, 0), 140.0);
     b.ended(one, End::Done, 150.0, 151.0);
     b.ended(two, End::Done, 161.0, 161.0);
     b.ended(three, End::Cancelled, 161.0, 161.0);
     b.advance(900.0);
-    assert_eq!(share(&b, Side::Class, "match", Reading::Started), (2.0, 1.25));
-    assert_eq!(share(&b, Side::Team, "red", Reading::Done), (2.0, 1.0), "within 1.5 times its deadline, and after");
-    assert_eq!(share(&b, Side::Team, "blue", Reading::Done), (0.0, 0.0), "nobody wanted it any more");
+    assert_eq!(share(&b, Subject::Class, "match", Reading::Started), (2.0, 1.25));
+    assert_eq!(share(&b, Subject::Team, "red", Reading::Done), (2.0, 1.0), "within 1.5 times its deadline, and after");
+    assert_eq!(share(&b, Subject::Team, "blue", Reading::Done), (0.0, 0.0), "nobody wanted it any more");
     assert_eq!(b.open(), 0);
 }
 
@@ -75,7 +79,7 @@
 /// teams without.
 #[test]
 fn a_wait_ends_when_the_start_is_taken_and_not_when_the_image_is_there() {
-    let mut b = Book::new(terms());
+    let mut b = ServiceLevelTracker::new(terms());
     let t = b.enter(&entry("desk", "red", 100.0), 100.0);
     b.runs(t, Tasks { begun: 3, ..Tasks::default() }, 100.5);
     b.runs(t, Tasks { begun: 4, ..Tasks::default() }, 101.0);
@@ -83,15 +87,15 @@
     b.advance(112.0);
     b.runs(t, tasks(4, 0), 112.0);
     b.advance(122.0);
-    assert_eq!(share(&b, Side::Class, "desk", Reading::Started), (1.0, 1.0));
-    let (asked, served) = share(&b, Side::Class, "desk", Reading::Up);
+    assert_eq!(share(&b, Subject::Class, "desk", Reading::Started), (1.0, 1.0));
+    let (asked, served) = share(&b, Subject::Class, "desk", Reading::Up);
     assert!((asked - 80.0).abs() < 0.1 && (served - 40.0).abs() < 0.1, "{served} of {asked}");
 }
 
 /// Replica time counts from the wait that the class is granted, and only while it is asked for.
 #[test]
 fn replicas_that_are_down_count_against_their_service() {
-    let mut b = Book::new(terms());
+    let mut b = ServiceLevelTracker::new(terms());
     let t = b.enter(&entry("desk", "red", 10.0), 10.0);
     b.runs(t, tasks(4, 0), 11.0);
     b.advance(12.001);
@@ -99,14 +103,14 @@
     b.runs(t, tasks(4, 0), 32.001);
     b.ended(t, End::Cancelled, 42.001, 42.001);
     b.advance(60.0);
-    let (asked, served) = share(&b, Side::Class, "desk", Reading::Up);
+    let (asked, served) = share(&b, Subject::Class, "desk", Reading::Up);
     assert!((asked - 120.0).abs() < 0.1 && (served - 100.0).abs() < 0.1, "{served} of {asked}");
 }
 
 /// What a successor cannot know is told as such: neither served nor missed.
 #[test]
 fn after_a_takeover_only_what_the_records_tell_is_known() {
-    let mut b = Book::new(terms());
+    let mut b = ServiceLevelTracker::new(terms());
     b.from_record(&entry("match", "red", 100.0), End::Done, Some(130.0), 400.0);
     b.from_record(&entry("match", "red", 100.0), End::Done, Some(190.0), 400.0);
     b.from_record(&entry("match", "red", 100.0), End::Done, None, 400.0);
@@ -114,9 +118,9 @@
     let open = Entry { may_have_started: true, ..entry("match", "red", 380.0) };
     let t = b.enter(&open, 400.0);
     b.runs(t, tasks(4, 0), 401.0);
-    assert_eq!(share(&b, Side::Class, "match", Reading::Done), (2.0, 1.0));
-    assert_eq!(share(&b, Side::Class, "match", Reading::Started), (0.0, 0.0));
-    let a = b.find(Side::Class, "match").expect("an account");
+    assert_eq!(share(&b, Subject::Class, "match", Reading::Done), (2.0, 1.0));
+    assert_eq!(share(&b, Subject::Class, "match", Reading::Started), (0.0, 0.0));
+    let a = b.find(Subject::Class, "match").expect("an account");
     assert_eq!(b.accounts[a.ix()].unknown[Reading::Started as usize], 4);
     assert_eq!(b.accounts[a.ix()].unknown[Reading::Done as usize], 1);
     assert_eq!(b.part(a, Reading::Done, Span::TenMinutes, 400.0).asked, 2.0, "they ended within ten minutes");
@@ -125,7 +129,7 @@
 
 #[test]
 fn an_alarm_is_told_once_and_taken_back_once() {
-    let mut b = Book::new(terms());
+    let mut b = ServiceLevelTracker::new(terms());
     for i in 0..10 {
         b.answered("match", "red", Reading::Accepted, i < 4, 100.0);
     }
@@ -138,25 +142,25 @@
     }
     let back = b.alarms(104.0);
     assert!(back.len() == 4 && back.iter().all(|a| !a.under), "{back:?}");
-    let (name, r, low) = b.lowest(Side::Team, 104.0).expect("a team");
+    let (name, r, low) = b.lowest(Subject::Team, 104.0).expect("a team");
     assert_eq!((name, r, low), ("red", Reading::Accepted, 0.7));
 }
 
 /// Guards against memory that grows with the names that users invent.
 #[test]
 fn beyond_so_many_names_the_rest_share_an_account() {
-    let mut b = Book::new(terms());
+    let mut b = ServiceLevelTracker::new(terms());
     for i in 0..1000 {
         b.answered(&format!("c{i}"), &format!("t{i}"), Reading::Accepted, true, 1.0);
     }
-    assert!(b.accounts.len() <= MOST_CLASSES + MOST_TEAMS + 2);
-    assert_eq!(share(&b, Side::Class, OTHERS, Reading::Accepted).0, (1000 - MOST_CLASSES) as f64);
+    assert!(b.accounts.len() <= MAX_CLASSES + MAX_TEAMS + 2);
+    assert_eq!(share(&b, Subject::Class, OTHERS, Reading::Accepted).0, (1000 - MAX_CLASSES) as f64);
 }
 
 /// A class sinks where enough of its jobs were not served; few say nothing.
 #[test]
 fn who_sinks_is_told_by_enough_jobs() {
-    let mut b = Book::new(terms());
+    let mut b = ServiceLevelTracker::new(terms());
     for i in 0..10 {
         for class in ["match", "letters"] {
             let t = b.enter(&entry(class, class, 100.0), 100.0);
@@ -168,8 +172,8 @@
     let t = b.enter(&entry("match", "few", 100.0), 100.0);
     let few = b.of(t).expect("an open job");
     b.ended(t, End::Done, 500.0, 122.0);
-    let of = |class: &str| [b.find(Side::Class, class).expect("a class"), few[1]];
-    let sunk = Sunk::look(&b, &HashMap::new(), 123.0);
+    let of = |class: &str| [b.find(Subject::Class, class).expect("a class"), few[1]];
+    let sunk = Underserved::look(&b, &HashMap::new(), 123.0);
     assert!(sunk.either(of("letters")) && sunk.any());
     assert!(!sunk.either(of("match")) && !sunk.either(few));
 }
@@ -179,19 +183,20 @@
 #[test]
 fn who_will_sink_is_helped_before() {
     assert_eq!(
-        ahead(vec![(100.0, 10.0), (100.0, 20.0), (500.0, 21.0), (90.0, 30.0)], 10.0),
-        Ahead { open: 4.0, will: 3.0 }
+        forecast(vec![(100.0, 10.0), (100.0, 20.0), (500.0, 21.0), (90.0, 30.0)], 10.0),
+        Forecast { open: 4.0, will: 3.0 }
     );
-    let mut b = Book::new(terms());
+    let mut b = ServiceLevelTracker::new(terms());
     for class in ["match", "letters"] {
         for _ in 0..20 {
             b.enter(&entry(class, class, 100.0), 100.0);
         }
     }
-    let of = |class: &str| b.find(Side::Class, class).expect("a class");
+    let of = |class: &str| b.find(Subject::Class, class).expect("a class");
     let look = |of_match: f64, of_letters: f64| {
-        let x = |will| Ahead { open: 20.0, will };
-        let s = Sunk::look(&b, &HashMap::from([(of("match"), x(of_match)), (of("letters"), x(of_letters))]), 110.0);
+        let x = |will| Forecast { open: 20.0, will };
+        let s =
+            Underserved::look(&b, &HashMap::from([(of("match"), x(of_match)), (of("letters"), x(of_letters))]), 110.0);
         (s.has(of("match")), s.has(of("letters")))
     };
     assert_eq!(look(18.0, 12.0), (false, true));
@@ -224,7 +229,7 @@
     /// once, classes and teams have the same sums, and a number is free again afterwards.
     #[test]
     fn sums_are_shares(steps in steps()) {
-        let mut b = Book::new(terms());
+        let mut b = ServiceLevelTracker::new(terms());
         let mut now = 1000.0;
         let mut open = Vec::new();
         let mut entered = 0.0;
--- a/crates/accounts/tests/gate.rs
+++ b/crates/accounts/tests/gate.rs
@@ -1,8 +1,8 @@
 //! The gate on small reports written by hand: which pass, and which must not.
 
 use lupinspur_accounts::gate::{self, Judged, Nothing};
-use lupinspur_accounts::report::Told;
-use lupinspur_accounts::{Book, Reading};
+use lupinspur_accounts::report::ServiceLevelReport;
+use lupinspur_accounts::{Reading, ServiceLevelTracker};
 use std::collections::HashMap;
 
 fn lines(j: &Judged) -> Vec<String> {
@@ -36,19 +36,19 @@
 /// The owner's own accounts, as they stand in its log.
 #[test]
 fn teams_are_judged_by_the_accounts() {
-    let mut b = Book::new(HashMap::new());
+    let mut b = ServiceLevelTracker::new(HashMap::new());
     for i in 0..20 {
         b.answered("match", if i % 2 == 0 { "red" } else { "blue" }, Reading::Accepted, i % 2 == 0 || i < 6, 5.0);
     }
     b.answered("rare", "blue", Reading::Accepted, false, 5.0);
     let text = serde_json::to_string(&b.told(6.0)).expect("JSON");
-    let told: Told = serde_json::from_str(&text).expect("the same");
+    let told: ServiceLevelReport = serde_json::from_str(&text).expect("the same");
     let j = gate::accounts("log", std::slice::from_ref(&told)).expect("readings");
     assert_eq!(lines(&j), ["log: team blue accepted: 0.273"], "one job of a class says nothing");
     // A successor's accounts come beside the last of the owner before, not in their place.
-    let mut next = Book::new(HashMap::new());
+    let mut next = ServiceLevelTracker::new(HashMap::new());
     (0..10).for_each(|_| next.answered("match", "blue", Reading::Accepted, true, 9.0));
-    let next = Told { owner: 7, ..next.told(10.0) };
+    let next = ServiceLevelReport { owner: 7, ..next.told(10.0) };
     let j = gate::accounts("log", &[told.clone(), told, next]).expect("readings");
     assert_eq!((lines(&j), j.lowest.map(|l| l.1 > 0.6)), (vec![], Some(true)), "13 of 21");
 }
@@ -65,7 +65,7 @@
         {"kind":"up","class":"desk","worst_s":30.0,"value":0.2,"of":100},
         {"kind":"price","value":2.0}]}"#;
     let row = |name: &str, reading, asked, share, unknown| {
-        let (side, waits_s) = (lupinspur_accounts::Side::Class, None);
+        let (side, waits_s) = (lupinspur_accounts::Subject::Class, None);
         let share = Some(share);
         lupinspur_accounts::Row {
             side,
@@ -79,7 +79,7 @@
             waits_s,
         }
     };
-    let told = |owner, rows| Told { owner, chain: 5, at_s: 0.0, rows };
+    let told = |owner, rows| ServiceLevelReport { owner, chain: 5, at_s: 0.0, rows };
     let early = told(5, vec![row("desk", Reading::Started, 50.0, 0.1, 0)]);
     let late = |unknown| {
         told(
--- a/crates/accounts/tests/handed.rs
+++ b/crates/accounts/tests/handed.rs
@@ -1,9 +1,9 @@
 //! Accounts that are handed from owner to owner: nothing counts twice, and what is lost is told.
 
-use lupinspur_accounts::inheritance::{Carried, Part, newest};
-use lupinspur_accounts::objectives::{Milestone, Terms};
-use lupinspur_accounts::tracker::{Book, End, Entry, Tasks};
-use lupinspur_accounts::{Reading, Side};
+use lupinspur_accounts::inheritance::{InheritedTotals, Part, newest_complete_round};
+use lupinspur_accounts::objectives::{CompletionObjective, ServiceLevelObjectives};
+use lupinspur_accounts::tracker::{End, Entry, ServiceLevelTracker, Tasks};
+use lupinspur_accounts::{Reading, Subject};
 use proptest::prelude::*;
 use std::collections::HashMap;
 
@@ -14,9 +14,10 @@
     Tasks { begun: running, running, done }
 }
 
-fn terms() -> HashMap<String, Terms> {
-    let match_ = Terms { wait_s: Some(30.0), done: vec![Milestone::Within(60.0)], grace_s: None };
-    let desk = Terms { wait_s: Some(2.0), ..Terms::default() };
+fn terms() -> HashMap<String, ServiceLevelObjectives> {
+    let match_ =
+        ServiceLevelObjectives { wait_s: Some(30.0), done: vec![CompletionObjective::Within(60.0)], grace_s: None };
+    let desk = ServiceLevelObjectives { wait_s: Some(2.0), ..ServiceLevelObjectives::default() };
     HashMap::from([("match".into(), match_), ("desk".into(), desk)])
 }
 
@@ -37,21 +38,21 @@
 }
 
 /// As the state service keeps it: text, and no more than `limit` bytes a value.
-fn stored(b: &mut Book, round: u64, limit: usize, now: f64) -> Vec<Part> {
+fn stored(b: &mut ServiceLevelTracker, round: u64, limit: usize, now: f64) -> Vec<Part> {
     let parts = b.hand_over(round, 7, limit, now);
     let texts: Vec<String> = parts.iter().map(|p| serde_json::to_string(p).expect("JSON")).collect();
     assert!(texts.iter().all(|t| t.len() <= limit), "{:?}", texts.iter().map(String::len).collect::<Vec<_>>());
     texts.iter().map(|t| serde_json::from_str(t).expect("the same")).collect()
 }
 
-fn successor(c: &Carried, now: f64) -> Book {
-    let mut b = Book::new(terms());
+fn successor(c: &InheritedTotals, now: f64) -> ServiceLevelTracker {
+    let mut b = ServiceLevelTracker::new(terms());
     b.carry(c, MARGIN_S, now);
     b
 }
 
-fn sums(b: &Book, class: &str, r: Reading) -> (f64, f64, u64) {
-    let a = &b.accounts[b.find(Side::Class, class).expect("an account").ix()];
+fn sums(b: &ServiceLevelTracker, class: &str, r: Reading) -> (f64, f64, u64) {
+    let a = &b.accounts[b.find(Subject::Class, class).expect("an account").ix()];
     (a.sums(r).total.asked, a.sums(r).total.served, a.unknown[r as usize])
 }
 
@@ -59,14 +60,14 @@
 /// as missed once more, and those that had started and lost their machines as well.
 #[test]
 fn a_job_that_waits_through_several_owners_is_missed_once() {
-    let mut first = Book::new(terms());
+    let mut first = ServiceLevelTracker::new(terms());
     for _ in 0..10 {
         let t = first.enter(&entry("desk", 100.0), 100.0);
         first.runs(t, tasks(4, 0), 101.0);
     }
     first.enter(&entry("desk", 100.0), 100.0);
     first.advance(103.0);
-    let mut carried = newest(stored(&mut first, 1, 4000, 110.0)).expect("a round");
+    let mut carried = newest_complete_round(stored(&mut first, 1, 4000, 110.0)).expect("a round");
     assert_eq!((carried.chain, carried.as_of), (7, 110.0));
     for round in 2..5 {
         let mut next = successor(&carried, 110.0 + round as f64);
@@ -75,7 +76,7 @@
         next.enter(&entry("desk", 100.0), 111.0);
         next.advance(112.0);
         assert_eq!(sums(&next, "desk", Reading::Started), (11.0, 10.0, 0));
-        carried = newest(stored(&mut next, round, 4000, 110.0 + 2.0 * round as f64)).expect("a round");
+        carried = newest_complete_round(stored(&mut next, round, 4000, 110.0 + 2.0 * round as f64)).expect("a round");
     }
 }
 
@@ -83,9 +84,9 @@
 /// neither served nor missed; what falls due later is the successor's.
 #[test]
 fn what_was_lost_between_two_owners_is_told_as_unknown() {
-    let mut first = Book::new(terms());
+    let mut first = ServiceLevelTracker::new(terms());
     first.enter(&entry("match", 60.0), 60.0);
-    let carried = newest(stored(&mut first, 1, 4000, 100.0)).expect("a round");
+    let carried = newest_complete_round(stored(&mut first, 1, 4000, 100.0)).expect("a round");
     let mut next = successor(&carried, 130.0);
     // Due at 90: counted. At 100.5: who knows. At 110: it runs, and may have been in time.
     next.enter(&entry("match", 60.0), 130.0);
@@ -107,7 +108,7 @@
 /// Guards against a round that was begun and never ended: the one before stays whole.
 #[test]
 fn half_a_round_is_none() {
-    let mut b = Book::new(terms());
+    let mut b = ServiceLevelTracker::new(terms());
     for i in 0..60 {
         b.answered(&format!("a-class-with-a-long-name-{i}"), "red", Reading::Accepted, true, 5.0);
     }
@@ -116,10 +117,10 @@
     let torn = stored(&mut b, 2, 1984, 20.0);
     assert!(whole.len() > 2 && torn.len() > 2);
     let some = whole.iter().cloned().chain(torn.iter().skip(1).cloned());
-    assert_eq!(newest(some).map(|c| c.round), Some(1));
-    let all = newest(whole.into_iter().chain(torn)).expect("two rounds");
+    assert_eq!(newest_complete_round(some).map(|c| c.round), Some(1));
+    let all = newest_complete_round(whole.into_iter().chain(torn)).expect("two rounds");
     assert_eq!((all.round, all.lines.len()), (2, 62));
-    assert_eq!(newest(Vec::new()), None);
+    assert_eq!(newest_complete_round(Vec::new()), None);
 }
 
 #[derive(Debug, Clone)]
@@ -152,7 +153,7 @@
     running: u32,
     /// Some machine's record names it.
     placed: bool,
-    ticket: Option<lupinspur_accounts::TicketIx>,
+    ticket: Option<lupinspur_accounts::TrackedJobIndex>,
 }
 
 proptest! {
@@ -162,7 +163,7 @@
     /// are, nothing is served that was not asked for, and classes and teams agree.
     #[test]
     fn through_any_owners_a_job_counts_at_most_once(steps in steps()) {
-        let mut b = Book::new(terms());
+        let mut b = ServiceLevelTracker::new(terms());
         let (mut now, mut round, mut began) = (1000.0, 0u64, 0.0);
         let mut disk: Vec<Part> = Vec::new();
         let mut jobs: Vec<Job> = Vec::new();
@@ -194,8 +195,8 @@
                 }
                 Step::Next(s) => {
                     now += f64::from(s);
-                    b = Book::new(terms());
-                    let Some(c) = newest(disk.clone()) else { return Ok(()) };
+                    b = ServiceLevelTracker::new(terms());
+                    let Some(c) = newest_complete_round(disk.clone()) else { return Ok(()) };
                     b.carry(&c, MARGIN_S, now);
                     // The records since the checkpoint, more of them than are needed.
                     for (class, from, at) in &ended {
@@ -214,7 +215,7 @@
         }
         b.advance(now + 10_000.0);
         for (i, class) in ["match", "desk"].into_iter().enumerate() {
-            let Some(a) = b.find(Side::Class, class) else { continue };
+            let Some(a) = b.find(Subject::Class, class) else { continue };
             for r in [Reading::Started, Reading::Done] {
                 let s = b.accounts[a.ix()].sums(r).total;
                 // A start in time that was counted, whose machines are gone by the time that the
@@ -225,7 +226,7 @@
         }
         for r in [Reading::Started, Reading::Done] {
             let of = |side| b.accounts.iter().filter(|a| a.side == side).map(|a| a.sums(r).total.asked).sum::<f64>();
-            prop_assert!((of(Side::Class) - of(Side::Team)).abs() < 1.0);
+            prop_assert!((of(Subject::Class) - of(Subject::Team)).abs() < 1.0);
         }
     }
 }
--- a/crates/cells/src/activation.rs
+++ b/crates/cells/src/activation.rs
@@ -6,7 +6,7 @@
 //! controller that does not exist, so that they ask the next one, and answers questions for jobs by
 //! their records, which stand where they always stood.
 
-use crate::{CellIx, Plan};
+use crate::{ShardId, ShardingPlan};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
@@ -15,22 +15,22 @@
 
 /// The plan in force, as it stands in `own/0`. The first two fields are those of a claim.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct InForce {
+pub struct ActivePlan {
     node: String,
     nonce: String,
-    pub cells: Plan,
+    pub cells: ShardingPlan,
     /// On the way back to one: cell 0 takes in what the others had, and these are owned no more.
     #[serde(default)]
     pub merging: bool,
 }
 
-impl InForce {
-    pub fn new(plan: Plan) -> InForce {
-        InForce { node: NOBODY.into(), nonce: "plan".into(), cells: plan, merging: false }
+impl ActivePlan {
+    pub fn new(plan: ShardingPlan) -> ActivePlan {
+        ActivePlan { node: NOBODY.into(), nonce: "plan".into(), cells: plan, merging: false }
     }
 
-    pub fn merging(plan: Plan) -> InForce {
-        InForce { merging: true, ..InForce::new(plan) }
+    pub fn merging(plan: ShardingPlan) -> ActivePlan {
+        ActivePlan { merging: true, ..ActivePlan::new(plan) }
     }
 }
 
@@ -39,12 +39,12 @@
 pub struct Presence {
     pub node: String,
     /// The plan of its file, if it has one.
-    pub plan: Option<Plan>,
+    pub plan: Option<ShardingPlan>,
 }
 
 /// May the plan of this controller come into force? Only when all controllers of the settings
 /// live, understand cells, and have the same plan. A plan of one cell is the way back.
-pub fn comes_into_force(mine: &Plan, nodes: &[&str], present: &[Presence]) -> bool {
+pub fn all_agree_on(mine: &ShardingPlan, nodes: &[&str], present: &[Presence]) -> bool {
     let agrees = |n: &&str| present.iter().any(|p| p.node == **n && p.plan.as_ref() == Some(mine));
     nodes.iter().all(agrees)
 }
@@ -52,19 +52,19 @@
 /// May the owner of cell 0, by a claim of this version, take in what all the others had? `others`: of each
 /// the node that its claim names, and the claim's version. Only where none of them can be owned any more, and
 /// where all that their owners could ever store, and their machines obey, is older.
-pub fn may_take_in<'a>(token: u64, others: impl IntoIterator<Item = Option<(&'a str, u64)>>) -> bool {
+pub fn may_absorb_all<'a>(token: u64, others: impl IntoIterator<Item = Option<(&'a str, u64)>>) -> bool {
     others.into_iter().all(|c| c.is_some_and(|(node, version)| node == NOBODY && version < token))
 }
 
 /// Has this controller a plan to offer, beside the one in force?
-pub fn offers(mine: &Plan, in_force: Option<&Plan>) -> bool {
+pub fn has_plan_to_offer(mine: &ShardingPlan, in_force: Option<&ShardingPlan>) -> bool {
     if mine.cells > 1 { in_force.is_none() } else { in_force.is_some() }
 }
 
 /// Seconds that a controller waits before it claims a cell that has no owner. `nodes`: all
 /// controllers of the settings, in any order; `owned`: how many cells it owns. The preferred one
 /// goes at once; one that owns others already comes after those that own none.
-pub fn campaign_delay_s(me: &str, nodes: &[&str], cell: CellIx, owned: usize) -> f64 {
+pub fn campaign_delay_s(me: &str, nodes: &[&str], cell: ShardId, owned: usize) -> f64 {
     let mut all: Vec<&str> = nodes.iter().copied().collect::<BTreeSet<_>>().into_iter().collect();
     // In turn, so that the cells of a deployment that begins are not all one controller's.
     all.sort_unstable();
--- a/crates/cells/src/escrow.rs
+++ b/crates/cells/src/escrow.rs
@@ -6,7 +6,7 @@
 //! to the limit, nobody has to be asked, and what a cell believes of itself is never more than
 //! what is stored: it learns late of what it was given, and never late of what it gave.
 
-use crate::{CellIx, EPS};
+use crate::{EPSILON, ShardId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -31,7 +31,7 @@
     }
 
     pub fn fits(self, o: Amount) -> bool {
-        self.cpus <= o.cpus + EPS && self.cards <= o.cards + EPS
+        self.cpus <= o.cpus + EPSILON && self.cards <= o.cards + EPSILON
     }
 
     fn least(self, o: Amount) -> Amount {
@@ -39,7 +39,7 @@
     }
 
     fn is_none(self) -> bool {
-        self.cpus <= EPS && self.cards <= EPS
+        self.cpus <= EPSILON && self.cards <= EPSILON
     }
 }
 
@@ -51,24 +51,24 @@
 
 /// One cell gives another a part of its share of a team's limit.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Gift {
+pub struct QuotaTransfer {
     pub team: String,
-    pub from: CellIx,
-    pub to: CellIx,
+    pub from: ShardId,
+    pub to: ShardId,
     pub amount: Amount,
 }
 
 /// What a cell uses of a team's limit, what it may yet use without a further word, and what it
 /// wants altogether.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
-pub struct Use {
+pub struct QuotaUse {
     pub held: Amount,
     pub wanted: Amount,
 }
 
 impl Ledger {
     /// All of every limit is `cell`'s. Teams without a limit do not stand in the ledger.
-    pub fn begin(limits: &[(String, Amount)], cells: u32, cell: CellIx) -> Ledger {
+    pub fn begin(limits: &[(String, Amount)], cells: u32, cell: ShardId) -> Ledger {
         let shares = |limit: Amount| {
             let mut all = vec![Amount::default(); cells as usize];
             if let Some(s) = all.get_mut(cell.ix()) {
@@ -79,7 +79,7 @@
         Ledger { teams: limits.iter().map(|(t, l)| (t.clone(), shares(*l))).collect() }
     }
 
-    pub fn share(&self, team: &str, cell: CellIx) -> Option<Amount> {
+    pub fn share(&self, team: &str, cell: ShardId) -> Option<Amount> {
         Some(self.teams.get(team)?.get(cell.ix()).copied().unwrap_or_default())
     }
 
@@ -87,12 +87,12 @@
     pub fn within(&self, limits: &[(String, Amount)]) -> bool {
         limits.iter().all(|(t, l)| {
             let sum = self.teams.get(t).into_iter().flatten().fold(Amount::default(), |s, a| s.plus(*a));
-            sum.fits(Amount::new(l.cpus * (1.0 + EPS), l.cards * (1.0 + EPS)))
+            sum.fits(Amount::new(l.cpus * (1.0 + EPSILON), l.cards * (1.0 + EPSILON)))
         })
     }
 
     /// The ledger after these gifts; none where somebody would give what is not theirs.
-    pub fn after(&self, gifts: &[Gift]) -> Option<Ledger> {
+    pub fn after(&self, gifts: &[QuotaTransfer]) -> Option<Ledger> {
         let mut next = self.clone();
         for g in gifts {
             let shares = next.teams.get_mut(&g.team)?;
@@ -118,18 +118,24 @@
 /// What `me` gives of one team: what it neither uses nor wants goes to those that want more than
 /// they have, in the proportion of what they lack; the rest to the team's home. `uses`: of every
 /// cell that told of itself lately, by cell; those without one get nothing.
-pub fn gifts(me: CellIx, team: &str, ledger: &Ledger, uses: &[Option<Use>], home: CellIx) -> Vec<Gift> {
+pub fn quota_transfers(
+    me: ShardId,
+    team: &str,
+    ledger: &Ledger,
+    uses: &[Option<QuotaUse>],
+    home: ShardId,
+) -> Vec<QuotaTransfer> {
     let Some(shares) = ledger.teams.get(team) else { return Vec::new() };
     let own = shares.get(me.ix()).copied().unwrap_or_default();
     let Some(mine) = uses.get(me.ix()).copied().flatten() else { return Vec::new() };
     let limit = shares.iter().fold(Amount::default(), |s, a| s.plus(*a));
     let kept = Amount::new(limit.cpus * KEPT_PART, limit.cards * KEPT_PART);
     let needs = Amount::new(mine.held.cpus.max(mine.wanted.cpus), mine.held.cards.max(mine.wanted.cards));
-    let lacks: Vec<(CellIx, Amount)> = uses
+    let lacks: Vec<(ShardId, Amount)> = uses
         .iter()
         .enumerate()
         .filter(|(c, _)| *c != me.ix())
-        .filter_map(|(c, u)| Some((CellIx(c as u32), u.as_ref()?)))
+        .filter_map(|(c, u)| Some((ShardId(c as u32), u.as_ref()?)))
         .map(|(c, u)| (c, u.wanted.less(shares.get(c.ix()).copied().unwrap_or_default())))
         .filter(|(_, l)| !l.is_none())
         .collect();
@@ -138,10 +144,10 @@
     let spare = own.less(needs);
     let spare = if lacks.is_empty() || me == home { spare.less(kept) } else { spare };
     let given = spare.least(lacking);
-    let part = |l: f64, of: f64, all: f64| if of > EPS { all * l / of } else { 0.0 };
-    let mut out: Vec<Gift> = lacks
+    let part = |l: f64, of: f64, all: f64| if of > EPSILON { all * l / of } else { 0.0 };
+    let mut out: Vec<QuotaTransfer> = lacks
         .iter()
-        .map(|(c, l)| Gift {
+        .map(|(c, l)| QuotaTransfer {
             team: team.to_owned(),
             from: me,
             to: *c,
@@ -150,7 +156,7 @@
         .collect();
     let rest = own.less(needs).less(kept).less(given);
     if me != home && lacks.is_empty() && rest.cpus + rest.cards > kept.cpus.max(kept.cards) {
-        out.push(Gift { team: team.to_owned(), from: me, to: home, amount: rest });
+        out.push(QuotaTransfer { team: team.to_owned(), from: me, to: home, amount: rest });
     }
     out.retain(|g| !g.amount.is_none());
     out
--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -23,20 +23,20 @@
 pub mod spill;
 
 pub use lupinspur_files::Fault;
-pub use plan::Plan;
+pub use plan::ShardingPlan;
 
 use serde::{Deserialize, Serialize};
 
 /// A cell's number, from 0. Cell 0 is the one that there always is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(transparent)]
-pub struct CellIx(pub u32);
+pub struct ShardId(pub u32);
 
-impl CellIx {
+impl ShardId {
     pub fn ix(self) -> usize {
         self.0 as usize
     }
 }
 
 /// Room for what is rounded.
-pub(crate) const EPS: f64 = 1e-6;
+pub(crate) const EPSILON: f64 = 1e-6;
--- a/crates/cells/src/load_snapshot.rs
+++ b/crates/cells/src/load_snapshot.rs
@@ -1,7 +1,7 @@
 //! What each cell tells the others now and then, by a stored value.
 
-use crate::CellIx;
-use crate::escrow::Use;
+use crate::ShardId;
+use crate::escrow::QuotaUse;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -9,14 +9,14 @@
 /// waiting work is for another kind of machine, or is too large, or has to leave room to services. Work of
 /// another cell may fit.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
-pub struct UnusableRoom {
+pub struct UnusableCapacity {
     /// For work that may not use spot machines.
     pub on_demand: f64,
     /// For work that may use any machine.
     pub any_kind: f64,
 }
 
-impl UnusableRoom {
+impl UnusableCapacity {
     /// What a task finds that may use spot machines, or may not.
     pub fn for_task(&self, spot: bool) -> f64 {
         if spot { self.any_kind } else { self.on_demand }
@@ -25,8 +25,8 @@
 
 /// One cell, seen by its owner. Amounts in cpus, times in seconds.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Picture {
-    pub cell: CellIx,
+pub struct LoadSnapshot {
+    pub cell: ShardId,
     /// The claim of whoever tells it.
     pub token: u64,
     /// The time of day by its clock, in milliseconds.
@@ -38,7 +38,7 @@
     pub idle: f64,
     /// Free beside work that waits and cannot use it.
     #[serde(default)]
-    pub unusable: UnusableRoom,
+    pub unusable: UnusableCapacity,
     /// Wanted by what waits.
     pub waits: f64,
     /// Held by what runs.
@@ -48,13 +48,13 @@
     /// The longest that a job has waited without a start.
     pub longest_s: f64,
     /// Of each limited team.
-    pub teams: BTreeMap<String, Use>,
+    pub teams: BTreeMap<String, QuotaUse>,
 }
 
 /// A picture older than this says nothing any more.
 pub const STALE_AFTER: f64 = 4.0;
 
-impl Picture {
+impl LoadSnapshot {
     /// Is it of now? `picture_s`: how often it is told; `bound_s`: by how much two clocks may differ.
     pub fn fresh(&self, now_ms: u64, picture_s: f64, bound_s: f64) -> bool {
         let age_s = now_ms.abs_diff(self.at_ms) as f64 / 1000.0;
--- a/crates/cells/src/machine_transfer.rs
+++ b/crates/cells/src/machine_transfer.rs
@@ -13,12 +13,12 @@
 //! cell next goes on from what is stored. In every stored state a cell's own are the machines that its
 //! records name, without those on their way from it, and with those on their way to it.
 
-use crate::{CellIx, EPS};
+use crate::{EPSILON, ShardId};
 use serde::{Deserialize, Serialize};
 
 /// What a machine is, for whoever has never met it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Handed {
+pub struct TransferredMachine {
     pub machine: String,
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub addr: String,
@@ -30,26 +30,26 @@
 
 /// Machines on their way from one cell to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Handover {
-    pub from: CellIx,
-    pub to: CellIx,
+pub struct MachineTransfer {
+    pub from: ShardId,
+    pub to: ShardId,
     /// None: the one before is over, and another may begin.
-    pub machines: Vec<Handed>,
+    pub machines: Vec<TransferredMachine>,
     /// The giver's own records name none of them any more.
     #[serde(default)]
     pub left: bool,
 }
 
 /// Bytes of a value that one machine takes, at the most.
-pub const BYTES_A_MACHINE: usize = 200;
+pub const MAX_BYTES_PER_MACHINE: usize = 200;
 /// Where a value stands: one for each pair, so that nobody else writes it.
 pub const PREFIX: &str = "cells/hand/";
 
-pub fn key(from: CellIx, to: CellIx) -> String {
+pub fn key(from: ShardId, to: ShardId) -> String {
     format!("{PREFIX}{}/{}", from.0, to.0)
 }
 
-impl Handover {
+impl MachineTransfer {
     pub fn over(&self) -> bool {
         self.machines.is_empty()
     }
@@ -57,30 +57,30 @@
 
 /// The value that the giver stores next, if it is its turn. `named`: whether its stored records may
 /// still name this machine.
-pub fn giver_next(h: &Handover, named: impl Fn(&str) -> bool) -> Option<Handover> {
+pub fn next_by_sender(h: &MachineTransfer, named: impl Fn(&str) -> bool) -> Option<MachineTransfer> {
     let due = !h.over() && !h.left && !h.machines.iter().any(|m| named(&m.machine));
-    due.then(|| Handover { left: true, ..h.clone() })
+    due.then(|| MachineTransfer { left: true, ..h.clone() })
 }
 
 /// The value that the taker stores next, if it is its turn. `settled`: whether this machine stands in
 /// its own stored records, or is gone.
-pub fn taker_next(h: &Handover, settled: impl Fn(&str) -> bool) -> Option<Handover> {
+pub fn next_by_receiver(h: &MachineTransfer, settled: impl Fn(&str) -> bool) -> Option<MachineTransfer> {
     let due = !h.over() && h.left && h.machines.iter().all(|m| settled(&m.machine));
-    due.then(|| Handover { machines: Vec::new(), left: false, ..h.clone() })
+    due.then(|| MachineTransfer { machines: Vec::new(), left: false, ..h.clone() })
 }
 
 /// What a cell gives of its machines, by the leader's word: the first cell for which it has such an
 /// order, that nothing is on its way to, and whose machines would obey it. A machine obeys the
 /// highest token that it has seen: it can only go to a cell with a higher one.
-pub fn to_whom<'a>(
-    me: CellIx,
+pub fn next_receiver<'a>(
+    me: ShardId,
     token: u64,
-    orders: impl Iterator<Item = &'a crate::rebalance::Move>,
-    under_way: &[Handover],
-    token_of: impl Fn(CellIx) -> Option<u64>,
-) -> Option<(CellIx, f64)> {
+    orders: impl Iterator<Item = &'a crate::rebalance::MachineMove>,
+    under_way: &[MachineTransfer],
+    token_of: impl Fn(ShardId) -> Option<u64>,
+) -> Option<(ShardId, f64)> {
     orders
-        .filter(|o| o.from == me && o.to != me && o.cpus > EPS)
+        .filter(|o| o.from == me && o.to != me && o.cpus > EPSILON)
         .filter(|o| token_of(o.to).is_some_and(|t| t > token))
         .find(|o| !under_way.iter().any(|h| h.from == me && h.to == o.to && !h.over()))
         .map(|o| (o.to, o.cpus))
--- a/crates/cells/src/plan.rs
+++ b/crates/cells/src/plan.rs
@@ -1,6 +1,6 @@
 //! The operators' file, and which cell is a team's home.
 
-use crate::CellIx;
+use crate::ShardId;
 use garde::Validate;
 use lupinspur_files::{Fault, out_of_bounds};
 use schemars::JsonSchema;
@@ -9,14 +9,14 @@
 use std::hash::Hasher;
 use twox_hash::XxHash64;
 
-pub const MOST_CELLS: u32 = 32;
+pub const MAX_SHARDS: u32 = 32;
 
 /// How a deployment is parted into cells.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct Plan {
+pub struct ShardingPlan {
     /// So many cells.
-    #[garde(range(min = 1, max = MOST_CELLS))]
+    #[garde(range(min = 1, max = MAX_SHARDS))]
     pub cells: u32,
     /// Seconds between two pictures that a cell stores of itself.
     #[serde(default = "picture_s")]
@@ -37,12 +37,12 @@
     /// Teams whose home is named; that of the others follows from their names.
     #[serde(default, rename = "team")]
     #[garde(dive, length(max = 10_000))]
-    pub teams: Vec<Home>,
+    pub teams: Vec<TeamHome>,
 }
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct Home {
+pub struct TeamHome {
     #[garde(length(min = 1, max = 100))]
     pub name: String,
     #[garde(skip)]
@@ -62,10 +62,10 @@
     10.0
 }
 
-impl Plan {
+impl ShardingPlan {
     /// A plan of so many cells, the rest as it is left out of a file.
-    pub fn of(cells: u32) -> Plan {
-        Plan {
+    pub fn of(cells: u32) -> ShardingPlan {
+        ShardingPlan {
             cells,
             picture_s: picture_s(),
             spill_after_s: spill_after_s(),
@@ -76,8 +76,8 @@
     }
 
     /// Reads a plan from TOML, or tells all that is wrong with it. `teams`: those of the settings.
-    pub fn parse(text: &str, teams: &[String]) -> Result<Plan, Vec<Fault>> {
-        let plan: Plan = lupinspur_files::read(text).map_err(|f| vec![f])?;
+    pub fn parse(text: &str, teams: &[String]) -> Result<ShardingPlan, Vec<Fault>> {
+        let plan: ShardingPlan = lupinspur_files::read(text).map_err(|f| vec![f])?;
         let mut faults = out_of_bounds(&plan, &[("teams[", "team[")]);
         let mut seen = BTreeSet::new();
         for (i, h) in plan.teams.iter().enumerate() {
@@ -98,16 +98,16 @@
 
     /// The home of a team: as it is named, or by the highest of the cells' draws for its name, so
     /// that one cell more or less moves no more teams than it has to.
-    pub fn home(&self, team: &str) -> CellIx {
+    pub fn home(&self, team: &str) -> ShardId {
         if let Some(h) = self.teams.iter().find(|h| h.name == team) {
-            return CellIx(h.cell);
+            return ShardId(h.cell);
         }
-        CellIx((0..self.cells).max_by_key(|c| draw(team, *c)).unwrap_or(0))
+        ShardId((0..self.cells).max_by_key(|c| draw(team, *c)).unwrap_or(0))
     }
 
     /// The cell of a machine that nobody knows.
-    pub fn cell_of_stranger(&self, machine: &str) -> CellIx {
-        CellIx((0..self.cells).max_by_key(|c| draw(machine, *c)).unwrap_or(0))
+    pub fn cell_of_stranger(&self, machine: &str) -> ShardId {
+        ShardId((0..self.cells).max_by_key(|c| draw(machine, *c)).unwrap_or(0))
     }
 }
 
--- a/crates/cells/src/rebalance.rs
+++ b/crates/cells/src/rebalance.rs
@@ -2,30 +2,30 @@
 //! has room for it. The leader is the owner of cell 0. It is never needed for a start: its word is
 //! stored, and while it says nothing every cell goes on by itself.
 
-use crate::load_snapshot::Picture;
-use crate::{CellIx, EPS, Plan};
+use crate::load_snapshot::LoadSnapshot;
+use crate::{EPSILON, ShardId, ShardingPlan};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Machines that one cell does not need go to another, up to so many cpus.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Move {
-    pub from: CellIx,
-    pub to: CellIx,
+pub struct MachineMove {
+    pub from: ShardId,
+    pub to: ShardId,
     pub cpus: f64,
 }
 
 /// The leader's word, as it is stored.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
-pub struct Orders {
+pub struct RebalancePlan {
     /// The time of day by the leader's clock, in milliseconds.
     pub at_ms: u64,
     /// Obeyed while they are fresh.
     #[serde(default)]
-    pub moves: Vec<Move>,
+    pub moves: Vec<MachineMove>,
     /// Homes other than the plan's, by team. They hold until the leader says otherwise.
     #[serde(default)]
-    pub homes: BTreeMap<String, CellIx>,
+    pub homes: BTreeMap<String, ShardId>,
 }
 
 /// So many looks long orders are obeyed.
@@ -43,19 +43,19 @@
 /// Of the room that a cell tells, the part that a team whose home moves there may want.
 const PART_OF_ROOM: f64 = 0.5;
 
-impl Orders {
+impl RebalancePlan {
     /// Are the moves of now? `bound_s`: by how much two clocks may differ.
-    pub fn fresh(&self, plan: &Plan, now_ms: u64, bound_s: f64) -> bool {
+    pub fn fresh(&self, plan: &ShardingPlan, now_ms: u64, bound_s: f64) -> bool {
         now_ms.abs_diff(self.at_ms) as f64 / 1000.0 <= plan.picture_s * FRESH_LOOKS + bound_s
     }
 
     /// A team's home: as the leader has it, or else as the plan does.
-    pub fn home(&self, plan: &Plan, team: &str) -> CellIx {
+    pub fn home(&self, plan: &ShardingPlan, team: &str) -> ShardId {
         self.homes.get(team).copied().filter(|c| c.0 < plan.cells).unwrap_or_else(|| plan.home(team))
     }
 
     /// Do they have to be stored, after those that are?
-    pub fn differ(&self, stored: &Orders, plan: &Plan) -> bool {
+    pub fn differ(&self, stored: &RebalancePlan, plan: &ShardingPlan) -> bool {
         let old = self.at_ms.saturating_sub(stored.at_ms) as f64 / 1000.0 >= plan.picture_s * FRESH_LOOKS / 2.0;
         self.homes != stored.homes || self.moves != stored.moves || !self.moves.is_empty() && old
     }
@@ -64,43 +64,54 @@
 /// What a leader remembers between two looks. A new one begins with nothing, and so moves nothing
 /// before it has seen for itself that a cell stays short.
 #[derive(Debug, Default)]
-pub struct Leader {
+pub struct Rebalancer {
     /// Since when each cell has been short, in milliseconds of the day.
-    short_since: BTreeMap<CellIx, u64>,
+    short_since: BTreeMap<ShardId, u64>,
     /// When a team's home was last moved.
     moved: BTreeMap<String, u64>,
     /// When a cell was last given an order for which it has to take its claim anew.
-    raised: BTreeMap<CellIx, u64>,
+    raised: BTreeMap<ShardId, u64>,
 }
 
 /// Has this cell to take its claim anew before the machines that are ordered to it would obey?
-pub fn has_to_raise(me: CellIx, token: u64, moves: &[Move], token_of: impl Fn(CellIx) -> Option<u64>) -> bool {
+pub fn must_reacquire(
+    me: ShardId,
+    token: u64,
+    moves: &[MachineMove],
+    token_of: impl Fn(ShardId) -> Option<u64>,
+) -> bool {
     moves.iter().any(|m| m.to == me && m.from != me && token_of(m.from).is_some_and(|t| t > token))
 }
 
 /// What waits in a cell beyond its room and what boots for it, in cpus.
-fn lacks(p: &Picture) -> f64 {
+fn lacks(p: &LoadSnapshot) -> f64 {
     (p.waits - p.room - p.boots).max(0.0)
 }
 
-impl Leader {
+impl Rebalancer {
     /// One look at fresh pictures. `stored`: the word that stands.
-    pub fn look(&mut self, plan: &Plan, pictures: &[Picture], stored: &Orders, now_ms: u64) -> Orders {
+    pub fn look(
+        &mut self,
+        plan: &ShardingPlan,
+        pictures: &[LoadSnapshot],
+        stored: &RebalancePlan,
+        now_ms: u64,
+    ) -> RebalancePlan {
         let after_ms = (plan.reassign_after_s * 1000.0) as u64;
-        let short: BTreeSet<CellIx> = pictures.iter().filter(|p| lacks(p) > EPS).map(|p| p.cell).collect();
+        let short: BTreeSet<ShardId> = pictures.iter().filter(|p| lacks(p) > EPSILON).map(|p| p.cell).collect();
         // A cell of which nothing is known is not known to be short.
         self.short_since.retain(|c, _| short.contains(c));
         for c in &short {
             self.short_since.entry(*c).or_insert(now_ms);
         }
         let short_since = self.short_since.clone();
-        let lasting = |c: CellIx, times: f64| {
+        let lasting = |c: ShardId, times: f64| {
             let since = short_since.get(&c);
             since.is_some_and(|s| now_ms.saturating_sub(*s) as f64 >= after_ms as f64 * times)
         };
-        let mut idle: Vec<(&Picture, f64)> =
+        let mut idle: Vec<(&LoadSnapshot, f64)> =
             pictures.iter().filter(|p| !short.contains(&p.cell)).map(|p| (p, p.idle)).collect();
-        let mut needy: Vec<(&Picture, f64)> =
+        let mut needy: Vec<(&LoadSnapshot, f64)> =
             pictures.iter().filter(|p| lasting(p.cell, 1.0)).map(|p| (p, lacks(p))).collect();
         needy.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cell.cmp(&b.0.cell)));
         let mut moves = Vec::new();
@@ -110,13 +121,13 @@
             for (from, left) in idle.iter_mut() {
                 let cpus = left.min(lack);
                 let obeyed = from.token < to.token;
-                if cpus > EPS && (obeyed || may_raise && cpus >= to.held * RAISE_FOR) {
+                if cpus > EPSILON && (obeyed || may_raise && cpus >= to.held * RAISE_FOR) {
                     if !obeyed {
                         self.raised.entry(to.cell).or_insert(now_ms);
                     }
                     *left -= cpus;
                     lack -= cpus;
-                    moves.push(Move { from: from.cell, to: to.cell, cpus });
+                    moves.push(MachineMove { from: from.cell, to: to.cell, cpus });
                 }
             }
         }
@@ -130,11 +141,11 @@
                 homes.insert(team, to);
             }
         }
-        Orders { at_ms: now_ms, moves, homes }
+        RebalancePlan { at_ms: now_ms, moves, homes }
     }
 
     /// For a few looks, so that the cell hears of it; then not for long.
-    fn may_raise(&mut self, plan: &Plan, cell: CellIx, now_ms: u64) -> bool {
+    fn may_raise(&mut self, plan: &ShardingPlan, cell: ShardId, now_ms: u64) -> bool {
         let Some(at) = self.raised.get(&cell) else { return true };
         let since_s = now_ms.saturating_sub(*at) as f64 / 1000.0;
         if since_s > plan.reassign_after_s * HOME_RESTS {
@@ -147,25 +158,27 @@
     /// with the most room, if that is enough for it.
     fn home_to_move(
         &self,
-        plan: &Plan,
-        pictures: &[Picture],
-        stored: &Orders,
+        plan: &ShardingPlan,
+        pictures: &[LoadSnapshot],
+        stored: &RebalancePlan,
         now_ms: u64,
-        stays_short: impl Fn(CellIx) -> bool,
-    ) -> Option<(String, CellIx)> {
+        stays_short: impl Fn(ShardId) -> bool,
+    ) -> Option<(String, ShardId)> {
         let rest_ms = plan.reassign_after_s * 1000.0 * HOME_RESTS;
         let rests = |t: &str| self.moved.get(t).is_some_and(|at| (now_ms.saturating_sub(*at) as f64) < rest_ms);
-        let waits = |p: &Picture, t: &str| p.teams.get(t).map_or(0.0, |u| u.wanted.less(u.held).cpus);
-        let of = |p: &Picture| p.teams.keys().map(|t| (t.clone(), waits(p, t))).collect::<Vec<_>>();
+        let waits = |p: &LoadSnapshot, t: &str| p.teams.get(t).map_or(0.0, |u| u.wanted.less(u.held).cpus);
+        let of = |p: &LoadSnapshot| p.teams.keys().map(|t| (t.clone(), waits(p, t))).collect::<Vec<_>>();
         let (team, wants, from) = pictures
             .iter()
             .filter(|p| stays_short(p.cell))
             .flat_map(|p| of(p).into_iter().map(|(t, w)| (t, w, p.cell)))
-            .filter(|(t, w, c)| *w > EPS && stored.home(plan, t) == *c && !rests(t))
+            .filter(|(t, w, c)| *w > EPSILON && stored.home(plan, t) == *c && !rests(t))
             .max_by(|a, b| a.1.total_cmp(&b.1).then(b.0.cmp(&a.0)))?;
-        let room = |p: &Picture| p.room - p.waits;
-        let best =
-            pictures.iter().filter(|p| p.cell != from && p.waits <= EPS).max_by(|a, b| room(a).total_cmp(&room(b)))?;
+        let room = |p: &LoadSnapshot| p.room - p.waits;
+        let best = pictures
+            .iter()
+            .filter(|p| p.cell != from && p.waits <= EPSILON)
+            .max_by(|a, b| room(a).total_cmp(&room(b)))?;
         (room(best) * PART_OF_ROOM >= wants).then_some((team, best.cell))
     }
 }
--- a/crates/cells/src/spill.rs
+++ b/crates/cells/src/spill.rs
@@ -1,22 +1,22 @@
 //! Which waiting work goes where. A cell gives its own work away; nobody takes any, so that
 //! what is offered to several is started by one.
 
-use crate::load_snapshot::{Picture, UnusableRoom};
-use crate::{CellIx, Plan};
+use crate::load_snapshot::{LoadSnapshot, UnusableCapacity};
+use crate::{ShardId, ShardingPlan};
 
 /// A job goes to another cell so often at the most; then it is started where it is. Unless it goes on waiting
 /// there: then it may go again, after twice as long each time, so that it goes seldom round, and does not
 /// wait for ever in a cell that has come to have no machines for it.
-pub const MOST_MOVES: u8 = 2;
-const MOST_DOUBLINGS: u8 = 16;
+pub const MAX_MOVES: u8 = 2;
+const MAX_DOUBLINGS: u8 = 16;
 /// In one look, work for no more than this part of the room that another cell tells: its picture
 /// may be seconds old.
 const PART_OF_ROOM: f64 = 0.5;
-const MOST_AT_ONCE: usize = 16;
+const MAX_SPILLS_AT_ONCE: usize = 16;
 
 /// A job of this cell that waits and was never started anywhere.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Waiting<J> {
+pub struct SpillCandidate<J> {
     pub job: J,
     /// Of all its tasks together.
     pub cpus: f64,
@@ -30,29 +30,29 @@
 
 /// Where each of these jobs goes, the ones that have waited longest first. `pictures`: of the
 /// others, fresh ones only; `mine`: this cell's own.
-pub fn spills<J: Clone>(
-    plan: &Plan,
-    mine: &Picture,
-    pictures: &[Picture],
-    waiting: &[Waiting<J>],
+pub fn plan_spills<J: Clone>(
+    plan: &ShardingPlan,
+    mine: &LoadSnapshot,
+    pictures: &[LoadSnapshot],
+    waiting: &[SpillCandidate<J>],
     boot_s: f64,
-) -> Vec<(J, CellIx)> {
-    let mut room: Vec<(CellIx, f64, &Picture)> = pictures
+) -> Vec<(J, ShardId)> {
+    let mut room: Vec<(ShardId, f64, &LoadSnapshot)> = pictures
         .iter()
         // Who is short himself takes nothing.
         .filter(|p| p.cell != mine.cell && p.room > p.waits)
         .map(|p| (p.cell, (p.room - p.waits) * PART_OF_ROOM, p))
         .collect();
     let goes_on =
-        |w: &Waiting<J>| w.waited_s >= plan.spill_after_s * f64::from(1u32 << (w.moves.min(MOST_DOUBLINGS) + 1));
-    let mut due: Vec<&Waiting<J>> =
-        waiting.iter().filter(|w| w.waited_s >= plan.spill_after_s && (w.moves < MOST_MOVES || goes_on(w))).collect();
+        |w: &SpillCandidate<J>| w.waited_s >= plan.spill_after_s * f64::from(1u32 << (w.moves.min(MAX_DOUBLINGS) + 1));
+    let mut due: Vec<&SpillCandidate<J>> =
+        waiting.iter().filter(|w| w.waited_s >= plan.spill_after_s && (w.moves < MAX_MOVES || goes_on(w))).collect();
     due.sort_by(|a, b| b.waited_s.total_cmp(&a.waited_s));
-    let mut unusable: Vec<(CellIx, UnusableRoom)> =
+    let mut unusable: Vec<(ShardId, UnusableCapacity)> =
         pictures.iter().filter(|p| p.cell != mine.cell).map(|p| (p.cell, p.unusable)).collect();
     let mut out = Vec::new();
     for w in due {
-        if out.len() >= MOST_AT_ONCE {
+        if out.len() >= MAX_SPILLS_AT_ONCE {
             break;
         }
         // What has waited for longer than a boot is not helped by room that is told here: that may be
@@ -80,9 +80,9 @@
 
 /// The cell that can begin this job in room that its own waiting work cannot use, however much of that there
 /// is. The room is for this one job until the next picture.
-fn take_unusable<J>(cells: &mut [(CellIx, UnusableRoom)], w: &Waiting<J>) -> Option<CellIx> {
-    let room = |c: &(CellIx, UnusableRoom)| c.1.for_task(w.spot);
+fn take_unusable<J>(cells: &mut [(ShardId, UnusableCapacity)], w: &SpillCandidate<J>) -> Option<ShardId> {
+    let room = |c: &(ShardId, UnusableCapacity)| c.1.for_task(w.spot);
     let most = cells.iter_mut().filter(|c| room(c) >= w.task_cpus).max_by(|a, b| room(a).total_cmp(&room(b)))?;
-    most.1 = UnusableRoom::default();
+    most.1 = UnusableCapacity::default();
     Some(most.0)
 }
--- a/crates/cells/tests/cells.rs
+++ b/crates/cells/tests/cells.rs
@@ -1,10 +1,12 @@
 //! Small stories of what lies between cells, and properties over random ones.
 
-use lupinspur_cells::activation::{InForce, NOBODY, Presence, campaign_delay_s, comes_into_force, may_take_in, offers};
-use lupinspur_cells::escrow::{Amount, Gift, Ledger, Use, gifts};
-use lupinspur_cells::load_snapshot::Picture;
-use lupinspur_cells::spill::{MOST_MOVES, Waiting, spills};
-use lupinspur_cells::{CellIx, Plan};
+use lupinspur_cells::activation::{
+    ActivePlan, NOBODY, Presence, all_agree_on, campaign_delay_s, has_plan_to_offer, may_absorb_all,
+};
+use lupinspur_cells::escrow::{Amount, Ledger, QuotaTransfer, QuotaUse, quota_transfers};
+use lupinspur_cells::load_snapshot::LoadSnapshot;
+use lupinspur_cells::spill::{MAX_MOVES, SpillCandidate, plan_spills};
+use lupinspur_cells::{ShardId, ShardingPlan};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
@@ -14,31 +16,31 @@
 
 #[test]
 fn every_fault_of_a_plan_is_told_by_its_path() {
-    let good = Plan::parse("cells = 3\n[[team]]\nname = \"team-01\"\ncell = 2\n", &teams()).expect("a plan");
-    assert_eq!((good.home("team-01"), good.picture_s), (CellIx(2), 2.0));
+    let good = ShardingPlan::parse("cells = 3\n[[team]]\nname = \"team-01\"\ncell = 2\n", &teams()).expect("a plan");
+    assert_eq!((good.home("team-01"), good.picture_s), (ShardId(2), 2.0));
     let text = "cells = 99\nspill_after_s = 0.0\n[[team]]\nname = \"nobody\"\ncell = 99\n[[team]]\nname = \"nobody\"\ncell = 1\n";
-    let faults = Plan::parse(text, &teams()).expect_err("faults");
+    let faults = ShardingPlan::parse(text, &teams()).expect_err("faults");
     let paths: Vec<&str> = faults.iter().map(|f| f.path.as_str()).collect();
     assert_eq!(paths, ["cells", "spill_after_s", "team[0].cell", "team[0].name", "team[1].name", "team[1].name"]);
-    assert_eq!(Plan::parse("cells = 2\nrooms = 1\n", &teams()).expect_err("a fault")[0].path, "line 2");
-    let schema = serde_json::to_string_pretty(&schemars::schema_for!(Plan)).expect("JSON") + "\n";
+    assert_eq!(ShardingPlan::parse("cells = 2\nrooms = 1\n", &teams()).expect_err("a fault")[0].path, "line 2");
+    let schema = serde_json::to_string_pretty(&schemars::schema_for!(ShardingPlan)).expect("JSON") + "\n";
     let file = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/cells.schema.json");
     if std::env::var_os("UPDATE_SCHEMA").is_some() {
         std::fs::write(file, &schema).expect("written");
     }
     assert_eq!(std::fs::read_to_string(file).expect("the schema"), schema, "deploy/cells.schema.json is old");
     let example = include_str!("../../../deploy/cells.toml");
-    assert!(Plan::parse(example, &["foglalas".into(), "beutalo".into()]).is_ok(), "the example is a plan");
+    assert!(ShardingPlan::parse(example, &["foglalas".into(), "beutalo".into()]).is_ok(), "the example is a plan");
 }
 
 /// One cell more moves no team but those that go to it.
 #[test]
 fn a_team_s_home_is_the_same_everywhere_and_moves_seldom() {
-    let (three, four) = (Plan::of(3), Plan::of(4));
-    let used: BTreeSet<CellIx> = teams().iter().map(|t| three.home(t)).collect();
+    let (three, four) = (ShardingPlan::of(3), ShardingPlan::of(4));
+    let used: BTreeSet<ShardId> = teams().iter().map(|t| three.home(t)).collect();
     assert_eq!(used.len(), 3);
     let moved: Vec<String> = teams().into_iter().filter(|t| three.home(t) != four.home(t)).collect();
-    assert!(!moved.is_empty() && moved.len() < 20 && moved.iter().all(|t| four.home(t) == CellIx(3)), "{moved:?}");
+    assert!(!moved.is_empty() && moved.len() < 20 && moved.iter().all(|t| four.home(t) == ShardId(3)), "{moved:?}");
     // The draw decides who owns what is stored: it must never change.
     let first: Vec<u32> = teams().iter().take(8).map(|t| three.home(t).0).collect();
     assert_eq!(first, [1, 0, 1, 0, 0, 1, 0, 1]);
@@ -53,29 +55,36 @@
         node: String,
         nonce: String,
     }
-    let text = serde_json::to_string(&InForce::new(Plan::of(3))).expect("JSON");
+    let text = serde_json::to_string(&ActivePlan::new(ShardingPlan::of(3))).expect("JSON");
     let seen: Before = serde_json::from_str(&text).expect("a claim");
     assert_eq!((seen.node.as_str(), seen.nonce.as_str()), (NOBODY, "plan"));
-    assert_eq!(serde_json::from_str::<InForce>(&text).expect("the plan").cells, Plan::of(3));
-    assert!(serde_json::from_str::<InForce>(r#"{"node":"sprig-1","nonce":"77"}"#).is_err(), "a claim is no plan");
+    assert_eq!(serde_json::from_str::<ActivePlan>(&text).expect("the plan").cells, ShardingPlan::of(3));
+    assert!(serde_json::from_str::<ActivePlan>(r#"{"node":"sprig-1","nonce":"77"}"#).is_err(), "a claim is no plan");
 }
 
 #[test]
 fn a_plan_comes_into_force_when_all_understand_it() {
-    let says = |node: &str, plan: Option<Plan>| Presence { node: node.into(), plan };
-    let mine = Plan::of(3);
-    let all = [says("a", Some(Plan::of(3))), says("b", Some(Plan::of(3))), says("c", Some(Plan::of(3)))];
-    assert!(comes_into_force(&mine, &["a", "b", "c"], &all));
-    assert!(!comes_into_force(&mine, &["a", "b", "c", "d"], &all), "one is missing, or of a version before");
-    assert!(!comes_into_force(&mine, &["a", "b", "c"], &[all[0].clone(), all[1].clone(), says("c", None)]));
-    assert!(!comes_into_force(
+    let says = |node: &str, plan: Option<ShardingPlan>| Presence { node: node.into(), plan };
+    let mine = ShardingPlan::of(3);
+    let all = [
+        says("a", Some(ShardingPlan::of(3))),
+        says("b", Some(ShardingPlan::of(3))),
+        says("c", Some(ShardingPlan::of(3))),
+    ];
+    assert!(all_agree_on(&mine, &["a", "b", "c"], &all));
+    assert!(!all_agree_on(&mine, &["a", "b", "c", "d"], &all), "one is missing, or of a version before");
+    assert!(!all_agree_on(&mine, &["a", "b", "c"], &[all[0].clone(), all[1].clone(), says("c", None)]));
+    assert!(!all_agree_on(
         &mine,
         &["a", "b", "c"],
-        &[all[0].clone(), all[1].clone(), says("c", Some(Plan::of(2)))]
+        &[all[0].clone(), all[1].clone(), says("c", Some(ShardingPlan::of(2)))]
     ));
     // A plan of one is offered where there are several: the way back.
-    assert!(!offers(&Plan::of(1), None) && offers(&Plan::of(1), Some(&mine)));
-    assert!(offers(&mine, None) && !offers(&Plan::of(2), Some(&mine)), "another number goes by way of one");
+    assert!(!has_plan_to_offer(&ShardingPlan::of(1), None) && has_plan_to_offer(&ShardingPlan::of(1), Some(&mine)));
+    assert!(
+        has_plan_to_offer(&mine, None) && !has_plan_to_offer(&ShardingPlan::of(2), Some(&mine)),
+        "another number goes by way of one"
+    );
 }
 
 /// Guards against two owners of one job: cell 0 takes nothing in while a cell may be owned, and not by a
@@ -83,10 +92,10 @@
 #[test]
 fn cell_0_takes_in_what_is_surely_nobody_s() {
     let nobody = |version| Some((NOBODY, version));
-    assert!(may_take_in(30, [nobody(20), nobody(29)]));
-    assert!(!may_take_in(30, [nobody(20), None]), "one that is free may be claimed yet");
-    assert!(!may_take_in(30, [nobody(20), Some(("n1", 25))]), "one that is owned");
-    assert!(!may_take_in(30, [nobody(20), nobody(31)]), "its machines may have seen a newer token");
+    assert!(may_absorb_all(30, [nobody(20), nobody(29)]));
+    assert!(!may_absorb_all(30, [nobody(20), None]), "one that is free may be claimed yet");
+    assert!(!may_absorb_all(30, [nobody(20), Some(("n1", 25))]), "one that is owned");
+    assert!(!may_absorb_all(30, [nobody(20), nobody(31)]), "its machines may have seen a newer token");
 }
 
 /// Cells' claims are spread over the controllers; who has one already lets others go first, and
@@ -96,53 +105,53 @@
     let nodes = ["n0", "n1", "n2", "n3", "n4"];
     for cell in 0..7 {
         let at_once: Vec<&str> =
-            nodes.iter().filter(|n| campaign_delay_s(n, &nodes, CellIx(cell), 0) == 0.0).copied().collect();
+            nodes.iter().filter(|n| campaign_delay_s(n, &nodes, ShardId(cell), 0) == 0.0).copied().collect();
         assert_eq!(at_once, [nodes[cell as usize % 5]]);
     }
-    assert!(campaign_delay_s("n1", &nodes, CellIx(1), 1) > campaign_delay_s("n0", &nodes, CellIx(1), 0));
-    assert!(campaign_delay_s("n4", &nodes, CellIx(3), 6) < 15.0);
+    assert!(campaign_delay_s("n1", &nodes, ShardId(1), 1) > campaign_delay_s("n0", &nodes, ShardId(1), 0));
+    assert!(campaign_delay_s("n4", &nodes, ShardId(3), 6) < 15.0);
 }
 
 fn cpus(c: f64) -> Amount {
     Amount::new(c, 0.0)
 }
 
-fn usage(held: f64, wanted: f64) -> Option<Use> {
-    Some(Use { held: cpus(held), wanted: cpus(wanted) })
+fn usage(held: f64, wanted: f64) -> Option<QuotaUse> {
+    Some(QuotaUse { held: cpus(held), wanted: cpus(wanted) })
 }
 
 /// What nobody uses follows demand: to the cell that waits, as far as it lacks, and home again.
 #[test]
 fn shares_follow_demand_and_go_home() {
     let limits = vec![("red".to_owned(), cpus(100.0))];
-    let l = Ledger::begin(&limits, 3, CellIx(0));
-    let home = CellIx(1);
-    let given = gifts(CellIx(0), "red", &l, &[usage(10.0, 20.0), usage(0.0, 60.0), None], home);
-    assert_eq!(given, [Gift { team: "red".into(), from: CellIx(0), to: CellIx(1), amount: cpus(60.0) }]);
+    let l = Ledger::begin(&limits, 3, ShardId(0));
+    let home = ShardId(1);
+    let given = quota_transfers(ShardId(0), "red", &l, &[usage(10.0, 20.0), usage(0.0, 60.0), None], home);
+    assert_eq!(given, [QuotaTransfer { team: "red".into(), from: ShardId(0), to: ShardId(1), amount: cpus(60.0) }]);
     let l = l.after(&given).expect("its own");
-    assert_eq!((l.share("red", CellIx(0)), l.share("red", CellIx(1))), (Some(cpus(40.0)), Some(cpus(60.0))));
+    assert_eq!((l.share("red", ShardId(0)), l.share("red", ShardId(1))), (Some(cpus(40.0)), Some(cpus(60.0))));
     assert!(l.within(&limits));
     // What is held is never given, whoever waits.
-    let given = gifts(CellIx(0), "red", &l, &[usage(38.0, 0.0), usage(60.0, 100.0), None], home);
+    let given = quota_transfers(ShardId(0), "red", &l, &[usage(38.0, 0.0), usage(60.0, 100.0), None], home);
     assert_eq!(given[0].amount, cpus(2.0));
     // Nobody waits: all but a little goes home.
-    let given = gifts(CellIx(0), "red", &l, &[usage(0.0, 0.0), usage(10.0, 10.0), None], home);
-    assert_eq!(given, [Gift { team: "red".into(), from: CellIx(0), to: home, amount: cpus(35.0) }]);
+    let given = quota_transfers(ShardId(0), "red", &l, &[usage(0.0, 0.0), usage(10.0, 10.0), None], home);
+    assert_eq!(given, [QuotaTransfer { team: "red".into(), from: ShardId(0), to: home, amount: cpus(35.0) }]);
     // Who told nothing of himself gives and gets nothing; home keeps a little of its own.
-    assert!(gifts(CellIx(2), "red", &l, &[None, usage(0.0, 90.0), None], home).is_empty());
-    let given = gifts(home, "red", &l, &[usage(40.0, 500.0), usage(0.0, 0.0), None], home);
+    assert!(quota_transfers(ShardId(2), "red", &l, &[None, usage(0.0, 90.0), None], home).is_empty());
+    let given = quota_transfers(home, "red", &l, &[usage(40.0, 500.0), usage(0.0, 0.0), None], home);
     assert_eq!(given[0].amount, cpus(55.0));
-    assert_eq!(l.after(&[Gift { amount: cpus(61.0), ..given[0].clone() }]), None, "more than it has");
+    assert_eq!(l.after(&[QuotaTransfer { amount: cpus(61.0), ..given[0].clone() }]), None, "more than it has");
 }
 
-fn picture(cell: u32, room: f64, waits: f64) -> Picture {
-    Picture { cell: CellIx(cell), room, waits, held: 100.0, longest_s: 30.0, ..Picture::default() }
+fn picture(cell: u32, room: f64, waits: f64) -> LoadSnapshot {
+    LoadSnapshot { cell: ShardId(cell), room, waits, held: 100.0, longest_s: 30.0, ..LoadSnapshot::default() }
 }
 
 #[test]
 fn what_waits_goes_where_it_starts_sooner_and_not_round_and_round() {
-    let plan = Plan::of(3);
-    let w = |job: &'static str, cpus: f64, waited_s: f64, moves: u8| Waiting {
+    let plan = ShardingPlan::of(3);
+    let w = |job: &'static str, cpus: f64, waited_s: f64, moves: u8| SpillCandidate {
         job,
         cpus,
         task_cpus: cpus,
@@ -153,33 +162,37 @@
     let mine = picture(0, 5.0, 400.0);
     let others = [picture(1, 100.0, 20.0), picture(2, 30.0, 0.0)];
     let waiting =
-        [w("new", 10.0, 1.0, 0), w("long", 10.0, 20.0, 0), w("big", 39.0, 10.0, 0), w("moved", 1.0, 39.0, MOST_MOVES)];
-    let out = spills(&plan, &mine, &others, &waiting, 15.0);
-    assert_eq!(out, [("long", CellIx(1))], "half of the room that another tells, and the longest first");
-    let out = spills(&plan, &mine, &others, &waiting[2..3], 15.0);
-    assert_eq!(out, [("big", CellIx(1))]);
+        [w("new", 10.0, 1.0, 0), w("long", 10.0, 20.0, 0), w("big", 39.0, 10.0, 0), w("moved", 1.0, 39.0, MAX_MOVES)];
+    let out = plan_spills(&plan, &mine, &others, &waiting, 15.0);
+    assert_eq!(out, [("long", ShardId(1))], "half of the room that another tells, and the longest first");
+    let out = plan_spills(&plan, &mine, &others, &waiting[2..3], 15.0);
+    assert_eq!(out, [("big", ShardId(1))]);
     // One that has moved twice stays, unless nothing can start it here: then after twice as long each time.
     let moved = |waited_s, moves| [w("moved", 8.0, waited_s, moves)];
-    assert!(spills(&plan, &mine, &others, &moved(39.0, 2), 15.0).is_empty());
-    assert_eq!(spills(&plan, &mine, &others, &moved(40.0, 2), 15.0).len(), 1);
-    assert!(spills(&plan, &mine, &others, &moved(79.0, 3), 15.0).is_empty());
+    assert!(plan_spills(&plan, &mine, &others, &moved(39.0, 2), 15.0).is_empty());
+    assert_eq!(plan_spills(&plan, &mine, &others, &moved(40.0, 2), 15.0).len(), 1);
+    assert!(plan_spills(&plan, &mine, &others, &moved(79.0, 3), 15.0).is_empty());
     // Where it would start at once, or no sooner elsewhere, it stays; not if it has waited there for long.
-    assert!(spills(&plan, &picture(0, 500.0, 400.0), &others, &waiting[..3], 15.0).is_empty());
-    assert_eq!(spills(&plan, &picture(0, 500.0, 400.0), &others, &[w("long", 10.0, 25.0, 0)], 15.0).len(), 1);
-    assert!(spills(&plan, &mine, &[picture(1, 50.0, 60.0)], &waiting, 15.0).is_empty(), "who is short takes nothing");
-    let moved = Picture { boots: 900.0, ..mine.clone() };
-    assert!(spills(&plan, &moved, &others, &waiting[..1], 5.0).is_empty(), "machines of its own are there sooner");
+    assert!(plan_spills(&plan, &picture(0, 500.0, 400.0), &others, &waiting[..3], 15.0).is_empty());
+    assert_eq!(plan_spills(&plan, &picture(0, 500.0, 400.0), &others, &[w("long", 10.0, 25.0, 0)], 15.0).len(), 1);
+    assert!(
+        plan_spills(&plan, &mine, &[picture(1, 50.0, 60.0)], &waiting, 15.0).is_empty(),
+        "who is short takes nothing"
+    );
+    let moved = LoadSnapshot { boots: 900.0, ..mine.clone() };
+    assert!(plan_spills(&plan, &moved, &others, &waiting[..1], 5.0).is_empty(), "machines of its own are there sooner");
 }
 
 /// A job that was larger than half of what any cell had room for stayed in a cell without machines for ever.
 #[test]
 fn a_job_larger_than_any_room_goes_where_it_can_begin_once_it_has_waited_long() {
-    let plan = Plan::of(3);
-    let large = |waited_s| [Waiting { job: "large", cpus: 44.0, task_cpus: 4.0, waited_s, moves: 0, spot: true }];
-    let (mine, others) = (Picture { held: 0.0, ..picture(0, 0.0, 44.0) }, [picture(1, 32.0, 0.0)]);
-    assert!(spills(&plan, &mine, &others, &large(24.0), 15.0).is_empty(), "it waits for machines of its own");
-    assert_eq!(spills(&plan, &mine, &others, &large(25.0), 15.0), [("large", CellIx(1))]);
-    assert!(spills(&plan, &mine, &[picture(1, 7.0, 0.0)], &large(25.0), 15.0).is_empty(), "no room for a task");
+    let plan = ShardingPlan::of(3);
+    let large =
+        |waited_s| [SpillCandidate { job: "large", cpus: 44.0, task_cpus: 4.0, waited_s, moves: 0, spot: true }];
+    let (mine, others) = (LoadSnapshot { held: 0.0, ..picture(0, 0.0, 44.0) }, [picture(1, 32.0, 0.0)]);
+    assert!(plan_spills(&plan, &mine, &others, &large(24.0), 15.0).is_empty(), "it waits for machines of its own");
+    assert_eq!(plan_spills(&plan, &mine, &others, &large(25.0), 15.0), [("large", ShardId(1))]);
+    assert!(plan_spills(&plan, &mine, &[picture(1, 7.0, 0.0)], &large(25.0), 15.0).is_empty(), "no room for a task");
 }
 
 /// A cell as the property knows it.
@@ -232,10 +245,10 @@
     fn a_limit_holds_over_all_cells(steps in steps()) {
         const LIMIT: f64 = 100.0;
         let limits = vec![("red".to_owned(), cpus(LIMIT))];
-        let (mut store, mut version) = (Ledger::begin(&limits, 4, CellIx(0)), 1u64);
+        let (mut store, mut version) = (Ledger::begin(&limits, 4, ShardId(0)), 1u64);
         let mut cells = vec![Cell::default(); 4];
         cells[0].believes = LIMIT;
-        let share = |l: &Ledger, c: usize| l.share("red", CellIx(c as u32)).unwrap_or_default().cpus;
+        let share = |l: &Ledger, c: usize| l.share("red", ShardId(c as u32)).unwrap_or_default().cpus;
         for s in steps {
             match s {
                 Step::Want(c, w) => cells[c].wanted = w,
@@ -246,8 +259,8 @@
                 Step::End(c, part) => cells[c].used *= part,
                 Step::Look(c) => if cells[c].sent.is_none() { cells[c].believes = share(&store, c) },
                 Step::Give(c) => if cells[c].sent.is_none() {
-                    let uses: Vec<Option<Use>> = cells.iter().map(|x| usage(x.used, x.wanted)).collect();
-                    let given = gifts(CellIx(c as u32), "red", &store, &uses, CellIx(1));
+                    let uses: Vec<Option<QuotaUse>> = cells.iter().map(|x| usage(x.used, x.wanted)).collect();
+                    let given = quota_transfers(ShardId(c as u32), "red", &store, &uses, ShardId(1));
                     let sum: f64 = given.iter().map(|g| g.amount.cpus).sum();
                     if sum > 0.0 {
                         let next = store.after(&given).expect("its own");
--- a/crates/cells/tests/reassign.rs
+++ b/crates/cells/tests/reassign.rs
@@ -1,23 +1,25 @@
 //! What the leader moves, and machines that go from cell to cell through lost and late writes and ends.
 
-use lupinspur_cells::escrow::{Amount, Use};
-use lupinspur_cells::load_snapshot::Picture;
-use lupinspur_cells::machine_transfer::{Handed, Handover, giver_next, key, taker_next, to_whom};
-use lupinspur_cells::rebalance::{Leader, Move, Orders, has_to_raise};
-use lupinspur_cells::{CellIx, Plan};
+use lupinspur_cells::escrow::{Amount, QuotaUse};
+use lupinspur_cells::load_snapshot::LoadSnapshot;
+use lupinspur_cells::machine_transfer::{
+    MachineTransfer, TransferredMachine, key, next_by_receiver, next_by_sender, next_receiver,
+};
+use lupinspur_cells::rebalance::{MachineMove, RebalancePlan, Rebalancer, must_reacquire};
+use lupinspur_cells::{ShardId, ShardingPlan};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn picture(cell: u32, token: u64, idle: f64, waits: f64) -> Picture {
-    Picture { cell: CellIx(cell), token, idle, waits, ..Picture::default() }
+fn picture(cell: u32, token: u64, idle: f64, waits: f64) -> LoadSnapshot {
+    LoadSnapshot { cell: ShardId(cell), token, idle, waits, ..LoadSnapshot::default() }
 }
 
 /// A cell that stays short gets what stands idle elsewhere, as far as those machines would obey it; one
 /// that was short for a moment gets nothing, and a new leader looks for itself first.
 #[test]
 fn idle_machines_go_to_a_cell_that_stays_short() {
-    let plan = Plan::of(3);
-    let (mut leader, none) = (Leader::default(), Orders::default());
+    let plan = ShardingPlan::of(3);
+    let (mut leader, none) = (Rebalancer::default(), RebalancePlan::default());
     let all = [picture(0, 10, 64.0, 0.0), picture(1, 20, 0.0, 80.0), picture(2, 30, 96.0, 0.0)];
     assert!(leader.look(&plan, &all, &none, 1_000).moves.is_empty());
     let calm = [all[0].clone(), picture(1, 20, 0.0, 0.0), all[2].clone()];
@@ -25,57 +27,65 @@
     assert!(leader.look(&plan, &all, &none, 11_500).moves.is_empty(), "it was not short in between");
     let orders = leader.look(&plan, &all, &none, 21_500);
     // Cell 2's machines have seen token 30 and would not obey cell 1.
-    assert_eq!(orders.moves, [Move { from: CellIx(0), to: CellIx(1), cpus: 64.0 }]);
-    assert!(Leader::default().look(&plan, &all, &none, 21_500).moves.is_empty(), "a successor has seen nothing");
+    assert_eq!(orders.moves, [MachineMove { from: ShardId(0), to: ShardId(1), cpus: 64.0 }]);
+    assert!(Rebalancer::default().look(&plan, &all, &none, 21_500).moves.is_empty(), "a successor has seen nothing");
     // Still short after a while, it is worth a claim of its own anew: told for a few looks, then not for long.
-    let asked = |s: u64| leader.look(&plan, &all, &none, s * 1000).moves.iter().any(|m| m.from == CellIx(2));
+    let asked = |s: u64| leader.look(&plan, &all, &none, s * 1000).moves.iter().any(|m| m.from == ShardId(2));
     let said: Vec<bool> = [30, 42, 48, 60, 200, 260].into_iter().map(asked).collect();
     assert_eq!(said, [false, true, true, false, false, true]);
     assert!(orders.differ(&none, &plan) && !orders.differ(&orders, &plan));
     assert!(orders.fresh(&plan, 30_000, 1.0) && !orders.fresh(&plan, 40_000, 1.0));
-    let later = Orders { at_ms: 27_000, ..orders.clone() };
+    let later = RebalancePlan { at_ms: 27_000, ..orders.clone() };
     assert!(later.differ(&orders, &plan), "orders that are to be obeyed are renewed");
-    let token_of = |c: CellIx| Some([10, 20, 30][c.ix()]);
-    assert_eq!(to_whom(CellIx(0), 10, orders.moves.iter(), &[], token_of), Some((CellIx(1), 64.0)));
-    let wrong_way = [Move { from: CellIx(2), to: CellIx(1), cpus: 32.0 }];
-    assert!(has_to_raise(CellIx(1), 20, &wrong_way, token_of) && !has_to_raise(CellIx(1), 31, &wrong_way, token_of));
-    assert!(!has_to_raise(CellIx(1), 20, &orders.moves, token_of));
-    assert_eq!(to_whom(CellIx(0), 25, orders.moves.iter(), &[], token_of), None, "its claim is newer by now");
-    let under_way = Handover { from: CellIx(0), to: CellIx(1), machines: vec![handed(0)], left: false };
-    assert_eq!(to_whom(CellIx(0), 10, orders.moves.iter(), &[under_way], token_of), None, "one at a time");
+    let token_of = |c: ShardId| Some([10, 20, 30][c.ix()]);
+    assert_eq!(next_receiver(ShardId(0), 10, orders.moves.iter(), &[], token_of), Some((ShardId(1), 64.0)));
+    let wrong_way = [MachineMove { from: ShardId(2), to: ShardId(1), cpus: 32.0 }];
+    assert!(
+        must_reacquire(ShardId(1), 20, &wrong_way, token_of) && !must_reacquire(ShardId(1), 31, &wrong_way, token_of)
+    );
+    assert!(!must_reacquire(ShardId(1), 20, &orders.moves, token_of));
+    assert_eq!(next_receiver(ShardId(0), 25, orders.moves.iter(), &[], token_of), None, "its claim is newer by now");
+    let under_way = MachineTransfer { from: ShardId(0), to: ShardId(1), machines: vec![handed(0)], left: false };
+    assert_eq!(next_receiver(ShardId(0), 10, orders.moves.iter(), &[under_way], token_of), None, "one at a time");
 }
 
 /// A team that waits in a cell which stays short gets another home, where there is room for twice as much;
 /// then it rests, and it does not swing back when the picture turns.
 #[test]
 fn a_team_s_home_moves_once_and_rests() {
-    let plan = Plan::parse("cells = 2\n[[team]]\nname = \"red\"\ncell = 0\n", &["red".into()]).expect("a plan");
-    let use_of = |held: f64, wanted: f64| Use { held: Amount::new(held, 0.0), wanted: Amount::new(wanted, 0.0) };
-    let short = |cell: u32, waits: f64| Picture {
+    let plan = ShardingPlan::parse("cells = 2\n[[team]]\nname = \"red\"\ncell = 0\n", &["red".into()]).expect("a plan");
+    let use_of = |held: f64, wanted: f64| QuotaUse { held: Amount::new(held, 0.0), wanted: Amount::new(wanted, 0.0) };
+    let short = |cell: u32, waits: f64| LoadSnapshot {
         teams: BTreeMap::from([("red".to_owned(), use_of(10.0, 10.0 + waits))]),
         ..picture(cell, 10, 0.0, waits)
     };
-    let roomy = |cell: u32, room: f64| Picture { room, ..picture(cell, 20, 0.0, 0.0) };
-    let mut leader = Leader::default();
-    let look = |l: &mut Leader, p: &[Picture], o: &Orders, s: u64| l.look(&plan, p, o, s * 1000);
+    let roomy = |cell: u32, room: f64| LoadSnapshot { room, ..picture(cell, 20, 0.0, 0.0) };
+    let mut leader = Rebalancer::default();
+    let look = |l: &mut Rebalancer, p: &[LoadSnapshot], o: &RebalancePlan, s: u64| l.look(&plan, p, o, s * 1000);
     let (mut orders, tight, wide) =
-        (Orders::default(), [short(0, 100.0), roomy(1, 150.0)], [short(0, 100.0), roomy(1, 300.0)]);
+        (RebalancePlan::default(), [short(0, 100.0), roomy(1, 150.0)], [short(0, 100.0), roomy(1, 300.0)]);
     orders = look(&mut leader, &tight, &orders, 1);
     orders = look(&mut leader, &tight, &orders, 60);
-    assert_eq!(orders.home(&plan, "red"), CellIx(0), "no room for twice as much");
+    assert_eq!(orders.home(&plan, "red"), ShardId(0), "no room for twice as much");
     orders = look(&mut leader, &wide, &orders, 62);
-    assert_eq!(orders.home(&plan, "red"), CellIx(1));
+    assert_eq!(orders.home(&plan, "red"), ShardId(1));
     let turned = [roomy(0, 900.0), short(1, 100.0)];
     for s in [64, 120, 200, 250] {
         orders = look(&mut leader, &turned, &orders, s);
-        assert_eq!(orders.home(&plan, "red"), CellIx(1), "it rests at {s} s");
+        assert_eq!(orders.home(&plan, "red"), ShardId(1), "it rests at {s} s");
     }
     orders = look(&mut leader, &turned, &orders, 270);
     assert!(orders.homes.is_empty(), "home again, which needs no word: {orders:?}");
 }
 
-fn handed(n: usize) -> Handed {
-    Handed { machine: format!("m{n}"), addr: String::new(), type_name: "t".into(), zone: "a".into(), spot: false }
+fn handed(n: usize) -> TransferredMachine {
+    TransferredMachine {
+        machine: format!("m{n}"),
+        addr: String::new(),
+        type_name: "t".into(),
+        zone: "a".into(),
+        spot: false,
+    }
 }
 
 const CELLS: usize = 3;
@@ -87,7 +97,7 @@
     token: u64,
     key: String,
     version: u64,
-    value: Handover,
+    value: MachineTransfer,
 }
 
 /// An owner, as the shard and its shell are.
@@ -99,15 +109,15 @@
     named: BTreeSet<String>,
     arriving: BTreeSet<String>,
     /// The values as it last saw them, and the step that it waits for.
-    seen: BTreeMap<String, (Handover, u64)>,
+    seen: BTreeMap<String, (MachineTransfer, u64)>,
     sent: Option<Write>,
 }
 
 #[derive(Debug, Default)]
 struct World {
     claims: Vec<u64>,
-    racks: Vec<BTreeSet<String>>,
-    hands: BTreeMap<String, (Handover, u64)>,
+    machine_groups: Vec<BTreeSet<String>>,
+    hands: BTreeMap<String, (MachineTransfer, u64)>,
     revision: u64,
     owners: Vec<Owner>,
     late: Vec<Write>,
@@ -134,7 +144,7 @@
     fn new() -> World {
         let mut w = World { revision: 10, ..World::default() };
         for c in 0..CELLS {
-            w.racks.push((0..MACHINES).filter(|m| m % CELLS == c).map(|m| handed(m).machine).collect());
+            w.machine_groups.push((0..MACHINES).filter(|m| m % CELLS == c).map(|m| handed(m).machine).collect());
             w.claims.push(0);
             w.owners.push(Owner::default());
         }
@@ -148,14 +158,14 @@
         let away: BTreeSet<String> = self.names(|h| h.from.ix() == c);
         self.owners[c] = Owner {
             token: self.revision,
-            own: self.racks[c].difference(&away).cloned().collect(),
-            named: self.racks[c].intersection(&away).cloned().collect(),
+            own: self.machine_groups[c].difference(&away).cloned().collect(),
+            named: self.machine_groups[c].intersection(&away).cloned().collect(),
             seen: self.hands.clone(),
             ..Owner::default()
         };
     }
 
-    fn names(&self, of: impl Fn(&Handover) -> bool) -> BTreeSet<String> {
+    fn names(&self, of: impl Fn(&MachineTransfer) -> bool) -> BTreeSet<String> {
         self.hands.values().filter(|h| of(&h.0)).flat_map(|h| &h.0.machines).map(|m| m.machine.clone()).collect()
     }
 
@@ -170,7 +180,7 @@
     }
 
     fn look(&mut self, c: usize, fresh: bool) {
-        let (cell, hands) = (CellIx(c as u32), self.hands.clone());
+        let (cell, hands) = (ShardId(c as u32), self.hands.clone());
         let o = &mut self.owners[c];
         if fresh {
             o.seen = hands;
@@ -190,24 +200,24 @@
         if o.sent.is_some() {
             return;
         }
-        let recorded = &self.racks[c];
+        let recorded = &self.machine_groups[c];
         let next = o.seen.iter().find_map(|(k, (h, v))| {
             let next = match () {
-                () if h.from == cell => giver_next(h, |m| o.named.contains(m)),
-                () if h.to == cell => taker_next(h, |m| recorded.contains(m) || !o.own.contains(m)),
+                () if h.from == cell => next_by_sender(h, |m| o.named.contains(m)),
+                () if h.to == cell => next_by_receiver(h, |m| recorded.contains(m) || !o.own.contains(m)),
                 () => None,
             };
             Some((k.clone(), *v, next?))
         });
         let begins = o.chosen.iter().find_map(|(m, to)| {
-            let k = key(cell, CellIx(*to as u32));
+            let k = key(cell, ShardId(*to as u32));
             let version = match o.seen.get(&k) {
                 Some((h, _)) if !h.over() => return None,
                 Some((_, v)) => *v,
                 None => 0,
             };
-            let machines = vec![Handed { machine: m.clone(), ..handed(0) }];
-            Some((k, version, Handover { from: cell, to: CellIx(*to as u32), machines, left: false }))
+            let machines = vec![TransferredMachine { machine: m.clone(), ..handed(0) }];
+            Some((k, version, MachineTransfer { from: cell, to: ShardId(*to as u32), machines, left: false }))
         });
         o.sent = next.or(begins).map(|(key, version, value)| Write { cell: c, token: o.token, key, version, value });
     }
@@ -238,7 +248,7 @@
             }
             Step::Look(c, fresh) => self.look(c, fresh),
             Step::Record(c) => {
-                self.racks[c] = self.owners[c].own.clone();
+                self.machine_groups[c] = self.owners[c].own.clone();
                 self.owners[c].named.clear();
             }
             Step::Arrives(c) => {
@@ -275,7 +285,7 @@
     /// Whose machines are in every stored state: nobody's twice, and none is nobody's.
     fn stored_own(&self, c: usize) -> BTreeSet<String> {
         let away = self.names(|h| h.from.ix() == c);
-        let mut own: BTreeSet<String> = self.racks[c].difference(&away).cloned().collect();
+        let mut own: BTreeSet<String> = self.machine_groups[c].difference(&away).cloned().collect();
         own.extend(self.names(|h| h.to.ix() == c));
         own
     }
--- a/crates/elastic/src/lib.rs
+++ b/crates/elastic/src/lib.rs
@@ -20,5 +20,5 @@
 pub use bound::{Bound, Timing};
 pub use lupinspur_files::Fault;
 pub use plan::Plan;
-pub use pool::{Held, Pool};
+pub use pool::{JobUsage, Pool};
 pub use sizes::Sizes;
--- a/crates/elastic/src/pool.rs
+++ b/crates/elastic/src/pool.rs
@@ -12,7 +12,7 @@
 /// One job as it stands: tasks that are not done, tasks that are held, and of those the ones
 /// that were told to stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub struct Held {
+pub struct JobUsage {
     pub unfinished: u32,
     pub held: u32,
     pub leaving: u32,
@@ -67,7 +67,7 @@
 }
 
 /// Shrinks that are told one by one.
-const MOST_RECENT: usize = 64;
+const MAX_RECENT: usize = 64;
 /// Shrinks of more than a day are told as a day.
 const LONGEST_MS: u64 = 86_400_000;
 
@@ -98,13 +98,13 @@
     }
 
     /// What it may not go below by choice: its smallest size, or what is left of it.
-    fn floor(s: &State, h: Held) -> u32 {
+    fn floor(s: &State, h: JobUsage) -> u32 {
         s.sizes.smallest.min(h.unfinished)
     }
 
     /// Tasks that may be started more: at the job's own standing, and beyond that with what is
     /// idle. What leaves is still held, so that the largest size is never passed.
-    pub fn more(&self, j: J, h: Held) -> (u32, u32) {
+    pub fn more(&self, j: J, h: JobUsage) -> (u32, u32) {
         let Some(s) = self.jobs.get(&j) else { return (h.unfinished.saturating_sub(h.held), 0) };
         let room = s.sizes.largest.min(h.unfinished).saturating_sub(h.held);
         let stays = h.held - h.leaving.min(h.held);
@@ -114,7 +114,7 @@
     }
 
     /// Tasks of it that may be stopped to make room.
-    pub fn surplus(&self, j: J, h: Held) -> u32 {
+    pub fn surplus(&self, j: J, h: JobUsage) -> u32 {
         let stays = h.held - h.leaving.min(h.held);
         self.jobs.get(&j).map_or(0, |s| stays.saturating_sub(Self::floor(s, h)))
     }
@@ -122,7 +122,7 @@
     /// What is idle and wanted by nobody else: for each elastic job, how many of its tasks it
     /// would take, if it had all of it. Jobs grow into a part of it once it has been idle for
     /// long enough; the one with the least of its span first. True if any wants more.
-    pub fn idle(&mut self, room: &[(J, u32, Held)], now: f64) -> bool {
+    pub fn idle(&mut self, room: &[(J, u32, JobUsage)], now: f64) -> bool {
         if room.iter().all(|(_, n, _)| *n == 0) {
             self.idle_since = None;
             return false;
@@ -136,7 +136,7 @@
         let mut left = ((f64::from(most) * self.plan.step) as u32).max(1);
         let mut grown: BTreeMap<J, u32> = BTreeMap::new();
         while left > 0 {
-            let span = |(j, n, h): &(J, u32, Held)| {
+            let span = |(j, n, h): &(J, u32, JobUsage)| {
                 let s = self.jobs.get(j)?;
                 let more = grown.get(j).copied().unwrap_or(0);
                 let wanted = s.wanted.max(h.held.min(s.sizes.largest)) + more;
@@ -194,7 +194,7 @@
         let s = self.shrinks.remove(&task)?;
         let took = (now - s.asked).max(0.0);
         self.times.saturating_record((took * 1000.0) as u64);
-        self.recent.truncate(MOST_RECENT - 1);
+        self.recent.truncate(MAX_RECENT - 1);
         self.recent.push_front((task, took));
         Some(took)
     }
--- a/crates/elastic/tests/model.rs
+++ b/crates/elastic/tests/model.rs
@@ -2,7 +2,7 @@
 //! and are deaf, services come and go. Whatever happens: never over the largest, never under the
 //! smallest by choice, capacity given back within the bound, and no endless swing.
 
-use lupinspur_elastic::{Held, Plan, Pool, Sizes, Timing};
+use lupinspur_elastic::{JobUsage, Plan, Pool, Sizes, Timing};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
@@ -59,10 +59,10 @@
         }
     }
 
-    fn held(&self, j: usize) -> Held {
+    fn held(&self, j: usize) -> JobUsage {
         let of = self.tasks.values().filter(|t| t.job == j);
         let (held, leaving) = of.fold((0, 0), |(h, l), t| (h + 1, l + u32::from(t.asked.is_some())));
-        Held { unfinished: 1000, held, leaving }
+        JobUsage { unfinished: 1000, held, leaving }
     }
 
     fn free(&self) -> u32 {
@@ -90,7 +90,7 @@
         let free = self.free();
         let waiting = (0..self.sizes.len()).any(|j| self.pool.more(j, self.held(j)).0 > 0);
         let free = if waiting { 0 } else { free };
-        let room: Vec<(usize, u32, Held)> = (0..self.sizes.len()).map(|j| (j, free, self.held(j))).collect();
+        let room: Vec<(usize, u32, JobUsage)> = (0..self.sizes.len()).map(|j| (j, free, self.held(j))).collect();
         self.pool.idle(&room, self.now);
         for j in 0..self.sizes.len() {
             let (_, beyond) = self.pool.more(j, self.held(j));
@@ -190,7 +190,7 @@
         let mut w = World::new(&sizes, capacity);
         let bound = TIMING.bound();
         for step in steps {
-            let before: Vec<Held> = (0..sizes.len()).map(|j| w.held(j)).collect();
+            let before: Vec<JobUsage> = (0..sizes.len()).map(|j| w.held(j)).collect();
             match step {
                 Step::Ticks(n) => (0..n).for_each(|_| w.tick(&saves, false)),
                 Step::Service(n) => {
--- a/crates/model/src/controllers.rs
+++ b/crates/model/src/controllers.rs
@@ -9,7 +9,7 @@
 use crate::world::{World, ZONES};
 use crate::wrong_decisions;
 use crate::{CLAIM_S, STEP};
-use lupinspur_cells::rebalance::Leader;
+use lupinspur_cells::rebalance::Rebalancer;
 use lupinspur_scheduler::election::{LeaderElection, LeadershipRecord};
 use lupinspur_scheduler::intern::Index;
 use lupinspur_scheduler::jobs::{JOB_PREFIX, JobRecord};
@@ -59,8 +59,8 @@
     pub(crate) commits: usize,
     pub(crate) looked_at: f64,
     /// When records of needs were last looked up.
-    pub(crate) needs_read_at: f64,
-    pub(crate) leader: (u64, Leader),
+    pub(crate) dependencies_read_at: f64,
+    pub(crate) leader: (u64, Rebalancer),
 }
 
 impl Held {
@@ -85,7 +85,7 @@
             listed_at: 0.0,
             commits: 0,
             looked_at: 0.0,
-            needs_read_at: 0.0,
+            dependencies_read_at: 0.0,
             leader: Default::default(),
         };
         self.cells = (0..cells).map(held).collect();
@@ -135,16 +135,16 @@
         if reaches {
             self.watch(i, c);
             self.look_around(i, c);
-            self.look_up_needs(i, c);
+            self.look_up_dependencies(i, c);
         }
         self.misjudge_silence(i, c);
         let wrong = self.wrong;
         let (life, one) = (self.nodes[i].life, self.cells == 1);
         let n = &mut self.nodes[i].cells[c];
         let Some(s) = &mut n.shard else { return };
-        s.writable = reaches;
+        s.state_service_writable = reaches;
         if ((now / STEP) as u64).is_multiple_of(20) {
-            s.look_again();
+            s.request_placement();
         }
         let began = Instant::now();
         s.tick(now);
@@ -240,7 +240,7 @@
                 if concerns(c, &r) {
                     s.add_job(r, *version, now);
                 } else {
-                    s.left(&r.job.id, now);
+                    s.on_job_moved(&r.job.id, now);
                 }
             }
         }
--- a/crates/model/src/elections.rs
+++ b/crates/model/src/elections.rs
@@ -5,7 +5,7 @@
 use crate::messages::Message;
 use crate::transactions::{COMMIT_LIMIT_S, GRANT_LIMIT_S, RENEWAL_LIMIT_S};
 use crate::world::World;
-use lupinspur_cells::CellIx;
+use lupinspur_cells::ShardId;
 use lupinspur_cells::activation::campaign_delay_s;
 use lupinspur_scheduler::election::{ElectionStep, LeadershipRecord, ObservedRecord};
 use lupinspur_wire::Mutation;
@@ -206,7 +206,7 @@
         }
         let names: Vec<&str> = self.nodes.iter().map(|n| n.name.as_str()).collect();
         let owned = self.nodes[i].cells.iter().filter(|h| h.own.token().is_some()).count();
-        campaign_delay_s(names[i], &names, CellIx(c as u32), owned)
+        campaign_delay_s(names[i], &names, ShardId(c as u32), owned)
     }
 
     pub(crate) fn on_claim_message(&mut self, message: ClaimMessage) {
--- a/crates/model/src/failover.rs
+++ b/crates/model/src/failover.rs
@@ -5,11 +5,11 @@
 use crate::trouble::Wrong;
 use crate::world::World;
 use crate::{CLAIM_S, STEP};
-use lupinspur_cells::CellIx;
+use lupinspur_cells::ShardId;
 use lupinspur_cells::escrow::Ledger;
-use lupinspur_cells::machine_transfer::{self, Handover};
+use lupinspur_cells::machine_transfer::{self, MachineTransfer};
 use lupinspur_scheduler::params::Tuning;
-use lupinspur_scheduler::shard::{Loaded, Shard};
+use lupinspur_scheduler::shard::{LoadedState, Shard};
 use std::collections::BTreeSet;
 
 impl World {
@@ -43,7 +43,7 @@
         let mut shard = Shard::new(&params, tuning, token, types(), loaded, now);
         let ledger = self.store.read::<Ledger>(LEDGER_KEY).filter(|_| self.wrong != Some(Wrong::Shares));
         if let Some((ledger, _)) = ledger {
-            shard.set_shares(&self.params.teams, &ledger, CellIx(c as u32));
+            shard.set_limit_shares(&self.params.teams, &ledger, ShardId(c as u32));
         }
         let held = &mut self.nodes[i].cells[c];
         held.watched = self.store.revision;
@@ -53,7 +53,7 @@
     }
 
     /// What the state service holds of a cell.
-    fn read_for(&self, c: usize) -> Loaded {
+    fn read_for(&self, c: usize) -> LoadedState {
         let (mut loaded, _) = stored::loaded(&inner(c, &self.store.keys), self.store.revision);
         if self.cells == 1 {
             return loaded;
@@ -63,9 +63,9 @@
         loaded.checkpoint.gone = gone.into_iter().map(|(r, _)| r.job.id).collect();
         let known: BTreeSet<&str> = loaded.jobs.iter().map(|(r, _)| r.job.id.as_str()).collect();
         loaded.progress.retain(|p| p.0.split('/').nth(1).is_some_and(|id| known.contains(id)));
-        let hands = stored::readable::<Handover>(&self.store.keys, machine_transfer::PREFIX);
+        let hands = stored::readable::<MachineTransfer>(&self.store.keys, machine_transfer::PREFIX);
         let from_here = hands.iter().filter(|h| h.1.from.ix() == c);
-        loaded.away = from_here.flat_map(|h| &h.1.machines).map(|m| m.machine.clone()).collect();
+        loaded.transferred_away = from_here.flat_map(|h| &h.1.machines).map(|m| m.machine.clone()).collect();
         loaded
     }
 }
--- a/crates/model/src/messages.rs
+++ b/crates/model/src/messages.rs
@@ -59,7 +59,7 @@
         node: usize,
         life: u64,
         token: u64,
-        machines: Vec<lupinspur_scheduler::intern::MachineIx>,
+        machines: Vec<lupinspur_scheduler::intern::MachineIndex>,
         names: Vec<String>,
     },
     CommitAnswer {
--- a/crates/model/src/odd_requests.rs
+++ b/crates/model/src/odd_requests.rs
@@ -6,7 +6,7 @@
 use crate::world::World;
 use lupinspur_histories::{Answer, Request, Unfit};
 use lupinspur_scheduler::jobs::{JobRecord, job_key};
-use lupinspur_scheduler::shard::judge;
+use lupinspur_scheduler::shard::check_admission;
 use lupinspur_wire::{JobRequest, JobState, Mutation};
 use serde_json::{Value, json};
 
@@ -88,7 +88,7 @@
         }
         let job: JobRequest = serde_json::from_value(request).ok()?;
         if self.wrong != Some(Wrong::Unjudged) {
-            judge(&job, &self.params.teams, known_types()).ok()?;
+            check_admission(&job, &self.params.teams, known_types()).ok()?;
         }
         Some(job)
     }
--- a/crates/model/src/pipelines.rs
+++ b/crates/model/src/pipelines.rs
@@ -39,7 +39,7 @@
     }
 
     /// Is all that this job needs done, as the machines have it?
-    pub(crate) fn needs_are_done(&self, job: &Job) -> bool {
+    pub(crate) fn dependencies_are_done(&self, job: &Job) -> bool {
         let done = |need: &String| self.jobs.get(need).is_some_and(job_done);
         job.spec.needs.iter().flatten().all(done)
     }
@@ -47,7 +47,8 @@
     /// Notes since when jobs wait for no other any more.
     pub(crate) fn note_free_jobs(&mut self) {
         let waits = self.jobs.iter().filter(|(_, j)| j.free_since.is_none());
-        let free: Vec<String> = waits.filter(|(_, j)| self.needs_are_done(j)).map(|(id, _)| id.clone()).collect();
+        let free: Vec<String> =
+            waits.filter(|(_, j)| self.dependencies_are_done(j)).map(|(id, _)| id.clone()).collect();
         for id in free {
             if let Some(j) = self.jobs.get_mut(&id) {
                 j.free_since = Some(self.now);
@@ -56,31 +57,32 @@
     }
 
     /// An owner reads records of needs that it does not know.
-    pub(crate) fn look_up_needs(&mut self, node: usize, cell: usize) {
+    pub(crate) fn look_up_dependencies(&mut self, node: usize, cell: usize) {
         let now = self.now;
         let held = &mut self.nodes[node].cells[cell];
         let Some(shard) = held.shard.as_mut() else { return };
-        if now - shard.began < NEEDS_READ_AFTER_S || now - held.needs_read_at < LOOK_UP_EVERY_S {
+        if now - shard.began_at < NEEDS_READ_AFTER_S || now - held.dependencies_read_at < LOOK_UP_EVERY_S {
             return;
         }
-        held.needs_read_at = now;
-        let needs: BTreeSet<String> = shard.unread_needs().into_iter().chain(shard.to_look_up()).collect();
+        held.dependencies_read_at = now;
+        let needs: BTreeSet<String> =
+            shard.unread_dependencies().into_iter().chain(shard.dependencies_to_look_up()).collect();
         for id in needs {
             let Some((value, version)) = self.store.keys.get(&job_key(&id)) else { continue };
             let record: JobRecord = serde_json::from_value(value.clone()).expect("a record");
             if concerns(cell, &record) {
                 shard.add_job(record, *version, now);
             } else {
-                shard.left(&id, now);
+                shard.on_job_moved(&id, now);
             }
-            shard.need_was_read(&id, now);
+            shard.on_dependency_read(&id, now);
         }
     }
 
     /// What a takeover meets: needs that it has not read, and tasks that run behind them.
     pub(crate) fn observe_unread_needs(&mut self, node: usize, cell: usize) {
         let Some(shard) = self.nodes[node].cells[cell].shard.as_ref() else { return };
-        let unread: BTreeSet<String> = shard.unread_needs().into_iter().collect();
+        let unread: BTreeSet<String> = shard.unread_dependencies().into_iter().collect();
         let waits = |id: &str| {
             let needs = self.jobs.get(id).and_then(|j| j.spec.needs.as_ref());
             needs.is_some_and(|needs| needs.iter().any(|need| unread.contains(need)))
--- a/crates/model/src/rules.rs
+++ b/crates/model/src/rules.rs
@@ -29,7 +29,7 @@
             }
             self.check_started_cancelled(&task);
             self.observe_start(i);
-            if self.jobs.get(&id).is_some_and(|job| !self.needs_are_done(job)) {
+            if self.jobs.get(&id).is_some_and(|job| !self.dependencies_are_done(job)) {
                 self.breaks(format!("too_early: {task} started before all that its job needs was done"));
             }
             let Some(job) = self.jobs.get_mut(&id) else { continue };
@@ -128,7 +128,7 @@
             self.check_waiting(&mut wrong);
         }
         let held = self.nodes.iter().flat_map(|n| &n.cells);
-        let mended = held.filter_map(|h| h.shard.as_ref()).map(Shard::mended).sum::<u64>();
+        let mended = held.filter_map(|h| h.shard.as_ref()).map(Shard::repairs).sum::<u64>();
         if mended > 0 {
             wrong.push(format!("{mended} differences between jobs and machines had to be mended"));
         }
--- a/crates/model/src/shard_exchange.rs
+++ b/crates/model/src/shard_exchange.rs
@@ -5,12 +5,14 @@
 use crate::stored::{self, Keys};
 use crate::trouble::Wrong;
 use crate::world::World;
-use lupinspur_cells::CellIx;
-use lupinspur_cells::escrow::{Amount, Gift, Ledger, Use, gifts};
-use lupinspur_cells::load_snapshot::Picture;
-use lupinspur_cells::machine_transfer::{self, Handed, Handover, giver_next, taker_next, to_whom};
-use lupinspur_cells::rebalance::{Leader, Orders, has_to_raise};
-use lupinspur_cells::spill::spills;
+use lupinspur_cells::ShardId;
+use lupinspur_cells::escrow::{Amount, Ledger, QuotaTransfer, QuotaUse, quota_transfers};
+use lupinspur_cells::load_snapshot::LoadSnapshot;
+use lupinspur_cells::machine_transfer::{
+    self, MachineTransfer, TransferredMachine, next_by_receiver, next_by_sender, next_receiver,
+};
+use lupinspur_cells::rebalance::{RebalancePlan, Rebalancer, must_reacquire};
+use lupinspur_cells::spill::plan_spills;
 use lupinspur_scheduler::jobs::{JobRecord, Phase, job_key};
 use lupinspur_wire::Mutation;
 use serde::Serialize;
@@ -20,9 +22,9 @@
 #[derive(Default, Clone)]
 pub(crate) struct Seen {
     pub(crate) ledger: Option<(Ledger, u64)>,
-    pub(crate) pictures: BTreeMap<usize, Picture>,
-    pub(crate) orders: (Orders, u64),
-    pub(crate) hands: BTreeMap<String, (Handover, u64)>,
+    pub(crate) pictures: BTreeMap<usize, LoadSnapshot>,
+    pub(crate) orders: (RebalancePlan, u64),
+    pub(crate) hands: BTreeMap<String, (MachineTransfer, u64)>,
 }
 
 pub(crate) const LEDGER_KEY: &str = "cells/escrow";
@@ -129,8 +131,8 @@
     /// What a controller's watch shows of what passes between cells.
     pub(crate) fn see(&mut self, i: usize) {
         let keys = &self.store.keys;
-        let pictures = stored::readable::<Picture>(keys, PICTURES);
-        let hands = stored::readable::<Handover>(keys, machine_transfer::PREFIX);
+        let pictures = stored::readable::<LoadSnapshot>(keys, PICTURES);
+        let hands = stored::readable::<MachineTransfer>(keys, machine_transfer::PREFIX);
         let n = &mut self.nodes[i];
         n.seen_at = self.now;
         n.seen = Seen {
@@ -153,7 +155,7 @@
         let Some((l, _)) = n.seen.ledger.clone() else { return };
         for c in 0..self.cells {
             if let Some(s) = n.acting(c, self.now) {
-                s.set_shares(&self.params.teams, &l, CellIx(c as u32));
+                s.set_limit_shares(&self.params.teams, &l, ShardId(c as u32));
             }
         }
     }
@@ -182,43 +184,45 @@
             return;
         }
         self.nodes[i].cells[c].looked_at = now;
-        let cell = CellIx(c as u32);
-        let seen = self.nodes[i].acting(c, now).map(|s| (s.token, s.gathered(now).then(|| s.picture(cell, now))));
+        let cell = ShardId(c as u32);
+        let seen = self.nodes[i]
+            .acting(c, now)
+            .map(|s| (s.token, s.heartbeats_gathered(now).then(|| s.load_snapshot(cell, now))));
         let Some((token, Some(mine))) = seen else { return };
         let claim = (self.leadership_key(c), token);
         self.store.commit(std::slice::from_ref(&claim), &[put(&format!("{PICTURES}{c}"), &mine)], None);
         self.see(i);
-        let fresh = |p: &&Picture| p.cell != cell && p.fresh(mine.at_ms, self.plan.picture_s, 0.0);
-        let others: Vec<Picture> = self.nodes[i].seen.pictures.values().filter(fresh).cloned().collect();
+        let fresh = |p: &&LoadSnapshot| p.cell != cell && p.fresh(mine.at_ms, self.plan.picture_s, 0.0);
+        let others: Vec<LoadSnapshot> = self.nodes[i].seen.pictures.values().filter(fresh).cloned().collect();
         if let Some((ledger, _)) = self.nodes[i].seen.ledger.clone() {
             let mut all = Vec::new();
             for team in ledger.teams.keys() {
-                let of = |x: usize| -> Option<Use> {
+                let of = |x: usize| -> Option<QuotaUse> {
                     let p = if x == c { &mine } else { others.iter().find(|p| p.cell.ix() == x)? };
                     Some(p.teams.get(team).copied().unwrap_or_default())
                 };
-                let uses: Vec<Option<Use>> = (0..self.cells).map(of).collect();
+                let uses: Vec<Option<QuotaUse>> = (0..self.cells).map(of).collect();
                 let home = self.nodes[i].seen.orders.0.home(&self.plan, team);
-                all.extend(gifts(cell, team, &ledger, &uses, home));
+                all.extend(quota_transfers(cell, team, &ledger, &uses, home));
             }
             if !all.is_empty() {
                 self.part_with(i, c, token, &all, Vec::new(), Vec::new());
             }
         }
-        let waiting = self.nodes[i].acting(c, now).map(|s| s.may_leave(now)).unwrap_or_default();
-        for (j, to) in spills(&self.plan, &mine, &others, &waiting, 20.0) {
+        let waiting = self.nodes[i].acting(c, now).map(|s| s.spillable_jobs(now)).unwrap_or_default();
+        for (j, to) in plan_spills(&self.plan, &mine, &others, &waiting, 20.0) {
             let Some((ledger, _)) = self.nodes[i].seen.ledger.clone() else { return };
             let Some(s) = self.nodes[i].acting(c, now) else { return };
-            let Some((record, version, team, takes)) = s.goes(j, to) else { continue };
+            let Some((record, version, team, takes)) = s.begin_move(j, to) else { continue };
             let team = s.team_name(team).to_owned();
             let spare = |own: Amount| {
-                let used = s.in_use().into_iter().find(|u| u.0 == team).map_or(own, |u| u.1);
+                let used = s.limit_usage().into_iter().find(|u| u.0 == team).map_or(own, |u| u.1);
                 let spare = own.less(used);
                 Amount::new(takes.cpus.min(spare.cpus), takes.cards.min(spare.cards))
             };
             let amount = ledger.share(&team, cell).map(spare);
-            let gift = |amount| Gift { team: team.clone(), from: cell, to, amount };
-            let given: Vec<Gift> = amount.map(gift).into_iter().collect();
+            let gift = |amount| QuotaTransfer { team: team.clone(), from: cell, to, amount };
+            let given: Vec<QuotaTransfer> = amount.map(gift).into_iter().collect();
             let id = record.job.id.clone();
             let key = job_key(&id);
             self.part_with(i, c, token, &given, vec![(key.clone(), version)], vec![put(&key, &record)]);
@@ -226,9 +230,9 @@
             self.nodes[i].job_cells.remove(&id);
             let Some(s) = self.nodes[i].acting(c, now) else { return };
             if theirs {
-                s.left(&id, now)
+                s.on_job_moved(&id, now)
             } else {
-                s.stays(&id)
+                s.cancel_move(&id)
             }
             self.counts.spilled += u64::from(theirs);
         }
@@ -243,16 +247,16 @@
         i: usize,
         c: usize,
         token: u64,
-        given: &[Gift],
+        given: &[QuotaTransfer],
         mut conditions: Vec<(String, u64)>,
         mut changes: Vec<Mutation>,
     ) {
-        let (now, cell, teams) = (self.now, CellIx(c as u32), self.params.teams.clone());
+        let (now, cell, teams) = (self.now, ShardId(c as u32), self.params.teams.clone());
         let Some((ledger, version)) = self.nodes[i].seen.ledger.clone() else { return };
         let Some(next) = ledger.after(given) else { return };
         let Some(s) = self.nodes[i].acting(c, now) else { return };
-        if s.in_use().iter().all(|(t, u)| next.share(t, cell).is_none_or(|left| u.fits(left))) {
-            s.set_shares(&teams, &next, cell);
+        if s.limit_usage().iter().all(|(t, u)| next.share(t, cell).is_none_or(|left| u.fits(left))) {
+            s.set_limit_shares(&teams, &next, cell);
             conditions.extend([(self.leadership_key(c), token), (LEDGER_KEY.to_owned(), version)]);
             changes.push(put(LEDGER_KEY, &next));
             self.surely(conditions, changes);
@@ -261,12 +265,12 @@
         self.go_by_shares(i);
     }
 
-    pub(crate) fn lead(&mut self, i: usize, token: u64, mine: &Picture, others: &[Picture]) {
+    pub(crate) fn lead(&mut self, i: usize, token: u64, mine: &LoadSnapshot, others: &[LoadSnapshot]) {
         let (stored, version) = self.nodes[i].seen.orders.clone();
-        let all: Vec<Picture> = others.iter().chain([mine]).cloned().collect();
+        let all: Vec<LoadSnapshot> = others.iter().chain([mine]).cloned().collect();
         let h = &mut self.nodes[i].cells[0];
         if h.leader.0 != token {
-            h.leader = (token, Leader::default());
+            h.leader = (token, Rebalancer::default());
         }
         let next = h.leader.1.look(&self.plan, &all, &stored, mine.at_ms);
         if next.differ(&stored, &self.plan) {
@@ -279,23 +283,23 @@
     }
 
     pub(crate) fn hand_over(&mut self, i: usize, c: usize, token: u64, now_ms: u64) {
-        let (now, cell) = (self.now, CellIx(c as u32));
+        let (now, cell) = (self.now, ShardId(c as u32));
         let seen = self.nodes[i].seen.clone();
         let fresh = seen.orders.0.fresh(&self.plan, now_ms, 0.0);
         let moves = if fresh { seen.orders.0.moves.clone() } else { Vec::new() };
-        let token_of = |c: CellIx| seen.pictures.get(&c.ix()).map(|p| p.token);
-        if has_to_raise(cell, token, &moves, token_of) {
+        let token_of = |c: ShardId| seen.pictures.get(&c.ix()).map(|p| p.token);
+        if must_reacquire(cell, token, &moves, token_of) {
             return self.raise(i, c, token);
         }
-        let under_way: Vec<Handover> = seen.hands.values().map(|h| h.0.clone()).collect();
-        let order = to_whom(cell, token, moves.iter(), &under_way, token_of);
+        let under_way: Vec<MachineTransfer> = seen.hands.values().map(|h| h.0.clone()).collect();
+        let order = next_receiver(cell, token, moves.iter(), &under_way, token_of);
         let Some(s) = self.nodes[i].acting(c, now) else { return };
-        s.set_order(order, 6.0);
+        s.set_rebalance_order(order, 6.0);
         let of = |from: bool| under_way.iter().filter(move |h| (if from { h.from } else { h.to }) == cell);
-        s.gave_away(of(true).flat_map(|h| &h.machines));
-        s.take_in(of(false).flat_map(|h| &h.machines), now);
-        let mut chosen: BTreeMap<CellIx, Vec<Handed>> = BTreeMap::new();
-        s.set_aside().into_iter().for_each(|(to, h)| chosen.entry(to).or_default().push(h));
+        s.on_transfers_published(of(true).flat_map(|h| &h.machines));
+        s.receive_machines(of(false).flat_map(|h| &h.machines), now);
+        let mut chosen: BTreeMap<ShardId, Vec<TransferredMachine>> = BTreeMap::new();
+        s.pending_transfers().into_iter().for_each(|(to, h)| chosen.entry(to).or_default().push(h));
         for (to, machines) in chosen {
             let key = machine_transfer::key(cell, to);
             let version = match seen.hands.get(&key) {
@@ -303,13 +307,13 @@
                 Some((_, v)) => *v,
                 None => 0,
             };
-            self.put_handover(i, c, token, &key, version, Handover { from: cell, to, machines, left: false });
+            self.put_handover(i, c, token, &key, version, MachineTransfer { from: cell, to, machines, left: false });
         }
         for (key, (h, version)) in seen.hands {
             let Some(s) = self.nodes[i].acting(c, now) else { return };
             let next = match () {
-                () if h.from == cell => giver_next(&h, |m| s.still_names(m)),
-                () if h.to == cell => taker_next(&h, |m| s.settled(m)),
+                () if h.from == cell => next_by_sender(&h, |m| s.may_be_named_in_records(m)),
+                () if h.to == cell => next_by_receiver(&h, |m| s.is_recorded_or_gone(m)),
                 () => None,
             };
             if let Some(next) = next {
@@ -318,17 +322,17 @@
         }
     }
 
-    pub(crate) fn put_handover(&mut self, i: usize, c: usize, token: u64, key: &str, version: u64, h: Handover) {
+    pub(crate) fn put_handover(&mut self, i: usize, c: usize, token: u64, key: &str, version: u64, h: MachineTransfer) {
         let conditions = vec![(self.leadership_key(c), token), (key.to_owned(), version)];
         let stored = self.surely(conditions, vec![put(key, &h)]);
-        let stands = self.store.read::<Handover>(key);
+        let stands = self.store.read::<MachineTransfer>(key);
         let begins = h.from.ix() == c && !h.left;
         self.counts.handed += if begins && stored == Some(true) { h.machines.len() as u64 } else { 0 };
         if begins && stored == Some(false) {
             let stands = stands.as_ref().map(|s| s.0.machines.clone()).unwrap_or_default();
-            let stay: Vec<Handed> = h.machines.into_iter().filter(|m| !stands.contains(m)).collect();
+            let stay: Vec<TransferredMachine> = h.machines.into_iter().filter(|m| !stands.contains(m)).collect();
             if let Some(s) = self.nodes[i].acting(c, self.now) {
-                s.handed(stay.iter(), false);
+                s.on_transfer_outcome(stay.iter(), false);
             }
         }
         if let Some(s) = stands {
--- a/crates/model/src/stored.rs
+++ b/crates/model/src/stored.rs
@@ -1,10 +1,10 @@
 //! A stand-in for the state service's keys, as a successor reads them, and machine types.
 //! A value that the decisions wrote and cannot read is a fault of theirs: it ends the test.
 
-use lupinspur_scheduler::fleet::machine_groups::RACK_PREFIX;
-use lupinspur_scheduler::intern::{Index, RackIx};
+use lupinspur_scheduler::fleet::machine_groups::MACHINE_GROUP_PREFIX;
+use lupinspur_scheduler::intern::{Index, MachineGroupIndex};
 use lupinspur_scheduler::jobs::{JOB_PREFIX, JobRecord, PART_PREFIX, PROGRESS_PREFIX, Phase, job_key};
-use lupinspur_scheduler::shard::{Found, Loaded, job_of};
+use lupinspur_scheduler::shard::{LoadedCheckpoint, LoadedState, parse_job_record};
 use lupinspur_wire::MachineType;
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
@@ -33,23 +33,23 @@
     under.filter_map(|(k, (v, n))| Some((k.clone(), serde_json::from_value(v.clone()).ok()?, *n))).collect()
 }
 
-fn rack_number(key: &str) -> Option<usize> {
-    key.strip_prefix(RACK_PREFIX)?.parse().ok()
+fn group_number(key: &str) -> Option<usize> {
+    key.strip_prefix(MACHINE_GROUP_PREFIX)?.parse().ok()
 }
 
 /// The records that a successor reads: by the checkpoint and what has changed since, or all; and
 /// what there is to say of that.
-fn records(store: &Keys, revision: u64) -> (Vec<(JobRecord, u64)>, Found, Option<String>) {
+fn records(store: &Keys, revision: u64) -> (Vec<(JobRecord, u64)>, LoadedCheckpoint, Option<String>) {
     let under = store.iter().filter(|(k, _)| k.starts_with(lupinspur_recovery::PREFIX));
     let keys = under.map(|(k, (_, n))| (k.clone(), *n)).collect();
-    let mut found = Found { keys, ..Found::default() };
+    let mut found = LoadedCheckpoint { keys, ..LoadedCheckpoint::default() };
     let all = || readable::<JobRecord>(store, JOB_PREFIX).into_iter();
     let mut jobs: BTreeMap<String, (JobRecord, u64)> = BTreeMap::new();
     let mut said = None;
     match lupinspur_recovery::read(store.iter().map(|(k, (v, _))| (k.as_str(), v))) {
         Ok(r) => {
             for o in &r.open {
-                let record = job_of(&job_key(&o.id), &o.value).expect("a record");
+                let record = parse_job_record(&job_key(&o.id), &o.value).expect("a record");
                 jobs.insert(o.id.clone(), (record, o.version));
             }
             jobs.extend(all().filter(|j| j.2 > r.head.at).map(|(_, j, v)| (j.job.id.clone(), (j, v))));
@@ -57,7 +57,9 @@
                 Some(format!("read the checkpoint: {} open, {} known with what came since", r.open.len(), jobs.len()));
             (found.read, found.revision) = (Some(r), revision);
         }
-        Err(lupinspur_recovery::Unusable::None) => jobs.extend(all().map(|(_, j, v)| (j.job.id.clone(), (j, v)))),
+        Err(lupinspur_recovery::CheckpointError::None) => {
+            jobs.extend(all().map(|(_, j, v)| (j.job.id.clone(), (j, v))))
+        }
         Err(e) => {
             said = Some(format!("the checkpoint cannot be used: {e}"));
             let open = all().filter(|j| j.1.phase == Phase::Open);
@@ -68,10 +70,10 @@
 }
 
 /// Everything that a successor reads, without quotas and elastic jobs.
-pub fn loaded(store: &Keys, revision: u64) -> (Loaded, Option<String>) {
+pub fn loaded(store: &Keys, revision: u64) -> (LoadedState, Option<String>) {
     let (jobs, checkpoint, said) = records(store, revision);
-    let racks = readable(store, RACK_PREFIX).into_iter();
-    let loaded = Loaded {
+    let machine_groups = readable(store, MACHINE_GROUP_PREFIX).into_iter();
+    let loaded = LoadedState {
         jobs,
         checkpoint,
         progress: readable(store, PROGRESS_PREFIX).into_iter().chain(readable(store, PART_PREFIX)).collect(),
@@ -79,10 +81,12 @@
             .into_iter()
             .map(|(k, r, v)| (k.trim_start_matches("mach/").to_owned(), r, v))
             .collect(),
-        racks_from: store.keys().filter_map(|k| rack_number(k)).max().map_or(0, |n| n + 1),
-        racks: racks.map(|(k, r, v)| (RackIx::new(rack_number(&k).expect("a number")), r, v)).collect(),
+        next_group_number: store.keys().filter_map(|k| group_number(k)).max().map_or(0, |n| n + 1),
+        machine_groups: machine_groups
+            .map(|(k, r, v)| (MachineGroupIndex::new(group_number(&k).expect("a number")), r, v))
+            .collect(),
         fleet: readable(store, "fleet/").into_iter().next().map(|(_, r, v)| (r, v)),
-        ..Loaded::default()
+        ..LoadedState::default()
     };
     (loaded, said)
 }
--- a/crates/model/src/transactions.rs
+++ b/crates/model/src/transactions.rs
@@ -7,7 +7,7 @@
 use crate::trouble::Wrong;
 use crate::world::World;
 use lupinspur_scheduler::jobs::job_key;
-use lupinspur_scheduler::shard::{What, Write};
+use lupinspur_scheduler::shard::{PendingWrite, WritePurpose};
 use lupinspur_wire::Mutation;
 
 /// After these times the controllers give a request up, as the shell does.
@@ -54,7 +54,7 @@
     pub(crate) token: u64,
     /// Counts up with each transaction of the controller.
     pub(crate) number: u64,
-    pub(crate) writes: Vec<Write>,
+    pub(crate) writes: Vec<PendingWrite>,
 }
 
 /// What the state service made of a transaction.
@@ -70,12 +70,12 @@
 }
 
 /// The same writes once more. Nobody is told their outcome, so that what they are for does not matter.
-fn copies(writes: &[Write]) -> Vec<Write> {
-    let copy = |w: &Write| Write {
+fn copies(writes: &[PendingWrite]) -> Vec<PendingWrite> {
+    let copy = |w: &PendingWrite| PendingWrite {
         key: w.key.clone(),
         version: w.version,
-        what: What::Cleanup,
-        change: w.change.clone(),
+        purpose: WritePurpose::DeleteStale,
+        mutation: w.mutation.clone(),
         bytes: w.bytes,
     };
     writes.iter().map(copy).collect()
@@ -137,7 +137,7 @@
         let cell = commit.cell;
         let mut conditions = vec![(self.leadership_key(cell), commit.token)];
         conditions.extend(commit.writes.iter().map(|w| (outer(cell, &w.key), w.version)));
-        let changes: Vec<Mutation> = commit.writes.iter().map(|w| outer_change(cell, &w.change)).collect();
+        let changes: Vec<Mutation> = commit.writes.iter().map(|w| outer_change(cell, &w.mutation)).collect();
         match self.store.commit(&conditions, &changes, None) {
             Some(revision) => {
                 self.counts.writes[cell] += changes.len() as u64;
@@ -169,14 +169,14 @@
         held.commits = held.commits.saturating_sub(1);
         let Some(shard) = held.shard.as_mut().filter(|s| s.token == token) else { return };
         match outcome {
-            CommitOutcome::Applied(revision) => shard.on_applied(commit.writes, revision, now),
-            CommitOutcome::NotExecuted => shard.on_not_applied(commit.writes),
-            CommitOutcome::Failed | CommitOutcome::Unknown if never_looks_up => shard.on_not_applied(commit.writes),
+            CommitOutcome::Applied(revision) => shard.on_writes_applied(commit.writes, revision, now),
+            CommitOutcome::NotExecuted => shard.on_writes_rejected(commit.writes),
+            CommitOutcome::Failed | CommitOutcome::Unknown if never_looks_up => shard.on_writes_rejected(commit.writes),
             CommitOutcome::Failed | CommitOutcome::Unknown => {
                 for write in &commit.writes {
-                    shard.on_version(&write.key, self.store.version(&outer(cell, &write.key)));
+                    shard.on_version_known(&write.key, self.store.version(&outer(cell, &write.key)));
                 }
-                shard.on_not_applied(commit.writes);
+                shard.on_writes_rejected(commit.writes);
                 self.read_leadership_record(node, cell);
             }
         }
--- a/crates/model/src/users.rs
+++ b/crates/model/src/users.rs
@@ -5,7 +5,7 @@
 use crate::world::World;
 use lupinspur_histories::{Answer, Request};
 use lupinspur_scheduler::jobs::{JobRecord, Phase, job_key};
-use lupinspur_scheduler::shard::Shown;
+use lupinspur_scheduler::shard::JobView;
 use lupinspur_wire::{JobRequest, JobState, Mutation};
 use std::collections::BTreeSet;
 
@@ -69,12 +69,12 @@
                 return Some(Answer::known(JobState::Cancelled));
             }
         }
-        match s.show(id) {
-            Some(Shown::Told(state, ..)) => {
+        match s.job_view(id) {
+            Some(JobView::Visible(state, ..)) => {
                 let early = self.wrong == Some(Wrong::Done) && state == JobState::Running;
                 Some(Answer::known(if early { JobState::Done } else { state }))
             }
-            Some(Shown::Settling) => None,
+            Some(JobView::Committing) => None,
             None if reaches => self.record_says(id, cancel),
             None => None,
         }
--- a/crates/model/src/waiting.rs
+++ b/crates/model/src/waiting.rs
@@ -41,12 +41,12 @@
     /// Jobs that waited for too long, and notes since when each waits.
     pub(crate) fn check_waiting(&mut self, wrong: &mut Vec<String>) {
         let used = self.in_use();
-        let room_for = |(id, job): (&String, &Job)| {
+        let cheapest_preemption = |(id, job): (&String, &Job)| {
             let waits = self.waits(job) && !used.present.contains(id.as_str()) && self.team_has_room(job, &used);
             let room = if waits { self.machine_for(job, &used) } else { None };
             (id.clone(), room.map(str::to_owned))
         };
-        let rooms: Vec<(String, Option<String>)> = self.jobs.iter().map(room_for).collect();
+        let rooms: Vec<(String, Option<String>)> = self.jobs.iter().map(cheapest_preemption).collect();
         for (id, machine) in rooms {
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             let Some(machine) = machine else {
@@ -63,7 +63,7 @@
 
     fn waits(&self, job: &Job) -> bool {
         let over = matches!(job.told, Some(JobState::Done | JobState::Cancelled));
-        let needs_done = self.needs_are_done(job);
+        let needs_done = self.dependencies_are_done(job);
         job.accepted.is_some() && !over && needs_done && job.cancel_at.is_none_or(|t| self.now < t) && !job_done(job)
     }
 
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -17,13 +17,13 @@
 use crate::work::spec;
 use crate::{ACTS_PAST_LEASE_S, CANCEL_S, LEASE_S, REPORT_S, STEP};
 use fastrand::Rng;
-use lupinspur_accounts::{Milestone, Terms};
+use lupinspur_accounts::{CompletionObjective, ServiceLevelObjectives};
 use lupinspur_cells::escrow::Ledger;
-use lupinspur_cells::plan::Home;
-use lupinspur_cells::{CellIx, Plan};
+use lupinspur_cells::plan::TeamHome;
+use lupinspur_cells::{ShardId, ShardingPlan};
 use lupinspur_histories::History;
 use lupinspur_scheduler::params::{Params, Team};
-use lupinspur_scheduler::shard::limits;
+use lupinspur_scheduler::shard::team_limits_by_name;
 use lupinspur_wire::JobState;
 use std::collections::{BTreeMap, HashMap};
 
@@ -47,9 +47,9 @@
         cards_max: 0.0,
     };
     let mut terms = HashMap::new();
-    let done = vec![Milestone::Deadline(1.5), Milestone::Within(120.0)];
-    terms.insert("match".to_owned(), Terms { done, ..Terms::default() });
-    terms.insert("desk".to_owned(), Terms { wait_s: Some(1.0), ..Terms::default() });
+    let done = vec![CompletionObjective::Deadline(1.5), CompletionObjective::Within(120.0)];
+    terms.insert("match".to_owned(), ServiceLevelObjectives { done, ..ServiceLevelObjectives::default() });
+    terms.insert("desk".to_owned(), ServiceLevelObjectives { wait_s: Some(1.0), ..ServiceLevelObjectives::default() });
     Params {
         teams: s.teams.iter().map(team).collect(),
         zones: ZONES.map(str::to_owned).to_vec(),
@@ -67,7 +67,7 @@
 pub(crate) struct World {
     pub(crate) now: f64,
     pub(crate) cells: usize,
-    pub(crate) plan: Plan,
+    pub(crate) plan: ShardingPlan,
     pub(crate) rng: Rng,
     pub(crate) controllers: usize,
     pub(crate) params: Params,
@@ -110,10 +110,10 @@
 impl World {
     pub(crate) fn new(seed: u64, scenario: &Scenario, wrong: Option<Wrong>) -> World {
         let (cells, controllers) = (scenario.cells as usize, scenario.controllers);
-        let mut plan = Plan::of(scenario.cells);
+        let mut plan = ShardingPlan::of(scenario.cells);
         if cells > 1 {
             let home =
-                |(i, t): (usize, &scenario::Team)| Home { name: t.name.clone(), cell: i as u32 % scenario.cells };
+                |(i, t): (usize, &scenario::Team)| TeamHome { name: t.name.clone(), cell: i as u32 % scenario.cells };
             plan.teams = scenario.teams.iter().enumerate().map(home).collect();
             plan.reassign_after_s = 4.0;
         }
@@ -172,7 +172,7 @@
         }
         if cells > 1 {
             // As when the plan came into force, before anything ran.
-            let ledger = Ledger::begin(&limits(&w.params.teams), cells as u32, CellIx(0));
+            let ledger = Ledger::begin(&team_limits_by_name(&w.params.teams), cells as u32, ShardId(0));
             w.store.commit(&[], &[put(LEDGER_KEY, &ledger)], None);
         }
         for i in 0..scenario.machines {
--- a/crates/model/src/wrong_decisions.rs
+++ b/crates/model/src/wrong_decisions.rs
@@ -74,7 +74,7 @@
     /// Leaves out what runs of jobs that wait, as the owner knows it.
     fn drop_what_waits(&self, node: usize, report: &mut Heartbeat) {
         let shards = || self.nodes[node].cells.iter().filter_map(|held| held.shard.as_ref());
-        let waits = |id: &str| shards().any(|s| s.jobs.find(id).is_some_and(|j| s.graph.waits(j)));
+        let waits = |id: &str| shards().any(|s| s.jobs.find(id).is_some_and(|j| s.dependencies.is_waiting(j)));
         report.tasks.retain(|t| t.state == TaskState::Exited || !t.task.split('/').next().is_some_and(waits));
     }
 
--- a/crates/model/tests/handing.rs
+++ b/crates/model/tests/handing.rs
@@ -1,9 +1,9 @@
 //! One cell's shard alone: which of its machines it sets aside for another cell.
 
-use lupinspur_cells::CellIx;
+use lupinspur_cells::ShardId;
 use lupinspur_model::stored::types;
 use lupinspur_scheduler::params::{Params, Team, Tuning};
-use lupinspur_scheduler::shard::{Loaded, Shard};
+use lupinspur_scheduler::shard::{LoadedState, Shard};
 use lupinspur_wire::{Heartbeat, ListedMachine};
 use serde_json::json;
 use std::collections::HashMap;
@@ -64,28 +64,28 @@
 /// machines it has set aside by then.
 fn set_aside(ordered_cpus: f64) -> usize {
     let tuning = Tuning { leader_lease_s: 4.0, ..Tuning::default() };
-    let mut shard = Shard::new(&params(), tuning, TOKEN, types(), Loaded::default(), 0.0);
-    let other_cell = CellIx(1);
+    let mut shard = Shard::new(&params(), tuning, TOKEN, types(), LoadedState::default(), 0.0);
+    let other_cell = ShardId(1);
     let mut revision = 100;
     let reports_every = (REPORT_S / STEP_S) as u64;
     for step in 0..(PLAYED_S / STEP_S) as u64 {
         let now = step as f64 * STEP_S;
-        shard.writable = true;
+        shard.state_service_writable = true;
         if step % reports_every == 0 {
             (0..MACHINES).for_each(|m| _ = shard.on_heartbeat(&report(m, step + 1), now));
             let list: Vec<ListedMachine> = (0..MACHINES).map(|m| listed(m, now)).collect();
             shard.on_list(&list, false, now);
         }
-        if shard.set_aside().is_empty() {
-            shard.set_order(Some((other_cell, ordered_cpus)), 6.0);
+        if shard.pending_transfers().is_empty() {
+            shard.set_rebalance_order(Some((other_cell, ordered_cpus)), 6.0);
         }
         shard.tick(now);
         let writes = shard.next_writes(8, 50_000, 8, now);
         revision += 1;
-        shard.on_applied(writes, revision, now);
+        shard.on_writes_applied(writes, revision, now);
         _ = shard.next_push(now);
     }
-    shard.set_aside().len()
+    shard.pending_transfers().len()
 }
 
 /// A cell that was short by less than a machine got none, and its job waited for ever.
--- a/crates/quota/examples/cost.rs
+++ b/crates/quota/examples/cost.rs
@@ -4,7 +4,7 @@
 //!     cargo run --release -p lupinspur-quota --example cost
 
 use hdrhistogram::Histogram;
-use lupinspur_quota::{Amount, Held, Ledger, Plan, TeamIx, TeamLimits, Tree};
+use lupinspur_quota::{Amount, BorrowedTask, Ledger, Plan, TeamIndex, TeamLimits, Tree};
 use std::hint::black_box;
 use std::time::Instant;
 
@@ -33,7 +33,7 @@
         let mut h = Histogram::<u64>::new(3).expect("a histogram");
         let need = Amount::new(1.0, 0.0);
         for i in 0..ROUNDS {
-            let t = TeamIx(i.wrapping_mul(2_654_435_761) % teams as u32);
+            let t = TeamIndex(i.wrapping_mul(2_654_435_761) % teams as u32);
             let began = Instant::now();
             let may = black_box(l.may_start(t, need)).is_ok();
             black_box(l.standing(t, need));
@@ -50,8 +50,15 @@
             p50 as f64 / base as f64
         );
         // A parent that shrinks: every team holds a task, and half of it all has to go.
-        let held: Vec<Held<u32>> = (0..teams as u32)
-            .map(|t| Held { task: t, team: TeamIx(t), need, loses: f64::from(t % 7), service: t % 5 == 0, priority: 2 })
+        let held: Vec<BorrowedTask<u32>> = (0..teams as u32)
+            .map(|t| BorrowedTask {
+                task: t,
+                team: TeamIndex(t),
+                need,
+                loses: f64::from(t % 7),
+                service: t % 5 == 0,
+                priority: 2,
+            })
             .collect();
         held.iter().for_each(|h| l.count(h.team, h.need));
         let mut tree = l.tree().clone();
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -1,11 +1,11 @@
 //! What every level uses, and what follows from that.
 
-use crate::tree::{LevelIx, TeamIx, Tree, WHOLE};
-use crate::{Amount, EPS};
+use crate::tree::{LevelIndex, TeamIndex, Tree, WHOLE};
+use crate::{Amount, EPSILON};
 
 /// How a start stands: what is lent by nearer levels goes first, then who has least of it.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
-pub struct Standing {
+pub struct FairSharePosition {
     /// 0: within the team's own guarantee; 1: lent by a sibling; and so on upwards. Beyond
     /// the guarantee of the whole, one more than the path has levels.
     pub distance: u8,
@@ -15,9 +15,9 @@
 
 /// A task that holds something, as a candidate to give way.
 #[derive(Debug, Clone, Copy)]
-pub struct Held<T> {
+pub struct BorrowedTask<T> {
     pub task: T,
-    pub team: TeamIx,
+    pub team: TeamIndex,
     pub need: Amount,
     /// Seconds of work that are lost with it.
     pub loses: f64,
@@ -46,11 +46,11 @@
         &self.tree
     }
 
-    pub fn used(&self, l: LevelIx) -> Amount {
+    pub fn used(&self, l: LevelIndex) -> Amount {
         self.used[l.0 as usize]
     }
 
-    fn path(&self, t: TeamIx) -> &[LevelIx] {
+    fn path(&self, t: TeamIndex) -> &[LevelIndex] {
         let path = self.tree.path(t);
         self.touched.set(self.touched.get() + path.len() as u64);
         path
@@ -58,7 +58,7 @@
 
     /// Another tree from now on. What is held stays held, and counts where the team stands now.
     pub fn change(&mut self, tree: Tree) {
-        let teams: Vec<(TeamIx, Amount)> =
+        let teams: Vec<(TeamIndex, Amount)> =
             self.tree.levels.iter().zip(&self.used).filter_map(|(l, u)| Some((l.team?, *u))).collect();
         let (unseen, touched) = (self.unseen, self.touched.get());
         *self = Ledger { unseen, ..Ledger::new(tree) };
@@ -69,13 +69,13 @@
     }
 
     /// A use begins (or ends, with less than none).
-    pub fn count(&mut self, t: TeamIx, by: Amount) {
+    pub fn count(&mut self, t: TeamIndex, by: Amount) {
         self.touched.set(self.touched.get() + self.tree.path(t).len() as u64);
         for l in self.tree.path(t) {
             let u = &mut self.used[l.0 as usize];
             *u = u.plus(by);
             // Sums of fractions must not drift below none.
-            let floor = |v: f64| if v.abs() < EPS { 0.0 } else { v };
+            let floor = |v: f64| if v.abs() < EPSILON { 0.0 } else { v };
             *u = Amount::new(floor(u.cpus), floor(u.gpus));
         }
     }
@@ -86,9 +86,9 @@
     }
 
     /// How many tasks of this need fit under all limits above a team; endless if none binds.
-    pub fn room(&self, t: TeamIx, need: Amount) -> f64 {
+    pub fn room(&self, t: TeamIndex, need: Amount) -> f64 {
         let left = |limit: f64, used: f64, need: f64| {
-            if limit > 0.0 && need > 0.0 { ((limit - used).max(0.0) + EPS) / need } else { f64::INFINITY }
+            if limit > 0.0 && need > 0.0 { ((limit - used).max(0.0) + EPSILON) / need } else { f64::INFINITY }
         };
         self.path(t).iter().fold(f64::INFINITY, |n, l| {
             let (limit, used) = (self.tree.at(*l).limit, self.used(*l));
@@ -97,8 +97,8 @@
     }
 
     /// May this start now? If not: the first level whose limit it would exceed.
-    pub fn may_start(&self, t: TeamIx, need: Amount) -> Result<(), LevelIx> {
-        let over = |l: &&LevelIx| {
+    pub fn may_start(&self, t: TeamIndex, need: Amount) -> Result<(), LevelIndex> {
+        let over = |l: &&LevelIndex| {
             let with = self.used(**l).plus(need).plus(self.unseen);
             !with.under(self.tree.at(**l).limit, need)
         };
@@ -106,9 +106,9 @@
     }
 
     /// How a start of this need would stand.
-    pub fn standing(&self, t: TeamIx, need: Amount) -> Standing {
+    pub fn standing(&self, t: TeamIndex, need: Amount) -> FairSharePosition {
         let path = self.path(t);
-        let lends = |l: &LevelIx| self.used(*l).plus(need).within(self.tree.at(*l).guarantee, need);
+        let lends = |l: &LevelIndex| self.used(*l).plus(need).within(self.tree.at(*l).guarantee, need);
         let distance = path.iter().position(lends).unwrap_or(path.len());
         let share = match distance {
             0 => 0.0,
@@ -116,30 +116,30 @@
             // whole levels, however many teams are below them.
             d => path.get(d - 1).map_or(0.0, |child| self.share(*child, path.get(d).copied().unwrap_or(WHOLE))),
         };
-        Standing { distance: distance as u8, share }
+        FairSharePosition { distance: distance as u8, share }
     }
 
     /// The larger part of the lender's that this level uses, by its weight.
-    fn share(&self, child: LevelIx, lender: LevelIx) -> f64 {
+    fn share(&self, child: LevelIndex, lender: LevelIndex) -> f64 {
         let (used, of) = (self.used(child), self.tree.at(lender).guarantee);
         let part = |used: f64, of: f64| if used <= 0.0 { 0.0 } else { used / of.max(1.0) };
         part(used.cpus, of.cpus).max(part(used.gpus, of.gpus)) / self.tree.at(child).weight
     }
 
     /// How far away what a team holds last was lent; 0: nothing of it is.
-    pub fn borrows(&self, t: TeamIx) -> u8 {
+    pub fn borrows(&self, t: TeamIndex) -> u8 {
         let path = self.path(t);
-        let kept = |l: &LevelIx| {
+        let kept = |l: &LevelIndex| {
             let (u, g) = (self.used(*l), self.tree.at(*l).guarantee);
-            u.cpus <= g.cpus + EPS && u.gpus <= g.gpus + EPS
+            u.cpus <= g.cpus + EPSILON && u.gpus <= g.gpus + EPSILON
         };
         path.iter().position(kept).unwrap_or(path.len()) as u8
     }
 
     /// Levels that use more than their limit, as after a parent that shrank.
-    pub fn over(&self) -> Vec<LevelIx> {
+    pub fn over(&self) -> Vec<LevelIndex> {
         (0..self.used.len() as u32)
-            .map(LevelIx)
+            .map(LevelIndex)
             .filter(|l| !self.used(*l).under(self.tree.at(*l).limit, Amount::new(1.0, 1.0)))
             .collect()
     }
@@ -149,14 +149,14 @@
     /// first, then what loses least work, and services never. Nothing gives way where that
     /// would not be enough. What nobody has heard of does not count here: it may be nothing,
     /// and is known soon.
-    pub fn make_room<T: Copy>(
+    pub fn preempt_for<T: Copy>(
         &self,
-        team: TeamIx,
+        team: TeamIndex,
         need: Amount,
-        held: &[Held<T>],
-        leaving: &[(TeamIx, Amount)],
+        held: &[BorrowedTask<T>],
+        leaving: &[(TeamIndex, Amount)],
     ) -> Vec<T> {
-        let mut short: Vec<(LevelIx, Amount)> = Vec::new();
+        let mut short: Vec<(LevelIndex, Amount)> = Vec::new();
         for &l in self.path(team) {
             let limit = self.tree.at(l).limit;
             let with = self.used(l).plus(need);
@@ -170,12 +170,12 @@
             let path = self.path(*t);
             short.iter_mut().filter(|(l, _)| path.contains(l)).for_each(|(_, s)| *s = s.minus(*a));
         }
-        let lacks = |s: &Amount, of: Amount| s.cpus > EPS && of.cpus > 0.0 || s.gpus > EPS && of.gpus > 0.0;
+        let lacks = |s: &Amount, of: Amount| s.cpus > EPSILON && of.cpus > 0.0 || s.gpus > EPSILON && of.gpus > 0.0;
         let all = Amount::new(1.0, 1.0);
         if !short.iter().any(|(_, s)| lacks(s, all)) {
             return Vec::new();
         }
-        let mut order: Vec<&Held<T>> = held.iter().filter(|h| !h.service).collect();
+        let mut order: Vec<&BorrowedTask<T>> = held.iter().filter(|h| !h.service).collect();
         order.sort_by(|a, b| b.priority.cmp(&a.priority).then(a.loses.total_cmp(&b.loses)));
         let mut out = Vec::new();
         for h in order {
@@ -191,15 +191,15 @@
     /// Which of the tasks that are held give way, so that no level is over its limit:
     /// services last, what is lent from farthest away first, then what loses least work.
     /// `leaving`: what was told to go already and still counts.
-    pub fn give_way<T: Copy>(&self, held: &[Held<T>], leaving: &[(TeamIx, Amount)]) -> Vec<T> {
+    pub fn give_way<T: Copy>(&self, held: &[BorrowedTask<T>], leaving: &[(TeamIndex, Amount)]) -> Vec<T> {
         let over = self.over();
         if over.is_empty() {
             return Vec::new();
         }
-        let mut order: Vec<&Held<T>> = held.iter().collect();
-        let key = |h: &Held<T>| (h.service, std::cmp::Reverse(self.borrows(h.team)));
+        let mut order: Vec<&BorrowedTask<T>> = held.iter().collect();
+        let key = |h: &BorrowedTask<T>| (h.service, std::cmp::Reverse(self.borrows(h.team)));
         order.sort_by(|a, b| key(a).cmp(&key(b)).then(a.loses.total_cmp(&b.loses)));
-        let mut excess: Vec<(LevelIx, Amount)> =
+        let mut excess: Vec<(LevelIndex, Amount)> =
             over.iter().map(|l| (*l, self.used(*l).minus(self.tree.at(*l).limit))).collect();
         for (t, a) in leaving {
             let path = self.path(*t);
@@ -208,12 +208,12 @@
         let mut out = Vec::new();
         for h in order {
             let path = self.path(h.team);
-            let limit = |l: LevelIx| self.tree.at(l).limit;
+            let limit = |l: LevelIndex| self.tree.at(l).limit;
             let helps = excess.iter().any(|(l, e)| {
                 let of = limit(*l);
                 path.contains(l)
-                    && (of.cpus > 0.0 && e.cpus > EPS && h.need.cpus > 0.0
-                        || of.gpus > 0.0 && e.gpus > EPS && h.need.gpus > 0.0)
+                    && (of.cpus > 0.0 && e.cpus > EPSILON && h.need.cpus > 0.0
+                        || of.gpus > 0.0 && e.gpus > EPSILON && h.need.gpus > 0.0)
             });
             if helps {
                 out.push(h.task);
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -17,10 +17,10 @@
 pub mod stored;
 pub mod tree;
 
-pub use ledger::{Held, Ledger, Standing};
+pub use ledger::{BorrowedTask, FairSharePosition, Ledger};
 pub use lupinspur_files::Fault;
 pub use plan::{Plan, TeamLimits};
-pub use tree::{Level, LevelIx, TeamIx, Tree};
+pub use tree::{Level, LevelIndex, TeamIndex, Tree};
 
 /// Cpus and accelerator cards.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
@@ -30,7 +30,7 @@
 }
 
 /// Sums of fractions differ by this much.
-pub const EPS: f64 = 1e-6;
+pub const EPSILON: f64 = 1e-6;
 
 impl Amount {
     pub const NONE: Amount = Amount { cpus: 0.0, gpus: 0.0 };
@@ -53,7 +53,7 @@
 
     /// Is this no more than `most` of everything that `need` asks for?
     fn within(self, most: Amount, need: Amount) -> bool {
-        let ok = |used: f64, most: f64, need: f64| need <= 0.0 || used <= most + EPS;
+        let ok = |used: f64, most: f64, need: f64| need <= 0.0 || used <= most + EPSILON;
         ok(self.cpus, most.cpus, need.cpus) && ok(self.gpus, most.gpus, need.gpus)
     }
 
--- a/crates/quota/src/plan.rs
+++ b/crates/quota/src/plan.rs
@@ -8,8 +8,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Most organisations in a tree, and most levels of them above a team.
-pub const MOST_ORGANISATIONS: usize = 20_000;
-pub const MOST_DEPTH: usize = 16;
+pub const MAX_ORGANISATIONS: usize = 20_000;
+pub const MAX_DEPTH: usize = 16;
 
 /// A tree of organisations above the teams of the platform's settings.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
@@ -20,7 +20,7 @@
     pub generation: u64,
     /// In any order; a team or an organisation stands within one other at the most.
     #[serde(default, rename = "organisation")]
-    #[garde(dive, length(max = MOST_ORGANISATIONS))]
+    #[garde(dive, length(max = MAX_ORGANISATIONS))]
     pub organisations: Vec<Organisation>,
 }
 
@@ -142,8 +142,8 @@
             for j in way.into_iter().rev() {
                 below += 1;
                 depth[j] = Some(below);
-                if below == MOST_DEPTH + 1 {
-                    fault(at(j, "within"), format!("more than {MOST_DEPTH} levels"));
+                if below == MAX_DEPTH + 1 {
+                    fault(at(j, "within"), format!("more than {MAX_DEPTH} levels"));
                 }
             }
         }
@@ -233,7 +233,7 @@
             let text: String = (0..n).map(one).collect();
             Plan::parse(&format!("generation = 1\n{text}")).expect("TOML").faults(&teams(&["red"]))
         };
-        assert_eq!(chain(MOST_DEPTH), []);
-        assert_eq!(chain(MOST_DEPTH + 2).len(), 1, "said once, where it begins");
+        assert_eq!(chain(MAX_DEPTH), []);
+        assert_eq!(chain(MAX_DEPTH + 2).len(), 1, "said once, where it begins");
     }
 }
--- a/crates/quota/src/tree.rs
+++ b/crates/quota/src/tree.rs
@@ -7,24 +7,24 @@
 
 /// A level of the tree: the whole, an organisation, or a team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct LevelIx(pub u32);
+pub struct LevelIndex(pub u32);
 
 /// A team, by its place in the platform's settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub struct TeamIx(pub u32);
+pub struct TeamIndex(pub u32);
 
 #[derive(Debug, Clone, PartialEq)]
 pub struct Level {
     /// Names from the top, with dots between them; empty for the whole.
     pub name: String,
-    pub parent: Option<LevelIx>,
+    pub parent: Option<LevelIndex>,
     /// As it was stated, and as it is after scaling it down to its part of its parent's.
     pub stated: Amount,
     pub guarantee: Amount,
     /// 0: none.
     pub limit: Amount,
     pub weight: f64,
-    pub team: Option<TeamIx>,
+    pub team: Option<TeamIndex>,
 }
 
 #[derive(Debug, Clone, PartialEq)]
@@ -32,10 +32,10 @@
     pub generation: u64,
     pub levels: Vec<Level>,
     /// Of each team, its levels from itself to the whole.
-    paths: Vec<Vec<LevelIx>>,
+    paths: Vec<Vec<LevelIndex>>,
 }
 
-pub const WHOLE: LevelIx = LevelIx(0);
+pub const WHOLE: LevelIndex = LevelIndex(0);
 
 impl Tree {
     /// What the settings alone say: all teams side by side.
@@ -55,7 +55,7 @@
             return Err(faults);
         }
         let mut t = Tree::begin(plan.generation);
-        let mut made: BTreeMap<&str, LevelIx> = BTreeMap::new();
+        let mut made: BTreeMap<&str, LevelIndex> = BTreeMap::new();
         let mut left: Vec<usize> = (0..plan.organisations.len()).collect();
         // Parents may stand after their children in the file. There are no cycles, so each
         // round makes one more level of them at least.
@@ -104,19 +104,19 @@
         Tree { generation, levels: vec![whole], paths: Vec::new() }
     }
 
-    fn push(&mut self, l: Level) -> LevelIx {
+    fn push(&mut self, l: Level) -> LevelIndex {
         self.levels.push(l);
-        LevelIx(self.levels.len() as u32 - 1)
+        LevelIndex(self.levels.len() as u32 - 1)
     }
 
-    fn name_below(&self, parent: LevelIx, name: &str) -> String {
+    fn name_below(&self, parent: LevelIndex, name: &str) -> String {
         match self.at(parent).name.as_str() {
             "" => name.to_owned(),
             above => format!("{above}.{name}"),
         }
     }
 
-    fn add_team(&mut self, i: usize, team: &TeamLimits, parent: LevelIx) {
+    fn add_team(&mut self, i: usize, team: &TeamLimits, parent: LevelIndex) {
         let level = Level {
             name: self.name_below(parent, &team.name),
             parent: Some(parent),
@@ -124,7 +124,7 @@
             guarantee: Amount::NONE,
             limit: team.limit,
             weight: 1.0,
-            team: Some(TeamIx(i as u32)),
+            team: Some(TeamIndex(i as u32)),
         };
         let mut path = vec![self.push(level)];
         while let Some(p) = path.last().and_then(|l| self.at(*l).parent) {
@@ -164,7 +164,7 @@
             let scaled = Amount::new(l.stated.cpus * part.cpus, l.stated.gpus * part.gpus);
             self.levels[i].guarantee = scaled;
             for (what, has, sum) in [("cpus", scaled.cpus, below[i].cpus), ("gpus", scaled.gpus, below[i].gpus)] {
-                if sum > has + crate::EPS {
+                if sum > has + crate::EPSILON {
                     let path = self.levels[i].name.clone();
                     let what = format!("guarantees {has} {what}, and what is below it {sum}: scaled down");
                     warnings.push(Fault { path, what });
@@ -174,12 +174,12 @@
         warnings
     }
 
-    pub fn at(&self, l: LevelIx) -> &Level {
+    pub fn at(&self, l: LevelIndex) -> &Level {
         &self.levels[l.0 as usize]
     }
 
     /// A team's levels, from itself to the whole.
-    pub fn path(&self, t: TeamIx) -> &[LevelIx] {
+    pub fn path(&self, t: TeamIndex) -> &[LevelIndex] {
         self.paths.get(t.0 as usize).map_or(&[], Vec::as_slice)
     }
 }
@@ -225,7 +225,7 @@
         assert_eq!(has("county.south.c"), Some(10.0), "it fits");
         let told: Vec<&str> = warnings.iter().map(|w| w.path.as_str()).collect();
         assert_eq!(told, ["county", "county.north"]);
-        let names: Vec<&str> = tree.path(TeamIx(0)).iter().map(|l| tree.at(*l).name.as_str()).collect();
+        let names: Vec<&str> = tree.path(TeamIndex(0)).iter().map(|l| tree.at(*l).name.as_str()).collect();
         assert_eq!(names, ["county.north.a", "county.north", "county", ""]);
     }
 
@@ -234,7 +234,7 @@
         let plan =
             Plan::parse("generation = 1\n[[organisation]]\nname = \"o\"\nteams = [\"a\", \"b\"]\n").expect("TOML");
         let (tree, warnings) = Tree::of(&plan, &[team("a", 3.0), team("b", 4.0)]).expect("a tree");
-        assert_eq!(tree.at(LevelIx(1)).guarantee.cpus, 7.0);
+        assert_eq!(tree.at(LevelIndex(1)).guarantee.cpus, 7.0);
         assert!(warnings.is_empty());
     }
 }
--- a/crates/quota/tests/lending.rs
+++ b/crates/quota/tests/lending.rs
@@ -2,15 +2,15 @@
 //! tasks that end by themselves, places given in the ledger's order.
 
 use hdrhistogram::Histogram;
-use lupinspur_quota::{Amount, Ledger, Plan, TeamIx, TeamLimits, Tree};
+use lupinspur_quota::{Amount, Ledger, Plan, TeamIndex, TeamLimits, Tree};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 
 const CPUS: usize = 60;
 const ONE: Amount = Amount { cpus: 1.0, gpus: 0.0 };
-const A: TeamIx = TeamIx(0);
-const B: TeamIx = TeamIx(1);
-const C: TeamIx = TeamIx(2);
+const A: TeamIndex = TeamIndex(0);
+const B: TeamIndex = TeamIndex(1);
+const C: TeamIndex = TeamIndex(2);
 
 /// a and b are siblings, c is a stranger; each is guaranteed a third.
 fn ledger() -> Ledger {
@@ -24,16 +24,16 @@
 struct Park {
     ledger: Ledger,
     /// The end of each task that runs, in tenths of a second.
-    held: Vec<(u64, TeamIx)>,
+    held: Vec<(u64, TeamIndex)>,
     lengths: Vec<u64>,
     started: usize,
 }
 
 impl Park {
     /// Gives what is free to those that ask, in order.
-    fn place(&mut self, now: u64, asking: &[TeamIx]) {
+    fn place(&mut self, now: u64, asking: &[TeamIndex]) {
         while self.held.len() < CPUS {
-            let stands = |t: &TeamIx| self.ledger.standing(*t, ONE);
+            let stands = |t: &TeamIndex| self.ledger.standing(*t, ONE);
             let first = asking.iter().min_by(|a, b| stands(a).partial_cmp(&stands(b)).expect("numbers"));
             let Some(&t) = first else { return };
             self.ledger.count(t, ONE);
@@ -48,7 +48,7 @@
         }
     }
 
-    fn has(&self, t: TeamIx) -> usize {
+    fn has(&self, t: TeamIndex) -> usize {
         self.held.iter().filter(|h| h.1 == t).count()
     }
 }
--- a/crates/quota/tests/properties.rs
+++ b/crates/quota/tests/properties.rs
@@ -2,7 +2,7 @@
 //! readable case.
 
 use lupinspur_quota::plan::Organisation;
-use lupinspur_quota::{Amount, EPS, Held, Ledger, LevelIx, Plan, TeamIx, TeamLimits, Tree};
+use lupinspur_quota::{Amount, BorrowedTask, EPSILON, Ledger, LevelIndex, Plan, TeamIndex, TeamLimits, Tree};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
@@ -55,7 +55,7 @@
 }
 
 /// Counted anew from what is held, as nobody would do it at work.
-fn counted(tree: &Tree, held: &BTreeMap<usize, (TeamIx, f64)>) -> Vec<f64> {
+fn counted(tree: &Tree, held: &BTreeMap<usize, (TeamIndex, f64)>) -> Vec<f64> {
     let mut used = vec![0.0; tree.levels.len()];
     for (t, cpus) in held.values() {
         tree.path(*t).iter().for_each(|l| used[l.0 as usize] += cpus);
@@ -79,14 +79,14 @@
         for (i, (who, cpus, unseen, start)) in steps.into_iter().enumerate() {
             ledger.unseen = Amount::new(f64::from(unseen), 0.0);
             if start || held.is_empty() {
-                let (team, need) = (TeamIx(who.index(s.teams.len()) as u32), Amount::new(f64::from(cpus), 0.0));
+                let (team, need) = (TeamIndex(who.index(s.teams.len()) as u32), Amount::new(f64::from(cpus), 0.0));
                 if ledger.may_start(team, need).is_ok() {
                     ledger.count(team, need);
                     held.insert(i, (team, need.cpus));
                     for l in tree.path(team) {
                         let limit = tree.at(*l).limit.cpus;
                         let used = ledger.used(*l).cpus + ledger.unseen.cpus;
-                        prop_assert!(limit <= 0.0 || used <= limit + EPS, "{} uses {used}", tree.at(*l).name);
+                        prop_assert!(limit <= 0.0 || used <= limit + EPSILON, "{} uses {used}", tree.at(*l).name);
                     }
                 }
             } else {
@@ -95,7 +95,7 @@
                 ledger.count(team, Amount::new(-cpus, 0.0));
             }
             for (l, used) in counted(&tree, &held).into_iter().enumerate() {
-                prop_assert!((ledger.used(LevelIx(l as u32)).cpus - used).abs() < EPS);
+                prop_assert!((ledger.used(LevelIndex(l as u32)).cpus - used).abs() < EPSILON);
             }
         }
     }
@@ -106,12 +106,12 @@
     fn guarantees_fit_into_their_parents(s in shapes()) {
         let tree = tree(&s);
         for (i, l) in tree.levels.iter().enumerate() {
-            let below: Vec<_> = tree.levels.iter().filter(|c| c.parent == Some(LevelIx(i as u32))).collect();
+            let below: Vec<_> = tree.levels.iter().filter(|c| c.parent == Some(LevelIndex(i as u32))).collect();
             let (sum, stated): (f64, f64) =
                 below.iter().fold((0.0, 0.0), |a, c| (a.0 + c.guarantee.cpus, a.1 + c.stated.cpus));
-            prop_assert!(sum <= l.guarantee.cpus + EPS, "{} guarantees less than it contains", l.name);
+            prop_assert!(sum <= l.guarantee.cpus + EPSILON, "{} guarantees less than it contains", l.name);
             if stated <= l.guarantee.cpus {
-                prop_assert!(below.iter().all(|c| (c.guarantee.cpus - c.stated.cpus).abs() < EPS));
+                prop_assert!(below.iter().all(|c| (c.guarantee.cpus - c.stated.cpus).abs() < EPSILON));
             }
         }
     }
@@ -123,14 +123,14 @@
         let tree = tree(&s);
         let mut ledger = Ledger::new(tree.clone());
         for (who, cpus) in uses {
-            ledger.count(TeamIx(who.index(s.teams.len()) as u32), Amount::new(f64::from(cpus), 0.0));
+            ledger.count(TeamIndex(who.index(s.teams.len()) as u32), Amount::new(f64::from(cpus), 0.0));
         }
         let need = Amount::new(1.0, 0.0);
-        for t in (0..s.teams.len() as u32).map(TeamIx) {
+        for t in (0..s.teams.len() as u32).map(TeamIndex) {
             let standing = ledger.standing(t, need);
             let path = tree.path(t);
             for (h, l) in path.iter().enumerate() {
-                let lends = ledger.used(*l).cpus + 1.0 <= tree.at(*l).guarantee.cpus + EPS;
+                let lends = ledger.used(*l).cpus + 1.0 <= tree.at(*l).guarantee.cpus + EPSILON;
                 prop_assert!(!lends || usize::from(standing.distance) <= h);
             }
             prop_assert!(usize::from(standing.distance) <= path.len());
@@ -148,10 +148,10 @@
         let mut ledger = Ledger::new(tree(&before));
         let mut held = Vec::new();
         for (i, (who, cpus, loses, service)) in starts.into_iter().enumerate() {
-            let (team, need) = (TeamIx(who.index(before.teams.len()) as u32), Amount::new(f64::from(cpus), 0.0));
+            let (team, need) = (TeamIndex(who.index(before.teams.len()) as u32), Amount::new(f64::from(cpus), 0.0));
             if ledger.may_start(team, need).is_ok() {
                 ledger.count(team, need);
-                held.push(Held { task: i, team, need, loses: f64::from(loses), service, priority: 2 });
+                held.push(BorrowedTask { task: i, team, need, loses: f64::from(loses), service, priority: 2 });
             }
         }
         let mut after = before.clone();
@@ -168,7 +168,7 @@
         let kept: Vec<_> = held.iter().filter(|h| !gone.contains(&h.task)).collect();
         for s in held.iter().filter(|h| h.service && gone.contains(&h.task)) {
             let levels = ledger.tree().path(s.team);
-            let spared = |l: &LevelIx| kept.iter().any(|k| !k.service && ledger.tree().path(k.team).contains(l));
+            let spared = |l: &LevelIndex| kept.iter().any(|k| !k.service && ledger.tree().path(k.team).contains(l));
             prop_assert!(levels.iter().any(|l| !spared(l)), "a service went before other work");
         }
         prop_assert!(gone.is_empty() || held.iter().any(|h| gone.contains(&h.task)));
@@ -187,18 +187,18 @@
         let mut ledger = Ledger::new(tree(&shape));
         let (mut held, mut leaving) = (Vec::new(), Vec::new());
         for (i, (who, cpus, loses, priority)) in starts.into_iter().enumerate() {
-            let (team, need) = (TeamIx(who.index(shape.teams.len()) as u32), Amount::new(f64::from(cpus), 0.0));
+            let (team, need) = (TeamIndex(who.index(shape.teams.len()) as u32), Amount::new(f64::from(cpus), 0.0));
             if ledger.may_start(team, need).is_ok() {
                 ledger.count(team, need);
                 if leaves && i % 3 == 0 {
                     leaving.push((team, need));
                 } else {
-                    held.push(Held { task: i, team, need, loses: f64::from(loses), service: priority == 0, priority });
+                    held.push(BorrowedTask { task: i, team, need, loses: f64::from(loses), service: priority == 0, priority });
                 }
             }
         }
-        let (team, need) = (TeamIx(service.0.index(shape.teams.len()) as u32), Amount::new(f64::from(service.1), 0.0));
-        let gone = ledger.make_room(team, need, &held, &leaving);
+        let (team, need) = (TeamIndex(service.0.index(shape.teams.len()) as u32), Amount::new(f64::from(service.1), 0.0));
+        let gone = ledger.preempt_for(team, need, &held, &leaving);
         let blocked = ledger.may_start(team, need).is_err();
         prop_assert!(gone.is_empty() || blocked, "work gave way that was in nobody's way");
         prop_assert!(held.iter().all(|h| !h.service || !gone.contains(&h.task)));
@@ -235,7 +235,7 @@
         });
         let all: Vec<TeamLimits> = names.iter().map(limits).collect();
         let mut ledger = Ledger::new(Tree::of(&Plan::parse(&text).expect("TOML"), &all).expect("a tree").0);
-        let (t, need) = (TeamIx(teams as u32 / 2), Amount::new(1.0, 0.0));
+        let (t, need) = (TeamIndex(teams as u32 / 2), Amount::new(1.0, 0.0));
         let before = ledger.touched.get();
         assert!(ledger.may_start(t, need).is_ok());
         ledger.standing(t, need);
--- a/crates/recovery/src/chunk.rs
+++ b/crates/recovery/src/chunk.rs
@@ -9,7 +9,7 @@
 
 /// A record as the state service holds it: its key's last part, its version, and its value.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Stored {
+pub struct StoredRecord {
     pub id: String,
     pub version: u64,
     pub value: Value,
@@ -80,7 +80,7 @@
 
 /// Fills chunks of up to `limit` bytes with records, in their order.
 #[derive(Debug)]
-pub struct Packer {
+pub struct ChunkBuilder {
     limit: usize,
     round: u64,
     patterns: Vec<Value>,
@@ -88,12 +88,12 @@
     used: usize,
 }
 
-impl Packer {
-    pub fn new(limit: usize, round: u64) -> Packer {
-        Packer { limit, round, patterns: Vec::new(), jobs: Vec::new(), used: FRAME }
+impl ChunkBuilder {
+    pub fn new(limit: usize, round: u64) -> ChunkBuilder {
+        ChunkBuilder { limit, round, patterns: Vec::new(), jobs: Vec::new(), used: FRAME }
     }
 
-    fn entry(&self, r: &Stored) -> (Option<Value>, Entry) {
+    fn entry(&self, r: &StoredRecord) -> (Option<Value>, Entry) {
         let whole = bytes(&r.value);
         let best = r.value.as_object().and_then(|now| {
             let tries = self.patterns.iter().enumerate().filter_map(|(i, p)| {
@@ -117,7 +117,7 @@
     }
 
     /// Takes one more record, or gives it back where it does not fit any more.
-    pub fn push(&mut self, r: Stored) -> Result<(), Stored> {
+    pub fn push(&mut self, r: StoredRecord) -> Result<(), StoredRecord> {
         let (pattern, entry) = self.entry(&r);
         let more = pattern.as_ref().map_or(0, |p| bytes(p) + 1) + bytes(&entry) + 1;
         if self.used + more > self.limit {
@@ -141,7 +141,7 @@
 /// Why a chunk cannot be unpacked.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("entry {0} names pattern {1} of {2}")]
-pub struct Broken(usize, u32, usize);
+pub struct ChunkError(usize, u32, usize);
 
 impl Chunk {
     pub fn len(&self) -> usize {
@@ -157,14 +157,14 @@
     }
 
     /// The records, as they were stored.
-    pub fn unpack(&self) -> Result<Vec<Stored>, Broken> {
+    pub fn unpack(&self) -> Result<Vec<StoredRecord>, ChunkError> {
         let one = |(i, e): (usize, &Entry)| {
-            let pattern = self.patterns.get(e.2 as usize).ok_or(Broken(i, e.2, self.patterns.len()))?;
+            let pattern = self.patterns.get(e.2 as usize).ok_or(ChunkError(i, e.2, self.patterns.len()))?;
             let mut value = pattern.clone();
             if let (Some(v), Some(change)) = (value.as_object_mut(), e.3.as_object()) {
                 apply(v, change);
             }
-            Ok(Stored { id: e.0.clone(), version: e.1, value })
+            Ok(StoredRecord { id: e.0.clone(), version: e.1, value })
         };
         self.jobs.iter().enumerate().map(one).collect()
     }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -25,9 +25,9 @@
 pub mod writer;
 
 pub use index::Head;
-pub use reader::{Read, Unusable, read};
-pub use safe_revision::Known;
-pub use writer::{Put, Writer};
+pub use reader::{Checkpoint, CheckpointError, read};
+pub use safe_revision::SafeRevision;
+pub use writer::{ValueToWrite, Writer};
 
 /// All of a checkpoint stands under this; earlier versions do not know it.
 pub const PREFIX: &str = "ckpt/";
--- a/crates/recovery/src/reader.rs
+++ b/crates/recovery/src/reader.rs
@@ -1,6 +1,6 @@
 //! What a successor makes of the values that it finds.
 
-use crate::chunk::{Chunk, Stored, key};
+use crate::chunk::{Chunk, StoredRecord, key};
 use crate::index::{FORM, Head, Line, Part, marked, part_key};
 use crate::{HEAD, PREFIX};
 use serde::de::DeserializeOwned;
@@ -8,19 +8,19 @@
 use std::collections::{HashMap, HashSet};
 
 /// A chunk for whoever goes on with it: its number, its round, its ids and which are over.
-pub type Kept = (u32, u64, Vec<(String, bool)>);
+pub type ReadChunk = (u32, u64, Vec<(String, bool)>);
 
 /// What is open, as of a revision.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Read {
+pub struct Checkpoint {
     pub head: Head,
-    pub open: Vec<Stored>,
-    pub chunks: Vec<Kept>,
+    pub open: Vec<StoredRecord>,
+    pub chunks: Vec<ReadChunk>,
 }
 
 /// Why the records themselves have to be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum Unusable {
+pub enum CheckpointError {
     #[error("there is none")]
     None,
     #[error("{0} is malformed: {1}")]
@@ -37,27 +37,27 @@
     Twice(String),
 }
 
-fn parse<T: DeserializeOwned>(values: &HashMap<&str, &Value>, key: &str) -> Result<T, Unusable> {
-    let v = *values.get(key).ok_or_else(|| Unusable::Missing(key.to_owned()))?;
-    T::deserialize(v).map_err(|e| Unusable::Malformed(key.to_owned(), e.to_string()))
+fn parse<T: DeserializeOwned>(values: &HashMap<&str, &Value>, key: &str) -> Result<T, CheckpointError> {
+    let v = *values.get(key).ok_or_else(|| CheckpointError::Missing(key.to_owned()))?;
+    T::deserialize(v).map_err(|e| CheckpointError::Malformed(key.to_owned(), e.to_string()))
 }
 
 /// Reads a checkpoint from everything that stands under its prefix.
-pub fn read<'a>(items: impl Iterator<Item = (&'a str, &'a Value)>) -> Result<Read, Unusable> {
+pub fn read<'a>(items: impl Iterator<Item = (&'a str, &'a Value)>) -> Result<Checkpoint, CheckpointError> {
     let values: HashMap<&str, &Value> = items.filter(|(k, _)| k.starts_with(PREFIX)).collect();
     if !values.contains_key(HEAD) {
-        return Err(Unusable::None);
+        return Err(CheckpointError::None);
     }
     let head: Head = parse(&values, HEAD)?;
     if head.form != FORM {
-        return Err(Unusable::Form(head.form));
+        return Err(CheckpointError::Form(head.form));
     }
     let mut lines: Vec<Line> = Vec::new();
     for n in 0..head.parts {
         let k = part_key(head.place, n);
         let part: Part = parse(&values, &k)?;
         if part.round != head.round {
-            return Err(Unusable::Torn(k, part.round, head.round));
+            return Err(CheckpointError::Torn(k, part.round, head.round));
         }
         lines.extend(part.chunks);
     }
@@ -66,16 +66,16 @@
         let k = key(n);
         let chunk: Chunk = parse(&values, &k)?;
         if chunk.round != round {
-            return Err(Unusable::Torn(k, chunk.round, round));
+            return Err(CheckpointError::Torn(k, chunk.round, round));
         }
-        let records = chunk.unpack().map_err(|e| Unusable::Malformed(k.clone(), e.to_string()))?;
+        let records = chunk.unpack().map_err(|e| CheckpointError::Malformed(k.clone(), e.to_string()))?;
         let mut ids = Vec::with_capacity(records.len());
         for (i, r) in records.into_iter().enumerate() {
-            let over = marked(&marks, i).ok_or_else(|| Unusable::Malformed(k.clone(), "its marks".into()))?;
+            let over = marked(&marks, i).ok_or_else(|| CheckpointError::Malformed(k.clone(), "its marks".into()))?;
             ids.push((r.id.clone(), over));
             if !over {
                 if !seen.insert(r.id.clone()) {
-                    return Err(Unusable::Twice(r.id));
+                    return Err(CheckpointError::Twice(r.id));
                 }
                 open.push(r);
             }
@@ -83,7 +83,7 @@
         chunks.push((n, round, ids));
     }
     if open.len() as u64 != head.open {
-        return Err(Unusable::Count(open.len() as u64, head.open));
+        return Err(CheckpointError::Count(open.len() as u64, head.open));
     }
-    Ok(Read { head, open, chunks })
+    Ok(Checkpoint { head, open, chunks })
 }
--- a/crates/recovery/src/safe_revision.rs
+++ b/crates/recovery/src/safe_revision.rs
@@ -8,12 +8,12 @@
 /// was sent is claimed. Otherwise a successor would not be told of that end, and would take
 /// the job for open.
 #[derive(Debug, Default)]
-pub struct Known {
+pub struct SafeRevision {
     watched: u64,
     sent: HashMap<String, u64>,
 }
 
-impl Known {
+impl SafeRevision {
     /// All changes up to this revision were taken in.
     pub fn watched(&mut self, revision: u64) {
         self.watched = self.watched.max(revision);
