--- a/crates/recovery/src/writer.rs
+++ b/crates/recovery/src/writer.rs
@@ -5,33 +5,33 @@
 //! not mean, then the head. A chunk is never written over while the stored head means it, so
 //! that a round may end between any two writes.
 
-use crate::chunk::{Chunk, Packer, Stored, key};
+use crate::chunk::{Chunk, ChunkBuilder, StoredRecord, key};
 use crate::index::{FORM, Head, Line, marks, part_key, parts};
-use crate::reader::Read;
+use crate::reader::Checkpoint;
 use crate::{CHANGES_KEPT, HEAD, PREFIX};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
 /// A chunk of which less than this part is open still is dissolved: one of so many.
-const DISSOLVED_BELOW: usize = 3;
+const MIN_OPEN_SHARE: usize = 3;
 /// A round begins after so many changes, or so many seconds if there are fewer.
-const CHANGES_A_ROUND: u64 = CHANGES_KEPT / 5;
-const SECONDS_A_ROUND: f64 = 60.0;
-const LEAST_SECONDS: f64 = 5.0;
+const CHANGES_PER_ROUND: u64 = CHANGES_KEPT / 5;
+const SECONDS_PER_ROUND: f64 = 60.0;
+const MIN_SECONDS_PER_ROUND: f64 = 5.0;
 /// After so many changes without a new head it does not wait for writes that can be spared.
-const CHANGES_PRESS: u64 = CHANGES_KEPT / 3;
+const OVERDUE_CHANGES: u64 = CHANGES_KEPT / 3;
 /// Numbers of chunks that are free and kept for use again; the others' values are deleted.
 const KEPT_FREE: usize = 4;
 
 /// One value to be put. Its outcome is told by [`Writer::applied`] or [`Writer::failed`].
 #[derive(Debug, Clone, PartialEq)]
-pub struct Put {
+pub struct ValueToWrite {
     pub key: String,
     pub value: Value,
 }
 
 #[derive(Debug, Clone)]
-struct Held {
+struct ChunkState {
     round: u64,
     /// Its records in their order, and whether each is over.
     records: Vec<(String, bool)>,
@@ -39,7 +39,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
-enum Step {
+enum RoundStep {
     Chunks,
     Index { parts: Vec<(String, Value)>, written: usize, head: Head },
     Head(Head),
@@ -48,18 +48,18 @@
 #[derive(Debug)]
 struct Round {
     at: u64,
-    step: Step,
+    step: RoundStep,
     /// Chunks that the next head will no longer mean.
     dissolved: BTreeSet<u32>,
     /// The value of the put under way, so that a repeated one is the same.
-    under_way: Option<(Put, Option<(u32, Chunk)>)>,
+    under_way: Option<(ValueToWrite, Option<(u32, Chunk)>)>,
 }
 
 #[derive(Debug, Default)]
 pub struct Writer {
     limit: usize,
     round: u64,
-    chunks: BTreeMap<u32, Held>,
+    chunks: BTreeMap<u32, ChunkState>,
     place: HashMap<String, (u32, usize)>,
     /// Open, and in no chunk.
     fresh: BTreeSet<String>,
@@ -89,7 +89,7 @@
     }
 
     /// Goes on with what was read. `keys`: all that stands under the prefix.
-    pub fn resume(limit: usize, now: f64, read: Option<&Read>, keys: &[String]) -> Writer {
+    pub fn resume(limit: usize, now: f64, read: Option<&Checkpoint>, keys: &[String]) -> Writer {
         let mut w = Writer::new(limit, now);
         let number = |k: &String| k.strip_prefix(PREFIX)?.strip_prefix("c/")?.parse::<u32>().ok();
         w.free = keys.iter().filter_map(number).collect();
@@ -102,7 +102,7 @@
             for (i, (id, _)) in records.iter().enumerate().filter(|(_, (_, over))| !over) {
                 w.place.insert(id.clone(), (*n, i));
             }
-            w.chunks.insert(*n, Held { round: *round, records: records.clone(), open });
+            w.chunks.insert(*n, ChunkState { round: *round, records: records.clone(), open });
         }
         w
     }
@@ -139,24 +139,29 @@
     /// `revision`: the newest that was seen. A round that is under way goes on.
     pub fn due(&self, known: u64, revision: u64, now: f64) -> bool {
         let waited = now - self.began_at;
-        let enough = self.behind(revision) >= CHANGES_A_ROUND || waited >= SECONDS_A_ROUND;
+        let enough = self.behind(revision) >= CHANGES_PER_ROUND || waited >= SECONDS_PER_ROUND;
         // Where nothing is known there is nothing to claim.
         let new = known > self.head.map_or(0, |h| h.at);
-        self.current.is_some() || enough && waited >= LEAST_SECONDS && new
+        self.current.is_some() || enough && waited >= MIN_SECONDS_PER_ROUND && new
     }
 
     /// May it take a write that cannot be spared? Only where the changes since the last head
     /// would soon be gone, or none was ever stored for a while.
-    pub fn presses(&self, revision: u64, now: f64) -> bool {
+    pub fn is_overdue(&self, revision: u64, now: f64) -> bool {
         match self.head {
-            Some(_) => self.behind(revision) >= CHANGES_PRESS,
-            None => now - self.since >= SECONDS_A_ROUND,
+            Some(_) => self.behind(revision) >= OVERDUE_CHANGES,
+            None => now - self.since >= SECONDS_PER_ROUND,
         }
     }
 
     /// The next value to be put, none while one is under way. `record` gives a record's
     /// version and value as they are stored; one that it does not know is over.
-    pub fn next(&mut self, known: u64, now: f64, record: impl Fn(&str) -> Option<(u64, Value)>) -> Option<Put> {
+    pub fn next(
+        &mut self,
+        known: u64,
+        now: f64,
+        record: impl Fn(&str) -> Option<(u64, Value)>,
+    ) -> Option<ValueToWrite> {
         if self.current.is_none() {
             self.begin(known, now);
         }
@@ -170,7 +175,7 @@
     fn begin(&mut self, at: u64, now: f64) {
         self.round += 1;
         self.began_at = now;
-        let sparse = |c: &Held| c.open * DISSOLVED_BELOW < c.records.len();
+        let sparse = |c: &ChunkState| c.open * MIN_OPEN_SHARE < c.records.len();
         let dissolved: BTreeSet<u32> = self.chunks.iter().filter(|(_, c)| sparse(c)).map(|(n, _)| *n).collect();
         for n in &dissolved {
             let Some(c) = self.chunks.remove(n) else { continue };
@@ -179,7 +184,7 @@
                 self.fresh.insert(id);
             }
         }
-        self.current = Some(Round { at, step: Step::Chunks, dissolved, under_way: None });
+        self.current = Some(Round { at, step: RoundStep::Chunks, dissolved, under_way: None });
     }
 
     /// A number that no head means, stored or to come.
@@ -191,11 +196,11 @@
         n
     }
 
-    fn step(&mut self, round: &mut Round, record: impl Fn(&str) -> Option<(u64, Value)>) -> Option<Put> {
-        if round.step == Step::Chunks {
+    fn step(&mut self, round: &mut Round, record: impl Fn(&str) -> Option<(u64, Value)>) -> Option<ValueToWrite> {
+        if round.step == RoundStep::Chunks {
             if let Some((n, chunk)) = self.pack(&record) {
                 let value = serde_json::to_value(&chunk).ok()?;
-                let put = Put { key: key(n), value };
+                let put = ValueToWrite { key: key(n), value };
                 round.under_way = Some((put.clone(), Some((n, chunk))));
                 return Some(put);
             }
@@ -204,16 +209,16 @@
             }
             round.step = self.index(round.at);
         }
-        if let Step::Index { parts, written, head } = &round.step {
+        if let RoundStep::Index { parts, written, head } = &round.step {
             if let Some((key, value)) = parts.get(*written) {
-                let put = Put { key: key.clone(), value: value.clone() };
+                let put = ValueToWrite { key: key.clone(), value: value.clone() };
                 round.under_way = Some((put.clone(), None));
                 return Some(put);
             }
-            round.step = Step::Head(*head);
+            round.step = RoundStep::Head(*head);
         }
-        let Step::Head(head) = &round.step else { return None };
-        let put = Put { key: HEAD.into(), value: serde_json::to_value(head).ok()? };
+        let RoundStep::Head(head) = &round.step else { return None };
+        let put = ValueToWrite { key: HEAD.into(), value: serde_json::to_value(head).ok()? };
         round.under_way = Some((put.clone(), None));
         Some(put)
     }
@@ -221,7 +226,7 @@
     /// A chunk of what is in none. A record that is larger than a value may be is left out of
     /// the checkpoint, and the checkpoint with it: it would not be complete.
     fn pack(&mut self, record: &impl Fn(&str) -> Option<(u64, Value)>) -> Option<(u32, Chunk)> {
-        let mut packer = Packer::new(self.limit, self.round);
+        let mut packer = ChunkBuilder::new(self.limit, self.round);
         let mut taken = Vec::new();
         let mut over = Vec::new();
         for id in &self.fresh {
@@ -229,7 +234,7 @@
                 over.push(id.clone());
                 continue;
             };
-            match packer.push(Stored { id: id.clone(), version, value }) {
+            match packer.push(StoredRecord { id: id.clone(), version, value }) {
                 Ok(()) => taken.push(id.clone()),
                 Err(_) if taken.is_empty() => {}
                 Err(_) => break,
@@ -248,12 +253,12 @@
         }
         let records = taken.into_iter().map(|id| (id, false)).collect::<Vec<_>>();
         let open = records.len();
-        self.chunks.insert(n, Held { round: self.round, records, open });
+        self.chunks.insert(n, ChunkState { round: self.round, records, open });
         Some((n, packer.finish()))
     }
 
-    fn index(&self, at: u64) -> Step {
-        let line = |(n, c): (&u32, &Held)| Line(*n, c.round, marks(c.records.iter().map(|r| r.1)));
+    fn index(&self, at: u64) -> RoundStep {
+        let line = |(n, c): (&u32, &ChunkState)| Line(*n, c.round, marks(c.records.iter().map(|r| r.1)));
         let lines: Vec<Line> = self.chunks.iter().filter(|(_, c)| c.open > 0).map(line).collect();
         let open = self.chunks.values().map(|c| c.open as u64).sum();
         let parts = parts(self.round, lines, self.limit);
@@ -261,7 +266,7 @@
         let head = Head { form: FORM, round: self.round, place, parts: parts.len() as u32, at, open };
         let value =
             |(i, p): (usize, &crate::index::Part)| serde_json::to_value(p).ok().map(|v| (part_key(place, i as u32), v));
-        Step::Index { parts: parts.iter().enumerate().filter_map(value).collect(), written: 0, head }
+        RoundStep::Index { parts: parts.iter().enumerate().filter_map(value).collect(), written: 0, head }
     }
 
     /// A record that is too large for any chunk keeps a checkpoint from being written.
@@ -277,9 +282,9 @@
         }
         round.under_way = None;
         match &mut round.step {
-            Step::Chunks => {}
-            Step::Index { written, .. } => *written += 1,
-            Step::Head(head) => {
+            RoundStep::Chunks => {}
+            RoundStep::Index { written, .. } => *written += 1,
+            RoundStep::Head(head) => {
                 let head = *head;
                 let dissolved = std::mem::take(&mut round.dissolved);
                 self.current = None;
--- a/crates/recovery/tests/histories.rs
+++ b/crates/recovery/tests/histories.rs
@@ -2,7 +2,7 @@
 //! full read of the records tells, whichever two writes the owner died between.
 
 use lupinspur_recovery::writer::Writer;
-use lupinspur_recovery::{Known, Read, Unusable, read};
+use lupinspur_recovery::{Checkpoint, CheckpointError, SafeRevision, read};
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use serde_json::{Value, json};
@@ -29,8 +29,9 @@
 
     /// Changes of jobs after a revision; none (410) where some of them are gone.
     fn since(&self, at: u64) -> Option<Vec<&(u64, String, Value)>> {
-        let kept_from = self.revision.saturating_sub(self.keeps);
-        (at >= kept_from).then(|| self.changes.iter().filter(|c| c.0 > at && c.1.starts_with("job/")).collect())
+        let is_reserved_for_other = self.revision.saturating_sub(self.keeps);
+        (at >= is_reserved_for_other)
+            .then(|| self.changes.iter().filter(|c| c.0 > at && c.1.starts_with("job/")).collect())
     }
 
     fn open(&self) -> BTreeMap<String, u64> {
@@ -38,7 +39,7 @@
         jobs.filter(|(_, _, r)| r["phase"] == "open").map(|(id, v, _)| (id.to_owned(), *v)).collect()
     }
 
-    fn checkpoint(&self) -> Result<Read, Unusable> {
+    fn checkpoint(&self) -> Result<Checkpoint, CheckpointError> {
         read(self.keys.iter().map(|(k, (_, v))| (k.as_str(), v)))
     }
 
@@ -63,7 +64,7 @@
 /// An owner as far as its checkpoints go: what it has heard of, and ends under way.
 struct Owner {
     writer: Writer,
-    known: Known,
+    known: SafeRevision,
     /// Open as far as it has heard.
     open: BTreeMap<String, u64>,
     watched: u64,
@@ -96,7 +97,7 @@
             _ => (s.open(), None),
         };
         let mut writer = Writer::resume(LIMIT, now, read, &s.checkpoint_keys());
-        let mut known = Known::default();
+        let mut known = SafeRevision::default();
         known.watched(s.revision);
         let before: Vec<&str> = read.iter().flat_map(|r| r.open.iter().map(|o| o.id.as_str())).collect();
         before.iter().filter(|id| !open.contains_key(**id)).for_each(|id| writer.ended(id));
@@ -244,7 +245,7 @@
         match read(broken.iter().map(|(k, v)| (k.as_str(), v))) {
             // What differs in records cannot be known here: their own reader judges them.
             Ok(r) => prop_assert_eq!(r.open.len(), open.len()),
-            Err(Unusable::Malformed(k, _) | Unusable::Missing(k) | Unusable::Torn(k, _, _)) => {
+            Err(CheckpointError::Malformed(k, _) | CheckpointError::Missing(k) | CheckpointError::Torn(k, _, _)) => {
                 prop_assert!(k.starts_with("ckpt/"))
             }
             Err(e) => prop_assert!(!e.to_string().is_empty()),
--- a/crates/scheduler/src/dependency_graph.rs
+++ b/crates/scheduler/src/dependency_graph.rs
@@ -4,92 +4,92 @@
 //! service holds that. What one end changes costs as much as there are jobs after it,
 //! and nothing for the others. Pure bookkeeping: who is free or doomed is returned.
 
-use crate::intern::JobIx;
+use crate::intern::JobIndex;
 use crate::jobs::Phase;
 use std::collections::{BTreeMap, HashMap};
 
 /// What became of jobs because of others.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct News {
+pub struct DependencyUpdate {
     /// All that these need is done.
-    pub freed: Vec<JobIx>,
+    pub ready: Vec<JobIndex>,
     /// A job before these was cancelled. They are in the order of the graph.
-    pub doomed: Vec<JobIx>,
+    pub cancelled: Vec<JobIndex>,
 }
 
 #[derive(Debug, Default)]
 struct Node {
-    needs: Vec<JobIx>,
-    after: Vec<JobIx>,
+    needs: Vec<JobIndex>,
+    dependents: Vec<JobIndex>,
     /// Needs that are not stored as done, those not known here included.
-    left: u32,
+    unmet: u32,
 }
 
 #[derive(Debug, Default)]
-pub struct Graph {
+pub struct DependencyGraph {
     /// Jobs that need others or are needed.
-    nodes: HashMap<JobIx, Node>,
+    nodes: HashMap<JobIndex, Node>,
     /// Needs that were not heard of here yet, as watches and lists come in any order. By their ids: only some
     /// are read at a time, and which these are must not depend on a hash.
-    strangers: BTreeMap<String, Vec<JobIx>>,
+    unknown_dependencies: BTreeMap<String, Vec<JobIndex>>,
     /// Jobs that were looked at: what the graph costs.
-    pub looked_at: u64,
+    pub pairs_examined: u64,
 }
 
-impl Graph {
+impl DependencyGraph {
     /// Takes in a job, its needs as `look` knows them: their index and stored phase. A job
     /// that is over takes part only as a need of others. `News` are of jobs that came before,
     /// and of this one where it is doomed at once.
     pub fn add(
         &mut self,
-        j: JobIx,
+        j: JobIndex,
         id: &str,
         phase: Phase,
         needs: &[String],
-        look: impl Fn(&str) -> Option<(JobIx, Phase)>,
-    ) -> News {
-        let mut news = News::default();
+        look: impl Fn(&str) -> Option<(JobIndex, Phase)>,
+    ) -> DependencyUpdate {
+        let mut news = DependencyUpdate::default();
         let mut doomed = false;
         if phase == Phase::Open {
             for need in needs {
-                self.looked_at += 1;
+                self.pairs_examined += 1;
                 match look(need) {
                     None => {
-                        self.strangers.entry(need.clone()).or_default().push(j);
-                        self.nodes.entry(j).or_default().left += 1;
+                        self.unknown_dependencies.entry(need.clone()).or_default().push(j);
+                        self.nodes.entry(j).or_default().unmet += 1;
                     }
                     Some((n, phase)) => doomed |= self.link(n, phase, j),
                 }
             }
         }
         if doomed {
-            news.doomed.push(j);
+            news.cancelled.push(j);
         }
-        for k in self.strangers.remove(id).unwrap_or_default() {
-            self.looked_at += 1;
+        for k in self.unknown_dependencies.remove(id).unwrap_or_default() {
+            self.pairs_examined += 1;
             // It counted as not done; from here on it counts by what it is. Unless the job
             // that needs it is over: cancelled in the meantime.
             let Some(node) = self.nodes.get_mut(&k) else { continue };
-            node.left -= 1;
-            let last = node.left == 0;
+            node.unmet -= 1;
+            let last = node.unmet == 0;
             if self.link(j, phase, k) {
-                news.doomed.push(k);
+                news.cancelled.push(k);
             } else if last && phase == Phase::Done {
-                news.freed.push(k);
+                news.ready.push(k);
             }
         }
-        self.close(&mut news);
+        self.propagate_cancellation(&mut news);
         news
     }
 
     /// `j` needs `n`. True if that dooms it.
-    fn link(&mut self, n: JobIx, phase: Phase, j: JobIx) -> bool {
+    fn link(&mut self, n: JobIndex, phase: Phase, j: JobIndex) -> bool {
         if phase == Phase::Open {
-            self.nodes.entry(n).or_default().after.push(j);
+            self.nodes.entry(n).or_default().dependents.push(j);
         }
         let node = self.nodes.entry(j).or_default();
         if phase != Phase::Done {
-            node.left += 1;
+            node.unmet += 1;
         }
         if phase == Phase::Open {
             node.needs.push(n);
@@ -98,77 +98,77 @@
     }
 
     /// Everything after a doomed job is doomed.
-    fn close(&mut self, news: &mut News) {
-        let mut seen: std::collections::HashSet<JobIx> = news.doomed.iter().copied().collect();
+    fn propagate_cancellation(&mut self, news: &mut DependencyUpdate) {
+        let mut seen: std::collections::HashSet<JobIndex> = news.cancelled.iter().copied().collect();
         let mut at = 0;
-        while let Some(j) = news.doomed.get(at).copied() {
+        while let Some(j) = news.cancelled.get(at).copied() {
             at += 1;
-            for k in self.after(j).to_vec() {
-                self.looked_at += 1;
+            for k in self.dependents(j).to_vec() {
+                self.pairs_examined += 1;
                 if seen.insert(k) {
-                    news.doomed.push(k);
+                    news.cancelled.push(k);
                 }
             }
         }
     }
 
     /// This end is stored.
-    pub fn ended(&mut self, j: JobIx, phase: Phase) -> News {
-        let mut news = News::default();
+    pub fn on_job_ended(&mut self, j: JobIndex, phase: Phase) -> DependencyUpdate {
+        let mut news = DependencyUpdate::default();
         let Some(node) = self.nodes.remove(&j) else { return news };
         for n in &node.needs {
             if let Some(n) = self.nodes.get_mut(n) {
-                n.after.retain(|k| *k != j);
+                n.dependents.retain(|k| *k != j);
             }
         }
-        for k in node.after {
-            self.looked_at += 1;
+        for k in node.dependents {
+            self.pairs_examined += 1;
             let Some(after) = self.nodes.get_mut(&k) else { continue };
             after.needs.retain(|n| *n != j);
             if phase == Phase::Cancelled {
-                news.doomed.push(k);
+                news.cancelled.push(k);
                 continue;
             }
-            after.left -= 1;
-            if after.left == 0 {
-                news.freed.push(k);
+            after.unmet -= 1;
+            if after.unmet == 0 {
+                news.ready.push(k);
             }
         }
-        self.close(&mut news);
+        self.propagate_cancellation(&mut news);
         news
     }
 
-    pub fn waits(&self, j: JobIx) -> bool {
-        self.nodes.get(&j).is_some_and(|n| n.left > 0)
+    pub fn is_waiting(&self, j: JobIndex) -> bool {
+        self.nodes.get(&j).is_some_and(|n| n.unmet > 0)
     }
 
     /// Open jobs that need this one directly.
-    pub fn after(&self, j: JobIx) -> &[JobIx] {
-        self.nodes.get(&j).map_or(&[], |n| &n.after)
+    pub fn dependents(&self, j: JobIndex) -> &[JobIndex] {
+        self.nodes.get(&j).map_or(&[], |n| &n.dependents)
     }
 
     /// Open jobs that this one needs directly.
-    pub fn needs(&self, j: JobIx) -> &[JobIx] {
+    pub fn needs(&self, j: JobIndex) -> &[JobIndex] {
         self.nodes.get(&j).map_or(&[], |n| &n.needs)
     }
 
     /// Needs that were not heard of here yet, in the order of their ids.
-    pub fn strangers(&self) -> impl Iterator<Item = &str> {
-        self.strangers.keys().map(String::as_str)
+    pub fn unknown_dependencies(&self) -> impl Iterator<Item = &str> {
+        self.unknown_dependencies.keys().map(String::as_str)
     }
 
     /// Is this a need of some job, and was it not heard of here yet?
-    pub fn is_stranger(&self, id: &str) -> bool {
-        self.strangers.contains_key(id)
+    pub fn is_unknown_dependency(&self, id: &str) -> bool {
+        self.unknown_dependencies.contains_key(id)
     }
 
     /// Jobs that need this one, which was not heard of here yet.
-    pub fn after_stranger(&self, id: &str) -> &[JobIx] {
-        self.strangers.get(id).map_or(&[], Vec::as_slice)
+    pub fn dependents_of_unknown(&self, id: &str) -> &[JobIndex] {
+        self.unknown_dependencies.get(id).map_or(&[], Vec::as_slice)
     }
 
-    pub fn waiting(&self) -> usize {
-        self.nodes.values().filter(|n| n.left > 0).count()
+    pub fn waiting_count(&self) -> usize {
+        self.nodes.values().filter(|n| n.unmet > 0).count()
     }
 }
 
@@ -177,8 +177,8 @@
     use super::*;
     use crate::intern::Index;
 
-    fn ix(i: usize) -> JobIx {
-        JobIx::new(i)
+    fn ix(i: usize) -> JobIndex {
+        JobIndex::new(i)
     }
 
     fn name(i: usize) -> String {
@@ -186,7 +186,12 @@
     }
 
     /// Adds job `i`; those below `known` are known, in these phases.
-    fn add(g: &mut Graph, i: usize, needs: &[usize], phase: impl Fn(usize) -> Option<Phase>) -> News {
+    fn add(
+        g: &mut DependencyGraph,
+        i: usize,
+        needs: &[usize],
+        phase: impl Fn(usize) -> Option<Phase>,
+    ) -> DependencyUpdate {
         let needs: Vec<String> = needs.iter().map(|n| name(*n)).collect();
         g.add(ix(i), &name(i), phase(i).unwrap_or(Phase::Open), &needs, |id| {
             let n: usize = id.strip_prefix("req-")?.parse().ok()?;
@@ -199,7 +204,7 @@
     #[test]
     fn records_may_come_in_any_order() {
         for order in [[0, 1, 2], [2, 1, 0], [1, 2, 0], [1, 0, 2]] {
-            let mut g = Graph::default();
+            let mut g = DependencyGraph::default();
             let mut seen: Vec<usize> = Vec::new();
             let mut freed = Vec::new();
             for i in order {
@@ -207,12 +212,16 @@
                 // 0 was done long ago, and its record says so.
                 let phase =
                     |n: usize| (n == i || seen.contains(&n)).then_some([Phase::Done, Phase::Open, Phase::Open][n]);
-                freed.extend(add(&mut g, i, needs, phase).freed);
+                freed.extend(add(&mut g, i, needs, phase).ready);
                 seen.push(i);
             }
-            assert!(!g.waits(ix(1)), "what it needs is done: {order:?}");
-            assert!(g.waits(ix(2)), "what it needs runs: {order:?}");
-            assert_eq!(g.ended(ix(1), Phase::Done), News { freed: vec![ix(2)], doomed: vec![] }, "{order:?}");
+            assert!(!g.is_waiting(ix(1)), "what it needs is done: {order:?}");
+            assert!(g.is_waiting(ix(2)), "what it needs runs: {order:?}");
+            assert_eq!(
+                g.on_job_ended(ix(1), Phase::Done),
+                DependencyUpdate { ready: vec![ix(2)], cancelled: vec![] },
+                "{order:?}"
+            );
         }
     }
 
@@ -220,13 +229,13 @@
     /// and so does everything after it that came before.
     #[test]
     fn a_cancellation_reaches_what_comes_before_and_after_it() {
-        let mut g = Graph::default();
+        let mut g = DependencyGraph::default();
         let open = |n: usize| (n != 1).then_some(Phase::Open);
-        assert_eq!(add(&mut g, 2, &[1], open), News::default(), "1 is not known here yet");
-        assert_eq!(add(&mut g, 3, &[2], open), News::default());
+        assert_eq!(add(&mut g, 2, &[1], open), DependencyUpdate::default(), "1 is not known here yet");
+        assert_eq!(add(&mut g, 3, &[2], open), DependencyUpdate::default());
         let cancelled = |n: usize| Some(if n == 1 { Phase::Cancelled } else { Phase::Open });
-        assert_eq!(add(&mut g, 1, &[0], cancelled).doomed, vec![ix(2), ix(3)]);
-        assert_eq!(add(&mut g, 4, &[1], cancelled).doomed, vec![ix(4)], "submitted afterwards");
+        assert_eq!(add(&mut g, 1, &[0], cancelled).cancelled, vec![ix(2), ix(3)]);
+        assert_eq!(add(&mut g, 4, &[1], cancelled).cancelled, vec![ix(4)], "submitted afterwards");
     }
 
     /// Guards against work that follows the number of jobs that wait: one end touches
@@ -234,7 +243,7 @@
     #[test]
     fn one_end_touches_only_what_is_after_it() {
         let cost = |others: usize| {
-            let mut g = Graph::default();
+            let mut g = DependencyGraph::default();
             let known = |_: usize| Some(Phase::Open);
             for i in 0..others {
                 add(&mut g, 1000 + 2 * i, &[], known);
@@ -243,9 +252,9 @@
             for i in 1..=3 {
                 add(&mut g, i, &[0], known);
             }
-            let before = g.looked_at;
-            assert_eq!(g.ended(ix(0), Phase::Done).freed.len(), 3);
-            g.looked_at - before
+            let before = g.pairs_examined;
+            assert_eq!(g.on_job_ended(ix(0), Phase::Done).ready.len(), 3);
+            g.pairs_examined - before
         };
         assert_eq!(cost(0), 3);
         assert_eq!(cost(500), 3);
--- a/crates/scheduler/src/fleet/launch.rs
+++ b/crates/scheduler/src/fleet/launch.rs
@@ -1,14 +1,14 @@
 //! From counts to rentals: what to ask for, where, and when to ask again.
 
-use crate::intern::{Index, TypeIx, ZoneIx};
+use crate::intern::{Index, TypeIndex, ZoneIndex};
 use std::collections::HashMap;
 
 /// A rental that is being asked for. Its name is never used for another.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Launch {
     pub name: String,
-    pub ty: TypeIx,
-    pub zone: ZoneIx,
+    pub ty: TypeIndex,
+    pub zone: ZoneIndex,
     pub spot: bool,
     pub count: usize,
 }
@@ -19,12 +19,12 @@
     token: u64,
     next: u64,
     pub pending: Vec<Launch>,
-    refused: HashMap<(TypeIx, ZoneIx, bool), (f64, f64)>,
+    on_refused: HashMap<(TypeIndex, ZoneIndex, bool), (f64, f64)>,
 }
 
 const FIRST_RETRY_S: f64 = 4.0;
 const LAST_RETRY_S: f64 = 20.0;
-pub const MOST_PER_RENTAL: usize = 50;
+pub const MAX_PER_RENTAL: usize = 50;
 
 impl Launches {
     pub fn new(token: u64) -> Launches {
@@ -32,35 +32,35 @@
     }
 
     /// Queues a rental, its name derived from the leader's claim.
-    pub fn ask(&mut self, ty: TypeIx, zone: ZoneIx, spot: bool, count: usize) -> Launch {
+    pub fn enqueue(&mut self, ty: TypeIndex, zone: ZoneIndex, spot: bool, count: usize) -> Launch {
         self.next += 1;
         let l = Launch {
             name: format!("r-{}-{}", self.token, self.next),
             ty,
             zone,
             spot,
-            count: count.min(MOST_PER_RENTAL),
+            count: count.min(MAX_PER_RENTAL),
         };
         self.pending.push(l.clone());
         l
     }
 
-    pub fn finished(&mut self, name: &str) {
+    pub fn on_finished(&mut self, name: &str) {
         self.pending.retain(|l| l.name != name);
     }
 
-    pub fn refused(&mut self, ty: TypeIx, zone: ZoneIx, spot: bool, now: f64) {
-        let e = self.refused.entry((ty, zone, spot)).or_insert((0.0, FIRST_RETRY_S / 2.0));
+    pub fn on_refused(&mut self, ty: TypeIndex, zone: ZoneIndex, spot: bool, now: f64) {
+        let e = self.on_refused.entry((ty, zone, spot)).or_insert((0.0, FIRST_RETRY_S / 2.0));
         e.1 = (e.1 * 2.0).min(LAST_RETRY_S);
         e.0 = now + e.1;
     }
 
-    pub fn granted(&mut self, ty: TypeIx, zone: ZoneIx, spot: bool) {
-        self.refused.remove(&(ty, zone, spot));
+    pub fn on_granted(&mut self, ty: TypeIndex, zone: ZoneIndex, spot: bool) {
+        self.on_refused.remove(&(ty, zone, spot));
     }
 
-    pub fn may_ask(&self, ty: TypeIx, zone: ZoneIx, spot: bool, now: f64) -> bool {
-        self.refused.get(&(ty, zone, spot)).is_none_or(|r| now >= r.0)
+    pub fn may_rent(&self, ty: TypeIndex, zone: ZoneIndex, spot: bool, now: f64) -> bool {
+        self.on_refused.get(&(ty, zone, spot)).is_none_or(|r| now >= r.0)
             && !self.pending.iter().any(|l| l.ty == ty && l.zone == zone && l.spot == spot)
     }
 
--- a/crates/scheduler/src/fleet/machine.rs
+++ b/crates/scheduler/src/fleet/machine.rs
@@ -1,6 +1,6 @@
 //! One machine: what is known of it, and what it may be used for.
 
-use crate::intern::{ImageIx, JobIx, RackIx, TypeIx, ZoneIx};
+use crate::intern::{ImageIndex, JobIndex, MachineGroupIndex, TypeIndex, ZoneIndex};
 use crate::jobs::{TaskKey, TaskMap, split_task};
 use crate::wire::TaskState;
 use std::collections::BTreeSet;
@@ -85,7 +85,7 @@
 /// An image on a machine, or on its way to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct CachedImage {
-    pub image: ImageIx,
+    pub image: ImageIndex,
     pub gb: f64,
     pub ready: bool,
 }
@@ -94,8 +94,8 @@
 pub struct Machine {
     pub name: std::sync::Arc<str>,
     pub addr: Option<SocketAddr>,
-    pub machine_type: TypeIx,
-    pub zone: ZoneIx,
+    pub machine_type: TypeIndex,
+    pub zone: ZoneIndex,
     pub spot: bool,
     pub phase: Phase,
     pub first_seen_at: f64,
@@ -117,19 +117,19 @@
     pub cards_used: f64,
     pub memory_used: f64,
     /// Jobs that the stored record names.
-    pub stored_jobs: BTreeSet<JobIx>,
+    pub stored_jobs: BTreeSet<JobIndex>,
     pub record_stored: bool,
     /// The rack whose value holds its record.
-    pub rack: Option<RackIx>,
+    pub machine_group: Option<MachineGroupIndex>,
     /// Values besides its rack's that name it: written by earlier owners, or by a rack that
     /// was split. They go when its rack's value is stored.
-    pub old_values: Vec<Arc<str>>,
+    pub superseded_values: Vec<Arc<str>>,
     pub images: Vec<CachedImage>,
     pub reclaimed_at: Option<f64>,
     pub cordoned: bool,
     /// Part of the on-demand base: services first, batch work only in what they leave.
     pub in_on_demand_base: bool,
-    pub recent_failures: Vec<(JobIx, f64)>,
+    pub recent_failures: Vec<(JobIndex, f64)>,
     pub quarantined_until: f64,
     /// Since when it is set aside for good.
     pub quarantined_since: f64,
@@ -170,7 +170,7 @@
 }
 
 impl Machine {
-    pub fn new(name: std::sync::Arc<str>, ty: TypeIx, zone: ZoneIx, spot: bool, now: f64) -> Machine {
+    pub fn new(name: std::sync::Arc<str>, ty: TypeIndex, zone: ZoneIndex, spot: bool, now: f64) -> Machine {
         Machine {
             name,
             addr: None,
@@ -194,8 +194,8 @@
             memory_used: 0.0,
             stored_jobs: BTreeSet::new(),
             record_stored: false,
-            rack: None,
-            old_values: Vec::new(),
+            machine_group: None,
+            superseded_values: Vec::new(),
             images: Vec::new(),
             reclaimed_at: None,
             cordoned: false,
@@ -290,13 +290,13 @@
             && now - self.last_heartbeat_at < heartbeat_timeout_s
     }
 
-    pub fn has_image(&self, image: ImageIx) -> bool {
+    pub fn has_image(&self, image: ImageIndex) -> bool {
         self.images.iter().any(|i| i.image == image && i.ready)
     }
 
     /// GB to fetch until this image is there. Fetches at the same time share the
     /// rate, so those under way count in full.
-    pub fn remaining_fetch_gb(&self, image: ImageIx, gb: f64) -> f64 {
+    pub fn remaining_fetch_gb(&self, image: ImageIndex, gb: f64) -> f64 {
         let under_way: f64 = self.images.iter().filter(|i| !i.ready).map(|i| i.gb).sum();
         match self.images.iter().find(|i| i.image == image) {
             Some(i) if i.ready => 0.0,
@@ -306,7 +306,7 @@
     }
 
     /// The most recently used images stay within the cache.
-    pub fn touch_image(&mut self, image: ImageIx, gb: f64, cache_gb: f64) {
+    pub fn touch_image(&mut self, image: ImageIndex, gb: f64, cache_gb: f64) {
         let ready = self.has_image(image);
         self.images.retain(|i| i.image != image);
         self.images.push(CachedImage { image, gb, ready });
@@ -317,7 +317,7 @@
     }
 
     /// A task that needs this image runs or ran: it is there.
-    pub fn mark_image_ready(&mut self, image: ImageIx, gb: f64) {
+    pub fn mark_image_ready(&mut self, image: ImageIndex, gb: f64) {
         match self.images.iter_mut().find(|i| i.image == image) {
             Some(i) => i.ready = true,
             None => self.images.push(CachedImage { image, gb, ready: true }),
--- a/crates/scheduler/src/fleet/machine_groups.rs
+++ b/crates/scheduler/src/fleet/machine_groups.rs
@@ -6,21 +6,21 @@
 //! state service takes; a rack's value is written once for all starts on it that wait.
 
 use super::MachineRecord;
-use crate::intern::{Index, JobIx, MachineIx, RackIx, TypeIx, ZoneIx};
+use crate::intern::{Index, JobIndex, MachineGroupIndex, MachineIndex, TypeIndex, ZoneIndex};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-pub const RACK_PREFIX: &str = "rack/";
+pub const MACHINE_GROUP_PREFIX: &str = "rack/";
 
-pub fn rack_key(r: RackIx) -> String {
-    format!("{RACK_PREFIX}{}", r.ix())
+pub fn machine_group_key(r: MachineGroupIndex) -> String {
+    format!("{MACHINE_GROUP_PREFIX}{}", r.ix())
 }
 
 /// A rack as it is kept at the state service. Machines name jobs and images by their
 /// place in the rack's own lists, since neighbours mostly share them.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq, Default)]
-pub struct RackRecord {
+pub struct MachineGroupRecord {
     pub shard: u32,
     #[serde(rename = "type")]
     pub type_name: String,
@@ -29,11 +29,11 @@
     pub jobs: Vec<String>,
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub images: Vec<(String, f64)>,
-    pub machines: Vec<RackMachine>,
+    pub machines: Vec<MachineGroupMember>,
 }
 
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq, Default)]
-pub struct RackMachine {
+pub struct MachineGroupMember {
     pub machine: String,
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub addr: String,
@@ -53,10 +53,10 @@
     !b
 }
 
-impl RackRecord {
+impl MachineGroupRecord {
     /// Each machine of it, as a value of its own would say it.
-    pub fn each(&self) -> Vec<(String, MachineRecord)> {
-        let own = |x: &RackMachine| MachineRecord {
+    pub fn machine_records(&self) -> Vec<(String, MachineRecord)> {
+        let own = |x: &MachineGroupMember| MachineRecord {
             shard: 0,
             addr: x.addr.clone(),
             type_name: self.type_name.clone(),
@@ -73,174 +73,185 @@
     /// What the images take of its value, about: they give way to jobs.
     pub fn image_bytes(&self) -> usize {
         let names: usize = self.images.iter().map(|(name, _)| name.len() + 9).sum();
-        let places = |m: &RackMachine| if m.images.is_empty() { 0 } else { 11 + 3 * m.images.len() };
+        let places = |m: &MachineGroupMember| if m.images.is_empty() { 0 } else { 11 + 3 * m.images.len() };
         names + self.machines.iter().map(places).sum::<usize>()
     }
 }
 
 #[derive(Debug)]
-pub struct Rack {
-    pub ty: TypeIx,
-    pub zone: ZoneIx,
+pub struct MachineGroup {
+    pub ty: TypeIndex,
+    pub zone: ZoneIndex,
     pub spot: bool,
-    pub members: BTreeSet<MachineIx>,
+    pub members: BTreeSet<MachineIndex>,
     /// Bytes that its value takes without images, with the names planned since it was last made.
     bytes: usize,
     /// The jobs that its value names, or will.
-    names: BTreeSet<JobIx>,
+    named_jobs: BTreeSet<JobIndex>,
     /// Since when its value is to be written, the starts that wait for that, and whether
     /// one of them is a service's.
-    due_since: Option<f64>,
-    waiting: u32,
-    pressing: bool,
+    dirty_since: Option<f64>,
+    waiting_starts: u32,
+    service_waiting: bool,
     /// Its value was found nearly full, and is made anew: names of jobs that are over go.
-    looked_through: bool,
+    compacted: bool,
 }
 
 /// The part of a value that is to stay free for names to come.
-const FREE_SHARE: usize = 8;
+const FREE_SPACE_DIVISOR: usize = 8;
 /// Bytes of a value that one machine may want: its own entry, and the names of jobs
 /// that no neighbour has.
-const BYTES_A_MACHINE: usize = 160;
+const MAX_BYTES_PER_MACHINE: usize = 160;
 /// An entry without any job, at the most.
-const BYTES_AN_ENTRY: usize = 100;
+const BYTES_PER_MEMBER: usize = 100;
 /// A rack counts as having waited for this at least, so that many starts weigh at once.
-const LEAST_WAIT_S: f64 = 0.1;
+const MIN_WAIT_S: f64 = 0.1;
 /// A job's place in the rack's list, with its comma.
-const BYTES_A_PLACE: usize = 6;
+const BYTES_PER_JOB_REFERENCE: usize = 6;
 
-impl Rack {
-    fn wants(&self, job: JobIx, id: &str) -> usize {
-        BYTES_A_PLACE + if self.names.contains(&job) { 0 } else { id.len() + 3 }
+impl MachineGroup {
+    fn bytes_for(&self, job: JobIndex, id: &str) -> usize {
+        BYTES_PER_JOB_REFERENCE + if self.named_jobs.contains(&job) { 0 } else { id.len() + 3 }
     }
 
     /// Can one more machine of it name this job? A value over the limit could never be
     /// stored, and nothing would start on the whole rack any more.
-    pub fn has_room(&self, job: JobIx, id: &str, value_bytes: usize) -> bool {
-        self.bytes + self.wants(job, id) <= value_bytes
+    pub fn has_space_for(&self, job: JobIndex, id: &str, value_bytes: usize) -> bool {
+        self.bytes + self.bytes_for(job, id) <= value_bytes
     }
 
-    pub fn planned(&mut self, job: JobIx, id: &str, service: bool) {
-        self.bytes += self.wants(job, id);
-        self.names.insert(job);
-        self.waiting += 1;
-        self.pressing |= service;
+    pub fn on_start_planned(&mut self, job: JobIndex, id: &str, service: bool) {
+        self.bytes += self.bytes_for(job, id);
+        self.named_jobs.insert(job);
+        self.waiting_starts += 1;
+        self.service_waiting |= service;
     }
 
     /// So many tasks can start elsewhere once this value calls their machine retiring.
-    pub fn held_up(&mut self, tasks: usize, services: bool) {
-        self.waiting += tasks as u32;
-        self.pressing |= services;
+    pub fn on_starts_delayed(&mut self, tasks: usize, services: bool) {
+        self.waiting_starts += tasks as u32;
+        self.service_waiting |= services;
     }
 
-    pub fn due(&mut self, now: f64) {
-        self.due_since.get_or_insert(now);
+    pub fn mark_dirty(&mut self, now: f64) {
+        self.dirty_since.get_or_insert(now);
     }
 
-    pub fn being_written(&mut self) {
-        (self.due_since, self.waiting, self.pressing) = (None, 0, false);
+    pub fn on_write_begun(&mut self) {
+        (self.dirty_since, self.waiting_starts, self.service_waiting) = (None, 0, false);
     }
 
     /// Which rack is written first: one for whose record a service waits, then the one for
     /// which most starts have waited longest, so that one put serves many and none is
     /// passed over for ever.
-    pub fn turn(&self, now: f64) -> (bool, f64) {
-        let waited = self.due_since.map_or(0.0, |t| now - t);
-        (self.pressing, (waited + LEAST_WAIT_S) * (f64::from(self.waiting) + 1.0))
+    pub fn write_priority(&self, now: f64) -> (bool, f64) {
+        let waited = self.dirty_since.map_or(0.0, |t| now - t);
+        (self.service_waiting, (waited + MIN_WAIT_S) * (f64::from(self.waiting_starts) + 1.0))
     }
 
     /// Has its value no room left for more names? Machines stood half empty beside services
     /// that waited for room, because the racks of those with many services were full.
-    pub fn cramped(&self, value_bytes: usize) -> bool {
-        self.members.len() > 1 && self.bytes <= value_bytes && self.bytes > value_bytes - value_bytes / FREE_SHARE
+    pub fn is_nearly_full(&self, value_bytes: usize) -> bool {
+        self.members.len() > 1
+            && self.bytes <= value_bytes
+            && self.bytes > value_bytes - value_bytes / FREE_SPACE_DIVISOR
     }
 
-    pub fn at_ease(&mut self, value_bytes: usize) {
-        self.looked_through &= self.cramped(value_bytes);
+    pub fn reset_compaction(&mut self, value_bytes: usize) {
+        self.compacted &= self.is_nearly_full(value_bytes);
     }
 
     /// Once for each time that it becomes cramped; true if that was done already.
-    pub fn look_through(&mut self) -> bool {
-        std::mem::replace(&mut self.looked_through, true)
+    pub fn begin_compaction(&mut self) -> bool {
+        std::mem::replace(&mut self.compacted, true)
     }
 
     /// These jobs are over: their names need no place here any more.
-    pub fn forget(&mut self, jobs: &BTreeSet<JobIx>) {
-        self.names.retain(|j| !jobs.contains(j));
+    pub fn forget(&mut self, jobs: &BTreeSet<JobIndex>) {
+        self.named_jobs.retain(|j| !jobs.contains(j));
     }
 
     /// Its value was made anew.
-    pub fn made(&mut self, bytes: usize, names: impl Iterator<Item = JobIx>) {
+    pub fn on_value_built(&mut self, bytes: usize, names: impl Iterator<Item = JobIndex>) {
         self.bytes = bytes;
-        self.names = names.collect();
+        self.named_jobs = names.collect();
     }
 }
 
 #[derive(Debug, Default)]
-pub struct Racks {
-    pub list: BTreeMap<RackIx, Rack>,
+pub struct MachineGroups {
+    pub list: BTreeMap<MachineGroupIndex, MachineGroup>,
     /// The first number that was never used, here or by an earlier owner.
     pub next: usize,
     /// Values that are to go, with the machines that are not recorded elsewhere yet.
-    pub old_values: HashMap<Arc<str>, BTreeSet<MachineIx>>,
+    pub superseded_values: HashMap<Arc<str>, BTreeSet<MachineIndex>>,
 }
 
-impl Racks {
+impl MachineGroups {
     /// How many machines share a value.
-    pub fn size(value_bytes: usize) -> usize {
-        (value_bytes / BYTES_A_MACHINE).clamp(1, 64)
+    pub fn members_per_value(value_bytes: usize) -> usize {
+        (value_bytes / MAX_BYTES_PER_MACHINE).clamp(1, 64)
     }
 
     /// One of the machines that an old value names is recorded elsewhere, or gone. True if
     /// it was the last.
-    pub fn left_old_value(&mut self, key: &str, m: MachineIx) -> bool {
-        let Some(members) = self.old_values.get_mut(key) else { return false };
+    pub fn remove_superseded(&mut self, key: &str, m: MachineIndex) -> bool {
+        let Some(members) = self.superseded_values.get_mut(key) else { return false };
         members.remove(&m);
         let empty = members.is_empty();
         if empty {
-            self.old_values.remove(key);
+            self.superseded_values.remove(key);
         }
         empty
     }
 
     /// The rack that takes one more machine of this sort: the first with room, else a new one.
-    pub fn join(&mut self, m: MachineIx, (ty, zone, spot): (TypeIx, ZoneIx, bool), value_bytes: usize) -> RackIx {
-        let size = Racks::size(value_bytes);
-        let fits = |r: &Rack| {
+    pub fn join(
+        &mut self,
+        m: MachineIndex,
+        (ty, zone, spot): (TypeIndex, ZoneIndex, bool),
+        value_bytes: usize,
+    ) -> MachineGroupIndex {
+        let size = MachineGroups::members_per_value(value_bytes);
+        let fits = |r: &MachineGroup| {
             (r.ty, r.zone, r.spot) == (ty, zone, spot)
                 && r.members.len() < size
-                && r.bytes + BYTES_A_MACHINE <= value_bytes
+                && r.bytes + MAX_BYTES_PER_MACHINE <= value_bytes
         };
         let found = self.list.iter().find(|(_, r)| fits(r)).map(|(i, _)| *i);
-        let i = found.unwrap_or_else(|| RackIx::new(self.next));
-        let rack = self.open(i, ty, zone, spot);
-        rack.members.insert(m);
-        rack.bytes += BYTES_AN_ENTRY;
+        let i = found.unwrap_or_else(|| MachineGroupIndex::new(self.next));
+        let machine_group = self.open(i, ty, zone, spot);
+        machine_group.members.insert(m);
+        machine_group.bytes += BYTES_PER_MEMBER;
         i
     }
 
     /// A new rack of just these machines, which no other joins.
-    pub fn set_apart(&mut self, (ty, zone, spot): (TypeIx, ZoneIx, bool), members: BTreeSet<MachineIx>) -> RackIx {
-        let i = RackIx::new(self.next);
-        let rack = self.open(i, ty, zone, spot);
-        rack.members = members;
-        rack.bytes = usize::MAX / 2;
+    pub fn new_closed_group(
+        &mut self,
+        (ty, zone, spot): (TypeIndex, ZoneIndex, bool),
+        members: BTreeSet<MachineIndex>,
+    ) -> MachineGroupIndex {
+        let i = MachineGroupIndex::new(self.next);
+        let machine_group = self.open(i, ty, zone, spot);
+        machine_group.members = members;
+        machine_group.bytes = usize::MAX / 2;
         i
     }
 
-    pub fn open(&mut self, i: RackIx, ty: TypeIx, zone: ZoneIx, spot: bool) -> &mut Rack {
+    pub fn open(&mut self, i: MachineGroupIndex, ty: TypeIndex, zone: ZoneIndex, spot: bool) -> &mut MachineGroup {
         self.next = self.next.max(i.ix() + 1);
-        let new = || Rack {
+        let new = || MachineGroup {
             ty,
             zone,
             spot,
             members: BTreeSet::new(),
-            bytes: BYTES_A_MACHINE,
-            names: BTreeSet::new(),
-            due_since: None,
-            waiting: 0,
-            pressing: false,
-            looked_through: false,
+            bytes: MAX_BYTES_PER_MACHINE,
+            named_jobs: BTreeSet::new(),
+            dirty_since: None,
+            waiting_starts: 0,
+            service_waiting: false,
+            compacted: false,
         };
         self.list.entry(i).or_insert_with(new)
     }
--- a/crates/scheduler/src/fleet/machines.rs
+++ b/crates/scheduler/src/fleet/machines.rs
@@ -1,21 +1,21 @@
 //! All machines, and which of them should hear from this owner first.
 
 use super::Machine;
-use crate::intern::{Index, MachineIx, Pages, TypeIx, ZoneIx};
+use crate::intern::{Index, MachineIndex, Pages, TypeIndex, ZoneIndex};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
 /// All machines, by index; gone ones stay as names so that late news is recognised.
 #[derive(Debug, Default)]
 pub struct Machines {
-    pub list: Pages<MachineIx, Machine>,
-    by_name: HashMap<Arc<str>, MachineIx>,
-    pub present: BTreeSet<MachineIx>,
+    pub list: Pages<MachineIndex, Machine>,
+    by_name: HashMap<Arc<str>, MachineIndex>,
+    pub present: BTreeSet<MachineIndex>,
     /// Machines that should hear from us directly: at hundreds of machines, looking
     /// through all of them for each command took most of the time there is.
-    pub push_due: BTreeSet<MachineIx>,
+    pub push_due: BTreeSet<MachineIndex>,
     /// Those among them that go before all others, by rank.
-    push_first: BTreeSet<(PushUrgency, MachineIx)>,
+    push_first: BTreeSet<(PushUrgency, MachineIndex)>,
 }
 
 /// Why a machine hears from us before others do.
@@ -27,27 +27,27 @@
     JobOver,
 }
 
-impl std::ops::Index<MachineIx> for Machines {
+impl std::ops::Index<MachineIndex> for Machines {
     type Output = Machine;
 
-    fn index(&self, m: MachineIx) -> &Machine {
+    fn index(&self, m: MachineIndex) -> &Machine {
         &self.list[m.ix()]
     }
 }
 
-impl std::ops::IndexMut<MachineIx> for Machines {
-    fn index_mut(&mut self, m: MachineIx) -> &mut Machine {
+impl std::ops::IndexMut<MachineIndex> for Machines {
+    fn index_mut(&mut self, m: MachineIndex) -> &mut Machine {
         &mut self.list[m.ix()]
     }
 }
 
 impl Machines {
-    pub fn find(&self, name: &str) -> Option<MachineIx> {
+    pub fn find(&self, name: &str) -> Option<MachineIndex> {
         self.by_name.get(name).copied()
     }
 
     /// A machine that may have been given back.
-    pub fn get_mut(&mut self, m: MachineIx) -> Option<&mut Machine> {
+    pub fn get_mut(&mut self, m: MachineIndex) -> Option<&mut Machine> {
         self.list.get_mut(m)
     }
 
@@ -55,13 +55,13 @@
     /// its time from when its user was told, whoever owns meanwhile: owners that ended within a
     /// second, sixty in a row, each began with the same machines and never came to the one where
     /// a cancelled task ran on.
-    pub fn push_first(&mut self, m: MachineIx, why: PushUrgency) {
+    pub fn push_first(&mut self, m: MachineIndex, why: PushUrgency) {
         self.push_due.insert(m);
         self.push_first.insert((why, m));
     }
 
     /// The next machine that should hear from us directly, of those that may.
-    pub fn next_push(&mut self, ready: impl Fn(&Machine) -> bool) -> Option<MachineIx> {
+    pub fn next_push(&mut self, ready: impl Fn(&Machine) -> bool) -> Option<MachineIndex> {
         let first = self.push_first.iter().copied().find(|f| ready(&self[f.1]));
         if let Some(f) = first {
             self.push_first.remove(&f);
@@ -73,7 +73,7 @@
     }
 
     /// A machine that is long gone leaves, with its name.
-    pub fn remove(&mut self, m: MachineIx) {
+    pub fn remove(&mut self, m: MachineIndex) {
         self.push_due.remove(&m);
         self.push_first.retain(|f| f.1 != m);
         self.forget_name(m);
@@ -81,7 +81,7 @@
     }
 
     /// Whoever asks for this name finds it no more, unless it is another machine's by now.
-    pub fn forget_name(&mut self, m: MachineIx) {
+    pub fn forget_name(&mut self, m: MachineIndex) {
         if let Some(machine) = self.list.get(m)
             && self.by_name.get(&machine.name) == Some(&m)
         {
@@ -89,7 +89,7 @@
         }
     }
 
-    pub fn add(&mut self, name: &str, ty: TypeIx, zone: ZoneIx, spot: bool, now: f64) -> MachineIx {
+    pub fn add(&mut self, name: &str, ty: TypeIndex, zone: ZoneIndex, spot: bool, now: f64) -> MachineIndex {
         if let Some(m) = self.find(name) {
             return m;
         }
@@ -100,7 +100,7 @@
         m
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (MachineIx, &Machine)> {
+    pub fn iter(&self) -> impl Iterator<Item = (MachineIndex, &Machine)> {
         self.present.iter().map(|&m| (m, &self[m]))
     }
 }
--- a/crates/scheduler/src/fleet/types.rs
+++ b/crates/scheduler/src/fleet/types.rs
@@ -1,14 +1,14 @@
 //! The machine types and zones.
 
-use crate::intern::{Index, Names, TypeIx, ZoneIx};
+use crate::intern::{Index, Names, TypeIndex, ZoneIndex};
 use crate::wire::MachineType;
 
 /// The machine types and zones, interned.
 #[derive(Debug, Default)]
 pub struct Types {
-    pub names: Names<TypeIx>,
+    pub names: Names<TypeIndex>,
     pub list: Vec<MachineType>,
-    pub zones: Names<ZoneIx>,
+    pub zones: Names<ZoneIndex>,
 }
 
 impl Types {
@@ -26,7 +26,7 @@
         }
     }
 
-    pub fn get(&self, t: TypeIx) -> &MachineType {
+    pub fn get(&self, t: TypeIndex) -> &MachineType {
         &self.list[t.ix()]
     }
 
--- a/crates/scheduler/src/fleet/zones.rs
+++ b/crates/scheduler/src/fleet/zones.rs
@@ -4,22 +4,22 @@
 //! up, becomes preemptive; a spot machine that reports ready brings its zone
 //! back. With fewer than two active zones, all return.
 
-use crate::intern::{Index, ZoneIx};
+use crate::intern::{Index, ZoneIndex};
 use std::collections::BTreeSet;
 
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ZoneLists {
-    pub active: BTreeSet<ZoneIx>,
-    pub preemptive: BTreeSet<ZoneIx>,
+    pub active: BTreeSet<ZoneIndex>,
+    pub preemptive: BTreeSet<ZoneIndex>,
 }
 
 impl ZoneLists {
-    pub fn new(zones: impl IntoIterator<Item = ZoneIx>) -> ZoneLists {
+    pub fn new(zones: impl IntoIterator<Item = ZoneIndex>) -> ZoneLists {
         ZoneLists { active: zones.into_iter().collect(), preemptive: BTreeSet::new() }
     }
 
     /// A launch in this zone was refused, or its machine never came up.
-    pub fn failed(&mut self, z: ZoneIx) {
+    pub fn failed(&mut self, z: ZoneIndex) {
         if self.active.remove(&z) {
             self.preemptive.insert(z);
         }
@@ -29,7 +29,7 @@
     }
 
     /// A spot machine of this zone reported ready.
-    pub fn ready(&mut self, z: ZoneIx) {
+    pub fn ready(&mut self, z: ZoneIndex) {
         if self.preemptive.remove(&z) {
             self.active.insert(z);
         }
@@ -41,11 +41,11 @@
     /// asked too recently (ours).
     pub fn choose(
         &self,
-        price: impl Fn(ZoneIx) -> f64,
+        price: impl Fn(ZoneIndex) -> f64,
         current: &[usize],
-        usable: impl Fn(ZoneIx) -> bool,
-    ) -> Option<ZoneIx> {
-        let count = |z: ZoneIx| current.get(z.ix()).copied().unwrap_or(0);
+        usable: impl Fn(ZoneIndex) -> bool,
+    ) -> Option<ZoneIndex> {
+        let count = |z: ZoneIndex| current.get(z.ix()).copied().unwrap_or(0);
         let pick = |empty_only: bool| {
             self.active
                 .iter()
--- a/crates/scheduler/src/intern.rs
+++ b/crates/scheduler/src/intern.rs
@@ -23,13 +23,13 @@
 }
 
 index! {
-    JobIx;
-    MachineIx;
-    TeamIx;
-    ZoneIx;
-    TypeIx;
-    ImageIx;
-    RackIx;
+    JobIndex;
+    MachineIndex;
+    TeamIndex;
+    ZoneIndex;
+    TypeIndex;
+    ImageIndex;
+    MachineGroupIndex;
 }
 
 /// Values so many to a page; a page whose values are all gone is given back.
@@ -189,7 +189,7 @@
     /// to mean another name.
     #[test]
     fn names_are_given_back_and_their_indices_never_used_again() {
-        let mut names: Names<ImageIx> = Names::default();
+        let mut names: Names<ImageIndex> = Names::default();
         let kept = names.intern("kept");
         for i in 0..10 * PAGE {
             let ix = names.intern(&format!("image-{i}"));
@@ -200,6 +200,6 @@
         let pages = names.names.pages.iter().filter(|p| p.is_some()).count();
         assert!(pages <= 2, "{pages} pages are held for one name");
         assert!(names.intern("image-0").ix() > 10 * PAGE);
-        assert_eq!(names.names.get(ImageIx::new(5)), None);
+        assert_eq!(names.names.get(ImageIndex::new(5)), None);
     }
 }
--- a/crates/scheduler/src/jobs/job.rs
+++ b/crates/scheduler/src/jobs/job.rs
@@ -1,10 +1,10 @@
 //! One job and its tasks, as this owner knows them.
 
 use super::Phase;
-use crate::intern::{ImageIx, Index, JobIx, MachineIx, TeamIx, ZoneIx};
+use crate::intern::{ImageIndex, Index, JobIndex, MachineIndex, TeamIndex, ZoneIndex};
 use crate::wire::{JobRequest, JobState, Kind, Priority};
-use lupinspur_accounts::TicketIx;
-use lupinspur_accounts::tracker::{AccountIx, Tasks};
+use lupinspur_accounts::TrackedJobIndex;
+use lupinspur_accounts::tracker::{IndicatorIndex, Tasks};
 use std::collections::{BTreeSet, VecDeque};
 
 /// What is assumed for a job whose user states no deadline.
@@ -18,7 +18,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum TaskSlot {
     Queued,
-    Assigned(MachineIx),
+    Assigned(MachineIndex),
     /// Completed; the result is kept at the state service or not yet.
     Done {
         stored: bool,
@@ -27,35 +27,35 @@
 
 #[derive(Debug)]
 pub struct Job {
-    pub ix: JobIx,
+    pub index: JobIndex,
     pub id: std::sync::Arc<str>,
     pub spec: JobRequest,
-    pub team: TeamIx,
-    pub image: Option<ImageIx>,
-    pub at_ms: u64,
+    pub team: TeamIndex,
+    pub image: Option<ImageIndex>,
+    pub accepted_at_ms: u64,
     /// The cell that its record names, and how often it has gone from one to another.
     pub cell: Option<u32>,
     pub moves: u8,
     /// It is going to another cell: nothing of it is started here.
-    pub leaving: bool,
+    pub moving_away: bool,
     /// As stored.
     pub phase: Phase,
     /// A final phase that is being stored; it is told only afterwards.
-    pub wanted: Phase,
+    pub desired_phase: Phase,
     /// The write of the final phase was sent: it may be stored without our knowing.
-    pub final_sent: bool,
+    pub end_write_sent: bool,
     /// When it is being cancelled for a job that it needs: since when.
-    pub doomed: Option<f64>,
+    pub cascade_cancelled_at: Option<f64>,
     /// When it ended, by the record; 0 where that is not known.
     pub ended_ms: u64,
     /// When the last job that it needs was done; its own acceptance where that is not known.
-    pub freed_ms: u64,
+    pub ready_at_ms: u64,
     /// Its own priority, or that of a job that needs it.
     pub priority: Priority,
     /// When it has to be done for the sake of the jobs that need it, in milliseconds of the day.
-    pub due_ms: Option<u64>,
+    pub inherited_deadline_ms: Option<u64>,
     pub tasks: Vec<TaskSlot>,
-    pub queue: VecDeque<u32>,
+    pub queued_tasks: VecDeque<u32>,
     pub done: u32,
     pub assigned: u32,
     pub running: u32,
@@ -65,25 +65,25 @@
     /// Unresolved machines that may hold tasks of this job.
     pub unreconciled_machines: u32,
     /// An earlier owner's record of a machine names it.
-    pub recorded: bool,
+    pub recorded_before_failover: bool,
     /// Machines on which it failed lately.
-    pub failed_on: Vec<MachineIx>,
+    pub failed_on: Vec<MachineIndex>,
     /// When a task of it last failed.
     pub failed_at: f64,
     /// Nothing of it is started before then.
     pub not_before: f64,
     /// The accounts know whether it began in time, as one of its class's largest.
-    pub told_largest: bool,
+    pub large_job_reported: bool,
     /// How often it was tried since it was at fault.
-    pub tries: u32,
+    pub attempts_since_fault: u32,
     /// A machine that one of its replicas is leaving, and until when it is avoided.
-    pub avoid: Option<(MachineIx, f64)>,
+    pub avoided_machine: Option<(MachineIndex, f64)>,
     /// When this owner learnt of it.
-    pub since: f64,
+    pub known_since: f64,
     pub zone_counts: Vec<u32>,
     /// Its place in the accounts, from when its time begins until its end is stored.
-    pub ticket: Option<TicketIx>,
-    pub accounts: Option<[AccountIx; 2]>,
+    pub tracked: Option<TrackedJobIndex>,
+    pub indicators: Option<[IndicatorIndex; 2]>,
     /// Until when, in milliseconds of the day, it can be served in time, and until when any
     /// promise to it can be kept; none were made where these are missing.
     pub serves_until: Option<u64>,
@@ -91,8 +91,8 @@
 }
 
 impl Job {
-    pub fn open(&self) -> bool {
-        self.phase == Phase::Open && self.wanted == Phase::Open
+    pub fn is_open(&self) -> bool {
+        self.phase == Phase::Open && self.desired_phase == Phase::Open
     }
 
     pub fn state(&self) -> JobState {
@@ -120,7 +120,7 @@
     }
 
     /// Its tasks held in this zone.
-    pub fn in_zone(&self, z: ZoneIx) -> u32 {
+    pub fn assigned_in_zone(&self, z: ZoneIndex) -> u32 {
         self.zone_counts.get(z.ix()).copied().unwrap_or(0)
     }
 
@@ -130,7 +130,7 @@
 
     /// Do others wait for it, or did it wait for others?
     pub fn in_pipeline(&self) -> bool {
-        self.due_ms.is_some() || !self.spec.needs().is_empty()
+        self.inherited_deadline_ms.is_some() || !self.spec.needs().is_empty()
     }
 
     /// When its user wants it done, in milliseconds of the day.
@@ -139,11 +139,11 @@
     pub fn deadline_ms(&self) -> u64 {
         let after = |from: u64, s: f64| from.saturating_add((s * 1000.0) as u64);
         let own = match self.spec.deadline_s {
-            Some(s) => after(self.at_ms, s),
-            None if self.due_ms.is_some() => u64::MAX,
-            None => after(self.freed_ms, UNSTATED_DEADLINE_S),
+            Some(s) => after(self.accepted_at_ms, s),
+            None if self.inherited_deadline_ms.is_some() => u64::MAX,
+            None => after(self.ready_at_ms, UNSTATED_DEADLINE_S),
         };
-        own.min(self.due_ms.unwrap_or(u64::MAX))
+        own.min(self.inherited_deadline_ms.unwrap_or(u64::MAX))
     }
 
     /// What decides between jobs of equal standing: the earlier deadline, with
@@ -151,7 +151,7 @@
     /// many users as a long one. The more waits for what there is (`pressure`, 1 or more),
     /// the more that counts: not all can be served, and of small ones many more are. A job
     /// that is late already gives way for a while, but no longer: nobody starves.
-    pub fn urgency_ms(&self, now_ms: u64, pressure: f64) -> u64 {
+    pub fn effective_deadline_ms(&self, now_ms: u64, pressure: f64) -> u64 {
         let work_s = f64::from(self.unfinished()) * self.spec.cpus * self.spec.estimate_s.max(1.0);
         let deadline = self.deadline_ms();
         let late = if now_ms > deadline { LATE_GIVES_WAY_MS } else { 0 };
@@ -159,11 +159,11 @@
     }
 
     pub fn has_queued(&mut self) -> bool {
-        while let Some(&t) = self.queue.front() {
+        while let Some(&t) = self.queued_tasks.front() {
             if self.tasks[t as usize] == TaskSlot::Queued {
                 return true;
             }
-            self.queue.pop_front();
+            self.queued_tasks.pop_front();
         }
         false
     }
--- a/crates/scheduler/src/jobs/mod.rs
+++ b/crates/scheduler/src/jobs/mod.rs
@@ -9,22 +9,22 @@
     part_key, progress_key,
 };
 
-use crate::intern::{ImageIx, Index, JobIx, Names, Pages, TeamIx};
+use crate::intern::{ImageIndex, Index, JobIndex, Names, Pages, TeamIndex};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 /// All jobs that this owner knows.
 #[derive(Debug, Default)]
 pub struct Jobs {
-    pub list: Pages<JobIx, Job>,
-    by_id: HashMap<std::sync::Arc<str>, JobIx>,
-    pub images: Names<ImageIx>,
+    pub list: Pages<JobIndex, Job>,
+    by_id: HashMap<std::sync::Arc<str>, JobIndex>,
+    pub images: Names<ImageIndex>,
     /// Jobs that have something to do now. Those that wait for others are not among them:
     /// they cost nothing.
-    pub live: BTreeSet<JobIx>,
+    pub live: BTreeSet<JobIndex>,
     /// Tasks whose progress is stored in one value, by us and by 0.1.0, which knows only
     /// the limit that holds now.
-    pub chunk: u32,
-    pub earlier_chunk: u32,
+    pub chunk_tasks: u32,
+    pub legacy_chunk_tasks: u32,
     pub zones: usize,
 }
 
@@ -34,43 +34,43 @@
     Some((job, task.parse().ok()?))
 }
 
-impl std::ops::Index<JobIx> for Jobs {
+impl std::ops::Index<JobIndex> for Jobs {
     type Output = Job;
 
-    fn index(&self, j: JobIx) -> &Job {
+    fn index(&self, j: JobIndex) -> &Job {
         &self.list[j.ix()]
     }
 }
 
-impl std::ops::IndexMut<JobIx> for Jobs {
-    fn index_mut(&mut self, j: JobIx) -> &mut Job {
+impl std::ops::IndexMut<JobIndex> for Jobs {
+    fn index_mut(&mut self, j: JobIndex) -> &mut Job {
         &mut self.list[j.ix()]
     }
 }
 
 impl Jobs {
     pub fn new(chunk: u32, earlier_chunk: u32, zones: usize) -> Jobs {
-        Jobs { chunk, earlier_chunk, zones, ..Jobs::default() }
+        Jobs { chunk_tasks: chunk, legacy_chunk_tasks: earlier_chunk, zones, ..Jobs::default() }
     }
 
-    pub fn find(&self, id: &str) -> Option<JobIx> {
+    pub fn find(&self, id: &str) -> Option<JobIndex> {
         self.by_id.get(id).copied()
     }
 
     /// A job that may have been given back.
-    pub fn get(&self, j: JobIx) -> Option<&Job> {
+    pub fn get(&self, j: JobIndex) -> Option<&Job> {
         self.list.get(j)
     }
 
     /// A job that is over leaves, with its name.
-    pub fn give_back(&mut self, j: JobIx) {
+    pub fn remove(&mut self, j: JobIndex) {
         if let Some(job) = self.list.remove(j) {
             self.by_id.remove(&job.id);
         }
     }
 
     /// Takes in a stored job. A job that is known already is left as it is.
-    pub fn add(&mut self, r: JobRecord, team: TeamIx, now: f64) -> JobIx {
+    pub fn add(&mut self, r: JobRecord, team: TeamIndex, now: f64) -> JobIndex {
         if let Some(j) = self.find(&r.job.id) {
             return j;
         }
@@ -81,41 +81,41 @@
         let n = if open { r.job.tasks } else { 0 };
         let image = r.job.image.as_deref().map(|i| self.images.intern(i));
         self.list.push(Job {
-            ix: j,
+            index: j,
             id,
             team,
             image,
-            at_ms: r.at_ms,
+            accepted_at_ms: r.accepted_at_ms,
             cell: r.cell,
             moves: r.moves,
-            leaving: false,
+            moving_away: false,
             phase: r.phase,
-            wanted: r.phase,
-            final_sent: false,
-            doomed: None,
+            desired_phase: r.phase,
+            end_write_sent: false,
+            cascade_cancelled_at: None,
             ended_ms: r.ended_ms.unwrap_or(0),
-            freed_ms: r.at_ms,
+            ready_at_ms: r.accepted_at_ms,
             priority: r.job.priority,
-            due_ms: None,
+            inherited_deadline_ms: None,
             tasks: vec![TaskSlot::Queued; n as usize],
-            queue: (0..n).collect(),
+            queued_tasks: (0..n).collect(),
             done: if r.phase == Phase::Done { r.job.tasks } else { 0 },
             assigned: 0,
             running: 0,
             started: 0,
             dirty_chunks: BTreeSet::new(),
             unreconciled_machines: 0,
-            recorded: false,
+            recorded_before_failover: false,
             failed_on: Vec::new(),
             failed_at: f64::MIN,
             not_before: 0.0,
-            tries: 0,
-            told_largest: false,
-            avoid: None,
-            since: now,
+            attempts_since_fault: 0,
+            large_job_reported: false,
+            avoided_machine: None,
+            known_since: now,
             zone_counts: vec![0; if open { self.zones } else { 0 }],
-            ticket: None,
-            accounts: None,
+            tracked: None,
+            indicators: None,
             serves_until: None,
             useful_until: None,
             spec: r.job,
@@ -127,8 +127,8 @@
     }
 
     /// Marks a task done, wherever it was. True if it was not done before.
-    pub fn mark_done(&mut self, j: JobIx, t: u32, stored: bool) -> bool {
-        let chunk = self.chunk;
+    pub fn mark_task_done(&mut self, j: JobIndex, t: u32, stored: bool) -> bool {
+        let chunk = self.chunk_tasks;
         let job = &mut self[j];
         let Some(slot) = job.tasks.get_mut(t as usize) else { return false };
         if let TaskSlot::Done { .. } = slot {
@@ -139,31 +139,35 @@
         if !stored {
             job.dirty_chunks.insert(t / chunk);
         }
-        if job.done == job.spec.tasks && job.wanted == Phase::Open && !job.is_service() {
-            job.wanted = Phase::Done;
+        if job.done == job.spec.tasks && job.desired_phase == Phase::Open && !job.is_service() {
+            job.desired_phase = Phase::Done;
         }
         true
     }
 
     /// The key of a chunk's progress. A job of one chunk has the same key and value in
     /// every version.
-    pub fn progress_key(&self, j: JobIx, chunk: u32) -> String {
+    pub fn progress_key(&self, j: JobIndex, chunk: u32) -> String {
         let job = &self[j];
-        if job.spec.tasks <= self.chunk { progress_key(&job.id, 0) } else { part_key(&job.id, chunk * self.chunk) }
+        if job.spec.tasks <= self.chunk_tasks {
+            progress_key(&job.id, 0)
+        } else {
+            part_key(&job.id, chunk * self.chunk_tasks)
+        }
     }
 
     /// Every key under which progress of this job may stand.
-    pub fn progress_keys(&self, j: JobIx) -> impl Iterator<Item = String> {
+    pub fn progress_keys(&self, j: JobIndex) -> impl Iterator<Item = String> {
         let tasks = self[j].spec.tasks;
-        let earlier = (0..tasks.div_ceil(self.earlier_chunk)).map(move |c| progress_key(&self[j].id, c));
-        let parts = (0..tasks.div_ceil(self.chunk)).map(move |c| part_key(&self[j].id, c * self.chunk));
+        let earlier = (0..tasks.div_ceil(self.legacy_chunk_tasks)).map(move |c| progress_key(&self[j].id, c));
+        let parts = (0..tasks.div_ceil(self.chunk_tasks)).map(move |c| part_key(&self[j].id, c * self.chunk_tasks));
         earlier.chain(parts)
     }
 
-    pub fn progress(&self, j: JobIx, chunk: u32) -> ProgressRecord {
+    pub fn progress(&self, j: JobIndex, chunk: u32) -> ProgressRecord {
         let job = &self[j];
-        let from = (chunk * self.chunk) as usize;
-        let to = (from + self.chunk as usize).min(job.tasks.len());
+        let from = (chunk * self.chunk_tasks) as usize;
+        let to = (from + self.chunk_tasks as usize).min(job.tasks.len());
         let mut done = String::with_capacity((to - from).div_ceil(4));
         for four in job.tasks[from..to].chunks(4) {
             let mut d = 0;
@@ -178,20 +182,20 @@
     }
 
     /// Tasks from this one on that a stored value calls done.
-    pub fn load_progress(&mut self, j: JobIx, from: u32, r: &ProgressRecord) {
+    pub fn load_progress(&mut self, j: JobIndex, from: u32, r: &ProgressRecord) {
         for (i, c) in r.done.chars().enumerate() {
             let Some(d) = c.to_digit(16) else { continue };
             for b in 0..4 {
                 if d & (1 << b) != 0 {
-                    self.mark_done(j, from.saturating_add((i as u32) * 4 + b), true);
+                    self.mark_task_done(j, from.saturating_add((i as u32) * 4 + b), true);
                 }
             }
         }
     }
 
     /// The tasks of a chunk that a stored record calls done are stored now.
-    pub fn progress_stored(&mut self, j: JobIx, chunk: u32, r: &ProgressRecord) {
-        let from = (chunk * self.chunk) as usize;
+    pub fn on_progress_stored(&mut self, j: JobIndex, chunk: u32, r: &ProgressRecord) {
+        let from = (chunk * self.chunk_tasks) as usize;
         let job = &mut self[j];
         for (i, c) in r.done.chars().enumerate() {
             let Some(d) = c.to_digit(16) else { continue };
@@ -206,13 +210,13 @@
     }
 
     /// A final phase is stored: from now on it may be told, and the tasks are of no more use.
-    pub fn settled(&mut self, j: JobIx, phase: Phase) {
+    pub fn on_end_committed(&mut self, j: JobIndex, phase: Phase) {
         self.live.remove(&j);
         let job = &mut self[j];
         job.phase = phase;
-        job.wanted = phase;
+        job.desired_phase = phase;
         job.dirty_chunks.clear();
-        job.queue = VecDeque::new();
+        job.queued_tasks = VecDeque::new();
         job.failed_on = Vec::new();
         if phase == Phase::Done {
             job.done = job.spec.tasks;
@@ -221,7 +225,7 @@
 }
 
 /// One task of one job; maps of them are ordered, so that every run decides alike.
-pub type TaskKey = (JobIx, u32);
+pub type TaskKey = (JobIndex, u32);
 pub type TaskMap<V> = BTreeMap<TaskKey, V>;
 
 #[cfg(test)]
--- a/crates/scheduler/src/jobs/records.rs
+++ b/crates/scheduler/src/jobs/records.rs
@@ -36,7 +36,8 @@
 pub struct JobRecord {
     pub job: JobRequest,
     /// Time of day of the acceptance, in milliseconds.
-    pub at_ms: u64,
+    #[serde(rename = "at_ms")]
+    pub accepted_at_ms: u64,
     pub phase: Phase,
     /// Time of day of its end. Missing in what 0.1.0 wrote, and while it is open.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -51,7 +52,7 @@
 
 impl JobRecord {
     pub fn accepted(job: JobRequest, at_ms: u64) -> JobRecord {
-        JobRecord { job, at_ms, phase: Phase::Open, ended_ms: None, cell: None, moves: 0 }
+        JobRecord { job, accepted_at_ms: at_ms, phase: Phase::Open, ended_ms: None, cell: None, moves: 0 }
     }
 
     /// How the job ended, in a value that surely fits. A record that an earlier version
--- a/crates/scheduler/src/jobs/tests.rs
+++ b/crates/scheduler/src/jobs/tests.rs
@@ -14,17 +14,17 @@
             "cpus":1.0,"cards":0.0,"memory_gb":1.0,"same_place":false,"scatter":false,"fallow":true,
             "pull_gb":0.0,"expected_s":1.0,"pressing_s":0.0,"pressing_cost_s":0.0}))
         .unwrap();
-        let j = jobs.add(JobRecord::accepted(job, 0), TeamIx::new(0), 0.0);
+        let j = jobs.add(JobRecord::accepted(job, 0), TeamIndex::new(0), 0.0);
         for t in (0..100_000).step_by(3) {
-            jobs.mark_done(j, t, false);
+            jobs.mark_task_done(j, t, false);
         }
         let chunks: Vec<u32> = jobs[j].dirty_chunks.iter().copied().collect();
-        let mut again = Jobs::new(jobs.chunk, jobs.earlier_chunk, 3);
-        again.add(JobRecord::accepted(jobs[j].spec.clone(), 0), TeamIx::new(0), 0.0);
+        let mut again = Jobs::new(jobs.chunk_tasks, jobs.legacy_chunk_tasks, 3);
+        again.add(JobRecord::accepted(jobs[j].spec.clone(), 0), TeamIndex::new(0), 0.0);
         for c in chunks {
             let r = jobs.progress(j, c);
             assert!(serde_json::to_vec(&r).unwrap().len() <= limit);
-            again.load_progress(j, c * jobs.chunk, &r);
+            again.load_progress(j, c * jobs.chunk_tasks, &r);
         }
         assert_eq!(again[j].tasks.iter().filter(|s| **s == TaskSlot::Done { stored: true }).count(), 33_334);
     }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -4,7 +4,7 @@
 //! - [`params`]: what the platform and the operators say
 //! - [`intern`]: names to dense indices
 //! - [`election`]: when a controller may act
-//! - [`jobs`], [`pipeline`]: what was submitted, and who waits for whom
+//! - [`jobs`], [`dependency_graph`]: what was submitted, and who waits for whom
 //! - [`fleet`]: machines, zone lists, the mixture
 //! - [`shard`]: one owner's jobs and machines; a process may hold several
 //! - [`times`]: how far clocks may be trusted
--- a/crates/scheduler/src/params.rs
+++ b/crates/scheduler/src/params.rs
@@ -1,6 +1,6 @@
 //! What a shard needs to know of the platform's settings and of the operators' own.
 
-use lupinspur_accounts::Terms;
+use lupinspur_accounts::ServiceLevelObjectives;
 use std::collections::HashMap;
 
 /// A team; amounts in cpus and cards, 0 for a limit: none.
@@ -19,7 +19,7 @@
     pub teams: Vec<Team>,
     pub zones: Vec<String>,
     /// What each class of jobs is promised.
-    pub terms: HashMap<String, Terms>,
+    pub terms: HashMap<String, ServiceLevelObjectives>,
     pub report_s: f64,
     pub lease_s: f64,
     pub cancel_s: f64,
--- a/crates/scheduler/src/shard/admission.rs
+++ b/crates/scheduler/src/shard/admission.rs
@@ -1,19 +1,19 @@
 //! Whether a submission can ever run, as any node can tell.
 
-use super::EPS;
+use super::EPSILON;
 use crate::params::Team;
 use crate::wire::{JobRequest, Kind, MachineType};
 
 /// Why a submission can never run, or cannot be judged yet.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Unfit {
-    Never(String),
-    CannotTell,
+pub enum AdmissionError {
+    Rejected(String),
+    Undecided,
 }
 
 /// Judges a submission by the teams and machine types, as any node can.
-pub fn judge(r: &JobRequest, teams: &[Team], types: &[MachineType]) -> Result<(), Unfit> {
-    let never = |s: String| Err(Unfit::Never(s));
+pub fn check_admission(r: &JobRequest, teams: &[Team], types: &[MachineType]) -> Result<(), AdmissionError> {
+    let never = |s: String| Err(AdmissionError::Rejected(s));
     let Some(team) = teams.iter().find(|t| t.name == r.team) else {
         return never(format!("unknown team {}", r.team));
     };
@@ -22,12 +22,12 @@
         Kind::Array => r.elastic.map_or(1.0, |s| f64::from(s.smallest)),
     };
     for (what, need, most) in [("cpus", r.cpus * n, team.cpus_max), ("cards", r.cards * n, team.cards_max)] {
-        if most > 0.0 && need > most + EPS {
+        if most > 0.0 && need > most + EPSILON {
             return never(format!("needs {need} {what}, the team's limit is {most}"));
         }
     }
     if types.is_empty() {
-        return Err(Unfit::CannotTell);
+        return Err(AdmissionError::Undecided);
     }
     if types
         .iter()
@@ -41,7 +41,7 @@
 
 pub fn type_fits(r: &JobRequest, t: &MachineType) -> bool {
     r.types.as_ref().is_none_or(|l| l.contains(&t.name))
-        && r.cpus <= t.cpus + EPS
-        && r.cards <= t.cards + EPS
-        && r.memory_gb <= t.memory_gb + EPS
+        && r.cpus <= t.cpus + EPSILON
+        && r.cards <= t.cards + EPSILON
+        && r.memory_gb <= t.memory_gb + EPSILON
 }
--- a/crates/scheduler/src/shard/cloud_calls.rs
+++ b/crates/scheduler/src/shard/cloud_calls.rs
@@ -1,10 +1,10 @@
 //! What the cloud is asked for and answers: machines rented, deleted and listed.
 
 use super::sizing::HEARTBEAT_JITTER;
-use super::{Shard, sizing::staying};
+use super::{Shard, sizing::counts_as_fleet};
 use crate::fleet::Phase as MachinePhase;
 use crate::fleet::launch::Launch;
-use crate::intern::{Index, MachineIx, TypeIx, ZoneIx};
+use crate::intern::{Index, MachineIndex, TypeIndex, ZoneIndex};
 use crate::wire::{ListedMachine, ListedState};
 use std::collections::BTreeMap;
 
@@ -12,69 +12,69 @@
 #[derive(Debug)]
 pub enum CloudCall {
     Rent(Launch),
-    Delete(Vec<MachineIx>, Vec<String>),
+    Delete(Vec<MachineIndex>, Vec<String>),
 }
 
-const MOST_DELETED: usize = 100;
+const MAX_DELETED: usize = 100;
 
 impl Shard {
     /// Marked in the state service first, then deleted; never used again.
-    pub(super) fn terminate(&mut self, m: MachineIx) {
+    pub(super) fn terminate(&mut self, m: MachineIndex) {
         let machine = &mut self.machines[m];
         if matches!(machine.phase, MachinePhase::Draining | MachinePhase::Terminating | MachinePhase::Gone) {
             return;
         }
         machine.phase = MachinePhase::Terminating;
-        if machine.rack.is_some() || !machine.old_values.is_empty() {
-            self.want_record(m);
+        if machine.machine_group.is_some() || !machine.superseded_values.is_empty() {
+            self.request_record(m);
             // What was on a machine that is lost waits for its deletion, and that for this: by
             // starts alone, such racks once stood behind all others until the leases were over.
             let machine = &self.machines[m];
             let (tasks, services) = (machine.assignments.len(), machine.service_tasks > 0);
-            if let Some(rack) = machine.rack.and_then(|r| self.racks.list.get_mut(&r)) {
-                rack.held_up(tasks, services);
+            if let Some(machine_group) = machine.machine_group.and_then(|r| self.machine_groups.list.get_mut(&r)) {
+                machine_group.on_starts_delayed(tasks, services);
             }
         } else {
-            self.deletes.insert(m);
+            self.machines_to_delete.insert(m);
         }
     }
 
     /// The cloud said that these machines are gone, with all that was on them.
-    pub fn on_deleted(&mut self, machines: &[MachineIx]) {
+    pub fn on_deleted(&mut self, machines: &[MachineIndex]) {
         for &m in machines {
-            self.deletes.remove(&m);
-            self.kept_no_more(m);
+            self.machines_to_delete.remove(&m);
+            self.clear_idle_since(m);
             self.on_machine_emptied(m);
-            self.take_out(m);
+            self.remove_from_shard(m);
         }
     }
 
     /// A machine is no longer this shard's, and no value that is stored from now on names it.
-    pub(super) fn take_out(&mut self, m: MachineIx) {
+    pub(super) fn remove_from_shard(&mut self, m: MachineIndex) {
         let machine = &mut self.machines[m];
         machine.phase = MachinePhase::Gone;
         machine.deleting = false;
-        let rack = machine.rack.take();
-        self.recorded_or_gone(m);
-        if let Some(r) = rack {
-            if let Some(rack) = self.racks.list.get_mut(&r) {
-                rack.members.remove(&m);
+        let machine_group = machine.machine_group.take();
+        self.release_superseded_values(m);
+        if let Some(r) = machine_group {
+            if let Some(machine_group) = self.machine_groups.list.get_mut(&r) {
+                machine_group.members.remove(&m);
             }
-            self.rack_due(r);
+            self.mark_group_dirty(r);
         }
         self.machines.present.remove(&m);
-        self.machine_gone(m);
+        self.on_machine_gone(m);
     }
 
-    pub fn on_delete_failed(&mut self, machines: &[MachineIx]) {
+    pub fn on_delete_failed(&mut self, machines: &[MachineIndex]) {
         for &m in machines {
             self.machines[m].deleting = false;
         }
     }
 
     pub fn next_delete(&mut self) -> Option<CloudCall> {
-        let due: Vec<MachineIx> =
-            self.deletes.iter().copied().filter(|&m| !self.machines[m].deleting).take(MOST_DELETED).collect();
+        let due: Vec<MachineIndex> =
+            self.machines_to_delete.iter().copied().filter(|&m| !self.machines[m].deleting).take(MAX_DELETED).collect();
         if due.is_empty() {
             return None;
         }
@@ -86,21 +86,21 @@
     }
 
     pub fn on_rented(&mut self, l: &Launch, names: &[String], now: f64) {
-        self.launches.finished(&l.name);
+        self.launches.on_finished(&l.name);
         for n in names {
             self.machines.add(n, l.ty, l.zone, l.spot, now);
         }
         if names.len() < l.count {
             self.on_rental_refused(l, now);
         } else {
-            self.launches.granted(l.ty, l.zone, l.spot);
+            self.launches.on_granted(l.ty, l.zone, l.spot);
         }
     }
 
     /// No capacity, or not for all: this zone is preemptive for now.
     pub fn on_rental_refused(&mut self, l: &Launch, now: f64) {
-        self.launches.finished(&l.name);
-        self.launches.refused(l.ty, l.zone, l.spot, now);
+        self.launches.on_finished(&l.name);
+        self.launches.on_refused(l.ty, l.zone, l.spot, now);
         if let (true, Some(p)) = (l.spot, self.pools.get_mut(&l.ty)) {
             p.zones.failed(l.zone);
         }
@@ -109,7 +109,7 @@
     /// The cloud's list, which lags and may be older than the one before. `all`: whatever is not
     /// known is to be taken in; where there are several cells it may be another's.
     pub fn on_list(&mut self, list: &[ListedMachine], all: bool, now: f64) {
-        self.list_read = true;
+        self.machine_list_read = true;
         let mut listed = std::collections::HashSet::new();
         for l in list {
             let known = self.machines.find(&l.id);
@@ -138,7 +138,7 @@
                 self.terminate(m);
             }
         }
-        let missing: Vec<MachineIx> =
+        let missing: Vec<MachineIndex> =
             self.machines.iter().filter(|(i, m)| m.listed && !listed.contains(i)).map(|(i, _)| i).collect();
         for i in missing {
             let m = &mut self.machines[i];
@@ -150,28 +150,30 @@
         }
     }
 
-    pub(super) fn rent(&mut self, ty: TypeIx, spot: bool, short: usize, now: f64) {
+    pub(super) fn rent(&mut self, ty: TypeIndex, spot: bool, short: usize, now: f64) {
         let zones = self.types.zones.len();
         let mut current = self.launches.pending_in(spot, zones);
-        for (_, m) in self.machines.iter().filter(|(_, m)| m.machine_type == ty && m.spot == spot && staying(m, now)) {
+        for (_, m) in
+            self.machines.iter().filter(|(_, m)| m.machine_type == ty && m.spot == spot && counts_as_fleet(m, now))
+        {
             current[m.zone.ix()] += 1;
         }
-        let mut asked: BTreeMap<ZoneIx, usize> = BTreeMap::new();
+        let mut asked: BTreeMap<ZoneIndex, usize> = BTreeMap::new();
         let t = self.types.get(ty);
         let price = if spot { t.spot_price } else { t.price };
-        let offered: Vec<ZoneIx> = t.zones.iter().filter_map(|z| self.types.zones.find(z)).collect();
+        let offered: Vec<ZoneIndex> = t.zones.iter().filter_map(|z| self.types.zones.find(z)).collect();
         let all = crate::fleet::zones::ZoneLists::new(offered.iter().copied());
         let Some(pool) = self.pools.get(&ty) else { return };
         // On-demand machines go to the zone with the fewest, whatever the lists say.
         let lists = if spot { &pool.zones } else { &all };
         for _ in 0..short {
-            let usable = |z: ZoneIx| offered.contains(&z) && self.launches.may_ask(ty, z, spot, now);
+            let usable = |z: ZoneIndex| offered.contains(&z) && self.launches.may_rent(ty, z, spot, now);
             let Some(z) = lists.choose(|_| price, &current, usable) else { break };
             current[z.ix()] += 1;
             *asked.entry(z).or_default() += 1;
         }
         for (z, n) in asked {
-            let l = self.launches.ask(ty, z, spot, n);
+            let l = self.launches.enqueue(ty, z, spot, n);
             log::info!(
                 "renting {} {} machines in zone {}",
                 l.count,
--- a/crates/scheduler/src/shard/commands.rs
+++ b/crates/scheduler/src/shard/commands.rs
@@ -3,7 +3,7 @@
 use super::Shard;
 use super::heartbeats::HeartbeatSource;
 use crate::fleet::{Assignment, AssignmentState, Phase as MachinePhase, UnassignedAttempt};
-use crate::intern::MachineIx;
+use crate::intern::MachineIndex;
 use crate::jobs::{Phase, TaskKey, TaskSlot};
 use crate::wire::{Command, CommandKind, Heartbeat, PushedCommands, TaskReport, TaskState};
 use std::net::SocketAddr;
@@ -24,7 +24,7 @@
 /// Commands to be sent straight to a worker.
 #[derive(Debug)]
 pub struct PushRequest {
-    pub machine: MachineIx,
+    pub machine: MachineIndex,
     pub addr: SocketAddr,
     pub body: PushedCommands,
     /// When they were made up: the answer is no older.
@@ -51,7 +51,7 @@
 
     /// May an ended attempt be forgotten? Not while its result is only there, and
     /// not while a start of it may still arrive and run it again.
-    fn may_forget(&self, m: MachineIx, k: TaskKey, attempt: u64) -> bool {
+    fn may_forget(&self, m: MachineIndex, k: TaskKey, attempt: u64) -> bool {
         let machine = &self.machines[m];
         if machine.unacknowledged_starts.get(&k) == Some(&attempt)
             || machine.push_in_flight && machine.unacknowledged_starts.contains_key(&k)
@@ -68,7 +68,7 @@
     fn stop_commands_for_cancelled(&self, r: &Heartbeat) -> Vec<Command> {
         let cancelled = |t: &&TaskReport| {
             let job = self.key_of(&t.task).map(|k| &self.jobs[k.0]);
-            job.is_none_or(|j| j.wanted == Phase::Cancelled)
+            job.is_none_or(|j| j.desired_phase == Phase::Cancelled)
         };
         let stop = |t: &TaskReport| Command {
             kind: CommandKind::Stop,
@@ -81,7 +81,7 @@
     }
 
     /// Everything that the machine should be told, in the reply to its report.
-    pub(super) fn heartbeat_commands(&mut self, m: MachineIx, r: &Heartbeat, now: f64) -> Vec<Command> {
+    pub(super) fn heartbeat_commands(&mut self, m: MachineIndex, r: &Heartbeat, now: f64) -> Vec<Command> {
         let machine = &self.machines[m];
         if !machine.reported_token {
             return self.stop_commands_for_cancelled(r);
@@ -150,7 +150,7 @@
         None
     }
 
-    fn push_for(&mut self, m: MachineIx, now: f64) -> Option<PushRequest> {
+    fn push_for(&mut self, m: MachineIndex, now: f64) -> Option<PushRequest> {
         let machine = &self.machines[m];
         let probing = !machine.reported_token;
         let addr = machine.addr;
@@ -226,7 +226,7 @@
 
     /// The machine answers, and what it was told to stop a while ago runs still: the command was lost. Replies to
     /// its reports repeat it, and those may not come.
-    fn resend_lost_stops(&mut self, m: MachineIx, now: f64) {
+    fn resend_lost_stops(&mut self, m: MachineIndex, now: f64) {
         let machine = &mut self.machines[m];
         let saves =
             |h: &Assignment| h.state == AssignmentState::Saving && h.stop_grace_s.is_some_and(|grace| grace > 0.0);
--- a/crates/scheduler/src/shard/consistency.rs
+++ b/crates/scheduler/src/shard/consistency.rs
@@ -5,42 +5,42 @@
 use super::*;
 use std::ops::Bound;
 
-const EVERY_S: f64 = 1.0;
+const CHECK_INTERVAL_S: f64 = 1.0;
 /// Jobs looked at in a second, and tasks: a job with a hundred thousand is looked at alone.
-const MOST_JOBS: usize = 20;
-const MOST_TASKS: usize = 5_000;
+const MAX_JOBS: usize = 20;
+const MAX_TASKS: usize = 5_000;
 
 #[derive(Debug, Default)]
-pub(super) struct Glue {
-    at: f64,
-    last: Option<JobIx>,
+pub(super) struct ConsistencyChecker {
+    checked_at: f64,
+    last_job: Option<JobIndex>,
     /// Tasks and jobs that were mended so far.
-    pub(super) mended: u64,
+    pub(super) repairs: u64,
 }
 
 impl Shard {
-    pub(super) fn compare(&mut self, now: f64) {
-        if now - self.compared.at < EVERY_S {
+    pub(super) fn check_consistency(&mut self, now: f64) {
+        if now - self.consistency.checked_at < CHECK_INTERVAL_S {
             return;
         }
-        self.compared.at = now;
-        let from = self.compared.last.map_or(Bound::Unbounded, Bound::Excluded);
-        let next: Vec<JobIx> = self.jobs.live.range((from, Bound::Unbounded)).take(MOST_JOBS).copied().collect();
-        self.compared.last = None;
+        self.consistency.checked_at = now;
+        let from = self.consistency.last_job.map_or(Bound::Unbounded, Bound::Excluded);
+        let next: Vec<JobIndex> = self.jobs.live.range((from, Bound::Unbounded)).take(MAX_JOBS).copied().collect();
+        self.consistency.last_job = None;
         let mut tasks = 0;
         for j in next {
-            if tasks > 0 && tasks + self.jobs[j].tasks.len() > MOST_TASKS {
+            if tasks > 0 && tasks + self.jobs[j].tasks.len() > MAX_TASKS {
                 break;
             }
             tasks += self.jobs[j].tasks.len();
-            self.compared.last = Some(j);
-            self.compare_job(j);
+            self.consistency.last_job = Some(j);
+            self.check_job(j);
         }
     }
 
-    fn compare_job(&mut self, j: JobIx) {
+    fn check_job(&mut self, j: JobIndex) {
         let job = &self.jobs[j];
-        if !job.open() {
+        if !job.is_open() {
             return;
         }
         let nowhere = |t: u32, s: &TaskSlot| match s {
@@ -52,7 +52,7 @@
         let waits = if queued == 0 {
             0
         } else {
-            job.queue.iter().filter(|t| job.tasks[**t as usize] == TaskSlot::Queued).count()
+            job.queued_tasks.iter().filter(|t| job.tasks[**t as usize] == TaskSlot::Queued).count()
         };
         let over = !job.is_service() && job.done == job.spec.tasks;
         if lost.is_empty() && waits >= queued && !over {
@@ -63,22 +63,22 @@
             job.id,
             lost.len()
         );
-        self.compared.mended += 1;
+        self.consistency.repairs += 1;
         let job = &mut self.jobs[j];
         for t in &lost {
             job.tasks[*t as usize] = TaskSlot::Queued;
         }
         job.assigned = job.assigned.saturating_sub(lost.len() as u32);
-        job.queue = (0u32..).zip(&job.tasks).filter(|(_, s)| **s == TaskSlot::Queued).map(|(t, _)| t).collect();
+        job.queued_tasks = (0u32..).zip(&job.tasks).filter(|(_, s)| **s == TaskSlot::Queued).map(|(t, _)| t).collect();
         if over {
-            job.wanted = Phase::Done;
-            self.finals.insert(j);
+            job.desired_phase = Phase::Done;
+            self.pending_ends.insert(j);
         }
-        self.place_due = true;
+        self.placement_due = true;
     }
 
     /// How often a difference was mended.
-    pub fn mended(&self) -> u64 {
-        self.compared.mended
+    pub fn repairs(&self) -> u64 {
+        self.consistency.repairs
     }
 }
--- a/crates/scheduler/src/shard/dependencies.rs
+++ b/crates/scheduler/src/shard/dependencies.rs
@@ -2,18 +2,18 @@
 //! pass on to the jobs that they need.
 
 use super::Shard;
-use crate::dependency_graph::News;
-use crate::intern::JobIx;
+use crate::dependency_graph::DependencyUpdate;
+use crate::intern::JobIndex;
 use crate::jobs::{Job, Phase};
 use std::collections::BTreeSet;
 
 /// Until this share of `cancel_s` is over, cancellations that follow from another one give
 /// way to other writes; then they go first, however many they are.
-const DOOM_WAITS_SHARE: f64 = 0.2;
+const CASCADE_THROTTLED_SHARE: f64 = 0.2;
 
 /// What is known of the jobs that a job needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum NeedsState {
+pub(super) enum DependencyState {
     /// All are stored as done.
     Met,
     /// None is known to be open, and the records of some were not read yet since the takeover: they may have been
@@ -24,23 +24,23 @@
 }
 
 impl Shard {
-    pub(super) fn needs_state(&self, j: JobIx) -> NeedsState {
-        if !self.graph.waits(j) {
-            return NeedsState::Met;
+    pub(super) fn dependency_state(&self, j: JobIndex) -> DependencyState {
+        if !self.dependencies.is_waiting(j) {
+            return DependencyState::Met;
         }
-        let mut missing = self.jobs[j].spec.needs().iter().filter(|need| self.graph.is_stranger(need));
-        if self.graph.needs(j).is_empty() && missing.all(|need| self.is_unread(need)) {
-            NeedsState::Unread
+        let mut missing = self.jobs[j].spec.needs().iter().filter(|need| self.dependencies.is_unknown_dependency(need));
+        if self.dependencies.needs(j).is_empty() && missing.all(|need| self.is_unread_dependency(need)) {
+            DependencyState::Unread
         } else {
-            NeedsState::Open
+            DependencyState::Open
         }
     }
 
     /// These jobs may wait for one that was unread, and is known to be open now: what runs of them is stopped.
-    pub(super) fn stop_those_that_wait(&mut self, jobs: Vec<JobIx>) {
+    pub(super) fn stop_waiting_jobs(&mut self, jobs: Vec<JobIndex>) {
         for j in jobs {
             let job = &self.jobs[j];
-            if job.assigned > 0 && job.open() && self.needs_state(j) == NeedsState::Open {
+            if job.assigned > 0 && job.is_open() && self.dependency_state(j) == DependencyState::Open {
                 log::warn!(
                     "{} waits for a job that is open, and {} tasks of it are held: stopped",
                     job.id,
@@ -52,61 +52,61 @@
     }
 
     /// A job that was just taken in: does it wait, and do others wait for it?
-    pub(super) fn enter(&mut self, j: JobIx, now: f64) {
+    pub(super) fn register_dependencies(&mut self, j: JobIndex, now: f64) {
         let job = &self.jobs[j];
         let (id, phase) = (job.id.clone(), job.phase);
         let needs = job.spec.needs.clone().unwrap_or_default();
         let known = |id: &str| self.jobs.find(id).map(|n| (n, self.jobs[n].phase));
-        let news = self.graph.add(j, &id, phase, &needs, known);
+        let news = self.dependencies.add(j, &id, phase, &needs, known);
         if phase == Phase::Open && !needs.is_empty() {
-            if self.graph.waits(j) {
+            if self.dependencies.is_waiting(j) {
                 self.jobs.live.remove(&j);
             } else {
-                self.count_from_needs(j);
+                self.set_ready_time(j);
             }
-            self.inherit(self.graph.needs(j).to_vec());
+            self.propagate_priority(self.dependencies.needs(j).to_vec());
         }
-        if !self.graph.after(j).is_empty() {
-            self.inherit(vec![j]);
-            self.stop_those_that_wait(self.graph.after(j).to_vec());
+        if !self.dependencies.dependents(j).is_empty() {
+            self.propagate_priority(vec![j]);
+            self.stop_waiting_jobs(self.dependencies.dependents(j).to_vec());
         }
-        self.follow(news, now);
+        self.apply_dependency_update(news, now);
     }
 
     /// A final phase of this job is stored.
-    pub(super) fn after_end(&mut self, j: JobIx, phase: Phase, now: f64) {
-        let before: Vec<JobIx> = self.graph.needs(j).to_vec();
-        let news = self.graph.ended(j, phase);
+    pub(super) fn on_dependency_ended(&mut self, j: JobIndex, phase: Phase, now: f64) {
+        let before: Vec<JobIndex> = self.dependencies.needs(j).to_vec();
+        let news = self.dependencies.on_job_ended(j, phase);
         // What it needed inherits from it no more.
-        self.inherit(before);
-        self.follow(news, now);
+        self.propagate_priority(before);
+        self.apply_dependency_update(news, now);
     }
 
-    fn follow(&mut self, news: News, now: f64) {
-        for j in news.freed {
-            if self.jobs[j].open() {
+    fn apply_dependency_update(&mut self, news: DependencyUpdate, now: f64) {
+        for j in news.ready {
+            if self.jobs[j].is_open() {
                 self.jobs.live.insert(j);
-                self.count_from_needs(j);
+                self.set_ready_time(j);
                 self.account_due(j);
-                self.place_due = true;
+                self.placement_due = true;
                 let (job, day) = (&self.jobs[j], self.day_now_ms(now) as f64);
                 log::debug!(
                     "{} ({}) waits for nothing any more, {:.1} s after its acceptance and {:.1} s before it is due",
                     job.id,
                     job.spec.class,
-                    (day - job.at_ms as f64) / 1000.0,
+                    (day - job.accepted_at_ms as f64) / 1000.0,
                     (job.deadline_ms() as f64 - day) / 1000.0
                 );
             }
         }
-        let since = if self.loading { f64::MIN } else { now };
-        for j in news.doomed {
+        let since = if self.loading_records { f64::MIN } else { now };
+        for j in news.cancelled {
             self.jobs.live.remove(&j);
             let job = &mut self.jobs[j];
-            if job.phase == Phase::Open && job.wanted == Phase::Open {
-                job.wanted = Phase::Cancelled;
-                job.doomed = Some(since);
-                self.finals.insert(j);
+            if job.phase == Phase::Open && job.desired_phase == Phase::Open {
+                job.desired_phase = Phase::Cancelled;
+                job.cascade_cancelled_at = Some(since);
+                self.pending_ends.insert(j);
                 self.stop_all(j);
             }
         }
@@ -114,17 +114,17 @@
 
     /// A job's times, its deadline aside, count from the end of the last job that it needs.
     /// An end that 0.1.0 stored has no time: there the job's own acceptance stands for it.
-    fn count_from_needs(&mut self, j: JobIx) {
+    fn set_ready_time(&mut self, j: JobIndex) {
         let needs = self.jobs[j].spec.needs();
         let ends = needs.iter().filter_map(|n| self.jobs.find(n)).map(|n| self.jobs[n].ended_ms);
         let last = ends.max().unwrap_or(0);
         let job = &mut self.jobs[j];
-        job.freed_ms = job.freed_ms.max(last);
+        job.ready_at_ms = job.ready_at_ms.max(last);
     }
 
     /// Cancellations that follow from others, and whether they may wait no longer.
-    pub(super) fn doom_presses(&self, j: JobIx, now: f64) -> bool {
-        self.jobs[j].doomed.is_some_and(|since| now - since > self.cancel_s * DOOM_WAITS_SHARE)
+    pub(super) fn cascade_is_overdue(&self, j: JobIndex, now: f64) -> bool {
+        self.jobs[j].cascade_cancelled_at.is_some_and(|since| now - since > self.cancel_s * CASCADE_THROTTLED_SHARE)
     }
 
     /// Seconds that a job takes once it may start, its image included.
@@ -136,24 +136,24 @@
 
     /// What these jobs have from those that need it, and so on up to the first of them, as far
     /// as something changes.
-    fn inherit(&mut self, jobs: Vec<JobIx>) {
-        let mut due: BTreeSet<JobIx> = BTreeSet::from_iter(jobs);
+    fn propagate_priority(&mut self, jobs: Vec<JobIndex>) {
+        let mut due: BTreeSet<JobIndex> = BTreeSet::from_iter(jobs);
         while let Some(j) = due.pop_first() {
-            self.graph.looked_at += 1;
+            self.dependencies.pairs_examined += 1;
             let job = &self.jobs[j];
             let (mut priority, mut due_ms) = (job.spec.priority, None);
-            for k in self.graph.after(j).iter().map(|k| &self.jobs[*k]).filter(|k| k.open()) {
+            for k in self.dependencies.dependents(j).iter().map(|k| &self.jobs[*k]).filter(|k| k.is_open()) {
                 priority = priority.min(k.priority);
-                let has_due = k.spec.deadline_s.is_some() || k.due_ms.is_some();
+                let has_due = k.spec.deadline_s.is_some() || k.inherited_deadline_ms.is_some();
                 if has_due {
                     let start = k.deadline_ms().saturating_sub((self.span_s(k) * 1000.0) as u64);
                     due_ms = Some(due_ms.unwrap_or(u64::MAX).min(start));
                 }
             }
             let job = &mut self.jobs[j];
-            if (job.priority, job.due_ms) != (priority, due_ms) {
-                (job.priority, job.due_ms) = (priority, due_ms);
-                due.extend(self.graph.needs(j).iter().copied());
+            if (job.priority, job.inherited_deadline_ms) != (priority, due_ms) {
+                (job.priority, job.inherited_deadline_ms) = (priority, due_ms);
+                due.extend(self.dependencies.needs(j).iter().copied());
             }
         }
     }
--- a/crates/scheduler/src/shard/elastic.rs
+++ b/crates/scheduler/src/shard/elastic.rs
@@ -5,24 +5,24 @@
 use super::sizing::HEARTBEAT_JITTER;
 use super::{Shard, type_fits};
 use crate::fleet::{AssignmentState, Machine};
-use crate::intern::{JobIx, MachineIx};
+use crate::intern::{JobIndex, MachineIndex};
 use crate::jobs::{Job, Phase, TaskKey, TaskSlot};
 use crate::params::Params;
 use crate::times::stretched;
 use lupinspur_elastic::pool::{Row, Times};
-use lupinspur_elastic::{Bound, Held, Plan, Pool, Sizes, Timing};
+use lupinspur_elastic::{Bound, JobUsage, Plan, Pool, Sizes, Timing};
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
 /// What is idle is looked at this often.
-const LOOK_EVERY_S: f64 = 1.0;
+const RESIZE_INTERVAL_S: f64 = 1.0;
 /// What a successor needs to read what is open, at the fleets' size ten times over.
 const READ_WITHIN_S: f64 = 2.0;
 /// Workers drop a reply after this, and a direct call is given up sooner.
 const ANSWER_S: f64 = 4.0;
-const MOST_ROWS: usize = 500;
+const MAX_ROWS: usize = 500;
 
-pub type ElasticPool = Pool<JobIx, TaskKey>;
+pub type ElasticPool = Pool<JobIndex, TaskKey>;
 
 /// Everything that a query is answered with.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -53,7 +53,7 @@
 
 impl Shard {
     /// An open array that declares sizes, or whose class has some.
-    pub(super) fn elastic_enter(&mut self, j: JobIx) {
+    pub(super) fn elastic_enter(&mut self, j: JobIndex) {
         let Some(pool) = &self.elastic else { return };
         let job = &self.jobs[j];
         if job.phase != Phase::Open || job.is_service() {
@@ -67,41 +67,41 @@
         }
     }
 
-    pub(super) fn elastic_leave(&mut self, j: JobIx) {
+    pub(super) fn elastic_leave(&mut self, j: JobIndex) {
         if let Some(pool) = &mut self.elastic {
             pool.leave(j);
         }
     }
 
-    pub(crate) fn elastic_sizes(&self, j: JobIx) -> Option<Sizes> {
+    pub(crate) fn elastic_sizes(&self, j: JobIndex) -> Option<Sizes> {
         self.elastic.as_ref()?.sizes(j)
     }
 
     /// One elastic job as it stands. What was told to stop, by whomever, is leaving.
-    fn elastic_held(&self, job: &Job) -> Held {
+    fn elastic_held(&self, job: &Job) -> JobUsage {
         let leaves = |(t, s): (u32, &TaskSlot)| match s {
             TaskSlot::Assigned(m) => self.machines[*m]
                 .assignments
-                .get(&(job.ix, t))
+                .get(&(job.index, t))
                 .is_some_and(|h| h.stop_grace_s.is_some() || h.state == AssignmentState::Saving),
             _ => false,
         };
         let leaving = (0u32..).zip(&job.tasks).filter(|(t, s)| leaves((*t, s))).count() as u32;
-        Held { unfinished: job.unfinished(), held: job.assigned, leaving }
+        JobUsage { unfinished: job.unfinished(), held: job.assigned, leaving }
     }
 
     /// Tasks of a job that may be started: at its own standing, and beyond that with what is idle.
     pub(crate) fn may_hold_more(&self, job: &Job) -> (u32, u32) {
         match &self.elastic {
-            Some(pool) if pool.sizes(job.ix).is_some() => pool.more(job.ix, self.elastic_held(job)),
+            Some(pool) if pool.sizes(job.index).is_some() => pool.more(job.index, self.elastic_held(job)),
             _ => (u32::MAX, 0),
         }
     }
 
     /// Tasks of each elastic job that may be stopped to make room.
-    pub(crate) fn surpluses(&self) -> HashMap<JobIx, u32> {
+    pub(crate) fn surpluses(&self) -> HashMap<JobIndex, u32> {
         let Some(pool) = &self.elastic else { return HashMap::new() };
-        let of = |(j, _): (JobIx, Sizes)| {
+        let of = |(j, _): (JobIndex, Sizes)| {
             let job = self.jobs.get(j).filter(|job| job.assigned > 0)?;
             Some((j, pool.surplus(j, self.elastic_held(job)))).filter(|(_, n)| *n > 0)
         };
@@ -109,7 +109,7 @@
     }
 
     /// A task makes room: one of a surplus in two steps, with a deadline; any other as it may.
-    pub(crate) fn give_room(&mut self, m: MachineIx, k: TaskKey) {
+    pub(crate) fn preempt(&mut self, m: MachineIndex, k: TaskKey) {
         let job = &self.jobs[k.0];
         let planned = self.machines[m].assignments.get(&k).is_none_or(|h| h.state == AssignmentState::Planned);
         let held = self.elastic_held(job);
@@ -117,7 +117,7 @@
         if !surplus || planned {
             return self.stop_gently(m, k);
         }
-        let (grace, now) = (self.grace(k.0), self.ticked);
+        let (grace, now) = (self.grace(k.0), self.ticked_at);
         let Some(pool) = &mut self.elastic else { return };
         let mercy = pool.mercy(grace);
         pool.shrink(k.0, k, mercy, held.held - held.leaving - 1, now);
@@ -127,7 +127,7 @@
 
     /// A task is gone for certain.
     pub(super) fn elastic_gone(&mut self, k: TaskKey) {
-        let now = self.ticked;
+        let now = self.ticked_at;
         if let Some(took) = self.elastic.as_mut().and_then(|p| p.gone(k, now)) {
             log::debug!("{}/{} gave its room back after {took:.2} s", self.jobs[k.0].id, k.1);
         }
@@ -144,21 +144,21 @@
             log::info!("{}/{} did not save in time: stopped without", self.jobs[k.0].id, k.1);
             self.stop_task(m, k, 0.0);
         }
-        if now - self.elastic_looked < LOOK_EVERY_S {
+        if now - self.elastic_looked < RESIZE_INTERVAL_S {
             return;
         }
         self.elastic_looked = now;
-        let room = if self.others_wait || !self.writable { Vec::new() } else { self.idle_room(now) };
+        let room = if self.others_waiting || !self.state_service_writable { Vec::new() } else { self.idle_room(now) };
         if self.elastic.as_mut().is_some_and(|p| p.idle(&room, now)) {
-            self.place_due = true;
+            self.placement_due = true;
         }
     }
 
     /// For each elastic job, how many of its tasks the machines would take now.
-    fn idle_room(&self, now: f64) -> Vec<(JobIx, u32, Held)> {
+    fn idle_room(&self, now: f64) -> Vec<(JobIndex, u32, JobUsage)> {
         let Some(pool) = &self.elastic else { return Vec::new() };
-        let fresh = self.fresh_s();
-        let free: Vec<(crate::intern::TypeIx, bool, f64, f64, f64)> = self
+        let fresh = self.recent_heartbeat_s();
+        let free: Vec<(crate::intern::TypeIndex, bool, f64, f64, f64)> = self
             .machines
             .iter()
             .filter(|(_, m)| m.is_usable(now, fresh))
@@ -166,12 +166,13 @@
                 let t = self.types.get(m.machine_type);
                 (m.machine_type, m.spot, t.cpus - m.cpus_used, t.memory_gb - m.memory_used, t.cards - m.cards_used)
             })
-            .filter(|f| f.2 > super::EPS)
+            .filter(|f| f.2 > super::EPSILON)
             .collect();
-        let room = |(j, _): (JobIx, Sizes)| {
-            let job = self.jobs.get(j).filter(|job| job.open() && job.unreconciled_machines == 0)?;
+        let room = |(j, _): (JobIndex, Sizes)| {
+            let job = self.jobs.get(j).filter(|job| job.is_open() && job.unreconciled_machines == 0)?;
             let r = &job.spec;
-            let many = |free: f64, need: f64| if need > 0.0 { (free + super::EPS) / need } else { f64::from(u32::MAX) };
+            let many =
+                |free: f64, need: f64| if need > 0.0 { (free + super::EPSILON) / need } else { f64::from(u32::MAX) };
             let n: f64 = free
                 .iter()
                 .filter(|f| (r.spot || !f.1) && type_fits(r, self.types.get(f.0)))
@@ -191,7 +192,7 @@
     /// What people are told: every elastic job, and the shrinks.
     pub fn elastic_report(&self) -> Option<ElasticReport> {
         let pool = self.elastic.as_ref()?;
-        let row = |(j, s): (JobIx, Sizes)| {
+        let row = |(j, s): (JobIndex, Sizes)| {
             let job = self.jobs.get(j)?;
             Some(Row {
                 job: job.id.to_string(),
@@ -206,7 +207,7 @@
         let named = |(k, took): (TaskKey, f64)| Some((format!("{}/{}", self.jobs.get(k.0)?.id, k.1), took));
         let recent = pool.recent().filter_map(named).collect();
         Some(ElasticReport {
-            jobs: pool.jobs().filter_map(row).take(MOST_ROWS).collect(),
+            jobs: pool.jobs().filter_map(row).take(MAX_ROWS).collect(),
             times: pool.times(),
             recent,
             bound,
--- a/crates/scheduler/src/shard/heartbeats.rs
+++ b/crates/scheduler/src/shard/heartbeats.rs
@@ -2,7 +2,7 @@
 
 use super::Shard;
 use crate::fleet::{AssignmentState, Phase as MachinePhase};
-use crate::intern::MachineIx;
+use crate::intern::MachineIndex;
 use crate::jobs::{TaskKey, split_task};
 use crate::times::stretched;
 use crate::wire::{Heartbeat, HeartbeatReply, TaskReport, TaskState};
@@ -57,7 +57,7 @@
                 let in_time = self.own_heartbeat_age(&self.machines[m], now) <= self.heartbeat_timeout_s();
                 let machine = &mut self.machines[m];
                 if in_time && std::mem::take(&mut machine.heartbeat_path_lost) {
-                    self.place_due = true;
+                    self.placement_due = true;
                 }
                 machine.own_heartbeat_at = now;
                 machine.lease_renewed_at = Some(now);
@@ -68,12 +68,12 @@
         }
     }
 
-    fn find_or_adopt_machine(&mut self, r: &Heartbeat, now: f64) -> Option<MachineIx> {
+    fn find_or_adopt_machine(&mut self, r: &Heartbeat, now: f64) -> Option<MachineIndex> {
         if let Some(m) = self.machines.find(&r.machine) {
             return Some(m);
         }
         // On its way to another cell: that one takes it in, and not whoever hears it first.
-        if self.is_away(&r.machine) {
+        if self.is_transferred_away(&r.machine) {
             return None;
         }
         let ty = self.types.names.find(&r.type_name)?;
@@ -89,7 +89,7 @@
         r: &Heartbeat,
         origin: HeartbeatSource,
         now: f64,
-    ) -> Result<MachineIx, HeartbeatOutcome> {
+    ) -> Result<MachineIndex, HeartbeatOutcome> {
         let token = self.token;
         if r.token > token {
             return Err(HeartbeatOutcome::Superseded);
@@ -192,7 +192,7 @@
             if origin.is_heartbeat() {
                 machine.missed_acknowledgements = 0;
             }
-            self.place_due = true;
+            self.placement_due = true;
         }
         self.reconcile_tasks(m, r, origin, now);
         // What runs here and is no job known here is one that ended before this owner began:
@@ -206,7 +206,7 @@
     }
 
     /// Planned starts stay, since they were never sent; the rest is gone.
-    fn on_incarnation_expired(&mut self, m: MachineIx) {
+    fn on_incarnation_expired(&mut self, m: MachineIndex) {
         let keys: Vec<TaskKey> = self.machines[m]
             .assignments
             .iter()
@@ -221,11 +221,11 @@
         }
         self.machines[m].unacknowledged_starts.clear();
         // What waited for those may start here again.
-        self.place_due = true;
+        self.placement_due = true;
     }
 
     /// A machine under notice: what can save does so now, services move, the rest may yet finish.
-    pub(super) fn drain_on_notice(&mut self, m: MachineIx) {
+    pub(super) fn drain_on_notice(&mut self, m: MachineIndex) {
         if self.machines[m].reclaimed_at.is_none() {
             return;
         }
--- a/crates/scheduler/src/shard/large_jobs.rs
+++ b/crates/scheduler/src/shard/large_jobs.rs
@@ -2,7 +2,7 @@
 //!
 //! Where more waits than the machines can take, small jobs go before large ones, since of small ones
 //! many more are served. A class's largest jobs would wait for as long as that lasts. So one of them
-//! that has waited for [`BEGINS_AFTER_S`] gets a first part of its tasks before other batch work does,
+//! that has waited for [`LARGE_JOB_WAIT_S`] gets a first part of its tasks before other batch work does,
 //! and later the rest, out of a share that is set apart for that; at its team's limit the team's other work waits for it,
 //! and where none of its tasks fits anywhere, a machine is kept for it until one does.
 //!
@@ -16,36 +16,36 @@
 
 /// A job waits for so long, in seconds, before its first part goes ahead. Users are promised four
 /// minutes; boots, a takeover and the end of what runs there come out of the rest.
-const BEGINS_AFTER_S: u64 = 60;
+const LARGE_JOB_WAIT_S: u64 = 60;
 /// Where a class's jobs are all alike nothing holds back its largest but its turn: later, and later
 /// still where they have one task each.
-const ALIKE_AFTER_S: u64 = 90;
-const SINGLE_AFTER_S: u64 = 150;
+const UNIFORM_CLASS_WAIT_S: u64 = 90;
+const SINGLE_TASK_WAIT_S: u64 = 150;
 /// After so many seconds more half of its tasks go ahead, and after as many again all of them.
-const NEXT_PART_S: u64 = 60;
+const NEXT_ALLOCATION_S: u64 = 60;
 /// The largest jobs are promised to begin within this, in seconds.
 const PROMISED_S: u64 = 240;
 /// Of an array, one task in so many is the first part.
-const FIRST_PART: u32 = 10;
+const INITIAL_ALLOCATION_DIVISOR: u32 = 10;
 /// Of the cpus that other batch work gets, so many more are set apart for first parts; and so many at
 /// the most, and half of it at the beginning.
 const SHARE: f64 = 0.2;
 const MOST_CREDIT: f64 = 64.0;
 /// Jobs of a class whose sizes are remembered, and classes.
-const REMEMBERED: usize = 100;
+const SIZES_KEPT: usize = 100;
 const MOST_CLASSES: usize = 64;
 /// One in so many is among the largest.
 const TENTH: usize = 10;
 /// A machine is kept for one job for so long, in seconds, before another one is tried.
-const KEPT_FOR_S: f64 = 90.0;
+const RESERVATION_TIMEOUT_S: f64 = 90.0;
 /// Machines kept at a time, one in so many, and at least one.
-const KEPT_SHARE: usize = 50;
+const MACHINES_PER_RESERVATION: usize = 50;
 /// Machines and limits are kept for so long without a break, in seconds: nobody waits for 90 s beside a machine that fits.
-const KEPT_IN_A_ROW_S: f64 = 75.0;
+const MAX_RESERVATION_SPELL_S: f64 = 75.0;
 /// In a break everybody may take what was kept, for so long, in seconds.
-const BREAK_S: f64 = 2.0;
+const RESERVATION_BREAK_S: f64 = 2.0;
 /// Where nothing was kept for so long, in seconds, what is kept next is kept anew.
-const GAP_S: f64 = 5.0;
+const RESERVATION_GAP_S: f64 = 5.0;
 
 /// The sizes of a class's jobs that came last.
 #[derive(Debug, Default)]
@@ -58,26 +58,26 @@
 }
 
 #[derive(Debug, Default)]
-pub(super) struct Largest {
+pub(super) struct LargeJobReservations {
     classes: HashMap<String, Sizes>,
     pub(super) credit: f64,
     /// Machines that take nothing new until a task of this job fits, and since when.
-    kept: BTreeMap<MachineIx, (JobIx, f64)>,
-    in_a_row: InARow,
+    kept: BTreeMap<MachineIndex, (JobIndex, f64)>,
+    spell: ReservationSpell,
 }
 
 /// Since when machines or limits are kept without a break, when that was last so, and until when the present
 /// break lasts.
 #[derive(Debug, Default, Clone, Copy)]
-struct InARow {
+struct ReservationSpell {
     since: f64,
     last: f64,
     break_until: f64,
 }
 
-impl InARow {
+impl ReservationSpell {
     fn kept(&mut self, now: f64) {
-        if now - self.last > GAP_S {
+        if now - self.last > RESERVATION_GAP_S {
             self.since = now;
         }
         self.last = now;
@@ -89,8 +89,12 @@
 
     /// May anything be kept now? A break begins where that has lasted for too long.
     fn may_keep(&mut self, now: f64) -> bool {
-        if now - self.last <= GAP_S && now - self.since > KEPT_IN_A_ROW_S {
-            *self = InARow { since: now + BREAK_S, last: f64::MIN, break_until: now + BREAK_S };
+        if now - self.last <= RESERVATION_GAP_S && now - self.since > MAX_RESERVATION_SPELL_S {
+            *self = ReservationSpell {
+                since: now + RESERVATION_BREAK_S,
+                last: f64::MIN,
+                break_until: now + RESERVATION_BREAK_S,
+            };
         }
         !self.in_break(now)
     }
@@ -100,9 +104,9 @@
     (f64::from(r.tasks) * r.cpus, r.tasks)
 }
 
-impl Largest {
-    pub(super) fn new() -> Largest {
-        Largest { credit: MOST_CREDIT / 2.0, ..Largest::default() }
+impl LargeJobReservations {
+    pub(super) fn new() -> LargeJobReservations {
+        LargeJobReservations { credit: MOST_CREDIT / 2.0, ..LargeJobReservations::default() }
     }
 
     fn came(&mut self, r: &crate::wire::JobRequest) {
@@ -110,7 +114,7 @@
             return;
         }
         let sizes = self.classes.entry(r.class.clone()).or_default();
-        if sizes.last.len() >= REMEMBERED {
+        if sizes.last.len() >= SIZES_KEPT {
             sizes.last.pop_front();
         }
         sizes.last.push_back(size(r));
@@ -126,68 +130,68 @@
     fn goes_after_s(&self, r: &crate::wire::JobRequest) -> Option<u64> {
         let (cpus, tasks) = size(r);
         let s = self.classes.get(&r.class)?;
-        let one = cpus + EPS >= s.least.0 || tasks >= s.least.1;
-        let alike = s.last.len() > 1 && cpus <= s.median.0 + EPS && tasks <= s.median.1;
+        let one = cpus + EPSILON >= s.least.0 || tasks >= s.least.1;
+        let alike = s.last.len() > 1 && cpus <= s.median.0 + EPSILON && tasks <= s.median.1;
         one.then_some(match alike {
-            false => BEGINS_AFTER_S,
-            true if tasks > 1 => ALIKE_AFTER_S,
-            true => SINGLE_AFTER_S,
+            false => LARGE_JOB_WAIT_S,
+            true if tasks > 1 => UNIFORM_CLASS_WAIT_S,
+            true => SINGLE_TASK_WAIT_S,
         })
     }
 }
 
 impl Shard {
-    pub(super) fn size_came(&mut self, j: JobIx) {
+    pub(super) fn record_job_size(&mut self, j: JobIndex) {
         if self.jobs[j].phase == Phase::Open {
-            self.largest.came(&self.jobs[j].spec);
+            self.large_jobs.came(&self.jobs[j].spec);
         }
     }
 
     /// Tells the accounts which of the largest jobs began within the promised time, each once, and
     /// which did not.
-    pub(super) fn account_largest(&mut self, now: f64, t: f64) {
+    pub(super) fn report_large_jobs(&mut self, now: f64, t: f64) {
         let now_ms = self.day_now_ms(now);
         let mut told = Vec::new();
         for &j in &self.jobs.live {
             let job = &self.jobs[j];
-            if job.told_largest || !job.open() || job.at_fault() {
+            if job.large_job_reported || !job.is_open() || job.at_fault() {
                 continue;
             }
-            let waited_s = now_ms.saturating_sub(job.freed_ms) / 1000;
+            let waited_s = now_ms.saturating_sub(job.ready_at_ms) / 1000;
             let begun = job.started > 0 || job.done > 0;
             if !begun && waited_s <= PROMISED_S {
                 continue;
             }
             // What an earlier owner saw begin, or wait for too long, it has told.
-            let earlier =
-                job.since <= self.began && (waited_s.saturating_sub((now - self.began) as u64) > PROMISED_S || begun);
-            let one = self.largest.goes_after_s(&job.spec).is_some() && !earlier;
+            let earlier = job.known_since <= self.began_at
+                && (waited_s.saturating_sub((now - self.began_at) as u64) > PROMISED_S || begun);
+            let one = self.large_jobs.goes_after_s(&job.spec).is_some() && !earlier;
             told.push((j, one.then_some(begun && waited_s <= PROMISED_S)));
         }
         for (j, served) in told {
             let job = &mut self.jobs[j];
-            job.told_largest = true;
+            job.large_job_reported = true;
             if let Some(served) = served {
                 if !served {
                     log::warn!("{} is among the largest of {} and has not begun in time", job.id, job.spec.class);
                 }
                 let (class, team) = (job.spec.class.clone(), job.spec.team.clone());
-                self.book.answered(&class, &team, Reading::Largest, served, t);
+                self.service_level_tracker.answered(&class, &team, Reading::Largest, served, t);
             }
         }
     }
 
     /// The first part of this job's tasks, if it is to go ahead of other batch work now.
-    pub(crate) fn first_part(&self, j: JobIx, now_ms: u64) -> Option<u32> {
+    pub(crate) fn initial_allocation(&self, j: JobIndex, now_ms: u64) -> Option<u32> {
         let job = &self.jobs[j];
-        let waited_s = now_ms.saturating_sub(job.freed_ms) / 1000;
-        if waited_s < BEGINS_AFTER_S || job.spec.priority == Priority::Production || job.at_fault() {
+        let waited_s = now_ms.saturating_sub(job.ready_at_ms) / 1000;
+        if waited_s < LARGE_JOB_WAIT_S || job.spec.priority == Priority::Production || job.at_fault() {
             return None;
         }
-        let over_s = waited_s.checked_sub(self.largest.goes_after_s(&job.spec)?)?;
+        let over_s = waited_s.checked_sub(self.large_jobs.goes_after_s(&job.spec)?)?;
         let tasks = job.spec.tasks;
-        let goes = match over_s / NEXT_PART_S {
-            0 => tasks.div_ceil(FIRST_PART),
+        let goes = match over_s / NEXT_ALLOCATION_S {
+            0 => tasks.div_ceil(INITIAL_ALLOCATION_DIVISOR),
             1 => tasks.div_ceil(2),
             _ => tasks,
         };
@@ -195,19 +199,19 @@
     }
 
     /// A batch task starts that takes so many cpus.
-    pub(crate) fn largest_started(&mut self, cpus: f64, first_part: bool) {
+    pub(crate) fn on_batch_task_started(&mut self, cpus: f64, first_part: bool) {
         let change = if first_part { -cpus } else { cpus * SHARE };
-        self.largest.credit = (self.largest.credit + change).min(MOST_CREDIT);
+        self.large_jobs.credit = (self.large_jobs.credit + change).min(MOST_CREDIT);
     }
 
     /// What is set apart for first parts, in cpus.
-    pub(crate) fn first_parts_may_take(&self) -> f64 {
-        self.largest.credit
+    pub(crate) fn initial_allocation_credit(&self) -> f64 {
+        self.large_jobs.credit
     }
 
     /// Will its team's limit let a task of this job run once the team's other batch work is over? Where
     /// services hold too much of the limit nothing must wait for it: it would wait for ever.
-    pub(crate) fn limit_will_do(&self, j: JobIx) -> bool {
+    pub(crate) fn limit_will_suffice(&self, j: JobIndex) -> bool {
         let job = &self.jobs[j];
         let team = &self.teams[job.team.ix()].spec;
         let services = self.jobs.live.iter().map(|i| &self.jobs[*i]).filter(|o| o.team == job.team && o.is_service());
@@ -215,24 +219,24 @@
             let n = f64::from(o.assigned);
             (c + n * o.spec.cpus, g + n * o.spec.cards)
         });
-        let fits = |max: f64, held: f64, need: f64| max <= 0.0 || held + need <= max + EPS;
+        let fits = |max: f64, held: f64, need: f64| max <= 0.0 || held + need <= max + EPSILON;
         fits(team.cpus_max, cpus, job.spec.cpus) && fits(team.cards_max, cards, job.spec.cards)
     }
 
     /// No machine has room for a task of this job: one is kept free of other batch work until it has.
     /// What may be stopped for it there is stopped.
-    pub(crate) fn keep_machine(&mut self, j: JobIx, now: f64) {
+    pub(crate) fn reserve_machine(&mut self, j: JobIndex, now: f64) {
         let job = &self.jobs[j];
-        let kept = self.largest.kept.iter().find(|(_, k)| k.0 == j).map(|(m, _)| *m);
-        let most = (self.machines.present.len() / KEPT_SHARE).max(1);
-        if self.largest.in_a_row.in_break(now) || kept.is_none() && self.largest.kept.len() >= most {
+        let kept = self.large_jobs.kept.iter().find(|(_, k)| k.0 == j).map(|(m, _)| *m);
+        let most = (self.machines.present.len() / MACHINES_PER_RESERVATION).max(1);
+        if self.large_jobs.spell.in_break(now) || kept.is_none() && self.large_jobs.kept.len() >= most {
             return;
         }
-        let heartbeat_timeout_s = self.fresh_s();
+        let heartbeat_timeout_s = self.recent_heartbeat_s();
         let could = |m: &crate::fleet::Machine| {
             !m.in_on_demand_base
                 && m.is_usable(now, heartbeat_timeout_s)
-                && may_run_beside(self, job, m, job.assigned, job.in_zone(m.zone))
+                && may_run_beside(self, job, m, job.assigned, job.assigned_in_zone(m.zone))
                 && type_fits(&job.spec, self.types.get(m.machine_type))
         };
         // Until what must be waited for there is over, in seconds, about.
@@ -245,54 +249,54 @@
             .fold(0.0, f64::max)
         };
         let m = kept.filter(|m| could(&self.machines[*m])).or_else(|| {
-            let all = self.machines.iter().filter(|(i, m)| could(m) && !self.largest.kept.contains_key(i));
+            let all = self.machines.iter().filter(|(i, m)| could(m) && !self.large_jobs.kept.contains_key(i));
             // One with services never clears: kept, it would only be lost to everybody.
             let clears = all.map(|(i, m)| (clears(m), i)).filter(|c| c.0.is_finite());
             clears.min_by(|a, b| a.0.total_cmp(&b.0)).map(|o| o.1)
         });
         let Some(m) = m else { return };
-        self.largest.in_a_row.kept(now);
+        self.large_jobs.spell.kept(now);
         if kept != Some(m) {
-            self.largest.kept.retain(|_, k| k.0 != j);
+            self.large_jobs.kept.retain(|_, k| k.0 != j);
             log::info!("machine {} is kept for {}", self.machines[m].name, self.jobs[j].id);
-            self.largest.kept.insert(m, (j, now));
+            self.large_jobs.kept.insert(m, (j, now));
         }
         let priority = self.jobs[j].spec.priority;
         let gives = |k: &TaskKey, h: &Assignment| h.stop_grace_s.is_none() && self.jobs[k.0].spec.priority > priority;
         let gives: Vec<TaskKey> =
             self.machines[m].assignments.iter().filter(|(k, h)| gives(k, h)).map(|(k, _)| *k).collect();
-        if self.writable {
+        if self.state_service_writable {
             gives.into_iter().for_each(|k| self.stop_gently(m, k));
         }
     }
 
     /// Is this machine kept for another job than this one?
-    pub(crate) fn kept_from(&self, m: MachineIx, j: JobIx) -> bool {
-        self.largest.kept.get(&m).is_some_and(|k| k.0 != j)
+    pub(crate) fn is_reserved_for_other(&self, m: MachineIndex, j: JobIndex) -> bool {
+        self.large_jobs.kept.get(&m).is_some_and(|k| k.0 != j)
     }
 
     /// Its team's limit is kept for a large job, if there is no break.
-    pub(crate) fn keep_limit(&mut self, now: f64) -> bool {
-        let may_keep = !self.largest.in_a_row.in_break(now);
+    pub(crate) fn reserve_limit(&mut self, now: f64) -> bool {
+        let may_keep = !self.large_jobs.spell.in_break(now);
         if may_keep {
-            self.largest.in_a_row.kept(now);
+            self.large_jobs.spell.kept(now);
         }
         may_keep
     }
 
     /// Machines are kept for jobs that still wait for them, and for a while; once a pass.
-    pub(crate) fn look_at_kept(&mut self, now: f64) {
-        if !self.largest.in_a_row.may_keep(now) {
-            self.largest.kept.clear();
+    pub(crate) fn expire_reservations(&mut self, now: f64) {
+        if !self.large_jobs.spell.may_keep(now) {
+            self.large_jobs.kept.clear();
         }
         let (jobs, machines) = (&self.jobs, &self.machines);
-        self.largest.kept.retain(|m, (j, since)| {
-            let waits = jobs.get(*j).is_some_and(|j| j.open() && j.unfinished() > j.assigned);
+        self.large_jobs.kept.retain(|m, (j, since)| {
+            let waits = jobs.get(*j).is_some_and(|j| j.is_open() && j.unfinished() > j.assigned);
             let there = machines.list.get(*m).is_some_and(|m| m.phase == MachinePhase::Up && !m.cordoned);
-            waits && there && now - *since < KEPT_FOR_S
+            waits && there && now - *since < RESERVATION_TIMEOUT_S
         });
-        if !self.largest.kept.is_empty() {
-            self.largest.in_a_row.kept(now);
+        if !self.large_jobs.kept.is_empty() {
+            self.large_jobs.spell.kept(now);
         }
     }
 }
--- a/crates/scheduler/src/shard/live_attempts.rs
+++ b/crates/scheduler/src/shard/live_attempts.rs
@@ -6,7 +6,7 @@
 
 use super::Shard;
 use crate::fleet::{UnassignedAttempt, UnrecognizedAttempt};
-use crate::intern::{JobIx, MachineIx};
+use crate::intern::{JobIndex, MachineIndex};
 use crate::jobs::{TaskKey, TaskSlot};
 use std::collections::{BTreeSet, HashMap};
 
@@ -14,19 +14,19 @@
 #[derive(Debug, Default)]
 pub(super) struct LiveAttemptIndex {
     /// Machines that list an orphaned attempt of the task.
-    orphaned: HashMap<TaskKey, BTreeSet<MachineIx>>,
+    orphaned: HashMap<TaskKey, BTreeSet<MachineIndex>>,
     /// Machines that list attempts of an unknown job, or whose stored records name it.
-    unrecognized_jobs: HashMap<String, BTreeSet<MachineIx>>,
+    unrecognized_jobs: HashMap<String, BTreeSet<MachineIndex>>,
     /// Until when nothing may start of an unknown job, which a record names that could not be taken in.
     deferred_jobs: HashMap<String, f64>,
 }
 
 impl LiveAttemptIndex {
-    pub(super) fn insert_orphan(&mut self, key: TaskKey, m: MachineIx) {
+    pub(super) fn insert_orphan(&mut self, key: TaskKey, m: MachineIndex) {
         self.orphaned.entry(key).or_default().insert(m);
     }
 
-    pub(super) fn remove_orphan(&mut self, key: TaskKey, m: MachineIx) {
+    pub(super) fn remove_orphan(&mut self, key: TaskKey, m: MachineIndex) {
         if let Some(machines) = self.orphaned.get_mut(&key) {
             machines.remove(&m);
             if machines.is_empty() {
@@ -36,15 +36,15 @@
     }
 
     /// A machine that lists an orphaned attempt of this task.
-    pub(super) fn machine_listing_orphan(&self, key: &TaskKey) -> Option<MachineIx> {
+    pub(super) fn machine_listing_orphan(&self, key: &TaskKey) -> Option<MachineIndex> {
         self.orphaned.get(key).and_then(|machines| machines.first().copied())
     }
 
-    pub(super) fn note_possible_holder(&mut self, job: &str, m: MachineIx) {
+    pub(super) fn note_possible_holder(&mut self, job: &str, m: MachineIndex) {
         self.unrecognized_jobs.entry(job.to_owned()).or_default().insert(m);
     }
 
-    pub(super) fn clear_possible_holder(&mut self, job: &str, m: MachineIx) {
+    pub(super) fn clear_possible_holder(&mut self, job: &str, m: MachineIndex) {
         if let Some(machines) = self.unrecognized_jobs.get_mut(job) {
             machines.remove(&m);
             if machines.is_empty() {
@@ -61,7 +61,7 @@
 
 impl Shard {
     /// A job came to be known after machines were heard or restored that hold or may hold tasks of it.
-    pub(super) fn resolve_unrecognized_job(&mut self, j: JobIx, now: f64) {
+    pub(super) fn resolve_unrecognized_job(&mut self, j: JobIndex, now: f64) {
         let id = self.jobs[j].id.clone();
         if let Some(until) = self.live_attempts.deferred_jobs.remove(&*id) {
             let job = &mut self.jobs[j];
@@ -74,20 +74,20 @@
     }
 
     /// The stored record of an unresolved machine names the job, which was not known when it was read.
-    fn block_until_reconciled(&mut self, m: MachineIx, j: JobIx) {
+    fn block_until_reconciled(&mut self, m: MachineIndex, j: JobIndex) {
         let job = &mut self.jobs[j];
         let Some(machine) = self.machines.list.get_mut(m) else { return };
         let before = machine.unrecognized_jobs.len();
         machine.unrecognized_jobs.retain(|id| *id != job.id);
         let named = machine.unrecognized_jobs.len() < before;
-        if named && job.open() && !machine.is_reconciled() && machine.stored_jobs.insert(j) {
+        if named && job.is_open() && !machine.is_reconciled() && machine.stored_jobs.insert(j) {
             job.unreconciled_machines += 1;
-            job.recorded = true;
+            job.recorded_before_failover = true;
         }
     }
 
     /// Attempts of the job that the machine lists, and that were of no known task until now.
-    fn settle_unrecognized_attempts(&mut self, m: MachineIx, j: JobIx, now: f64) {
+    fn settle_unrecognized_attempts(&mut self, m: MachineIndex, j: JobIndex, now: f64) {
         let Some(machine) = self.machines.list.get_mut(m) else { return };
         let id = self.jobs[j].id.clone();
         let of_job = |unknown: &UnrecognizedAttempt| unknown.job().is_some_and(|(job, _)| *job == *id);
@@ -104,7 +104,7 @@
     /// is not queued.
     pub(super) fn adopt_orphan_of_free_slot(&mut self, key: TaskKey) -> bool {
         let job = &self.jobs[key.0];
-        let free = job.open() && job.tasks.get(key.1 as usize) == Some(&TaskSlot::Queued);
+        let free = job.is_open() && job.tasks.get(key.1 as usize) == Some(&TaskSlot::Queued);
         let Some(m) = self.live_attempts.machine_listing_orphan(&key).filter(|_| free) else { return false };
         let Some(&(attempt, UnassignedAttempt::Orphaned(state))) = self.machines[m].unassigned.get(&key) else {
             return false;
@@ -112,7 +112,7 @@
         if self.machines[m].assignments.contains_key(&key) {
             return false;
         }
-        self.settle_unassigned_attempt(m, key, attempt, state, self.ticked);
+        self.settle_unassigned_attempt(m, key, attempt, state, self.ticked_at);
         true
     }
 }
--- a/crates/scheduler/src/shard/machine_monitor.rs
+++ b/crates/scheduler/src/shard/machine_monitor.rs
@@ -5,7 +5,7 @@
 use super::sizing::HEARTBEAT_JITTER;
 use super::task_failures::QUARANTINE_S;
 use crate::fleet::{MAX_MISSED_ACKNOWLEDGEMENTS, Phase as MachinePhase};
-use crate::intern::MachineIx;
+use crate::intern::MachineIndex;
 use crate::times::stretched;
 
 /// A machine that is there answers a direct question sooner than this.
@@ -31,7 +31,7 @@
         let responses = self.responses(now);
         self.suspected_partition = responses.suspected_partition();
         self.probe_suspected_zones(&responses, now);
-        let all: Vec<MachineIx> = self.machines.present.iter().copied().collect();
+        let all: Vec<MachineIndex> = self.machines.present.iter().copied().collect();
         for i in all {
             self.check_machine(i, &responses, now);
         }
@@ -45,7 +45,7 @@
             }
             log::info!("{} of {} machines in zone {} are mute", h.unresponsive, h.up, self.types.zones.name(zone));
             self.zones_probed_at.insert(zone, now);
-            let here: Vec<MachineIx> = self
+            let here: Vec<MachineIndex> = self
                 .machines
                 .iter()
                 .filter(|(_, m)| m.zone == zone && m.phase == MachinePhase::Up && !m.suspected)
@@ -58,7 +58,7 @@
         }
     }
 
-    fn check_machine(&mut self, i: MachineIx, responses: &FleetResponsiveness, now: f64) {
+    fn check_machine(&mut self, i: MachineIndex, responses: &FleetResponsiveness, now: f64) {
         let m = &self.machines[i];
         if !m.suspected && m.phase == MachinePhase::Up && self.heartbeat_age(m, now) > self.probe_after_s() {
             self.probe(i);
@@ -83,7 +83,7 @@
         }
     }
 
-    fn check_lease(&mut self, i: MachineIx, now: f64) {
+    fn check_lease(&mut self, i: MachineIndex, now: f64) {
         let lease = stretched(self.lease_s);
         let m = &self.machines[i];
         let over = m.lease_renewed_at.map_or(f64::MIN, |t| t + lease).max(m.reconcile_deadline.unwrap_or(f64::MIN));
@@ -95,7 +95,7 @@
 
     /// A start that was withdrawn and lost counts against its team's limit for as long as it may be carried
     /// out, and a cancelled one can't be made to end any more: only without the machine is it surely gone.
-    fn cordon_for_lost_start(&mut self, m: MachineIx, now: f64) {
+    fn cordon_for_lost_start(&mut self, m: MachineIndex, now: f64) {
         let machine = &mut self.machines[m];
         if machine.phase == MachinePhase::Up && !machine.cordoned && machine.lost_start_before(now - self.lease_s) {
             log::info!("machine {} is to be replaced: a start that was withdrawn may still arrive there", machine.name);
@@ -103,7 +103,7 @@
         }
     }
 
-    fn check_boot(&mut self, i: MachineIx, now: f64) {
+    fn check_boot(&mut self, i: MachineIndex, now: f64) {
         let m = &self.machines[i];
         let boot = self.types.get(m.machine_type).boot_s;
         if m.cordoned && now - m.first_seen_at > LEAST_PAID_S {
@@ -119,7 +119,7 @@
     }
 
     /// Gives a machine up that is lost, faulty or not needed any more.
-    fn check_running_machine(&mut self, i: MachineIx, responses: &FleetResponsiveness, now: f64) {
+    fn check_running_machine(&mut self, i: MachineIndex, responses: &FleetResponsiveness, now: f64) {
         let m = &self.machines[i];
         let quiet = self.heartbeat_age(m, now);
         let taken = m.reclaimed_at.is_some_and(|t| now > t + 1.0)
@@ -138,9 +138,9 @@
         let emptied = m.cordoned && m.is_empty() && m.is_reconciled();
         let paid = now - m.first_seen_at > LEAST_PAID_S;
         if !emptied {
-            self.kept_no_more(i);
+            self.clear_idle_since(i);
         }
-        let emptied = emptied && self.not_kept_for_others(i, now) && paid;
+        let emptied = emptied && self.may_return_idle_machine(i, now) && paid;
         let m = &self.machines[i];
         if m.phase != MachinePhase::Up {
             return;
@@ -162,7 +162,7 @@
     /// One that does not answer when it is asked need not be waited for until a
     /// second report is overdue: what hangs or is cut off counts as down from its
     /// first moment, and was replaced after 11 to 18 s.
-    fn is_given_up(&self, i: MachineIx, responses: &FleetResponsiveness, now: f64) -> bool {
+    fn is_given_up(&self, i: MachineIndex, responses: &FleetResponsiveness, now: f64) -> bool {
         let m = &self.machines[i];
         let quiet = self.heartbeat_age(m, now);
         let zone_asked = self.zones_probed_at.get(&m.zone).is_some_and(|t| now - t < self.report_s);
@@ -181,7 +181,7 @@
     }
 
     /// Asks a machine directly whether it is there. Until it answers, nothing is started on it.
-    pub(super) fn probe(&mut self, m: MachineIx) {
+    pub(super) fn probe(&mut self, m: MachineIndex) {
         self.machines[m].suspected = true;
         self.machines.push_due.insert(m);
     }
--- a/crates/scheduler/src/shard/machine_records.rs
+++ b/crates/scheduler/src/shard/machine_records.rs
@@ -5,85 +5,90 @@
 
 impl Shard {
     /// The machine is recorded by its rack, or gone: no other value needs to name it.
-    pub(crate) fn recorded_or_gone(&mut self, m: MachineIx) {
-        for key in std::mem::take(&mut self.machines[m].old_values) {
-            if self.racks.left_old_value(&key, m) {
-                self.cleanup.insert(key.to_string());
+    pub(crate) fn release_superseded_values(&mut self, m: MachineIndex) {
+        for key in std::mem::take(&mut self.machines[m].superseded_values) {
+            if self.machine_groups.remove_superseded(&key, m) {
+                self.stale_keys.insert(key.to_string());
             }
         }
     }
 
     /// Parts a rack whose value does not fit: its halves are stored first, then it goes.
-    pub(super) fn split_rack(&mut self, r: RackIx) {
-        let Some(rack) = self.racks.list.remove(&r) else { return };
-        self.racks_due.remove(&r);
-        let key: Arc<str> = rack_key(r).into();
+    pub(super) fn split_group(&mut self, r: MachineGroupIndex) {
+        let Some(machine_group) = self.machine_groups.list.remove(&r) else { return };
+        self.dirty_groups.remove(&r);
+        let key: Arc<str> = machine_group_key(r).into();
         let stored = self.versions.contains_key(&*key);
-        let members: Vec<MachineIx> = rack.members.iter().copied().collect();
+        let members: Vec<MachineIndex> = machine_group.members.iter().copied().collect();
         for half in members.chunks(members.len().div_ceil(2)) {
-            let i = self.racks.set_apart((rack.ty, rack.zone, rack.spot), half.iter().copied().collect());
+            let i = self.machine_groups.new_closed_group(
+                (machine_group.ty, machine_group.zone, machine_group.spot),
+                half.iter().copied().collect(),
+            );
             for &m in half {
-                self.machines[m].rack = Some(i);
+                self.machines[m].machine_group = Some(i);
                 if stored {
-                    self.names_too(&key, m);
+                    self.note_superseding_value(&key, m);
                 }
             }
-            self.rack_due(i);
+            self.mark_group_dirty(i);
         }
     }
 
     /// Makes room for names where machines have room for tasks: a rack that is nearly full is
     /// written anew, without the jobs that are over, and parted if that was not enough.
-    pub(super) fn ease_racks(&mut self) {
+    pub(super) fn compact_groups(&mut self) {
         let mut crowded = Vec::new();
         let value_bytes = self.value_bytes;
-        self.racks.list.values_mut().for_each(|r| r.at_ease(value_bytes));
-        for (&i, rack) in &self.racks.list {
-            let waits = self.racks_due.contains(&i) || self.in_flight.contains(&rack_key(i));
-            let takes = |m: &MachineIx| {
+        self.machine_groups.list.values_mut().for_each(|r| r.reset_compaction(value_bytes));
+        for (&i, machine_group) in &self.machine_groups.list {
+            let waits = self.dirty_groups.contains(&i) || self.in_flight.contains(&machine_group_key(i));
+            let takes = |m: &MachineIndex| {
                 let m = &self.machines[*m];
                 let free = self.types.get(m.machine_type).cpus - m.cpus_used;
-                m.phase == MachinePhase::Up && m.is_reconciled() && !m.cordoned && free + EPS >= self.service_cpus
+                m.phase == MachinePhase::Up && m.is_reconciled() && !m.cordoned && free + EPSILON >= self.service_cpus
             };
-            if rack.cramped(self.value_bytes) && !waits && rack.members.iter().any(takes) {
+            if machine_group.is_nearly_full(self.value_bytes) && !waits && machine_group.members.iter().any(takes) {
                 crowded.push(i);
             }
         }
         for i in crowded {
-            if self.racks.list.get_mut(&i).is_some_and(|r| r.look_through()) {
-                log::debug!("{} has no room for more names: parted", rack_key(i));
-                self.split_rack(i);
+            if self.machine_groups.list.get_mut(&i).is_some_and(|r| r.begin_compaction()) {
+                log::debug!("{} has no room for more names: parted", machine_group_key(i));
+                self.split_group(i);
             } else {
-                self.rack_due(i);
+                self.mark_group_dirty(i);
             }
         }
     }
 
     /// The machine's record is to be written again, with those of its rack.
-    pub fn want_record(&mut self, m: MachineIx) {
-        let rack = self.rack_of(m);
-        self.rack_due(rack);
+    pub fn request_record(&mut self, m: MachineIndex) {
+        let machine_group = self.group_of_machine(m);
+        self.mark_group_dirty(machine_group);
     }
 
     /// The rack whose value records this machine; it joins one if it has none.
-    pub(super) fn rack_of(&mut self, m: MachineIx) -> RackIx {
+    pub(super) fn group_of_machine(&mut self, m: MachineIndex) -> MachineGroupIndex {
         let value_bytes = self.value_bytes;
         let machine = &mut self.machines.list[m.ix()];
         let sort = (machine.machine_type, machine.zone, machine.spot);
-        *machine.rack.get_or_insert_with(|| self.racks.join(m, sort, value_bytes))
+        *machine.machine_group.get_or_insert_with(|| self.machine_groups.join(m, sort, value_bytes))
     }
 
-    pub(crate) fn rack_due(&mut self, r: RackIx) {
-        self.racks_due.insert(r);
-        if let Some(rack) = self.racks.list.get_mut(&r) {
-            rack.due(self.ticked);
+    pub(crate) fn mark_group_dirty(&mut self, r: MachineGroupIndex) {
+        self.dirty_groups.insert(r);
+        if let Some(machine_group) = self.machine_groups.list.get_mut(&r) {
+            machine_group.mark_dirty(self.ticked_at);
         }
     }
 
     /// Can this machine's record name one more job?
-    pub(crate) fn record_has_room(&self, m: &crate::fleet::Machine, j: JobIx, id: &str) -> bool {
+    pub(crate) fn record_has_space(&self, m: &crate::fleet::Machine, j: JobIndex, id: &str) -> bool {
         m.stored_jobs.contains(&j)
             || m.assignments.range((j, 0)..=(j, u32::MAX)).next().is_some()
-            || m.rack.and_then(|r| self.racks.list.get(&r)).is_none_or(|r| r.has_room(j, id, self.value_bytes))
+            || m.machine_group
+                .and_then(|r| self.machine_groups.list.get(&r))
+                .is_none_or(|r| r.has_space_for(j, id, self.value_bytes))
     }
 }
--- a/crates/scheduler/src/shard/machine_transfers.rs
+++ b/crates/scheduler/src/shard/machine_transfers.rs
@@ -3,49 +3,49 @@
 
 use super::Shard;
 use crate::fleet::Phase as MachinePhase;
-use crate::fleet::machine_groups::{RackMachine, rack_key};
-use crate::intern::{MachineIx, RackIx};
-use lupinspur_cells::CellIx;
-use lupinspur_cells::machine_transfer::Handed;
+use crate::fleet::machine_groups::{MachineGroupMember, machine_group_key};
+use crate::intern::{MachineGroupIndex, MachineIndex};
+use lupinspur_cells::ShardId;
+use lupinspur_cells::machine_transfer::TransferredMachine;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Machines that go in one value, at the most.
-const MOST_HANDED: usize = 64;
+const MAX_TRANSFERRED: usize = 64;
 
 #[derive(Debug, Default)]
-pub(super) struct Glue {
+pub(super) struct MachineTransfers {
     /// Seconds for which a machine that is not needed is kept for other cells before it is returned.
     hold_s: f64,
     /// The leader's word: what is not needed goes there, up to so many cpus.
-    order: Option<(CellIx, f64)>,
+    order: Option<(ShardId, f64)>,
     /// Since when machines that are not needed stand empty.
-    empty_since: BTreeMap<MachineIx, f64>,
+    idle_since: BTreeMap<MachineIndex, f64>,
     /// Set aside for that cell, until it is stored that they are its own.
-    chosen: BTreeMap<MachineIx, CellIx>,
+    outgoing: BTreeMap<MachineIndex, ShardId>,
     /// Machines of other cells, and the values stored here that may still name them.
-    named: BTreeMap<String, BTreeSet<String>>,
+    still_named_by: BTreeMap<String, BTreeSet<String>>,
     /// Machines that stand in a value on its way to this cell: they go nowhere else before that is over.
     arriving: BTreeSet<String>,
     /// Machines that stand in a value on its way from this cell, whatever the records here still say.
-    away: BTreeSet<String>,
+    transferred_away: BTreeSet<String>,
 }
 
-impl Glue {
-    pub(super) fn new(away: BTreeSet<String>) -> Glue {
-        Glue { away, ..Glue::default() }
+impl MachineTransfers {
+    pub(super) fn new(away: BTreeSet<String>) -> MachineTransfers {
+        MachineTransfers { transferred_away: away, ..MachineTransfers::default() }
     }
 }
 
 impl Shard {
     /// There are other cells: what is not needed is kept for them for so long, in seconds, and goes to
     /// `order` if there is one. Without other cells nothing changes.
-    pub fn set_order(&mut self, order: Option<(CellIx, f64)>, hold_s: f64) {
-        (self.hands.order, self.hands.hold_s) = (order, hold_s);
+    pub fn set_rebalance_order(&mut self, order: Option<(ShardId, f64)>, hold_s: f64) {
+        (self.transfers.order, self.transfers.hold_s) = (order, hold_s);
     }
 
     /// Nothing is on this machine, nothing that was said to it can yet start anything there, and no
     /// value besides its rack's names it.
-    fn is_bare(&self, m: MachineIx) -> bool {
+    fn is_transferable(&self, m: MachineIndex) -> bool {
         let x = &self.machines[m];
         x.phase == MachinePhase::Up
             && x.is_reconciled()
@@ -56,50 +56,50 @@
             && x.unassigned.is_empty()
             && x.unacknowledged_starts.is_empty()
             && x.unrecognized_attempts.is_empty()
-            && x.old_values.is_empty()
+            && x.superseded_values.is_empty()
             && x.reclaimed_at.is_none()
             && !x.is_quarantined()
-            && !self.hands.arriving.contains(&*x.name)
+            && !self.transfers.arriving.contains(&*x.name)
     }
 
     /// May this machine, which is empty and not needed, be returned now? Where there are other cells it
     /// is kept for them for a moment, and set aside if the leader says so.
-    pub(super) fn not_kept_for_others(&mut self, m: MachineIx, now: f64) -> bool {
-        if self.hands.hold_s <= 0.0 {
+    pub(super) fn may_return_idle_machine(&mut self, m: MachineIndex, now: f64) -> bool {
+        if self.transfers.hold_s <= 0.0 {
             return true;
         }
-        let since = *self.hands.empty_since.entry(m).or_insert(now);
+        let since = *self.transfers.idle_since.entry(m).or_insert(now);
         let cpus = self.types.get(self.machines[m].machine_type).cpus;
-        if let Some((to, left)) = self.hands.order
+        if let Some((to, left)) = self.transfers.order
             // A whole machine for a part of one: else a cell that is short by less would wait for ever.
             && left > 0.0
-            && self.hands.chosen.len() < MOST_HANDED
-            && self.is_bare(m)
+            && self.transfers.outgoing.len() < MAX_TRANSFERRED
+            && self.is_transferable(m)
         {
-            self.hands.order = Some((to, left - cpus));
-            self.hands.chosen.insert(m, to);
+            self.transfers.order = Some((to, left - cpus));
+            self.transfers.outgoing.insert(m, to);
             self.machines[m].phase = MachinePhase::Draining;
             return false;
         }
-        now - since > self.hands.hold_s
+        now - since > self.transfers.hold_s
     }
 
     /// It is needed again.
-    pub(super) fn kept_no_more(&mut self, m: MachineIx) {
-        self.hands.empty_since.remove(&m);
+    pub(super) fn clear_idle_since(&mut self, m: MachineIndex) {
+        self.transfers.idle_since.remove(&m);
     }
 
     /// Cpus of machines that other cells may have.
     pub(super) fn idle_cpus(&self) -> f64 {
-        let bare = self.hands.empty_since.keys().filter(|m| self.is_bare(**m));
+        let bare = self.transfers.idle_since.keys().filter(|m| self.is_transferable(**m));
         bare.map(|m| self.types.get(self.machines[*m].machine_type).cpus).sum()
     }
 
     /// What was set aside for other cells, as the next owner has to know it.
-    pub fn set_aside(&self) -> Vec<(CellIx, Handed)> {
-        let handed = |(m, to): (&MachineIx, &CellIx)| {
+    pub fn pending_transfers(&self) -> Vec<(ShardId, TransferredMachine)> {
+        let handed = |(m, to): (&MachineIndex, &ShardId)| {
             let x = &self.machines[*m];
-            let handed = Handed {
+            let handed = TransferredMachine {
                 machine: x.name.to_string(),
                 addr: x.addr.map(|a| a.to_string()).unwrap_or_default(),
                 type_name: self.types.names.name(x.machine_type).to_string(),
@@ -108,67 +108,67 @@
             };
             (*to, handed)
         };
-        self.hands.chosen.iter().map(handed).collect()
+        self.transfers.outgoing.iter().map(handed).collect()
     }
 
     /// These machines stand in values on their way from this cell: all of them, each time.
-    pub fn gave_away<'a>(&mut self, machines: impl Iterator<Item = &'a Handed> + Clone) {
-        self.hands.away = machines.clone().map(|h| h.machine.clone()).collect();
-        self.handed(machines, true);
+    pub fn on_transfers_published<'a>(&mut self, machines: impl Iterator<Item = &'a TransferredMachine> + Clone) {
+        self.transfers.transferred_away = machines.clone().map(|h| h.machine.clone()).collect();
+        self.on_transfer_outcome(machines, true);
     }
 
-    pub(super) fn is_away(&self, machine: &str) -> bool {
-        self.hands.away.contains(machine)
+    pub(super) fn is_transferred_away(&self, machine: &str) -> bool {
+        self.transfers.transferred_away.contains(machine)
     }
 
     /// It is stored that these are another cell's, or it is not: then they stay.
-    pub fn handed<'a>(&mut self, machines: impl Iterator<Item = &'a Handed>, stored: bool) {
+    pub fn on_transfer_outcome<'a>(&mut self, machines: impl Iterator<Item = &'a TransferredMachine>, stored: bool) {
         for h in machines {
             let Some(m) = self.machines.find(&h.machine) else { continue };
-            if self.hands.chosen.remove(&m).is_none() {
+            if self.transfers.outgoing.remove(&m).is_none() {
                 continue;
             }
-            self.hands.empty_since.remove(&m);
+            self.transfers.idle_since.remove(&m);
             let machine = &mut self.machines[m];
             if !stored {
                 machine.phase = MachinePhase::Up;
                 continue;
             }
-            let mut values: BTreeSet<String> = machine.old_values.iter().map(|k| k.to_string()).collect();
-            values.extend(machine.rack.map(rack_key));
+            let mut values: BTreeSet<String> = machine.superseded_values.iter().map(|k| k.to_string()).collect();
+            values.extend(machine.machine_group.map(machine_group_key));
             // What neither stands nor is under way names nobody.
             values.retain(|k| self.versions.contains_key(k) || self.in_flight.contains(k));
             if !values.is_empty() {
-                self.hands.named.insert(h.machine.clone(), values);
+                self.transfers.still_named_by.insert(h.machine.clone(), values);
             }
-            self.take_out(m);
+            self.remove_from_shard(m);
             // Whoever asks is told that it is not known here; should it come back it is a new one.
             self.machines.forget_name(m);
         }
     }
 
     /// May a value that is stored here still name this machine, which went to another cell?
-    pub fn still_names(&self, machine: &str) -> bool {
-        self.hands.named.contains_key(machine)
+    pub fn may_be_named_in_records(&self, machine: &str) -> bool {
+        self.transfers.still_named_by.contains_key(machine)
     }
 
     /// A machine in a value that an earlier owner stored: is it another cell's by now?
-    pub(super) fn went_away(&mut self, x: &RackMachine, r: RackIx) -> bool {
-        let away = self.hands.away.contains(&x.machine);
+    pub(super) fn skip_if_transferred(&mut self, x: &MachineGroupMember, r: MachineGroupIndex) -> bool {
+        let away = self.transfers.transferred_away.contains(&x.machine);
         if away {
-            self.hands.named.entry(x.machine.clone()).or_default().insert(rack_key(r));
+            self.transfers.still_named_by.entry(x.machine.clone()).or_default().insert(machine_group_key(r));
         }
         away
     }
 
     /// This value stands with just these machines in it; with none it is gone, or as good as that.
-    pub(super) fn value_names(&mut self, key: &str, machines: &[MachineIx]) {
-        if self.hands.named.is_empty() {
+    pub(super) fn on_group_value_stored(&mut self, key: &str, machines: &[MachineIndex]) {
+        if self.transfers.still_named_by.is_empty() {
             return;
         }
         let names: BTreeSet<&str> =
             machines.iter().filter_map(|m| self.machines.list.get(*m)).map(|m| &*m.name).collect();
-        self.hands.named.retain(|name, values| {
+        self.transfers.still_named_by.retain(|name, values| {
             if !names.contains(name.as_str()) {
                 values.remove(key);
             }
@@ -179,14 +179,14 @@
     /// Machines that come from another cell, empty. They are asked for a report with our token
     /// before anything is started on them, and recorded so that whoever owns next knows them.
     /// All that are on their way, each time: what was taken in before is left as it is.
-    pub fn take_in<'a>(&mut self, machines: impl Iterator<Item = &'a Handed>, now: f64) {
-        self.hands.arriving.clear();
+    pub fn receive_machines<'a>(&mut self, machines: impl Iterator<Item = &'a TransferredMachine>, now: f64) {
+        self.transfers.arriving.clear();
         for h in machines {
-            self.hands.arriving.insert(h.machine.clone());
+            self.transfers.arriving.insert(h.machine.clone());
             if let Some(m) = self.machines.find(&h.machine) {
                 // It may have come by itself, before the word of it.
-                if self.machines[m].phase == MachinePhase::Up && self.machines[m].rack.is_none() {
-                    self.want_record(m);
+                if self.machines[m].phase == MachinePhase::Up && self.machines[m].machine_group.is_none() {
+                    self.request_record(m);
                 }
                 continue;
             }
@@ -198,12 +198,12 @@
             machine.addr = h.addr.parse().ok();
             machine.phase = MachinePhase::Up;
             self.machines.push_due.insert(m);
-            self.want_record(m);
+            self.request_record(m);
         }
     }
 
     /// Does this machine stand in a stored value of this cell, or is it gone?
-    pub fn settled(&self, machine: &str) -> bool {
+    pub fn is_recorded_or_gone(&self, machine: &str) -> bool {
         self.machines.find(machine).is_none_or(|m| {
             let x = &self.machines[m];
             x.record_stored || x.phase == MachinePhase::Gone
--- a/crates/scheduler/src/shard/mod.rs
+++ b/crates/scheduler/src/shard/mod.rs
@@ -34,49 +34,49 @@
 mod writes;
 mod zone_pinned;
 
-pub use admission::{Unfit, judge, type_fits};
-pub use checkpointing::{Found, job_of};
+pub use admission::{AdmissionError, check_admission, type_fits};
+pub use checkpointing::{LoadedCheckpoint, parse_job_record};
 pub use cloud_calls::CloudCall;
 pub use commands::{PushOutcome, PushRequest};
 pub use elastic::{ElasticReport, bound as elastic_bound};
-pub use failover::Loaded;
+pub use failover::LoadedState;
 pub use heartbeats::HeartbeatOutcome;
 pub use permission::{Forbidden, Lapsed};
 pub use quotas::{LoadedQuotas, QuotaReport, Quotas, Row as QuotaRow, fits_values, team_limits};
-pub use rebalancing::limits;
+pub use rebalancing::team_limits_by_name;
 pub use service_levels::{ACCOUNTS_PREFIX, Prospect, handed};
 pub use summary::Counts;
-pub use writes::{What, Write};
+pub use writes::{PendingWrite, WritePurpose};
 
-use crate::dependency_graph::Graph;
+use crate::dependency_graph::DependencyGraph;
 use crate::fleet::launch::Launches;
-use crate::fleet::machine_groups::{RackMachine, RackRecord, Racks, rack_key};
+use crate::fleet::machine_groups::{MachineGroupMember, MachineGroupRecord, MachineGroups, machine_group_key};
 use crate::fleet::mixture::{Mixture, Target};
 use crate::fleet::zones::ZoneLists;
 use crate::fleet::{
     Assignment, AssignmentState, CachedImage, MachineRecord, Machines, Phase as MachinePhase, PushUrgency, Types,
 };
-use crate::intern::{Index, JobIx, MachineIx, Names, RackIx, TeamIx, TypeIx, ZoneIx};
+use crate::intern::{Index, JobIndex, MachineGroupIndex, MachineIndex, Names, TeamIndex, TypeIndex, ZoneIndex};
 use crate::jobs::{Job, JobRecord, Jobs, PART_PREFIX, PROGRESS_PREFIX, Phase, ProgressRecord, TaskKey, TaskSlot};
 use crate::params::{Params, Team, Tuning};
 use crate::times::stretched;
 use crate::wire::{JobState, Kind, MachineType};
-use lupinspur_accounts::Book;
-use lupinspur_accounts::underserved::Sunk;
+use lupinspur_accounts::ServiceLevelTracker;
+use lupinspur_accounts::underserved::Underserved;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
 
 /// What the owner can say of a job that it knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Shown {
+pub enum JobView {
     /// Its state, tasks done and tasks running.
-    Told(JobState, u64, u64),
+    Visible(JobState, u64, u64),
     /// Its final state is being stored, and is stored or not: nothing can be told.
-    Settling,
+    Committing,
 }
 
-pub const EPS: f64 = 1e-6;
+pub const EPSILON: f64 = 1e-6;
 
 #[derive(Debug)]
 pub struct TeamState {
@@ -113,51 +113,51 @@
 
 pub struct Shard {
     pub token: u64,
-    pub began: f64,
+    pub began_at: f64,
     pub jobs: Jobs,
-    pub graph: Graph,
+    pub dependencies: DependencyGraph,
     /// The stored records are being read: what they doom was doomed some time ago.
-    loading: bool,
+    loading_records: bool,
     pub machines: Machines,
     pub types: Types,
     pub teams: Vec<TeamState>,
     pub quotas: Option<Quotas>,
     /// What each class and team asked for and was served.
-    pub book: Book,
+    pub service_level_tracker: ServiceLevelTracker,
     /// Who has sunk below the floor, as of the last look.
-    pub sunk: Sunk,
+    pub underserved: Underserved,
     /// Where arrays may be elastic: their sizes.
     elastic: Option<elastic::ElasticPool>,
     elastic_looked: f64,
     /// Something that was to be placed found no place in the last pass.
-    pub(crate) others_wait: bool,
-    accounts: service_levels::Glue,
-    recovery: checkpointing::Glue,
+    pub(crate) others_waiting: bool,
+    service_levels: service_levels::ServiceLevelReporter,
+    checkpointer: checkpointing::Checkpointer,
     live_attempts: live_attempts::LiveAttemptIndex,
-    pub team_names: Names<TeamIx>,
-    pub pools: BTreeMap<TypeIx, Pool>,
+    pub team_names: Names<TeamIndex>,
+    pub pools: BTreeMap<TypeIndex, Pool>,
     pub launches: Launches,
     pub tuning: Tuning,
     /// Whether the state service answers: while it does not, nothing that needs a
     /// write afterwards is begun.
-    pub writable: bool,
+    pub state_service_writable: bool,
     /// No earlier owner recorded any machine.
-    fresh: bool,
-    ticked: f64,
+    is_first_leader: bool,
+    ticked_at: f64,
     /// When it last began to act again after a pause.
-    resumed: f64,
+    resumed_at: f64,
     /// When a tick last came late: the processor had more to do than it could.
-    late_at: f64,
+    late_tick_at: f64,
     /// The stages of this takeover that were not told yet: when all was known, when the first
     /// task was started.
-    stages: failover::Stages,
-    takeover_log: failover::TakeoverLog,
+    failover_stages: failover::FailoverStages,
+    failover_log: failover::FailoverLog,
     /// Most machines were asked whether they are there, and did not answer.
     pub(crate) suspected_partition: bool,
     /// Has the cloud told this owner which machines there are?
-    pub(crate) list_read: bool,
+    pub(crate) machine_list_read: bool,
     /// When all machines of a zone were last asked whether they are there.
-    zones_probed_at: BTreeMap<ZoneIx, f64>,
+    zones_probed_at: BTreeMap<ZoneIndex, f64>,
     /// The time of day at the steady clock's zero, in milliseconds.
     pub day_ms: f64,
     pub report_s: f64,
@@ -169,97 +169,97 @@
     value_bytes: usize,
     attempts: u64,
     versions: HashMap<String, u64>,
-    departed: moved_jobs::Departed,
+    moved_jobs: moved_jobs::MovedJobs,
     in_flight: HashSet<String>,
-    finals: BTreeSet<JobIx>,
+    pending_ends: BTreeSet<JobIndex>,
     /// When a cancellation that follows from another one was last written in its turn.
-    eased_at: f64,
-    pub(crate) racks: Racks,
+    cascade_throttled_at: f64,
+    pub(crate) machine_groups: MachineGroups,
     /// Racks whose value is to be written: before planned starts may go out, or because it
     /// names machines that are gone, which a successor would take for machines that may
     /// hold anything. By number, the
     /// later ones once waited for a quarter of a minute while the first were written again
-    /// and again: see [`crate::fleet::racks::Rack::turn`].
-    racks_due: BTreeSet<RackIx>,
-    progress_due: BTreeSet<JobIx>,
+    /// and again: see [`crate::fleet::machine_groups::MachineGroup::turn`].
+    dirty_groups: BTreeSet<MachineGroupIndex>,
+    progress_due: BTreeSet<JobIndex>,
     progress_at: f64,
-    cleanup: BTreeSet<String>,
+    stale_keys: BTreeSet<String>,
     fleet_stored: FleetRecord,
     fleet_at: f64,
-    pub(crate) place_due: bool,
+    pub(crate) placement_due: bool,
     /// Cpus set apart for batch work that is late, see placement.
     pub(crate) late_credit: f64,
     /// So many services at limits were looked up before, in the order of their turns.
-    pub(crate) limits_looked_up: usize,
-    largest: large_jobs::Largest,
-    compared: consistency::Glue,
+    pub(crate) limits_examined: usize,
+    large_jobs: large_jobs::LargeJobReservations,
+    consistency: consistency::ConsistencyChecker,
     /// Machines between this cell and others.
-    hands: machine_transfers::Glue,
+    transfers: machine_transfers::MachineTransfers,
     /// Pairs of a job and a machine that were looked at: what placing costs.
-    pub looked_at: u64,
+    pub pairs_examined: u64,
     pub counts: Counts,
-    watched_at: f64,
+    machines_checked_at: f64,
     /// Where the next search for tasks to move goes on.
-    move_from: MachineIx,
+    eviction_cursor: MachineIndex,
     pub(crate) service_cpus: f64,
-    looked_again_at: f64,
-    sized_at: f64,
-    moved_at: f64,
-    deletes: BTreeSet<MachineIx>,
+    placement_requested_at: f64,
+    fleet_sized_at: f64,
+    evicted_at: f64,
+    machines_to_delete: BTreeSet<MachineIndex>,
     fleet_to_restore: Option<FleetRecord>,
     machines_to_restore: Vec<(String, MachineRecord)>,
-    racks_to_restore: Vec<(RackIx, RackRecord, u64)>,
-    taken_in: Vec<(String, RackRecord, u64)>,
+    groups_to_restore: Vec<(MachineGroupIndex, MachineGroupRecord, u64)>,
+    merged_groups: Vec<(String, MachineGroupRecord, u64)>,
 }
 
 /// Stops a job's tasks gently enough to save.
-const GRACE_EXTRA_S: f64 = 2.0;
+const STOP_GRACE_MARGIN_S: f64 = 2.0;
 /// Longer between two ticks, and this owner was not entitled to act in between.
-const PAUSE_S: f64 = 1.0;
+const PROCESS_PAUSE_S: f64 = 1.0;
 /// Ticks come ten times a second and more often: one so late waited for the processor.
-const LATE_S: f64 = 0.6;
+const LATE_TICK_S: f64 = 0.6;
 /// Ticks come as often as there is something to place; machines change more slowly.
-const WATCH_EVERY_S: f64 = 0.09;
+const MACHINE_CHECK_INTERVAL_S: f64 = 0.09;
 /// How often waiting work is looked at where nothing else changes.
-const LOOK_AGAIN_EVERY_S: f64 = 5.0;
+const PLACEMENT_RETRY_INTERVAL_S: f64 = 5.0;
 
 impl Shard {
     /// Takes in a job that the state service holds.
-    pub fn add_job(&mut self, r: JobRecord, version: u64, now: f64) -> Option<JobIx> {
+    pub fn add_job(&mut self, r: JobRecord, version: u64, now: f64) -> Option<JobIndex> {
         let key = crate::jobs::job_key(&r.job.id);
-        if self.departed.is_outdated(&key, version) {
+        if self.moved_jobs.is_outdated(&key, version) {
             return None;
         }
         let known = self.versions.entry(key).or_insert(version);
         *known = (*known).max(version);
         if let Some(j) = self.jobs.find(&r.job.id) {
             // Our own write, whose answer comes later or never: nobody else ends jobs of ours.
-            if self.jobs[j].final_sent && self.jobs[j].wanted == r.phase {
-                self.end_stands(j, r.phase, now);
+            if self.jobs[j].end_write_sent && self.jobs[j].desired_phase == r.phase {
+                self.on_end_committed(j, r.phase, now);
             }
             return Some(j);
         }
         let Some(team) = self.team_names.find(&r.job.team) else {
             log::error!("job {} names unknown team {}", r.job.id, r.job.team);
-            self.cannot_take_in(&crate::jobs::job_key(&r.job.id));
+            self.mark_unreadable_record(&crate::jobs::job_key(&r.job.id));
             return None;
         };
         if r.job.kind == Kind::Service {
             self.service_cpus = self.service_cpus.max(r.job.cpus);
         }
-        self.place_due = true;
+        self.placement_due = true;
         let j = self.jobs.add(r, team, now);
-        self.size_came(j);
-        self.remember(j, now);
+        self.record_job_size(j);
+        self.checkpoint_job(j, now);
         self.elastic_enter(j);
-        self.enter(j, now);
+        self.register_dependencies(j, now);
         self.account_due(j);
         self.resolve_unrecognized_job(j, now);
         Some(j)
     }
 
     /// What a user may be told of a job, if it is known here.
-    pub fn show(&self, id: &str) -> Option<Shown> {
+    pub fn job_view(&self, id: &str) -> Option<JobView> {
         let ix = self.jobs.find(id)?;
         let j = &self.jobs[ix];
         // Another node may have read the final phase already, and told it: a slow answer
@@ -267,10 +267,15 @@
         // that it needs may be told neither as it was, long after that one's user was told, nor as
         // cancelled before that is stored. After a takeover that holds until all that it needs is read.
         let open = j.phase == Phase::Open;
-        if open && (j.final_sent || j.leaving || j.doomed.is_some() || self.waits_for_unread(ix)) {
-            return Some(Shown::Settling);
+        if open
+            && (j.end_write_sent
+                || j.moving_away
+                || j.cascade_cancelled_at.is_some()
+                || self.waits_for_unread_dependency(ix))
+        {
+            return Some(JobView::Committing);
         }
-        Some(Shown::Told(j.state(), u64::from(j.done), u64::from(j.running)))
+        Some(JobView::Visible(j.state(), u64::from(j.done), u64::from(j.running)))
     }
 
     /// A user wants the job cancelled. The answer waits until that is stored.
@@ -278,16 +283,16 @@
         let Some(j) = self.jobs.find(id) else { return false };
         let job = &mut self.jobs[j];
         // On its way to another cell: that one cancels it, if it gets there.
-        if job.leaving {
+        if job.moving_away {
             return true;
         }
-        if job.wanted == Phase::Open {
-            job.wanted = Phase::Cancelled;
-            self.finals.insert(j);
+        if job.desired_phase == Phase::Open {
+            job.desired_phase = Phase::Cancelled;
+            self.pending_ends.insert(j);
             self.stop_all(j);
         }
         // Its user waits for the answer now, whatever else it is cancelled for.
-        let doomed = &mut self.jobs[j].doomed;
+        let doomed = &mut self.jobs[j].cascade_cancelled_at;
         *doomed = doomed.map(|_| f64::MIN);
         true
     }
@@ -298,19 +303,19 @@
     }
 
     /// A machine heard within this is surely still there.
-    pub(crate) fn fresh_s(&self) -> f64 {
+    pub(crate) fn recent_heartbeat_s(&self) -> f64 {
         self.report_s * 1.6
     }
 
     /// How long a machine has been silent, not counting what this owner could not hear
     /// because it was not entitled to answer.
     pub(crate) fn heartbeat_age(&self, m: &crate::fleet::Machine, now: f64) -> f64 {
-        now - m.last_heartbeat_at.max(self.resumed)
+        now - m.last_heartbeat_at.max(self.resumed_at)
     }
 
     /// How long this machine has sent this owner no report by itself, counted in the same way.
     pub(crate) fn own_heartbeat_age(&self, m: &crate::fleet::Machine, now: f64) -> f64 {
-        now - m.own_heartbeat_at.max(self.resumed)
+        now - m.own_heartbeat_at.max(self.resumed_at)
     }
 
     /// Is no worker heard at all, though several should report? Of a machine that the cloud does not list
@@ -322,54 +327,54 @@
         let limit = if self.suspected_partition { self.report_s / 2.0 + 1.0 } else { self.report_s * 1.25 + 2.0 };
         let mut expected = 0;
         for (_, m) in self.machines.iter().filter(|(_, m)| m.phase == MachinePhase::Up) {
-            expected += usize::from(!self.list_read || m.listed && m.missed_listings == 0);
+            expected += usize::from(!self.machine_list_read || m.listed && m.missed_listings == 0);
             if self.heartbeat_age(m, now) < limit {
                 return false;
             }
         }
-        expected >= 3 && now - self.began > self.report_s * 1.25 + 2.0
+        expected >= 3 && now - self.began_at > self.report_s * 1.25 + 2.0
     }
 
     pub fn tick(&mut self, now: f64) {
-        if now - self.ticked > LATE_S {
-            self.late_at = now;
+        if now - self.ticked_at > LATE_TICK_S {
+            self.late_tick_at = now;
         }
-        if now - self.ticked > PAUSE_S {
-            self.resumed = now;
+        if now - self.ticked_at > PROCESS_PAUSE_S {
+            self.resumed_at = now;
         }
-        self.ticked = now;
+        self.ticked_at = now;
         self.keep_accounts(now);
         self.sweep(now);
-        self.compare(now);
+        self.check_consistency(now);
         self.keep_elastic(now);
-        if now - self.watched_at >= WATCH_EVERY_S {
-            self.watched_at = now;
+        if now - self.machines_checked_at >= MACHINE_CHECK_INTERVAL_S {
+            self.machines_checked_at = now;
             self.check_machines(now);
         }
         // Time alone changes what waiting work may take.
-        if self.others_wait && now - self.looked_again_at >= LOOK_AGAIN_EVERY_S {
-            self.looked_again_at = now;
-            self.place_due = true;
+        if self.others_waiting && now - self.placement_requested_at >= PLACEMENT_RETRY_INTERVAL_S {
+            self.placement_requested_at = now;
+            self.placement_due = true;
         }
-        if now - self.sized_at >= 0.5 && self.types.known() {
-            self.sized_at = now;
+        if now - self.fleet_sized_at >= 0.5 && self.types.known() {
+            self.fleet_sized_at = now;
             self.size_fleet(now);
-            self.ease_racks();
-            self.quota_gives_way();
-            self.tell_stages(now);
+            self.compact_groups();
+            self.preempt_over_quota();
+            self.log_failover_stages(now);
         }
         self.place_waiting(now);
     }
 
     /// Places what waits, if anything changed that it could be waiting for.
     pub fn place_waiting(&mut self, now: f64) {
-        if std::mem::take(&mut self.place_due) {
+        if std::mem::take(&mut self.placement_due) {
             crate::shard::placement::place(self, now);
         }
     }
 
     /// Backed-off jobs and returning machines deserve another look now and then.
-    pub fn look_again(&mut self) {
-        self.place_due = true;
+    pub fn request_placement(&mut self) {
+        self.placement_due = true;
     }
 }
--- a/crates/scheduler/src/shard/moved_jobs.rs
+++ b/crates/scheduler/src/shard/moved_jobs.rs
@@ -6,7 +6,7 @@
 /// Longer than any watch or request lasts.
 const KEPT_S: f64 = 900.0;
 
-struct Departure {
+struct MovedJob {
     /// The version of the record that the move replaced.
     replaced: u64,
     at: f64,
@@ -14,18 +14,18 @@
 
 /// What departed lately, by the key of its record.
 #[derive(Default)]
-pub(super) struct Departed {
-    by_key: HashMap<String, Departure>,
+pub(super) struct MovedJobs {
+    by_key: HashMap<String, MovedJob>,
     cleaned_at: f64,
 }
 
-impl Departed {
+impl MovedJobs {
     pub(super) fn note(&mut self, key: String, replaced: u64, now: f64) {
         if now - self.cleaned_at > KEPT_S {
             self.cleaned_at = now;
             self.by_key.retain(|_, d| now - d.at <= KEPT_S);
         }
-        self.by_key.insert(key, Departure { replaced, at: now });
+        self.by_key.insert(key, MovedJob { replaced, at: now });
     }
 
     /// Is this a record of before the job went?
--- a/crates/scheduler/src/shard/permission.rs
+++ b/crates/scheduler/src/shard/permission.rs
@@ -3,7 +3,7 @@
 
 use super::{PushRequest, Shard};
 use crate::fleet::{Assignment, Phase as MachinePhase};
-use crate::intern::MachineIx;
+use crate::intern::MachineIndex;
 use crate::jobs::{Phase, TaskKey, TaskSlot};
 use crate::wire::CommandKind;
 
@@ -58,9 +58,9 @@
     }
 
     /// May this task be started on this machine? What a start rests on, asked once more before it is held.
-    pub fn may_start(&self, m: MachineIx, key: TaskKey) -> Result<(), Forbidden> {
+    pub fn may_start(&self, m: MachineIndex, key: TaskKey) -> Result<(), Forbidden> {
         let (job, machine) = (&self.jobs[key.0], &self.machines[m]);
-        if job.phase != Phase::Open || job.wanted != Phase::Open || job.leaving {
+        if job.phase != Phase::Open || job.desired_phase != Phase::Open || job.moving_away {
             Err(Forbidden::JobOver)
         } else if job.tasks.get(key.1 as usize) != Some(&TaskSlot::Queued) {
             Err(Forbidden::NotQueued)
@@ -72,7 +72,7 @@
             Err(Forbidden::StartUnacknowledged)
         } else if self.live_attempts.machine_listing_orphan(&key).is_some() {
             Err(Forbidden::Occupied)
-        } else if self.graph.waits(key.0) {
+        } else if self.dependencies.is_waiting(key.0) {
             Err(Forbidden::DependenciesUnmet)
         } else {
             Ok(())
--- a/crates/scheduler/src/shard/placement/bin_packing.rs
+++ b/crates/scheduler/src/shard/placement/bin_packing.rs
@@ -2,17 +2,17 @@
 
 use super::SERVICE_ROOM;
 use crate::fleet::Machine;
-use crate::intern::{MachineIx, ZoneIx};
+use crate::intern::{MachineIndex, ZoneIndex};
 use crate::jobs::Job;
-use crate::shard::{EPS, Shard};
+use crate::shard::{EPSILON, Shard};
 use crate::wire::Priority;
 use std::collections::HashMap;
 
 /// Seconds for which work that may not use spot machines leaves that room to services.
-const BASE_PATIENCE_S: f64 = 20.0;
+const ON_DEMAND_BASE_WAIT_S: f64 = 20.0;
 /// Seconds after which a job of which nothing runs may take that room with one task at a time: nobody waits for
 /// 90 s beside a machine that fits, also not the rest of a job of which a part is done.
-const LONGEST_BESIDE_ROOM_S: f64 = 75.0;
+const MAX_WAIT_BESIDE_CAPACITY_S: f64 = 75.0;
 /// Seconds that a service gains on a machine of the base, and batch work off it.
 const BASE_WORTH_S: f64 = 4.0;
 /// Seconds of fetching that a spot machine is worth more than an on-demand one.
@@ -28,35 +28,41 @@
 
 /// Would one task of this job fit on the machine, all constraints counted?
 pub fn fits(s: &Shard, job: &Job, m: &Machine) -> bool {
-    fits_beside(s, job, m, job.assigned, job.in_zone(m.zone))
+    fits_beside(s, job, m, job.assigned, job.assigned_in_zone(m.zone))
 }
 
 /// Would a task that leaves a machine in zone `from` fit on this one? It does not
 /// stand in its own way: else replicas that must be spread could not change machines
 /// within their zone.
-pub(super) fn fits_after_leaving(s: &Shard, job: &Job, m: &Machine, from: ZoneIx) -> bool {
-    let in_zone = job.in_zone(m.zone);
+pub(super) fn fits_after_leaving(s: &Shard, job: &Job, m: &Machine, from: ZoneIndex) -> bool {
+    let in_zone = job.assigned_in_zone(m.zone);
     let itself = u32::from(m.zone == from);
     fits_beside(s, job, m, job.assigned.saturating_sub(1), in_zone.saturating_sub(itself))
 }
 
 /// Could another machine take a task of this job from `leaving`, with no fetch?
-pub fn taken_at_once(s: &Shard, job: &Job, leaving: MachineIx, now: f64) -> bool {
-    taken_by(s, job, leaving, &Promised::default(), now).is_some()
+pub fn has_alternative_machine(s: &Shard, job: &Job, leaving: MachineIndex, now: f64) -> bool {
+    alternative_machine(s, job, leaving, &Promised::default(), now).is_some()
 }
 
 /// Cpus that machines are to give to tasks that are about to leave others.
-pub type Promised = HashMap<MachineIx, f64>;
+pub type Promised = HashMap<MachineIndex, f64>;
 
 /// The machine that could, besides what was promised already.
-pub fn taken_by(s: &Shard, job: &Job, leaving: MachineIx, promised: &Promised, now: f64) -> Option<MachineIx> {
+pub fn alternative_machine(
+    s: &Shard,
+    job: &Job,
+    leaving: MachineIndex,
+    promised: &Promised,
+    now: f64,
+) -> Option<MachineIndex> {
     let from = s.machines[leaving].zone;
-    let takes = |i: MachineIx, m: &Machine| {
+    let takes = |i: MachineIndex, m: &Machine| {
         let promised = promised.get(&i).copied().unwrap_or(0.0);
         i != leaving
-            && m.cpus_used + promised + job.spec.cpus <= s.types.get(m.machine_type).cpus + EPS
+            && m.cpus_used + promised + job.spec.cpus <= s.types.get(m.machine_type).cpus + EPSILON
             && job.image.is_none_or(|image| m.has_image(image))
-            && m.is_usable(now, s.fresh_s())
+            && m.is_usable(now, s.recent_heartbeat_s())
             && fits_after_leaving(s, job, m, from)
     };
     s.machines.iter().find(|(i, m)| takes(*i, m)).map(|(i, _)| i)
@@ -75,15 +81,15 @@
     allows(s, job, m)
         && in_zone < job.zone_limit()
         && !(job.spec.one_zone && held > in_zone)
-        && s.record_has_room(m, job.ix, &job.id)
+        && s.record_has_space(m, job.index, &job.id)
 }
 
 pub(super) fn fits_beside(s: &Shard, job: &Job, m: &Machine, held: u32, in_zone: u32) -> bool {
     let t = s.types.get(m.machine_type);
     let spec = &job.spec;
-    let has_room = m.cpus_used + spec.cpus <= t.cpus + EPS
-        && m.cards_used + spec.cards <= t.cards + EPS
-        && m.memory_used + spec.memory_gb <= t.memory_gb + EPS;
+    let has_room = m.cpus_used + spec.cpus <= t.cpus + EPSILON
+        && m.cards_used + spec.cards <= t.cards + EPSILON
+        && m.memory_used + spec.memory_gb <= t.memory_gb + EPSILON;
     has_room && may_run_beside(s, job, m, held, in_zone)
 }
 
@@ -92,26 +98,26 @@
 /// ever, beside room that no service asked for.
 pub(super) fn may_fill_base(s: &Shard, job: &Job) -> bool {
     // In its cell; what came from another one has waited there, too, or each move would cost it all patience.
-    let age_s = s.day_now_ms(s.ticked).saturating_sub(job.freed_ms) as f64 / 1000.0;
-    let waited_s = if job.moves > 0 { age_s } else { s.ticked - job.since };
+    let age_s = s.day_now_ms(s.ticked_at).saturating_sub(job.ready_at_ms) as f64 / 1000.0;
+    let waited_s = if job.moves > 0 { age_s } else { s.ticked_at - job.known_since };
     let nothing_runs = job.assigned == 0;
     job.spec.priority == Priority::Production
-        || !job.spec.spot && waited_s > BASE_PATIENCE_S
-        || nothing_runs && waited_s > LONGEST_BESIDE_ROOM_S
+        || !job.spec.spot && waited_s > ON_DEMAND_BASE_WAIT_S
+        || nothing_runs && waited_s > MAX_WAIT_BESIDE_CAPACITY_S
 }
 
 /// Does the machine keep enough room for services if batch work takes this?
 pub(super) fn leaves_room(s: &Shard, job: &Job, m: &Machine) -> bool {
     !m.in_on_demand_base
         || may_fill_base(s, job)
-        || m.cpus_used + job.spec.cpus + SERVICE_ROOM * s.service_cpus <= s.types.get(m.machine_type).cpus + EPS
+        || m.cpus_used + job.spec.cpus + SERVICE_ROOM * s.service_cpus <= s.types.get(m.machine_type).cpus + EPSILON
 }
 
 /// Lower is better: seconds lost, roughly.
 pub(super) fn cost(s: &Shard, job: &Job, m: &Machine) -> f64 {
     let t = s.types.get(m.machine_type);
     let fetch = job.image.map_or(0.0, |i| m.remaining_fetch_gb(i, job.spec.image_gb) / t.fetch_gb_per_s.max(0.01));
-    let full = m.cpus_used / t.cpus.max(EPS);
+    let full = m.cpus_used / t.cpus.max(EPSILON);
     // Of an array that others wait for, one task that is lost with its spot machine holds
     // up the whole pipeline: on-demand machines that are there anyway are preferred.
     let dear = match job.spec.spot && !m.spot {
@@ -132,22 +138,22 @@
 /// Does this job leave the machine out for now, because it failed there lately or one of its replicas is leaving it?
 /// It goes elsewhere than where it failed, if there is anywhere else. The others may be full, or in zones that
 /// it may not use: so not for ever.
-pub(super) fn avoids(s: &Shard, job: &Job, m: MachineIx, now: f64) -> bool {
+pub(super) fn avoids(s: &Shard, job: &Job, m: MachineIndex, now: f64) -> bool {
     let lately = now - job.failed_at < AVOIDS_FAILED_FOR_S;
     let elsewhere = lately && !job.at_fault() && job.failed_on.len() < s.machines.present.len();
-    elsewhere && job.failed_on.contains(&m) || job.avoid.is_some_and(|(a, until)| a == m && now <= until)
+    elsewhere && job.failed_on.contains(&m) || job.avoided_machine.is_some_and(|(a, until)| a == m && now <= until)
 }
 
 /// May an earlier start of this very task yet arrive on the machine? What became of that one can't be forgotten in
 /// this session, and the machine takes no second attempt beside it.
-pub(super) fn barred(m: &Machine, key: &crate::jobs::TaskKey) -> bool {
+pub(super) fn has_unacknowledged_start(m: &Machine, key: &crate::jobs::TaskKey) -> bool {
     m.unacknowledged_starts.contains_key(key)
 }
 
 /// Machines that could take this job, the best first, of those that have any room.
-pub(super) fn options(s: &Shard, job: &Job, roomy: &[MachineIx], now: f64) -> Vec<(f64, MachineIx)> {
-    let again = |i: MachineIx| if job.failed_on.contains(&i) { FAILED_THERE_S } else { 0.0 };
-    let mut out: Vec<(f64, MachineIx)> = roomy
+pub(super) fn options(s: &Shard, job: &Job, roomy: &[MachineIndex], now: f64) -> Vec<(f64, MachineIndex)> {
+    let again = |i: MachineIndex| if job.failed_on.contains(&i) { FAILED_THERE_S } else { 0.0 };
+    let mut out: Vec<(f64, MachineIndex)> = roomy
         .iter()
         .map(|&i| (i, &s.machines[i]))
         .filter(|(i, m)| fits(s, job, m) && leaves_room(s, job, m) && !avoids(s, job, *i, now))
--- a/crates/scheduler/src/shard/placement/limits.rs
+++ b/crates/scheduler/src/shard/placement/limits.rs
@@ -1,15 +1,15 @@
 //! Whether tasks stay within their team's limit, with all that machines not heard yet may hold.
 
-use crate::intern::{Index, MachineIx};
+use crate::intern::{Index, MachineIndex};
 use crate::jobs::Job;
-use crate::shard::{EPS, Shard};
+use crate::shard::{EPSILON, Shard};
 
 /// Cpus that machines with an unknown load may be using of a team's limit.
-pub(super) fn shadow(s: &Shard) -> f64 {
+pub(super) fn unreconciled_cpus(s: &Shard) -> f64 {
     s.machines.iter().filter(|(_, m)| !m.is_reconciled()).map(|(_, m)| s.types.get(m.machine_type).cpus).sum()
 }
 
-pub(super) fn shadow_cards(s: &Shard) -> f64 {
+pub(super) fn unreconciled_accelerators(s: &Shard) -> f64 {
     s.machines.iter().filter(|(_, m)| !m.is_reconciled()).map(|(_, m)| s.types.get(m.machine_type).cards).sum()
 }
 
@@ -19,16 +19,17 @@
         return false;
     }
     let team = &s.teams[job.team.ix()];
-    let ok =
-        |max: f64, used: f64, need: f64, shadow: f64| max <= 0.0 || need <= 0.0 || used + need + shadow <= max + EPS;
+    let ok = |max: f64, used: f64, need: f64, shadow: f64| {
+        max <= 0.0 || need <= 0.0 || used + need + shadow <= max + EPSILON
+    };
     ok(team.spec.cpus_max, team.cpus_used, job.spec.cpus, shadow.0)
         && ok(team.spec.cards_max, team.cards_used, job.spec.cards, shadow.1)
 }
 
 /// Would so many tasks of this job find room on these machines together, within its limits?
-pub(super) fn fits_at_once(s: &Shard, job: &Job, options: &[(f64, MachineIx)], n: u32, shadow: (f64, f64)) -> bool {
+pub(super) fn fits_at_once(s: &Shard, job: &Job, options: &[(f64, MachineIndex)], n: u32, shadow: (f64, f64)) -> bool {
     let r = &job.spec;
-    let many = |free: f64, need: f64| if need > 0.0 { (free + EPS) / need } else { f64::from(n) };
+    let many = |free: f64, need: f64| if need > 0.0 { (free + EPSILON) / need } else { f64::from(n) };
     let team = &s.teams[job.team.ix()];
     let left = |max: f64, used: f64, unseen: f64| if max > 0.0 { max - used - unseen } else { f64::INFINITY };
     let within = many(left(team.spec.cpus_max, team.cpus_used, shadow.0), r.cpus)
@@ -37,7 +38,7 @@
     if within.floor() < f64::from(n) {
         return false;
     }
-    let on = |&(_, i): &(f64, MachineIx)| {
+    let on = |&(_, i): &(f64, MachineIndex)| {
         let (m, t) = (&s.machines[i], s.types.get(s.machines[i].machine_type));
         let most = many(t.cpus - m.cpus_used, r.cpus).min(many(t.memory_gb - m.memory_used, r.memory_gb));
         most.min(many(t.cards - m.cards_used, r.cards)).max(0.0).floor()
--- a/crates/scheduler/src/shard/placement/mod.rs
+++ b/crates/scheduler/src/shard/placement/mod.rs
@@ -5,8 +5,8 @@
 //! the image are preferred.
 //!
 //! - [`pass`]: one pass over all that waits
-//! - [`turns`]: the order in which jobs get machines
-//! - [`fitting`]: which machines could take a task, and which is best
+//! - [`queue_order`]: the order in which jobs get machines
+//! - [`bin_packing`]: which machines could take a task, and which is best
 //! - [`limits`]: whether tasks stay within their team's limit
 //! - [`unplaceable`]: work that fits nowhere, and room that no work may take
 //! - [`room`]: room for services, made by stopping other work
@@ -19,9 +19,9 @@
 mod unplaceable;
 
 pub(super) use bin_packing::may_run_beside;
-pub use bin_packing::{Promised, allows, fits, taken_at_once, taken_by};
+pub use bin_packing::{Promised, allows, alternative_machine, fits, has_alternative_machine};
 pub use pass::place;
-pub(super) use unplaceable::room_unusable_here;
+pub(super) use unplaceable::unusable_capacity;
 
 /// Cpu room on a machine of the on-demand base that batch work leaves to services, in their tasks.
 const SERVICE_ROOM: f64 = 4.0;
