--- a/crates/scheduler/src/shard/placement/preemption.rs
+++ b/crates/scheduler/src/shard/placement/preemption.rs
@@ -1,46 +1,51 @@
 //! Room for services: work of lower priority is stopped, or a replica goes elsewhere.
 
-use super::bin_packing::{avoids, barred, cost, may_run_beside, options, taken_at_once};
-use super::queue_order::Turn;
+use super::bin_packing::{avoids, cost, has_alternative_machine, has_unacknowledged_start, may_run_beside, options};
+use super::queue_order::QueuedTurn;
 use crate::fleet::{AssignmentState, Machine};
-use crate::intern::{JobIx, MachineIx};
+use crate::intern::{JobIndex, MachineIndex};
 use crate::jobs::{Job, TaskKey};
-use crate::shard::{EPS, Shard, type_fits};
+use crate::shard::{EPSILON, Shard, type_fits};
 use std::collections::HashMap;
 
 /// Seconds that a task of a surplus counts for where room is made; any other counts for one.
-const SURPLUS_WORTH_S: f64 = 0.1;
+const SURPLUS_COST_S: f64 = 0.1;
 /// Most replicas for which another machine is looked for before one moves.
-const MOST_MOVES_TRIED: usize = 16;
+const MAX_MIGRATIONS_TRIED: usize = 16;
 
 /// Would a task of this job start now, or be made room for, if its limit let it?
-pub(super) fn has_place(s: &Shard, turn: &Turn, roomy: &[MachineIx], now: f64) -> bool {
-    !options(s, &s.jobs[turn.job], roomy, now).is_empty() || room_for(s, turn, false, now).is_some()
+pub(super) fn could_be_placed(s: &Shard, turn: &QueuedTurn, roomy: &[MachineIndex], now: f64) -> bool {
+    !options(s, &s.jobs[turn.job], roomy, now).is_empty() || cheapest_preemption(s, turn, false, now).is_some()
 }
 
 /// Stops work of lower priority where that lets a task of this job start, on one
 /// machine a pass; `with_image`: only where its image is. True if room is coming.
-pub(super) fn make_room(s: &mut Shard, turn: &Turn, with_image: bool, now: f64) -> bool {
-    if !s.writable {
+pub(super) fn preempt_for(s: &mut Shard, turn: &QueuedTurn, with_image: bool, now: f64) -> bool {
+    if !s.state_service_writable {
         return false;
     }
-    let Some((m, victims)) = room_for(s, turn, with_image, now) else {
-        return with_image && move_replica(s, turn.job, now);
+    let Some((m, victims)) = cheapest_preemption(s, turn, with_image, now) else {
+        return with_image && migrate_replica(s, turn.job, now);
     };
     for k in victims {
         log::debug!("{}/{} makes room", s.jobs[k.0].id, k.1);
-        s.give_room(m, k);
+        s.preempt(m, k);
     }
     true
 }
 
 /// Where that would cost least, and what would be stopped there.
-fn room_for(s: &Shard, turn: &Turn, with_image: bool, now: f64) -> Option<(MachineIx, Vec<TaskKey>)> {
+fn cheapest_preemption(
+    s: &Shard,
+    turn: &QueuedTurn,
+    with_image: bool,
+    now: f64,
+) -> Option<(MachineIndex, Vec<TaskKey>)> {
     let job = &s.jobs[turn.job];
-    let heartbeat_timeout_s = s.fresh_s();
+    let heartbeat_timeout_s = s.recent_heartbeat_s();
     let surpluses = s.surpluses();
-    let next = job.queue.front().map(|task| (turn.job, *task));
-    let mut options: Vec<(f64, MachineIx, Vec<TaskKey>)> = Vec::new();
+    let next = job.queued_tasks.front().map(|task| (turn.job, *task));
+    let mut options: Vec<(f64, MachineIndex, Vec<TaskKey>)> = Vec::new();
     for (i, m) in s.machines.iter() {
         // Of services nothing can be stopped; the cheap questions come first.
         if m.service_tasks == m.assignments.len() && s.types.get(m.machine_type).cpus < m.cpus_used + job.spec.cpus
@@ -53,13 +58,13 @@
         // Room where the job may not run is no room for it: it would be waited for without end.
         let t = s.types.get(m.machine_type);
         if !type_fits(&job.spec, t)
-            || !may_run_beside(s, job, m, job.assigned, job.in_zone(m.zone))
+            || !may_run_beside(s, job, m, job.assigned, job.assigned_in_zone(m.zone))
             || avoids(s, job, i, now)
-            || next.is_some_and(|key| barred(m, &key))
+            || next.is_some_and(|key| has_unacknowledged_start(m, &key))
         {
             continue;
         }
-        if let Some((cost, victims)) = room_on(s, job, m, &surpluses) {
+        if let Some((cost, victims)) = preemption_on(s, job, m, &surpluses) {
             options.push((cost, i, victims));
         }
     }
@@ -67,7 +72,7 @@
 }
 
 /// What would be stopped on this machine for one task of a job, and what that would cost; nothing if it would not do.
-fn room_on(s: &Shard, job: &Job, m: &Machine, surpluses: &HashMap<JobIx, u32>) -> Option<(f64, Vec<TaskKey>)> {
+fn preemption_on(s: &Shard, job: &Job, m: &Machine, surpluses: &HashMap<JobIndex, u32>) -> Option<(f64, Vec<TaskKey>)> {
     // What is being stopped already will be free soon: wait for that first.
     let coming: f64 =
         m.assignments.iter().filter(|(k, h)| m.is_stopping(k, h)).map(|(k, _)| s.jobs[k.0].spec.cpus).sum();
@@ -77,25 +82,28 @@
     let mut cards = t.cards - m.cards_used;
     let mut victims = Vec::new();
     let mut kept = 0.0;
-    for (surplus, k) in stoppable(s, job, m, surpluses) {
-        if free + EPS >= job.spec.cpus && memory + EPS >= job.spec.memory_gb && cards + EPS >= job.spec.cards {
+    for (surplus, k) in preemptible_tasks(s, job, m, surpluses) {
+        if free + EPSILON >= job.spec.cpus
+            && memory + EPSILON >= job.spec.memory_gb
+            && cards + EPSILON >= job.spec.cards
+        {
             break;
         }
         free += s.jobs[k.0].spec.cpus;
         memory += s.jobs[k.0].spec.memory_gb;
         cards += s.jobs[k.0].spec.cards;
-        kept += if surplus { SURPLUS_WORTH_S } else { 1.0 };
+        kept += if surplus { SURPLUS_COST_S } else { 1.0 };
         victims.push(k);
     }
-    let others_fit = memory + EPS >= job.spec.memory_gb && cards + EPS >= job.spec.cards;
-    let enough = free + EPS >= job.spec.cpus && (others_fit || coming > 0.0);
+    let others_fit = memory + EPSILON >= job.spec.memory_gb && cards + EPSILON >= job.spec.cards;
+    let enough = free + EPSILON >= job.spec.cpus && (others_fit || coming > 0.0);
     enough.then(|| (cost(s, job, m) + kept, victims))
 }
 
 /// Tasks of lower priority on this machine, in the order in which they would be stopped, and whether each is of a
 /// surplus.
-fn stoppable(s: &Shard, job: &Job, m: &Machine, surpluses: &HashMap<JobIx, u32>) -> Vec<(bool, TaskKey)> {
-    let mut stoppable: Vec<_> = m
+fn preemptible_tasks(s: &Shard, job: &Job, m: &Machine, surpluses: &HashMap<JobIndex, u32>) -> Vec<(bool, TaskKey)> {
+    let mut preemptible_tasks: Vec<_> = m
         .assignments
         .iter()
         .filter(|(k, h)| {
@@ -105,12 +113,12 @@
         })
         .collect();
     // The least important first, then what has lost the least.
-    stoppable.sort_by(|a, b| {
+    preemptible_tasks.sort_by(|a, b| {
         let (ja, jb) = (&s.jobs[a.0.0], &s.jobs[b.0.0]);
         jb.spec.priority.cmp(&ja.spec.priority).then(b.1.assigned_at.total_cmp(&a.1.assigned_at))
     });
     if surpluses.is_empty() {
-        return stoppable.iter().map(|(k, _)| (false, **k)).collect();
+        return preemptible_tasks.iter().map(|(k, _)| (false, **k)).collect();
     }
     // What elastic jobs hold beyond their smallest size is the first to go.
     let mut left = surpluses.clone();
@@ -119,14 +127,14 @@
         n.map(|n| *n -= 1).is_some()
     };
     let (first, then): (Vec<_>, Vec<_>) =
-        stoppable.iter().map(|(k, _)| (beyond(k), **k)).partition(|(surplus, _)| *surplus);
+        preemptible_tasks.iter().map(|(k, _)| (beyond(k), **k)).partition(|(surplus, _)| *surplus);
     first.into_iter().chain(then).collect()
 }
 
 /// Where a service's image is, only services are. One replica that can go on at
 /// once elsewhere leaves its place; true if one does, or is about to.
-fn move_replica(s: &mut Shard, waiting: JobIx, now: f64) -> bool {
-    let heartbeat_timeout_s = s.fresh_s();
+fn migrate_replica(s: &mut Shard, waiting: JobIndex, now: f64) -> bool {
+    let heartbeat_timeout_s = s.recent_heartbeat_s();
     let job = &s.jobs[waiting];
     let Some(image) = job.image else { return false };
     let mut choice = None;
@@ -135,7 +143,7 @@
         !m.spot
             && m.has_image(image)
             && m.is_usable(now, heartbeat_timeout_s)
-            && may_run_beside(s, job, m, job.assigned, job.in_zone(m.zone))
+            && may_run_beside(s, job, m, job.assigned, job.assigned_in_zone(m.zone))
     };
     for (i, m) in s.machines.iter().filter(|(_, m)| serves(m)) {
         if m.assignments.iter().any(|(k, h)| m.is_stopping(k, h)) {
@@ -143,26 +151,31 @@
         }
         for (k, h) in &m.assignments {
             let other = &s.jobs[k.0];
-            let enough = other.spec.cpus + EPS >= job.spec.cpus && other.spec.memory_gb + EPS >= job.spec.memory_gb;
-            if !other.is_service() || !enough || k.0 == waiting || h.state != AssignmentState::Running || !other.open()
+            let enough =
+                other.spec.cpus + EPSILON >= job.spec.cpus && other.spec.memory_gb + EPSILON >= job.spec.memory_gb;
+            if !other.is_service()
+                || !enough
+                || k.0 == waiting
+                || h.state != AssignmentState::Running
+                || !other.is_open()
             {
                 continue;
             }
             tried += 1;
-            if taken_at_once(s, other, i, now) {
+            if has_alternative_machine(s, other, i, now) {
                 choice = Some((i, *k));
             }
-            if choice.is_some() || tried >= MOST_MOVES_TRIED {
+            if choice.is_some() || tried >= MAX_MIGRATIONS_TRIED {
                 break;
             }
         }
-        if choice.is_some() || tried >= MOST_MOVES_TRIED {
+        if choice.is_some() || tried >= MAX_MIGRATIONS_TRIED {
             break;
         }
     }
     let Some((m, k)) = choice else { return false };
     log::debug!("{}/{} moves for {}", s.jobs[k.0].id, k.1, s.jobs[waiting].id);
-    s.jobs[k.0].avoid = Some((m, now + 5.0));
+    s.jobs[k.0].avoided_machine = Some((m, now + 5.0));
     s.stop_gently(m, k);
     true
 }
--- a/crates/scheduler/src/shard/placement/unplaceable.rs
+++ b/crates/scheduler/src/shard/placement/unplaceable.rs
@@ -2,14 +2,14 @@
 
 use super::SERVICE_ROOM;
 use super::bin_packing::{avoids, fits, leaves_room, may_fill_base};
-use super::limits::{shadow, shadow_cards, within_limit};
+use super::limits::{unreconciled_accelerators, unreconciled_cpus, within_limit};
 use crate::jobs::Job;
 use crate::shard::Shard;
 use crate::wire::Priority;
-use lupinspur_cells::load_snapshot::UnusableRoom;
+use lupinspur_cells::load_snapshot::UnusableCapacity;
 
 /// Most kinds of waiting work that are compared with the machines that have room.
-const MOST_SHAPES: usize = 64;
+const MAX_SHAPES: usize = 64;
 
 /// What decides whether a plain job fits anywhere.
 #[derive(Clone, Copy)]
@@ -50,9 +50,9 @@
 /// nothing either: with many jobs waiting, looking through all machines for each of them took
 /// the whole processor.
 #[derive(Default)]
-pub(super) struct Hopeless(Vec<Shape>);
+pub(super) struct UnplaceableShapes(Vec<Shape>);
 
-impl Hopeless {
+impl UnplaceableShapes {
     pub(super) fn covers(&self, s: &Shard, job: &Job) -> bool {
         let shape = Shape::of(s, job);
         self.0.iter().any(|h| h.fits_wherever(&shape))
@@ -62,30 +62,32 @@
     pub(super) fn note(&mut self, s: &Shard, job: &Job) {
         let r = &job.spec;
         let plain = r.types.is_none() && r.zone.is_none() && !r.one_zone && !r.spread;
-        if plain && job.failed_on.is_empty() && job.avoid.is_none() && !self.covers(s, job) {
+        if plain && job.failed_on.is_empty() && job.avoided_machine.is_none() && !self.covers(s, job) {
             self.0.push(Shape::of(s, job));
         }
     }
 }
 
 /// The room beside waiting work that none of it may take, whatever would be placed next.
-pub(in crate::shard) fn room_unusable_here(s: &Shard, now: f64) -> UnusableRoom {
-    let shadow = (shadow(s), shadow_cards(s));
-    let (mut shapes, mut waiting) = (Hopeless::default(), Vec::new());
+pub(in crate::shard) fn unusable_capacity(s: &Shard, now: f64) -> UnusableCapacity {
+    let shadow = (unreconciled_cpus(s), unreconciled_accelerators(s));
+    let (mut shapes, mut waiting) = (UnplaceableShapes::default(), Vec::new());
     for job in s.jobs.live.iter().map(|&j| &s.jobs[j]) {
-        let held_up =
-            job.unreconciled_machines > 0 || job.leaving || now < job.not_before || job.unfinished() <= job.assigned;
-        if !job.open() || held_up || shapes.covers(s, job) || !within_limit(s, job, shadow) {
+        let held_up = job.unreconciled_machines > 0
+            || job.moving_away
+            || now < job.not_before
+            || job.unfinished() <= job.assigned;
+        if !job.is_open() || held_up || shapes.covers(s, job) || !within_limit(s, job, shadow) {
             continue;
         }
-        if waiting.len() == MOST_SHAPES {
-            return UnusableRoom::default();
+        if waiting.len() == MAX_SHAPES {
+            return UnusableCapacity::default();
         }
         shapes.note(s, job);
         waiting.push(job);
     }
-    let mut most = UnusableRoom::default();
-    for (i, m) in s.machines.iter().filter(|(_, m)| m.is_usable(now, s.fresh_s())) {
+    let mut most = UnusableCapacity::default();
+    for (i, m) in s.machines.iter().filter(|(_, m)| m.is_usable(now, s.recent_heartbeat_s())) {
         if waiting.iter().any(|job| fits(s, job, m) && leaves_room(s, job, m) && !avoids(s, job, i, now)) {
             continue;
         }
--- a/crates/scheduler/src/shard/quotas/mod.rs
+++ b/crates/scheduler/src/shard/quotas/mod.rs
@@ -8,14 +8,14 @@
 
 pub use report::{QuotaReport, Row};
 
-use super::{Shard, What, Write};
+use super::{PendingWrite, Shard, WritePurpose};
 use crate::fleet::AssignmentState;
-use crate::intern::{Index, JobIx, MachineIx, TeamIx};
+use crate::intern::{Index, JobIndex, MachineIndex, TeamIndex};
 use crate::jobs::{Job, TaskKey};
 use crate::params::Team;
 use lupinspur_quota as quota;
 use quota::stored::{HEAD, Head, PREFIX, Part, generation_of, part_key};
-use quota::{Amount, Held, Ledger, LevelIx, Plan, TeamLimits, Tree};
+use quota::{Amount, BorrowedTask, Ledger, LevelIndex, Plan, TeamLimits, Tree};
 use serde::Serialize;
 
 /// What the state service holds, and the operators' file.
@@ -65,17 +65,17 @@
     }
 }
 
-type HeldTask = Held<(MachineIx, TaskKey)>;
+type HeldTask = BorrowedTask<(MachineIndex, TaskKey)>;
 
 /// Tasks of services that wait at a limit for which room is made at a time.
-const MOST_AT_LIMITS: usize = 8;
+const MAX_AT_LIMITS: usize = 8;
 
 fn need_of(job: &Job) -> Amount {
     Amount::new(job.spec.cpus, job.spec.cards)
 }
 
-fn of_team(t: TeamIx) -> quota::TeamIx {
-    quota::TeamIx(t.ix() as u32)
+fn of_team(t: TeamIndex) -> quota::TeamIndex {
+    quota::TeamIndex(t.ix() as u32)
 }
 
 impl Quotas {
@@ -143,7 +143,7 @@
     }
 
     /// One task's use begins (1) or ends (-1) at every level above it.
-    pub(in crate::shard) fn count_quota(&mut self, j: JobIx, sign: f64) {
+    pub(in crate::shard) fn count_quota(&mut self, j: JobIndex, sign: f64) {
         let Some(q) = &mut self.quotas else { return };
         let job = &self.jobs[j];
         q.ledger.count(of_team(job.team), need_of(job).times(sign));
@@ -167,7 +167,7 @@
     }
 
     /// What a team is guaranteed: as the settings say, or what the levels above leave of it.
-    pub(crate) fn guaranteed(&self, t: TeamIx) -> (f64, f64) {
+    pub(crate) fn guaranteed(&self, t: TeamIndex) -> (f64, f64) {
         match &self.quotas {
             None => (self.teams[t.ix()].spec.cpus, self.teams[t.ix()].spec.cards),
             Some(q) => {
@@ -188,7 +188,7 @@
     }
 
     /// The next write on the way to the file's tree.
-    pub(in crate::shard) fn quota_write(&mut self) -> Option<Write> {
+    pub(in crate::shard) fn quota_write(&mut self) -> Option<PendingWrite> {
         let q = self.quotas.as_ref()?;
         let (plan, _, parts) = q.next.as_ref()?;
         let head = Head { generation: plan.generation, parts: parts.len() };
@@ -200,8 +200,8 @@
             return None;
         }
         match parts.get(q.stored_parts).cloned() {
-            Some(part) => self.put(key, What::Quota(step), &part),
-            None => self.put(key, What::Quota(step), &head),
+            Some(part) => self.enqueue_write(key, WritePurpose::Quota(step), &part),
+            None => self.enqueue_write(key, WritePurpose::Quota(step), &head),
         }
     }
 
@@ -214,16 +214,16 @@
                     log::info!("quotas of generation {} hold", plan.generation);
                     q.ledger.change(tree);
                     q.in_force = true;
-                    self.place_due = true;
+                    self.placement_due = true;
                     let old: Vec<String> = self
                         .versions
                         .keys()
                         .filter(|k| k.starts_with(PREFIX) && generation_of(k).is_some_and(|g| g != plan.generation))
                         .cloned()
                         .collect();
-                    self.cleanup.extend(old);
+                    self.stale_keys.extend(old);
                     // Starts that were chosen and not sent yet are withdrawn at once.
-                    self.quota_gives_way();
+                    self.preempt_over_quota();
                 }
             }
         }
@@ -231,9 +231,9 @@
 
     /// After a parent shrank: what is over its limit gives way. Each is told once; until its
     /// end is seen it counts, and nothing else is stopped in its place.
-    pub(in crate::shard) fn quota_gives_way(&mut self) {
+    pub(in crate::shard) fn preempt_over_quota(&mut self) {
         let Some(q) = &self.quotas else { return };
-        if !self.writable || q.ledger.over().is_empty() {
+        if !self.state_service_writable || q.ledger.over().is_empty() {
             return;
         }
         let (held, leaving) = self.held_and_leaving(|_| true);
@@ -244,7 +244,7 @@
     }
 
     /// What these teams hold, and what of it was told to go already and counts still.
-    fn held_and_leaving(&self, of: impl Fn(TeamIx) -> bool) -> (Vec<HeldTask>, Vec<(quota::TeamIx, Amount)>) {
+    fn held_and_leaving(&self, of: impl Fn(TeamIndex) -> bool) -> (Vec<HeldTask>, Vec<(quota::TeamIndex, Amount)>) {
         let (mut held, mut leaving) = (Vec::new(), Vec::new());
         for (m, machine) in self.machines.iter() {
             for (k, h) in &machine.assignments {
@@ -260,12 +260,12 @@
                     continue;
                 }
                 let loses = if h.state == AssignmentState::Running && job.spec.checkpoint_s <= 0.0 {
-                    self.ticked - h.running_since
+                    self.ticked_at - h.running_since
                 } else {
                     0.0
                 };
                 let priority = job.spec.priority as u8;
-                held.push(Held { task: (m, *k), team, need, loses, service: job.is_service(), priority });
+                held.push(BorrowedTask { task: (m, *k), team, need, loses, service: job.is_service(), priority });
             }
         }
         (held, leaving)
@@ -274,8 +274,8 @@
     /// Services that wait at a limit, of their team or of a level above it, while less important
     /// work stands below the same limit: that gives way, a few services at a time. Each is told
     /// once, and counts until its end is seen.
-    pub(crate) fn room_within_limits(&mut self, waiting: &[JobIx]) {
-        if !self.writable || waiting.is_empty() {
+    pub(crate) fn room_within_limits(&mut self, waiting: &[JobIndex]) {
+        if !self.state_service_writable || waiting.is_empty() {
             return;
         }
         let mut ledger = match &self.quotas {
@@ -286,26 +286,26 @@
                 let specs: Vec<Team> = self.teams.iter().map(|t| t.spec.clone()).collect();
                 let mut flat = Ledger::new(Tree::flat(&team_limits(&specs)));
                 for (i, t) in self.teams.iter().enumerate() {
-                    flat.count(of_team(TeamIx::new(i)), Amount::new(t.cpus_used, t.cards_used));
+                    flat.count(of_team(TeamIndex::new(i)), Amount::new(t.cpus_used, t.cards_used));
                 }
                 flat
             }
         };
-        let above: Vec<LevelIx> =
+        let above: Vec<LevelIndex> =
             waiting.iter().flat_map(|j| ledger.tree().path(of_team(self.jobs[*j].team)).to_vec()).collect();
-        let below = |t: TeamIx| ledger.tree().path(of_team(t)).iter().any(|l| above.contains(l));
+        let below = |t: TeamIndex| ledger.tree().path(of_team(t)).iter().any(|l| above.contains(l));
         let (mut held, mut leaving) = self.held_and_leaving(below);
         // Work of the same priority is stopped by nobody.
         held.retain(|h| h.priority > crate::wire::Priority::Production as u8);
         let mut out = Vec::new();
-        let waits = |&j: &JobIx| {
+        let waits = |&j: &JobIndex| {
             let job = &self.jobs[j];
             std::iter::repeat_n(j, job.unfinished().saturating_sub(job.assigned) as usize)
         };
-        for j in waiting.iter().flat_map(waits).take(MOST_AT_LIMITS) {
+        for j in waiting.iter().flat_map(waits).take(MAX_AT_LIMITS) {
             let job = &self.jobs[j];
             let (team, need) = (of_team(job.team), need_of(job));
-            let gives = ledger.make_room(team, need, &held, &leaving);
+            let gives = ledger.preempt_for(team, need, &held, &leaving);
             let stays = |h: &HeldTask| !gives.contains(&h.task);
             leaving.extend(held.iter().filter(|h| !stays(h)).map(|h| (h.team, h.need)));
             held.retain(stays);
--- a/crates/scheduler/src/shard/quotas/report.rs
+++ b/crates/scheduler/src/shard/quotas/report.rs
@@ -3,12 +3,12 @@
 use super::{need_of, of_team};
 use crate::shard::Shard;
 use lupinspur_quota as quota;
-use quota::LevelIx;
+use quota::LevelIndex;
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
 /// Most levels that the summary line names.
-const MOST_IN_SUMMARY: usize = 8;
+const MAX_IN_SUMMARY: usize = 8;
 
 /// One level as people are told about it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -43,16 +43,16 @@
     pub fn quota_report(&self, job: &str) -> Option<QuotaReport> {
         let q = self.quotas.as_ref()?;
         let tree = q.ledger.tree();
-        let mut waits: HashMap<LevelIx, f64> = HashMap::new();
+        let mut waits: HashMap<LevelIndex, f64> = HashMap::new();
         for &j in &self.jobs.live {
             let job = &self.jobs[j];
-            let n = if job.open() { job.unfinished().saturating_sub(job.assigned) } else { 0 };
+            let n = if job.is_open() { job.unfinished().saturating_sub(job.assigned) } else { 0 };
             for l in tree.path(of_team(job.team)) {
                 *waits.entry(*l).or_default() += f64::from(n) * job.spec.cpus;
             }
         }
         let row = |(i, l): (usize, &quota::Level)| {
-            let ix = LevelIx(i as u32);
+            let ix = LevelIndex(i as u32);
             let used = q.ledger.used(ix);
             Row {
                 level: if l.name.is_empty() { "(all)".into() } else { l.name.clone() },
@@ -81,20 +81,20 @@
         let tree = q.ledger.tree();
         let top = tree.levels.iter().enumerate().filter(|(_, l)| l.parent == Some(quota::tree::WHOLE));
         let used = |(i, l): (usize, &quota::Level)| {
-            let used = q.ledger.used(LevelIx(i as u32)).cpus;
+            let used = q.ledger.used(LevelIndex(i as u32)).cpus;
             (used > 0.0).then(|| format!("{} {used:.0}/{:.0}/{:.0}", l.name, l.guarantee.cpus, l.limit.cpus))
         };
-        let told: Vec<String> = top.filter_map(used).take(MOST_IN_SUMMARY).collect();
+        let told: Vec<String> = top.filter_map(used).take(MAX_IN_SUMMARY).collect();
         format!("; quotas {} used/guaranteed/limit: {}", tree.generation, told.join(", "))
     }
 
     fn why_waits(&self, id: &str) -> String {
         let (Some(j), Some(q)) = (self.jobs.find(id), self.quotas.as_ref()) else { return "no such job here".into() };
         let job = &self.jobs[j];
-        if !job.open() {
+        if !job.is_open() {
             return "it is over".into();
         }
-        if self.graph.waits(j) {
+        if self.dependencies.is_waiting(j) {
             return "it waits for jobs that it needs".into();
         }
         if job.unfinished() <= job.assigned {
--- a/crates/scheduler/src/shard/rebalancing.rs
+++ b/crates/scheduler/src/shard/rebalancing.rs
@@ -3,21 +3,21 @@
 
 use super::{Shard, placement};
 use crate::fleet::Phase as MachinePhase;
-use crate::intern::{Index, JobIx, TeamIx};
+use crate::intern::{Index, JobIndex, TeamIndex};
 use crate::jobs::{Job, JobRecord, Phase, job_key};
 use crate::params::Team;
-use lupinspur_cells::CellIx;
-use lupinspur_cells::escrow::{Amount, Ledger, Use};
-use lupinspur_cells::load_snapshot::Picture;
-use lupinspur_cells::spill::Waiting;
+use lupinspur_cells::ShardId;
+use lupinspur_cells::escrow::{Amount, Ledger, QuotaUse};
+use lupinspur_cells::load_snapshot::LoadSnapshot;
+use lupinspur_cells::spill::SpillCandidate;
 
 /// Where a limit is parted, a part of nothing is not "no limit".
-const NEXT_TO_NOTHING: f64 = 1e-6;
+const MIN_SHARE: f64 = 1e-6;
 /// Jobs that are offered to other cells in one look.
-const MOST_OFFERED: usize = 64;
+const MAX_OFFERED: usize = 64;
 
 /// The teams' limits as they are parted: those that have one.
-pub fn limits(teams: &[Team]) -> Vec<(String, Amount)> {
+pub fn team_limits_by_name(teams: &[Team]) -> Vec<(String, Amount)> {
     let limited = |t: &&Team| t.cpus_max > 0.0 || t.cards_max > 0.0;
     teams.iter().filter(limited).map(|t| (t.name.clone(), Amount::new(t.cpus_max, t.cards_max))).collect()
 }
@@ -25,22 +25,22 @@
 impl Shard {
     /// This cell's part of each team's limit and guarantee from now on. Without a ledger the
     /// whole of it.
-    pub fn set_shares(&mut self, whole: &[Team], shares: &Ledger, cell: CellIx) {
+    pub fn set_limit_shares(&mut self, whole: &[Team], shares: &Ledger, cell: ShardId) {
         for (t, all) in self.teams.iter_mut().zip(whole) {
             let Some(share) = shares.share(&all.name, cell) else { continue };
-            let part = |share: f64, limit: f64| if limit > 0.0 { share.max(NEXT_TO_NOTHING) } else { 0.0 };
+            let part = |share: f64, limit: f64| if limit > 0.0 { share.max(MIN_SHARE) } else { 0.0 };
             t.spec.cpus_max = part(share.cpus, all.cpus_max);
             t.spec.cards_max = part(share.cards, all.cards_max);
             let of = |limit: f64, share: f64, all: f64| if all > 0.0 { limit * (share / all).min(1.0) } else { limit };
             t.spec.cpus = of(all.cpus, share.cpus, all.cpus_max);
             t.spec.cards = of(all.cards, share.cards, all.cards_max);
         }
-        self.place_due = true;
+        self.placement_due = true;
     }
 
     /// What may be in use of each team's limit: what is held or planned, and all of each machine
     /// of which nobody knows what is on it.
-    pub fn in_use(&self) -> Vec<(String, Amount)> {
+    pub fn limit_usage(&self) -> Vec<(String, Amount)> {
         let unseen = self.machines.iter().filter(|(_, m)| !m.is_reconciled()).fold(Amount::default(), |s, (_, m)| {
             let t = self.types.get(m.machine_type);
             s.plus(Amount::new(t.cpus, t.cards))
@@ -50,8 +50,8 @@
     }
 
     /// What the other cells are told.
-    pub fn picture(&self, cell: CellIx, now: f64) -> Picture {
-        let mut p = Picture { cell, token: self.token, at_ms: self.day_now_ms(now), ..Picture::default() };
+    pub fn load_snapshot(&self, cell: ShardId, now: f64) -> LoadSnapshot {
+        let mut p = LoadSnapshot { cell, token: self.token, at_ms: self.day_now_ms(now), ..LoadSnapshot::default() };
         for (_, m) in self.machines.iter() {
             let cpus = self.types.get(m.machine_type).cpus;
             match m.phase {
@@ -67,53 +67,58 @@
             }
         }
         p.idle = self.idle_cpus();
-        p.unusable = placement::room_unusable_here(self, now);
+        p.unusable = placement::unusable_capacity(self, now);
         let now_ms = p.at_ms;
         let mut wanted = vec![Amount::default(); self.teams.len()];
-        for job in self.jobs.live.iter().map(|&j| &self.jobs[j]).filter(|j| j.open()) {
+        for job in self.jobs.live.iter().map(|&j| &self.jobs[j]).filter(|j| j.is_open()) {
             let waits = f64::from(job.unfinished().saturating_sub(job.assigned));
             p.waits += waits * job.spec.cpus;
             p.held += f64::from(job.assigned) * job.spec.cpus;
             if job.assigned == 0 {
-                p.longest_s = p.longest_s.max(now_ms.saturating_sub(job.freed_ms) as f64 / 1000.0);
+                p.longest_s = p.longest_s.max(now_ms.saturating_sub(job.ready_at_ms) as f64 / 1000.0);
             }
             let all = f64::from(job.unfinished());
             let w = &mut wanted[job.team.ix()];
             *w = w.plus(Amount::new(all * job.spec.cpus, all * job.spec.cards));
         }
-        p.teams = self.in_use().into_iter().zip(wanted).map(|((t, held), wanted)| (t, Use { held, wanted })).collect();
+        p.teams = self
+            .limit_usage()
+            .into_iter()
+            .zip(wanted)
+            .map(|((t, held), wanted)| (t, QuotaUse { held, wanted }))
+            .collect();
         p
     }
 
     /// Jobs that wait and were never started anywhere, so that another cell may have them whole:
     /// none that others wait for or that waited for others.
-    pub fn may_leave(&self, now: f64) -> Vec<Waiting<JobIx>> {
+    pub fn spillable_jobs(&self, now: f64) -> Vec<SpillCandidate<JobIndex>> {
         let now_ms = self.day_now_ms(now);
         let never = |job: &&Job| {
-            job.open()
+            job.is_open()
                 && job.assigned == 0
                 && job.done == 0
                 && job.unreconciled_machines == 0
-                && !job.leaving
+                && !job.moving_away
                 && !job.in_pipeline()
         };
-        let waiting = |job: &Job| Waiting {
-            job: job.ix,
+        let waiting = |job: &Job| SpillCandidate {
+            job: job.index,
             cpus: f64::from(job.spec.tasks) * job.spec.cpus,
             task_cpus: job.spec.cpus,
-            waited_s: now_ms.saturating_sub(job.freed_ms) as f64 / 1000.0,
+            waited_s: now_ms.saturating_sub(job.ready_at_ms) as f64 / 1000.0,
             moves: job.moves,
             spot: job.spec.spot,
         };
         let all = self.jobs.live.iter().map(|&j| &self.jobs[j]).filter(never);
-        all.filter(|j| self.graph.after(j.ix).is_empty() && !self.named_anywhere(j.ix))
-            .take(MOST_OFFERED)
+        all.filter(|j| self.dependencies.dependents(j.index).is_empty() && !self.is_named_by_any_machine(j.index))
+            .take(MAX_OFFERED)
             .map(waiting)
             .collect()
     }
 
     /// Does some machine's stored record, or one that is being written, name this job?
-    fn named_anywhere(&self, j: JobIx) -> bool {
+    fn is_named_by_any_machine(&self, j: JobIndex) -> bool {
         self.machines.iter().any(|(_, m)| {
             m.stored_jobs.contains(&j)
                 || m.unassigned.range((j, 0)..=(j, u32::MAX)).next().is_some()
@@ -122,41 +127,41 @@
     }
 
     /// Does some machine list an attempt of this job that is not held here?
-    fn listed_anywhere(&self, j: JobIx) -> bool {
+    fn is_listed_by_any_machine(&self, j: JobIndex) -> bool {
         self.machines.iter().any(|(_, m)| m.unassigned.range((j, 0)..=(j, u32::MAX)).any(|(_, l)| l.1.is_orphaned()))
     }
 
     /// The record with which a job goes to another cell, the version that it replaces, and what it
     /// takes of its team's limit. From here on nothing of it is started here.
-    pub fn goes(&mut self, j: JobIx, to: CellIx) -> Option<(JobRecord, u64, TeamIx, Amount)> {
+    pub fn begin_move(&mut self, j: JobIndex, to: ShardId) -> Option<(JobRecord, u64, TeamIndex, Amount)> {
         let version = *self.versions.get(&job_key(&self.jobs[j].id))?;
         let job = &mut self.jobs[j];
-        job.leaving = true;
-        let mut r = JobRecord::accepted(job.spec.clone(), job.at_ms);
+        job.moving_away = true;
+        let mut r = JobRecord::accepted(job.spec.clone(), job.accepted_at_ms);
         (r.cell, r.moves) = (Some(to.0), job.moves + 1);
         let n = f64::from(job.spec.tasks);
         Some((r, version, job.team, Amount::new(n * job.spec.cpus, n * job.spec.cards)))
     }
 
     /// It stays after all.
-    pub fn stays(&mut self, id: &str) {
+    pub fn cancel_move(&mut self, id: &str) {
         if let Some(j) = self.jobs.find(id) {
-            self.jobs[j].leaving = false;
-            self.place_due = true;
+            self.jobs[j].moving_away = false;
+            self.placement_due = true;
         }
     }
 
     /// It is stored that this job is another cell's.
-    pub fn left(&mut self, id: &str, now: f64) {
+    pub fn on_job_moved(&mut self, id: &str, now: f64) {
         let Some(j) = self.jobs.find(id) else { return };
         let job = &self.jobs[j];
-        if job.phase != Phase::Open || job.assigned > 0 || self.listed_anywhere(j) {
+        if job.phase != Phase::Open || job.assigned > 0 || self.is_listed_by_any_machine(j) {
             log::error!("{id} is another cell's, and has {} tasks here, or some that machines list", job.assigned);
             return;
         }
         let key = job_key(id);
         if let Some(&replaced) = self.versions.get(&key) {
-            self.departed.note(key, replaced, now);
+            self.moved_jobs.note(key, replaced, now);
         }
         // Nobody here counts it, neither as served nor as missed.
         self.account_end(j, Phase::Cancelled, now);
@@ -165,7 +170,7 @@
     }
 
     /// The team of this index, for those that give of its limit.
-    pub fn team_name(&self, t: TeamIx) -> &str {
+    pub fn team_name(&self, t: TeamIndex) -> &str {
         &self.teams[t.ix()].spec.name
     }
 }
--- a/crates/scheduler/src/shard/responsiveness.rs
+++ b/crates/scheduler/src/shard/responsiveness.rs
@@ -4,7 +4,7 @@
 use super::Shard;
 use super::sizing::HEARTBEAT_JITTER;
 use crate::fleet::{Machine, Phase};
-use crate::intern::ZoneIx;
+use crate::intern::ZoneIndex;
 use std::collections::BTreeMap;
 
 /// Beyond half a report's interval, what counts as just now.
@@ -72,13 +72,13 @@
 /// What is heard of all machines, and of those of each zone.
 pub(super) struct FleetResponsiveness {
     whole: Responsiveness,
-    pub(super) by_zone: BTreeMap<ZoneIx, Responsiveness>,
+    pub(super) by_zone: BTreeMap<ZoneIndex, Responsiveness>,
     /// Did ticks come in time of late?
     pub(super) punctual: bool,
 }
 
 impl FleetResponsiveness {
-    fn elsewhere(&self, zone: ZoneIx) -> Responsiveness {
+    fn elsewhere(&self, zone: ZoneIndex) -> Responsiveness {
         let here = self.by_zone.get(&zone).copied().unwrap_or_default();
         self.whole.less(&here)
     }
@@ -88,19 +88,19 @@
     /// machines of other zones are enough: when a zone was cut off and spot machines were
     /// taken at the same time, too few were heard in all, and everything in that zone
     /// waited for the end of its lease.
-    pub(super) fn rules_out_partition(&self, zone: ZoneIx) -> bool {
+    pub(super) fn rules_out_partition(&self, zone: ZoneIndex) -> bool {
         let (whole, others) = (&self.whole, self.elsewhere(zone));
         whole.heard_lately * 5 >= (whole.up - 1.min(whole.up)) * 3
             || others.up >= MIN_WITNESSES && others.heard_lately * 5 >= others.up * 4
     }
 
     /// Does it tell something of a machine in this zone that it does not answer?
-    pub(super) fn trusts_missing_replies(&self, zone: ZoneIx) -> bool {
+    pub(super) fn trusts_missing_replies(&self, zone: ZoneIndex) -> bool {
         self.punctual && (self.whole.many_heard_recently() || self.elsewhere(zone).many_heard_recently())
     }
 
     /// Does what we say reach most of the others?
-    pub(super) fn acknowledged_around(&self, zone: ZoneIx) -> bool {
+    pub(super) fn acknowledged_around(&self, zone: ZoneIndex) -> bool {
         self.whole.heeded() || self.elsewhere(zone).heeded()
     }
 
@@ -114,23 +114,23 @@
 impl Shard {
     pub(super) fn responses(&self, now: f64) -> FleetResponsiveness {
         let mut whole = Responsiveness::default();
-        let mut by_zone: BTreeMap<ZoneIx, Responsiveness> = BTreeMap::new();
+        let mut by_zone: BTreeMap<ZoneIndex, Responsiveness> = BTreeMap::new();
         for (_, m) in self.machines.iter().filter(|(_, m)| m.phase == Phase::Up) {
             let one = self.responsiveness_of(m, now);
             whole.add(&one);
             by_zone.entry(m.zone).or_default().add(&one);
         }
-        FleetResponsiveness { whole, by_zone, punctual: now - self.late_at > LATE_TICK_MEMORY_S }
+        FleetResponsiveness { whole, by_zone, punctual: now - self.late_tick_at > LATE_TICK_MEMORY_S }
     }
 
     fn responsiveness_of(&self, m: &Machine, now: f64) -> Responsiveness {
-        let fresh_s = self.report_s / 2.0 + RECENT_MARGIN_S;
+        let recent_heartbeat_s = self.report_s / 2.0 + RECENT_MARGIN_S;
         // One that is recorded and was never heard by this owner tells nothing.
         let heard_within = |s: f64| usize::from(m.incarnation > 0 && self.heartbeat_age(m, now) < s);
         Responsiveness {
             up: 1,
             heard_lately: heard_within(self.report_s * HEARTBEAT_JITTER + 1.0),
-            heard_recently: heard_within(fresh_s),
+            heard_recently: heard_within(recent_heartbeat_s),
             unresponsive: usize::from(m.suspected && m.unanswered_pushes > 0),
             unreached: usize::from(m.incarnation > 0 && m.command_path_in_doubt()),
         }
--- a/crates/scheduler/src/shard/service_levels/mod.rs
+++ b/crates/scheduler/src/shard/service_levels/mod.rs
@@ -7,52 +7,52 @@
 mod tests;
 
 use self::arrivals::Arrivals;
-use super::{Shard, What, Write};
+use super::{PendingWrite, Shard, WritePurpose};
 use crate::fleet::Phase as MachinePhase;
-use crate::intern::{Index, JobIx, TeamIx};
+use crate::intern::{Index, JobIndex, TeamIndex};
 use crate::jobs::{Job, Phase, TaskSlot};
-use lupinspur_accounts::inheritance::{Carried, Part, newest};
-use lupinspur_accounts::tracker::AccountIx;
+use lupinspur_accounts::inheritance::{InheritedTotals, Part, newest_complete_round};
+use lupinspur_accounts::tracker::IndicatorIndex;
 use lupinspur_accounts::tracker::{End, Entry};
-use lupinspur_accounts::underserved::{Ahead, Sunk, ahead};
-use lupinspur_accounts::{Alarm, Side, Told};
+use lupinspur_accounts::underserved::{Forecast, Underserved, forecast};
+use lupinspur_accounts::{Alert, ServiceLevelReport, Subject};
 use serde::Deserialize;
 use std::collections::{HashMap, VecDeque};
 
 /// What is due is counted, and who has sunk is looked at, this often.
-const LOOK_EVERY_S: f64 = 1.0;
+const EVALUATION_INTERVAL_S: f64 = 1.0;
 /// Of an estimate, so much that a job surely takes once it starts: estimates are often wrong
 /// by half.
-const SURELY_TAKES: f64 = 0.5;
+const CERTAIN_SHARE_OF_ESTIMATE: f64 = 0.5;
 
 /// A worker tells of a start no later than this.
-const REPORTED_WITHIN_S: f64 = 0.5;
-const MOST_PRESSURE: f64 = 6.0;
+const HEARTBEAT_DELAY_S: f64 = 0.5;
+const MAX_PRESSURE: f64 = 6.0;
 /// What waits would fill the machines so many times over: not all of it will be in time.
-const PRESSED: f64 = 1.2;
+const OVERLOAD_PRESSURE: f64 = 1.2;
 /// Of the time that a job has, one in so many parts is over before it is foreseen what becomes
 /// of it.
-const WAITED_PART: u64 = 4;
+const FORECAST_AFTER_PART: u64 = 4;
 
 /// Where the accounts stand for the next owner: two places, in turn.
 pub const ACCOUNTS_PREFIX: &str = "ckpt/a/";
 /// They are handed over this often out of writes that can be spared, and in any case so often.
-const HANDED_EVERY_S: f64 = 5.0;
-const HANDED_AT_LEAST_S: f64 = 15.0;
+const REPORT_INTERVAL_S: f64 = 5.0;
+const MAX_REPORT_INTERVAL_S: f64 = 15.0;
 
 fn part_key(place: u8, n: usize) -> String {
     format!("{ACCOUNTS_PREFIX}{place}/{n}")
 }
 
 /// Of a type's usual time to boot, so much is enough for most machines.
-const BOOTS_WITHIN: f64 = 1.5;
+const BOOT_TIME_MARGIN: f64 = 1.5;
 
 /// What stands between the shard and its accounts.
 #[derive(Debug, Default)]
-pub(in crate::shard) struct Glue {
+pub(in crate::shard) struct ServiceLevelReporter {
     /// Jobs whose time begins or that are over, not entered yet.
-    due: Vec<JobIx>,
-    looked_at: f64,
+    due: Vec<JobIndex>,
+    pairs_examined: f64,
     arrivals: Arrivals,
     /// The first owner of these accounts.
     chain: u64,
@@ -65,9 +65,9 @@
     left: usize,
 }
 
-impl Glue {
-    pub(in crate::shard) fn new(token: u64, now: f64) -> Glue {
-        Glue { chain: token, handed_at: now, ..Glue::default() }
+impl ServiceLevelReporter {
+    pub(in crate::shard) fn new(token: u64, now: f64) -> ServiceLevelReporter {
+        ServiceLevelReporter { chain: token, handed_at: now, ..ServiceLevelReporter::default() }
     }
 }
 
@@ -83,7 +83,7 @@
 }
 
 /// What an earlier owner handed over, and its place, among the stored values of the checkpoint.
-pub fn handed<'a>(items: impl Iterator<Item = (&'a str, &'a serde_json::Value)>) -> Option<(Carried, u8)> {
+pub fn handed<'a>(items: impl Iterator<Item = (&'a str, &'a serde_json::Value)>) -> Option<(InheritedTotals, u8)> {
     let of = items.filter_map(|(k, v)| Some((k.strip_prefix(ACCOUNTS_PREFIX)?.split('/').next()?.parse().ok()?, v)));
     let (mut parts, mut places) = (Vec::new(), Vec::new());
     for (place, v) in of {
@@ -95,45 +95,45 @@
             Err(e) => log::error!("accounts handed over hold something unknown: {e}"),
         }
     }
-    let c = newest(parts)?;
+    let c = newest_complete_round(parts)?;
     let place = places.into_iter().find(|p| p.0 == c.round)?.1;
     Some((c, place))
 }
 
 impl Shard {
     /// Goes on with the accounts of the owner before, if there are some.
-    pub fn carry_accounts(&mut self, handed: Option<(Carried, u8)>, now: f64) {
+    pub fn carry_accounts(&mut self, handed: Option<(InheritedTotals, u8)>, now: f64) {
         let t = self.account_now(now);
         let Some((c, place)) = handed else { return };
-        let glue = &mut self.accounts;
+        let glue = &mut self.service_levels;
         (glue.chain, glue.round, glue.place) = (c.chain, c.round, place);
-        self.book.carry(&c, 2.0 * self.time_bound_s + REPORTED_WITHIN_S, t);
+        self.service_level_tracker.carry(&c, 2.0 * self.time_bound_s + HEARTBEAT_DELAY_S, t);
     }
 
     /// The next value of the accounts as the next owner finds them, if it is time. One that is
     /// not stored spoils its round; the one before stays whole.
-    pub(in crate::shard) fn accounts_write(&mut self, spare: bool, now: f64) -> Option<Write> {
-        let waited = now - self.accounts.handed_at;
-        let due = waited >= if spare { HANDED_EVERY_S } else { HANDED_AT_LEAST_S };
-        if due && self.accounts.to_send.is_empty() && self.gathered(now) {
+    pub(in crate::shard) fn accounts_write(&mut self, spare: bool, now: f64) -> Option<PendingWrite> {
+        let waited = now - self.service_levels.handed_at;
+        let due = waited >= if spare { REPORT_INTERVAL_S } else { MAX_REPORT_INTERVAL_S };
+        if due && self.service_levels.to_send.is_empty() && self.heartbeats_gathered(now) {
             let t = self.account_now(now);
-            let glue = &mut self.accounts;
+            let glue = &mut self.service_levels;
             (glue.handed_at, glue.round) = (now, glue.round + 1);
-            let parts = self.book.hand_over(glue.round, glue.chain, self.value_bytes, t);
+            let parts = self.service_level_tracker.hand_over(glue.round, glue.chain, self.value_bytes, t);
             glue.left = parts.len();
             let place = 1 - glue.place.min(1);
             glue.to_send = parts.into_iter().enumerate().map(|(n, p)| (part_key(place, n), p)).collect();
         }
-        let (key, _) = self.accounts.to_send.front()?;
+        let (key, _) = self.service_levels.to_send.front()?;
         if self.in_flight.contains(key) {
             return None;
         }
-        let (key, part) = self.accounts.to_send.pop_front()?;
-        self.put(key, What::Accounts(part.round(), 1 - self.accounts.place.min(1)), &part)
+        let (key, part) = self.service_levels.to_send.pop_front()?;
+        self.enqueue_write(key, WritePurpose::ServiceLevels(part.round(), 1 - self.service_levels.place.min(1)), &part)
     }
 
     pub(in crate::shard) fn accounts_applied(&mut self, round: u64, place: u8) {
-        let glue = &mut self.accounts;
+        let glue = &mut self.service_levels;
         if round == glue.round {
             glue.left = glue.left.saturating_sub(1);
             if glue.left == 0 {
@@ -148,25 +148,26 @@
     }
 
     /// A job's time begins, or it is over by its record: the next tick enters it.
-    pub(in crate::shard) fn account_due(&mut self, j: JobIx) {
+    pub(in crate::shard) fn account_due(&mut self, j: JobIndex) {
         if self.jobs[j].phase != Phase::Open || self.jobs.live.contains(&j) {
-            self.accounts.due.push(j);
+            self.service_levels.due.push(j);
         }
     }
 
     /// One that goes to another cell before it was entered: the next look would find it gone, and
     /// once ended the process.
-    pub(in crate::shard) fn accounts_forget(&mut self, j: JobIx) {
-        self.accounts.due.retain(|d| *d != j);
+    pub(in crate::shard) fn accounts_forget(&mut self, j: JobIndex) {
+        self.service_levels.due.retain(|d| *d != j);
     }
 
     /// How much later than it happens a start is seen here, or seems to be: workers report at
     /// most every half second, and the time of day of whoever accepted a job is not ours. Of a
     /// job that this owner saw come, the moment when it came is known.
     fn sees_late_s(&self, job: &Job, now: f64) -> f64 {
-        let came = self.account_now(job.since) - job.freed_ms as f64 / 1000.0;
-        let clocks_differ = job.since > self.began && came.abs() <= 2.0 * self.time_bound_s && now >= job.since;
-        REPORTED_WITHIN_S + if clocks_differ { came } else { 0.0 }
+        let came = self.account_now(job.known_since) - job.ready_at_ms as f64 / 1000.0;
+        let clocks_differ =
+            job.known_since > self.began_at && came.abs() <= 2.0 * self.time_bound_s && now >= job.known_since;
+        HEARTBEAT_DELAY_S + if clocks_differ { came } else { 0.0 }
     }
 
     /// Tasks of a job that its team's limit lets run at one time.
@@ -175,21 +176,21 @@
         if limit > 0.0 && job.spec.cpus > 0.0 { (limit / job.spec.cpus) as u32 } else { u32::MAX }
     }
 
-    fn enter_account(&mut self, j: JobIx, now: f64) {
+    fn enter_account(&mut self, j: JobIndex, now: f64) {
         let t = self.account_now(now);
-        let may_have_waited_s = self.accounts.arrivals.take(self.jobs[j].at_ms as f64 / 1000.0);
+        let may_have_waited_s = self.service_levels.arrivals.take(self.jobs[j].accepted_at_ms as f64 / 1000.0);
         let job = &self.jobs[j];
         let spec = &job.spec;
-        let (from, submitted) = (job.freed_ms as f64 / 1000.0, job.at_ms as f64 / 1000.0);
-        let began = self.account_now(self.began);
+        let (from, submitted) = (job.ready_at_ms as f64 / 1000.0, job.accepted_at_ms as f64 / 1000.0);
+        let began = self.account_now(self.began_at);
         // A machine that may hold it is named with it before its first start.
         let seen = job.unreconciled_machines > 0
             || job.done > 0
             || job.tasks.iter().any(|s| matches!(s, TaskSlot::Assigned(_)));
         let late = self.sees_late_s(job, now);
         // What a fresh cluster's first jobs could start on has to be rented first.
-        let boots = self.types.list.iter().map(|t| t.boot_s).fold(0.0, f64::max) * BOOTS_WITHIN;
-        let waits_from = if self.fresh { began + boots + self.report_s } else { 0.0 };
+        let boots = self.types.list.iter().map(|t| t.boot_s).fold(0.0, f64::max) * BOOT_TIME_MARGIN;
+        let waits_from = if self.is_first_leader { began + boots + self.report_s } else { 0.0 };
         let entry = Entry {
             class: &spec.class,
             team: &spec.team,
@@ -208,83 +209,88 @@
             Phase::Cancelled => End::Cancelled,
             Phase::Open => {
                 let ms = |s: f64| (s * 1000.0) as u64;
-                let terms = self.book.terms(&spec.class).filter(|_| !entry.service);
+                let terms = self.service_level_tracker.terms(&spec.class).filter(|_| !entry.service);
                 let until = terms.and_then(|p| p.latest(submitted, from, spec.deadline_s)).map(ms);
                 let useful = terms.and_then(|p| p.last(submitted, from, spec.deadline_s)).map(ms);
                 let tasks = job.progress();
-                let ticket = self.book.enter(&entry, t);
-                self.book.runs(ticket, tasks, t);
-                let accounts = self.book.of(ticket);
+                let ticket = self.service_level_tracker.enter(&entry, t);
+                self.service_level_tracker.runs(ticket, tasks, t);
+                let accounts = self.service_level_tracker.of(ticket);
                 let job = &mut self.jobs[j];
-                (job.ticket, job.accounts) = (Some(ticket), accounts);
+                (job.tracked, job.indicators) = (Some(ticket), accounts);
                 (job.serves_until, job.useful_until) = (until, useful);
                 return;
             }
         };
         let ended = (job.ended_ms > 0).then_some(job.ended_ms as f64 / 1000.0);
-        self.book.from_record(&entry, end, ended, t);
+        self.service_level_tracker.from_record(&entry, end, ended, t);
     }
 
     /// The number of its tasks that run, or are done, has changed.
-    pub(in crate::shard) fn account_runs(&mut self, j: JobIx, now: f64) {
+    pub(in crate::shard) fn account_runs(&mut self, j: JobIndex, now: f64) {
         let t = self.account_now(now);
         let job = &self.jobs[j];
-        if let Some(ticket) = job.ticket {
-            self.book.runs(ticket, job.progress(), t);
+        if let Some(ticket) = job.tracked {
+            self.service_level_tracker.runs(ticket, job.progress(), t);
         }
     }
 
-    pub(in crate::shard) fn account_end(&mut self, j: JobIx, phase: Phase, now: f64) {
+    pub(in crate::shard) fn account_end(&mut self, j: JobIndex, phase: Phase, now: f64) {
         let t = self.account_now(now);
         let job = &mut self.jobs[j];
         let ended = if job.ended_ms > 0 { job.ended_ms as f64 / 1000.0 } else { t };
-        if let Some(ticket) = job.ticket.take() {
-            self.book.ended(ticket, if phase == Phase::Done { End::Done } else { End::Cancelled }, ended, t);
+        if let Some(ticket) = job.tracked.take() {
+            self.service_level_tracker.ended(
+                ticket,
+                if phase == Phase::Done { End::Done } else { End::Cancelled },
+                ended,
+                t,
+            );
         }
     }
 
     /// Enters what is due, and looks now and then at who has sunk.
     pub(in crate::shard) fn keep_accounts(&mut self, now: f64) {
-        let mut due = std::mem::take(&mut self.accounts.due);
-        due.sort_by_key(|j| self.jobs[*j].at_ms);
+        let mut due = std::mem::take(&mut self.service_levels.due);
+        due.sort_by_key(|j| self.jobs[*j].accepted_at_ms);
         for j in due {
-            if self.jobs[j].ticket.is_none() {
+            if self.jobs[j].tracked.is_none() {
                 self.enter_account(j, now);
             }
         }
-        if now - self.accounts.looked_at < LOOK_EVERY_S {
+        if now - self.service_levels.pairs_examined < EVALUATION_INTERVAL_S {
             return;
         }
-        let since = now - self.accounts.looked_at;
-        self.accounts.looked_at = now;
+        let since = now - self.service_levels.pairs_examined;
+        self.service_levels.pairs_examined = now;
         let t = self.account_now(now);
-        if self.gathered(now) && since < 4.0 * LOOK_EVERY_S {
+        if self.heartbeats_gathered(now) && since < 4.0 * EVALUATION_INTERVAL_S {
             self.account_held(since, t);
         }
-        self.account_largest(now, t);
-        self.book.advance(t);
-        self.sunk = Sunk::look(&self.book, &self.ahead(t), t);
+        self.report_large_jobs(now, t);
+        self.service_level_tracker.advance(t);
+        self.underserved = Underserved::look(&self.service_level_tracker, &self.ahead(t), t);
     }
 
     /// What becomes of the arrays that are open and in time, by class and team, where more waits
     /// than the machines can take.
-    fn ahead(&self, t: f64) -> HashMap<AccountIx, Ahead> {
-        if self.pressure() <= PRESSED {
+    fn ahead(&self, t: f64) -> HashMap<IndicatorIndex, Forecast> {
+        if self.pressure() <= OVERLOAD_PRESSURE {
             return HashMap::new();
         }
         let now_ms = (t * 1000.0) as u64;
-        let mut open: HashMap<AccountIx, (Vec<(f64, f64)>, f64)> = HashMap::new();
+        let mut open: HashMap<IndicatorIndex, (Vec<(f64, f64)>, f64)> = HashMap::new();
         for &j in &self.jobs.live {
             let job = &self.jobs[j];
-            let (Some(accounts), false, true) = (job.accounts, job.is_service(), job.open()) else { continue };
+            let (Some(accounts), false, true) = (job.indicators, job.is_service(), job.is_open()) else { continue };
             let held = f64::from(job.assigned) * job.spec.cpus;
             for a in accounts {
                 open.entry(a).or_default().1 += held;
             }
             let Some(until) = job.serves_until.filter(|u| *u > now_ms) else { continue };
             // It has only just come: nobody knows yet how soon it will have its turn.
-            let window = until.saturating_sub(job.freed_ms);
-            if now_ms < job.freed_ms + window / WAITED_PART {
+            let window = until.saturating_sub(job.ready_at_ms);
+            if now_ms < job.ready_at_ms + window / FORECAST_AFTER_PART {
                 continue;
             }
             let tasks = f64::from(job.wants()) - f64::from(job.assigned) / 2.0;
@@ -293,7 +299,7 @@
                 open.entry(a).or_default().0.push((work, (until - now_ms) as f64 / 1000.0));
             }
         }
-        open.into_iter().map(|(a, (jobs, cpus))| (a, ahead(jobs, cpus))).collect()
+        open.into_iter().map(|(a, (jobs, cpus))| (a, forecast(jobs, cpus))).collect()
     }
 
     /// Of what each team asks for within its guarantee, what it holds.
@@ -301,50 +307,60 @@
         let mut asked = vec![0.0; self.teams.len()];
         for &j in &self.jobs.live {
             let job = &self.jobs[j];
-            if job.open() {
+            if job.is_open() {
                 asked[job.team.ix()] += f64::from(job.wants()) * job.spec.cpus;
             }
         }
         for (i, asked) in asked.into_iter().enumerate() {
-            let asked = asked.min(self.guaranteed(TeamIx::new(i)).0);
+            let asked = asked.min(self.guaranteed(TeamIndex::new(i)).0);
             if asked > 0.0 {
                 let team = &self.teams[i];
-                self.book.held(Side::Team, &team.spec.name, asked * since, team.cpus_used * since, t);
+                self.service_level_tracker.held(
+                    Subject::Team,
+                    &team.spec.name,
+                    asked * since,
+                    team.cpus_used * since,
+                    t,
+                );
             }
         }
         // Where quotas nest, each level's use over time stands beside its teams'.
         for l in self.quota_report("").iter().flat_map(|q| &q.levels).filter(|l| !l.team && l.depth > 0) {
             let asked = (l.used_cpus + l.waits_cpus).min(l.guarantee_cpus);
             if asked > 0.0 {
-                self.book.held(Side::Level, &l.level, asked * since, l.used_cpus * since, t);
+                self.service_level_tracker.held(Subject::Level, &l.level, asked * since, l.used_cpus * since, t);
             }
         }
     }
 
     /// What fell under a half since the last call, or is back.
-    pub fn service_alarms(&mut self, now: f64) -> Vec<Alarm> {
+    pub fn service_level_alerts(&mut self, now: f64) -> Vec<Alert> {
         let t = self.account_now(now);
-        self.book.alarms(t)
+        self.service_level_tracker.alarms(t)
     }
 
-    pub fn service_told(&self, now: f64) -> Told {
-        Told { owner: self.token, chain: self.accounts.chain, ..self.book.told(self.account_now(now)) }
+    pub fn service_level_report(&self, now: f64) -> ServiceLevelReport {
+        ServiceLevelReport {
+            owner: self.token,
+            chain: self.service_levels.chain,
+            ..self.service_level_tracker.told(self.account_now(now))
+        }
     }
 
     /// The class and team of a job that is known here.
-    pub fn whose(&self, id: &str) -> Option<(String, String)> {
+    pub fn class_and_team(&self, id: &str) -> Option<(String, String)> {
         let spec = &self.jobs[self.jobs.find(id)?].spec;
         Some((spec.class.clone(), spec.team.clone()))
     }
 
     /// For operators' summary line: the class and the team that are served least.
     pub(in crate::shard) fn service_summary(&self) -> String {
-        let t = self.account_now(self.ticked);
-        let least = |side: Side, what: &str| {
-            let l = self.book.lowest(side, t);
+        let t = self.account_now(self.ticked_at);
+        let least = |side: Subject, what: &str| {
+            let l = self.service_level_tracker.lowest(side, t);
             l.map_or(String::new(), |(name, r, share)| format!(" {what} {name} {} {share:.2}", r.name()))
         };
-        let (class, team) = (least(Side::Class, "class"), least(Side::Team, "team"));
+        let (class, team) = (least(Subject::Class, "class"), least(Subject::Team, "team"));
         if class.is_empty() && team.is_empty() { String::new() } else { format!("; least served:{class}{team}") }
     }
 
@@ -357,14 +373,14 @@
             .filter(|(_, m)| m.phase == MachinePhase::Up)
             .map(|(_, m)| self.types.get(m.machine_type).cpus)
             .sum();
-        let waits = self.jobs.live.iter().map(|&j| &self.jobs[j]).filter(|j| j.open() && !j.is_service());
+        let waits = self.jobs.live.iter().map(|&j| &self.jobs[j]).filter(|j| j.is_open() && !j.is_service());
         let waits: f64 = waits.map(|j| f64::from(j.wants().saturating_sub(j.assigned)) * j.spec.cpus).sum();
-        if there > 0.0 { (waits / there).clamp(1.0, MOST_PRESSURE) } else { 1.0 }
+        if there > 0.0 { (waits / there).clamp(1.0, MAX_PRESSURE) } else { 1.0 }
     }
 
     /// What can still become of a job that has tasks waiting.
     pub(crate) fn prospect(&self, j: &crate::jobs::Job, now_ms: u64) -> Prospect {
-        let done_ms = now_ms + (j.spec.estimate_s * SURELY_TAKES * 1000.0) as u64;
+        let done_ms = now_ms + (j.spec.estimate_s * CERTAIN_SHARE_OF_ESTIMATE * 1000.0) as u64;
         let gone = |until: Option<u64>| until.is_some_and(|u| done_ms > u);
         match (gone(j.serves_until), gone(j.useful_until)) {
             (false, _) => Prospect::InTime,
--- a/crates/scheduler/src/shard/sizing.rs
+++ b/crates/scheduler/src/shard/sizing.rs
@@ -1,10 +1,10 @@
 //! How many machines of each type there should be, and which of them are kept.
 
-use super::zone_pinned::BoundNeeds;
-use super::{EPS, FleetRecord, PoolRecord, Shard, type_fits};
+use super::zone_pinned::ZonePinnedDemand;
+use super::{EPSILON, FleetRecord, PoolRecord, Shard, type_fits};
 use crate::fleet::mixture::mixture;
 use crate::fleet::{Machine, Phase as MachinePhase};
-use crate::intern::{Index, MachineIx, TypeIx, ZoneIx};
+use crate::intern::{Index, MachineIndex, TypeIndex, ZoneIndex};
 use crate::wire::MachineType;
 use std::collections::HashMap;
 
@@ -17,14 +17,14 @@
 const SPARE_SHARE: f64 = 0.08;
 
 impl Shard {
-    pub(super) fn share(&self, r: &crate::wire::JobRequest, ty: TypeIx) -> f64 {
+    pub(super) fn share(&self, r: &crate::wire::JobRequest, ty: TypeIndex) -> f64 {
         let t = self.types.get(ty);
-        let part = |need: f64, has: f64| if need > 0.0 { need / has.max(EPS) } else { 0.0 };
+        let part = |need: f64, has: f64| if need > 0.0 { need / has.max(EPSILON) } else { 0.0 };
         part(r.cpus, t.cpus).max(part(r.memory_gb, t.memory_gb)).max(part(r.cards, t.cards))
     }
 
     /// The cheapest type on which a job's tasks fit.
-    fn pool_of(&self, r: &crate::wire::JobRequest) -> Option<TypeIx> {
+    fn cheapest_pool(&self, r: &crate::wire::JobRequest) -> Option<TypeIndex> {
         self.cheapest_type(r, |_| true)
     }
 
@@ -33,31 +33,31 @@
         &self,
         r: &crate::wire::JobRequest,
         offered: impl Fn(&MachineType) -> bool,
-    ) -> Option<TypeIx> {
-        let cost = |ty: TypeIx| {
+    ) -> Option<TypeIndex> {
+        let cost = |ty: TypeIndex| {
             let t = self.types.get(ty);
             self.share(r, ty) * if r.spot && t.spot_price > 0.0 { t.spot_price } else { t.price }
         };
-        let suits = |ty: &TypeIx| {
+        let suits = |ty: &TypeIndex| {
             let t = self.types.get(*ty);
             type_fits(r, t) && offered(t)
         };
-        let types = (0..self.types.list.len()).map(TypeIx::new).filter(suits);
+        let types = (0..self.types.list.len()).map(TypeIndex::new).filter(suits);
         types.min_by(|&a, &b| cost(a).total_cmp(&cost(b)))
     }
 
     /// Demand in machines, per type: that may use spot machines, and that may not.
-    fn demand(&self) -> HashMap<TypeIx, (f64, f64)> {
-        let mut out: HashMap<TypeIx, (f64, f64)> = HashMap::new();
+    fn demand(&self) -> HashMap<TypeIndex, (f64, f64)> {
+        let mut out: HashMap<TypeIndex, (f64, f64)> = HashMap::new();
         let mut room: Vec<f64> =
             self.teams.iter().map(|t| if t.spec.cpus_max > 0.0 { t.spec.cpus_max } else { f64::INFINITY }).collect();
         let mut above = self.quota_demand();
         for &j in &self.jobs.live {
             let job = &self.jobs[j];
-            if !job.open() {
+            if !job.is_open() {
                 continue;
             }
-            let Some(ty) = self.pool_of(&job.spec) else { continue };
+            let Some(ty) = self.cheapest_pool(&job.spec) else { continue };
             // Beyond its smallest size a job grows into what is there, and nothing is rented for it.
             let smallest = self.elastic_sizes(j).map_or(u32::MAX, |s| s.smallest);
             let mut n = f64::from(job.wants().min(smallest));
@@ -78,11 +78,11 @@
         // Until the machines were heard, work that is done and not stored seems to be
         // wanted still, and what is on machines not heard is unknown. A successor that
         // took this for demand rented half the fleet again, and held it for the hold.
-        let gathered = self.gathered(now);
-        let demand = if gathered { self.demand() } else { HashMap::new() };
-        let types: Vec<TypeIx> = if gathered { self.pools.keys().copied().collect() } else { Vec::new() };
-        let bound = if gathered { self.bound_needs(now) } else { BoundNeeds::default() };
-        self.rent_for_bound(&bound, now);
+        let heartbeats_gathered = self.heartbeats_gathered(now);
+        let demand = if heartbeats_gathered { self.demand() } else { HashMap::new() };
+        let types: Vec<TypeIndex> = if heartbeats_gathered { self.pools.keys().copied().collect() } else { Vec::new() };
+        let bound = if heartbeats_gathered { self.zone_pinned_demand(now) } else { ZonePinnedDemand::default() };
+        self.rent_for_zone_pinned(&bound, now);
         for ty in types {
             let (spot_demand, mut base_demand) = demand.get(&ty).copied().unwrap_or_default();
             let size = self.types.get(ty).cpus;
@@ -93,7 +93,7 @@
             let count = |spot: bool, ready: bool| {
                 self.machines
                     .iter()
-                    .filter(|(_, m)| m.machine_type == ty && m.spot == spot && staying(m, now))
+                    .filter(|(_, m)| m.machine_type == ty && m.spot == spot && counts_as_fleet(m, now))
                     .filter(|(_, m)| m.phase == MachinePhase::Up && m.can_receive_commands(now) || !ready)
                     .count()
             };
@@ -112,27 +112,27 @@
         }
         // A replica stopped while nothing can be written would stay down: its start
         // elsewhere needs the machine's record first.
-        if self.writable && now - self.moved_at >= MOVE_EVERY_S {
-            self.moved_at = now;
-            self.move_one_service(now);
-            self.move_saved_tasks(now);
+        if self.state_service_writable && now - self.evicted_at >= MOVE_EVERY_S {
+            self.evicted_at = now;
+            self.evict_services(now);
+            self.evict_checkpointed_tasks(now);
         }
     }
 
     /// The base are the on-demand machines with the most services: they have the
     /// images, and so the next service starts there at once. It takes from each zone
     /// in turn: replicas that must be spread could never leave the others otherwise.
-    fn choose_base(&mut self, ty: TypeIx, count: usize, now: f64) {
-        let mut up: Vec<(ZoneIx, usize, MachineIx)> = self
+    fn choose_base(&mut self, ty: TypeIndex, count: usize, now: f64) {
+        let mut up: Vec<(ZoneIndex, usize, MachineIndex)> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.machine_type == ty && !m.spot && staying(m, now) && m.phase == MachinePhase::Up)
+            .filter(|(_, m)| m.machine_type == ty && !m.spot && counts_as_fleet(m, now) && m.phase == MachinePhase::Up)
             .map(|(i, m)| (m.zone, m.service_tasks, i))
             .collect();
         up.sort_by_key(|(zone, services, i)| (*zone, std::cmp::Reverse(*services), *i));
         let mut turn = 0;
         let mut last = None;
-        let mut in_turns: Vec<(usize, std::cmp::Reverse<usize>, MachineIx)> = Vec::with_capacity(up.len());
+        let mut in_turns: Vec<(usize, std::cmp::Reverse<usize>, MachineIndex)> = Vec::with_capacity(up.len());
         for (zone, services, i) in up {
             turn = if last == Some(zone) { turn + 1 } else { 0 };
             last = Some(zone);
@@ -147,17 +147,17 @@
     /// Works out the difference between wanted and present machines of one kind.
     fn adjust(
         &mut self,
-        (ty, spot): (TypeIx, bool),
+        (ty, spot): (TypeIndex, bool),
         wanted: usize,
         there: usize,
         pending: usize,
-        bound: &BoundNeeds,
+        bound: &ZonePinnedDemand,
         now: f64,
     ) {
         if wanted > there + pending {
             let mut short = wanted - there - pending;
             let cordoned = self.cordoned(|m| m.machine_type == ty && m.spot == spot);
-            short -= self.use_again(cordoned.into_iter().rev().take(short));
+            short -= self.uncordon(cordoned.into_iter().rev().take(short));
             if short > 0 {
                 self.rent(ty, spot, short, now);
             }
@@ -166,13 +166,13 @@
             // Those still booting go first, the latest first, then the emptiest. Never
             // the base: a fall in batch demand once sent all services to machines
             // without their images, because only machines that were up could go.
-            let mut spare: Vec<(bool, usize, f64, MachineIx)> = self
+            let mut spare: Vec<(bool, usize, f64, MachineIndex)> = self
                 .machines
                 .iter()
                 .filter(|(_, m)| {
                     m.machine_type == ty
                         && m.spot == spot
-                        && staying(m, now)
+                        && counts_as_fleet(m, now)
                         && !m.in_on_demand_base
                         && !self.grown_on(m)
                 })
@@ -190,18 +190,18 @@
     }
 
     /// Machines that were to be returned, and can be used still.
-    pub(super) fn cordoned(&self, of_sort: impl Fn(&Machine) -> bool) -> Vec<MachineIx> {
+    pub(super) fn cordoned(&self, of_sort: impl Fn(&Machine) -> bool) -> Vec<MachineIndex> {
         let usable =
             |m: &Machine| m.cordoned && present(m) && m.reclaimed_at.is_none() && !m.lost_start_before(f64::INFINITY);
         self.machines.iter().filter(|(_, m)| usable(m) && of_sort(m)).map(|(i, _)| i).collect()
     }
 
     /// Keeps these machines, which were to be returned; how many they are.
-    pub(super) fn use_again(&mut self, machines: impl Iterator<Item = MachineIx>) -> usize {
+    pub(super) fn uncordon(&mut self, machines: impl Iterator<Item = MachineIndex>) -> usize {
         let mut kept = 0;
         for m in machines {
             self.machines[m].cordoned = false;
-            self.place_due = true;
+            self.placement_due = true;
             kept += 1;
         }
         kept
@@ -230,6 +230,6 @@
 }
 
 /// Does this machine count as part of the fleet?
-pub(super) fn staying(m: &Machine, now: f64) -> bool {
+pub(super) fn counts_as_fleet(m: &Machine, now: f64) -> bool {
     present(m) && !m.heard_only_before_failover && !m.cordoned && m.reclaimed_at.is_none() && now >= m.quarantined_until
 }
--- a/crates/scheduler/src/shard/starts.rs
+++ b/crates/scheduler/src/shard/starts.rs
@@ -7,8 +7,8 @@
 
 impl Shard {
     /// Every task of this job is to go. Planned ones were never started.
-    pub(super) fn stop_all(&mut self, j: JobIx) {
-        let held: Vec<(u32, MachineIx)> = (0u32..)
+    pub(super) fn stop_all(&mut self, j: JobIndex) {
+        let held: Vec<(u32, MachineIndex)> = (0u32..)
             .zip(&self.jobs[j].tasks)
             .filter_map(|(t, s)| if let TaskSlot::Assigned(m) = s { Some((t, *m)) } else { None })
             .collect();
@@ -18,7 +18,7 @@
     }
 
     /// Stops a held task; with grace if it can save.
-    pub(crate) fn stop_task(&mut self, m: MachineIx, key: TaskKey, grace: f64) {
+    pub(crate) fn stop_task(&mut self, m: MachineIndex, key: TaskKey, grace: f64) {
         let Some(h) = self.machines[m].assignments.get_mut(&key) else { return };
         if h.state == AssignmentState::Planned {
             self.release_resources(m, key);
@@ -26,7 +26,7 @@
         } else if h.stop_grace_s.is_none_or(|g| grace < g) {
             h.stop_grace_s = Some(grace);
             h.stop_sent_at = -1.0;
-            if self.jobs[key.0].wanted == Phase::Cancelled {
+            if self.jobs[key.0].desired_phase == Phase::Cancelled {
                 self.machines.push_first(m, PushUrgency::Cancelled);
             } else {
                 self.machines.push_due.insert(m);
@@ -35,19 +35,19 @@
     }
 
     /// Stops a task that is to go on elsewhere: it may save first, if it can.
-    pub(crate) fn stop_gently(&mut self, m: MachineIx, key: TaskKey) {
+    pub(crate) fn stop_gently(&mut self, m: MachineIndex, key: TaskKey) {
         let grace = self.grace(key.0);
         self.stop_task(m, key, grace);
     }
 
-    pub(super) fn grace(&self, j: JobIx) -> f64 {
+    pub(super) fn grace(&self, j: JobIndex) -> f64 {
         let s = &self.jobs[j].spec;
-        if s.checkpoint_s > 0.0 { s.save_s + GRACE_EXTRA_S } else { 0.0 }
+        if s.checkpoint_s > 0.0 { s.save_s + STOP_GRACE_MARGIN_S } else { 0.0 }
     }
 
     /// Holds a task on a machine: resources and limits count from here on. False, and an error in the log, where
     /// what it rests on does not hold.
-    pub(crate) fn plan_start(&mut self, m: MachineIx, key: TaskKey, now: f64) -> bool {
+    pub(crate) fn plan_start(&mut self, m: MachineIndex, key: TaskKey, now: f64) -> bool {
         if let Err(why) = self.may_start(m, key) {
             self.counts.forbidden += 1;
             log::error!(
@@ -61,7 +61,7 @@
         }
         self.attempts += 1;
         self.counts.starts += 1;
-        self.stages.first_start.get_or_insert(now - self.began);
+        self.failover_stages.first_start.get_or_insert(now - self.began_at);
         // Attempts never repeat across owners: each claim has a range of its own.
         let attempt = (self.token << ATTEMPT_COUNTER_BITS) + self.attempts;
         let job = &self.jobs[key.0];
@@ -74,7 +74,7 @@
             self.machines[m].name,
             self.token,
             self.machines[m].incarnation,
-            self.day_now_ms(now).saturating_sub(job.at_ms),
+            self.day_now_ms(now).saturating_sub(job.accepted_at_ms),
             image.is_none_or(|i| self.machines[m].has_image(i.0))
         );
         self.log_repeated_start(m, key, attempt);
@@ -103,22 +103,22 @@
             }
             self.machines.push_due.insert(m);
         } else {
-            self.want_record(m);
-            let rack = self.machines[m].rack;
-            if let Some(r) = rack.and_then(|r| self.racks.list.get_mut(&r)) {
+            self.request_record(m);
+            let machine_group = self.machines[m].machine_group;
+            if let Some(r) = machine_group.and_then(|r| self.machine_groups.list.get_mut(&r)) {
                 let job = &self.jobs[key.0];
-                r.planned(key.0, &job.id, job.is_service());
+                r.on_start_planned(key.0, &job.id, job.is_service());
             }
         }
         true
     }
 
     /// The right to start a task whose job an earlier owner had started.
-    fn log_repeated_start(&mut self, m: MachineIx, key: TaskKey, attempt: u64) {
-        if !self.jobs[key.0].recorded {
+    fn log_repeated_start(&mut self, m: MachineIndex, key: TaskKey, attempt: u64) {
+        if !self.jobs[key.0].recorded_before_failover {
             return;
         }
-        let level = self.takeover_log.level();
+        let level = self.failover_log.level();
         log::log!(
             level,
             "{}/{} goes to {}, attempt {attempt}, token {}: an earlier owner had started its job, no machine lists the task, \
@@ -130,7 +130,7 @@
         );
     }
 
-    pub(crate) fn assign(&mut self, m: MachineIx, key: TaskKey, held: Assignment) {
+    pub(crate) fn assign(&mut self, m: MachineIndex, key: TaskKey, held: Assignment) {
         let (running, begun) = (held.state == AssignmentState::Running, held.state.has_started());
         self.count_use(m, key.0, 1.0);
         let machine = &mut self.machines[m];
@@ -147,7 +147,7 @@
     }
 
     /// One task's use of a machine and of its team's limit begins (1) or ends (-1).
-    pub(crate) fn count_use(&mut self, m: MachineIx, j: JobIx, sign: f64) {
+    pub(crate) fn count_use(&mut self, m: MachineIndex, j: JobIndex, sign: f64) {
         let machine = &mut self.machines[m];
         let job = &self.jobs[j];
         machine.cpus_used += sign * job.spec.cpus;
@@ -160,7 +160,7 @@
     }
 
     /// A held task's end is seen: what it took is free again.
-    pub(crate) fn release_resources(&mut self, m: MachineIx, key: TaskKey) -> Option<Assignment> {
+    pub(crate) fn release_resources(&mut self, m: MachineIndex, key: TaskKey) -> Option<Assignment> {
         let machine = &mut self.machines[m];
         let held = machine.assignments.remove(&key)?;
         self.count_use(m, key.0, -1.0);
@@ -185,10 +185,10 @@
             *c -= 1;
         }
         if held.state.has_started() {
-            self.account_runs(key.0, self.ticked);
+            self.account_runs(key.0, self.ticked_at);
         }
         self.elastic_gone(key);
-        self.place_due = true;
+        self.placement_due = true;
         Some(held)
     }
 
@@ -198,9 +198,9 @@
             return;
         }
         let job = &mut self.jobs[key.0];
-        if job.open() && job.tasks.get(key.1 as usize) == Some(&TaskSlot::Queued) {
-            job.queue.push_front(key.1);
-            self.place_due = true;
+        if job.is_open() && job.tasks.get(key.1 as usize) == Some(&TaskSlot::Queued) {
+            job.queued_tasks.push_front(key.1);
+            self.placement_due = true;
         }
     }
 
@@ -208,17 +208,17 @@
         if self.jobs[key.0].is_service() || self.jobs[key.0].phase != Phase::Open {
             return;
         }
-        if self.jobs.mark_done(key.0, key.1, false) {
-            self.account_runs(key.0, self.ticked);
+        if self.jobs.mark_task_done(key.0, key.1, false) {
+            self.account_runs(key.0, self.ticked_at);
             self.progress_due.insert(key.0);
-            if self.jobs[key.0].wanted != Phase::Open {
-                self.finals.insert(key.0);
+            if self.jobs[key.0].desired_phase != Phase::Open {
+                self.pending_ends.insert(key.0);
             }
         }
     }
 
     /// Everything that was on a machine is gone for certain.
-    pub(crate) fn on_machine_emptied(&mut self, m: MachineIx) {
+    pub(crate) fn on_machine_emptied(&mut self, m: MachineIndex) {
         let keys: Vec<TaskKey> = self.machines[m].assignments.keys().copied().collect();
         self.clear_listed_attempts(m);
         for k in keys {
--- a/crates/scheduler/src/shard/summary.rs
+++ b/crates/scheduler/src/shard/summary.rs
@@ -11,7 +11,7 @@
     pub directs: u64,
     pub starts: u64,
     pub finals: u64,
-    pub racks: u64,
+    pub machine_groups: u64,
     pub progress: u64,
     pub checkpoint: u64,
     pub other_writes: u64,
@@ -33,7 +33,7 @@
             .live
             .iter()
             .map(|&j| &self.jobs[j])
-            .filter(|j| j.open())
+            .filter(|j| j.is_open())
             .map(|j| j.unfinished().saturating_sub(j.assigned))
             .sum();
         let up = |spot: bool, cordoned: bool| {
@@ -57,7 +57,7 @@
             c.withheld - before.withheld,
             c.forbidden - before.forbidden,
             c.finals - before.finals,
-            c.racks - before.racks,
+            c.machine_groups - before.machine_groups,
             c.progress - before.progress,
             c.checkpoint - before.checkpoint,
             c.other_writes - before.other_writes,
--- a/crates/scheduler/src/shard/task_failures.rs
+++ b/crates/scheduler/src/shard/task_failures.rs
@@ -38,7 +38,7 @@
 }
 
 impl Shard {
-    pub(super) fn task_failed(&mut self, m: MachineIx, k: TaskKey, now: f64) {
+    pub(super) fn task_failed(&mut self, m: MachineIndex, k: TaskKey, now: f64) {
         // What fails on a machine that is faulty by others' failures says nothing of the job.
         if self.machines[m].is_quarantined() && self.fails_its_tasks(m, Some(k.0)) {
             return;
@@ -61,13 +61,13 @@
         job.failed_on.drain(..excess);
         // Tasks that were started together fail together: that is one try.
         if now >= job.not_before {
-            job.not_before = now + TRIED_AGAIN_S * f64::from(1 << job.tries.min(DOUBLINGS));
-            job.tries += 1;
+            job.not_before = now + TRIED_AGAIN_S * f64::from(1 << job.attempts_since_fault.min(DOUBLINGS));
+            job.attempts_since_fault += 1;
         }
     }
 
     /// The job has shown that it is at fault: the machines that it failed on get their standing back.
-    fn blame_job(&mut self, j: JobIx, now: f64) {
+    fn blame_job(&mut self, j: JobIndex, now: f64) {
         log::info!("{} fails on every machine: tried again now and then", self.jobs[j].id);
         for m in self.jobs[j].failed_on.clone() {
             // One that is long gone has left the memory.
@@ -76,27 +76,27 @@
             if machine.is_quarantined() && machine.phase == MachinePhase::Up && !self.fails_its_tasks(m, None) {
                 log::info!("machine {} was not at fault", self.machines[m].name);
                 self.machines[m].quarantined_until = now;
-                self.want_record(m);
+                self.request_record(m);
             }
         }
         // Users' mistakes are no service that was owed.
         self.account_end(j, Phase::Cancelled, now);
-        self.place_due = true;
+        self.placement_due = true;
     }
 
     /// The job has succeeded somewhere, or what it failed on was at fault.
-    pub(super) fn absolve(&mut self, j: JobIx) {
+    pub(super) fn absolve(&mut self, j: JobIndex) {
         let job = &mut self.jobs[j];
         let was = job.at_fault();
         job.failed_on.clear();
         if was {
-            (job.tries, job.not_before) = (0, 0.0);
+            (job.attempts_since_fault, job.not_before) = (0, 0.0);
             self.account_due(j);
-            self.place_due = true;
+            self.placement_due = true;
         }
     }
 
-    fn machine_failed(&mut self, m: MachineIx, j: JobIx, now: f64) {
+    fn machine_failed(&mut self, m: MachineIndex, j: JobIndex, now: f64) {
         let machine = &mut self.machines[m];
         machine.recent_failures.retain(|f| now - f.1 < TELLS_FOR_S);
         machine.recent_failures.push((j, now));
@@ -108,10 +108,10 @@
             log::warn!("machine {} fails its tasks: set aside", machine.name);
             machine.quarantined_until = f64::INFINITY;
             machine.quarantined_since = now;
-            self.want_record(m);
+            self.request_record(m);
         }
-        let failed_here = |j: &&JobIx| self.jobs[**j].failed_on.contains(&m) && self.fails_its_tasks(m, Some(**j));
-        let cleared: Vec<JobIx> = self.jobs.live.iter().filter(failed_here).copied().collect();
+        let failed_here = |j: &&JobIndex| self.jobs[**j].failed_on.contains(&m) && self.fails_its_tasks(m, Some(**j));
+        let cleared: Vec<JobIndex> = self.jobs.live.iter().filter(failed_here).copied().collect();
         for j in cleared {
             let job = &mut self.jobs[j];
             let was = job.at_fault();
@@ -123,11 +123,11 @@
     }
 
     /// Do failures of jobs that are not at fault speak against this machine, of others than this one?
-    fn fails_its_tasks(&self, m: MachineIx, but: Option<JobIx>) -> bool {
+    fn fails_its_tasks(&self, m: MachineIndex, but: Option<JobIndex>) -> bool {
         let fails = &self.machines[m].recent_failures;
-        let speak = |j: JobIx| Some(j) != but && self.jobs.get(j).is_some_and(|j| !j.at_fault());
-        let mut jobs: Vec<JobIx> = fails.iter().map(|f| f.0).filter(|j| speak(*j)).collect();
-        let of_one = |j: &JobIx| self.jobs[*j].done > 0 && fails.iter().filter(|f| f.0 == *j).count() >= OF_ONE_JOB;
+        let speak = |j: JobIndex| Some(j) != but && self.jobs.get(j).is_some_and(|j| !j.at_fault());
+        let mut jobs: Vec<JobIndex> = fails.iter().map(|f| f.0).filter(|j| speak(*j)).collect();
+        let of_one = |j: &JobIndex| self.jobs[*j].done > 0 && fails.iter().filter(|f| f.0 == *j).count() >= OF_ONE_JOB;
         jobs.sort_unstable();
         jobs.dedup();
         jobs.len() >= 2 || jobs.iter().any(of_one)
--- a/crates/scheduler/src/shard/task_reconciliation.rs
+++ b/crates/scheduler/src/shard/task_reconciliation.rs
@@ -1,14 +1,14 @@
 //! What a report says of the tasks on its machine, and what becomes of those that it does not name.
 
 use super::Shard;
-use super::dependencies::NeedsState;
+use super::dependencies::DependencyState;
 use super::heartbeats::HeartbeatSource;
 use super::starts::ATTEMPT_COUNTER_BITS;
 use super::task_failures::RUNS_WELL_S;
 use crate::fleet::{
     Assignment, AssignmentState, MAX_MISSED_ACKNOWLEDGEMENTS, PushUrgency, UnassignedAttempt, UnrecognizedAttempt,
 };
-use crate::intern::MachineIx;
+use crate::intern::MachineIndex;
 use crate::jobs::{Phase, TaskKey, TaskSlot};
 use crate::wire::{ExitReason, Heartbeat, TaskReport, TaskState};
 use std::collections::BTreeMap;
@@ -47,7 +47,7 @@
     /// Notes an attempt that is not held, or is no more. One that still runs takes room
     /// and counts against its team's limit until its end is seen: after a takeover, those
     /// of cancelled jobs once did not, and others were started beside them.
-    pub(super) fn note_unassigned(&mut self, m: MachineIx, k: TaskKey, attempt: u64, what: UnassignedAttempt) {
+    pub(super) fn note_unassigned(&mut self, m: MachineIndex, k: TaskKey, attempt: u64, what: UnassignedAttempt) {
         self.drop_unassigned(m, |key, _| *key != k);
         if what.is_orphaned() {
             self.count_use(m, k.0, 1.0);
@@ -57,7 +57,7 @@
     }
 
     /// Forgets all leftovers of a machine but those to be kept.
-    pub(super) fn drop_unassigned(&mut self, m: MachineIx, keep: impl Fn(&TaskKey, u64) -> bool) {
+    pub(super) fn drop_unassigned(&mut self, m: MachineIndex, keep: impl Fn(&TaskKey, u64) -> bool) {
         let unassigned = &mut self.machines[m].unassigned;
         let gone: Vec<(TaskKey, UnassignedAttempt)> =
             unassigned.iter().filter(|(k, (a, _))| !keep(k, *a)).map(|(k, (_, what))| (*k, *what)).collect();
@@ -66,13 +66,13 @@
             if what.is_orphaned() {
                 self.count_use(m, k.0, -1.0);
                 self.live_attempts.remove_orphan(k, m);
-                self.place_due = true;
+                self.placement_due = true;
             }
         }
     }
 
     /// Brings what is known of a machine's tasks in line with its report.
-    pub(super) fn reconcile_tasks(&mut self, m: MachineIx, r: &Heartbeat, origin: HeartbeatSource, now: f64) {
+    pub(super) fn reconcile_tasks(&mut self, m: MachineIndex, r: &Heartbeat, origin: HeartbeatSource, now: f64) {
         let listed = self.listed_attempts(r);
         self.note_unrecognized_attempts(m, r);
         // First of all: what is not listed any more occupies no task.
@@ -106,7 +106,7 @@
     }
 
     /// Attempts that have not ended, of tasks that are not known here: they are told to stop.
-    fn note_unrecognized_attempts(&mut self, m: MachineIx, r: &Heartbeat) {
+    fn note_unrecognized_attempts(&mut self, m: MachineIndex, r: &Heartbeat) {
         let unknown = r.tasks.iter().filter(|t| t.state != TaskState::Exited && self.key_of(&t.task).is_none());
         let unknown = unknown.map(|t| UnrecognizedAttempt { task: t.task.clone(), attempt: t.attempt, state: t.state });
         let unknown: Vec<UnrecognizedAttempt> = unknown.collect();
@@ -116,7 +116,7 @@
     }
 
     /// Whether any of them was not listed before.
-    fn replace_unrecognized_attempts(&mut self, m: MachineIx, unknown: Vec<UnrecognizedAttempt>) -> bool {
+    fn replace_unrecognized_attempts(&mut self, m: MachineIndex, unknown: Vec<UnrecognizedAttempt>) -> bool {
         if unknown.is_empty() && self.machines[m].unrecognized_attempts.is_empty() {
             return false;
         }
@@ -138,13 +138,13 @@
     }
 
     /// Nothing that is listed runs any more, since its session is over or its machine is gone.
-    pub(super) fn clear_listed_attempts(&mut self, m: MachineIx) {
+    pub(super) fn clear_listed_attempts(&mut self, m: MachineIndex) {
         self.drop_unassigned(m, |_, _| false);
         self.replace_unrecognized_attempts(m, Vec::new());
     }
 
     /// What became of the attempts that are held on this machine.
-    fn reconcile_assignments(&mut self, m: MachineIx, listed: &ListedAttempts, origin: HeartbeatSource, now: f64) {
+    fn reconcile_assignments(&mut self, m: MachineIndex, listed: &ListedAttempts, origin: HeartbeatSource, now: f64) {
         let held: Vec<(TaskKey, u64, AssignmentState)> =
             self.machines[m].assignments.iter().map(|(k, h)| (*k, h.attempt, h.state)).collect();
         let (mut heeded, mut missed) = (false, Vec::new());
@@ -182,7 +182,7 @@
     }
 
     /// An attempt ended that is not held here: its result counts all the same.
-    fn on_unassigned_attempt_ended(&mut self, m: MachineIx, k: TaskKey, t: &TaskReport) {
+    fn on_unassigned_attempt_ended(&mut self, m: MachineIndex, k: TaskKey, t: &TaskReport) {
         if t.exit_reason == Some(ExitReason::Done) {
             self.stop_redundant_start(k);
             self.on_task_done(k);
@@ -199,7 +199,7 @@
     /// becomes of it, its task starts nowhere else.
     pub(super) fn settle_unassigned_attempt(
         &mut self,
-        m: MachineIx,
+        m: MachineIndex,
         k: TaskKey,
         attempt: u64,
         state: TaskState,
@@ -218,7 +218,7 @@
             _ if known => {}
             _ => {
                 self.note_unassigned(m, k, attempt, UnassignedAttempt::Orphaned(state));
-                if self.jobs[k.0].wanted == Phase::Cancelled {
+                if self.jobs[k.0].desired_phase == Phase::Cancelled {
                     self.machines.push_first(m, PushUrgency::Cancelled);
                 } else {
                     self.machines.push_due.insert(m);
@@ -228,7 +228,7 @@
     }
 
     /// Was this attempt known as orphaned? Then it is in this state now.
-    fn refresh_orphan(&mut self, m: MachineIx, k: TaskKey, attempt: u64, state: TaskState) -> bool {
+    fn refresh_orphan(&mut self, m: MachineIndex, k: TaskKey, attempt: u64, state: TaskState) -> bool {
         match self.machines[m].unassigned.get_mut(&k) {
             Some((a, UnassignedAttempt::Orphaned(known))) if *a == attempt => {
                 *known = state;
@@ -241,12 +241,12 @@
     fn disposition_of(&self, k: TaskKey) -> AttemptDisposition {
         let job = &self.jobs[k.0];
         match job.tasks.get(k.1 as usize) {
-            _ if !job.open() => AttemptDisposition::JobOver,
-            Some(TaskSlot::Queued) => match self.needs_state(k.0) {
-                NeedsState::Met => AttemptDisposition::Adopted,
-                NeedsState::Unread => AttemptDisposition::AdoptedUnread,
+            _ if !job.is_open() => AttemptDisposition::JobOver,
+            Some(TaskSlot::Queued) => match self.dependency_state(k.0) {
+                DependencyState::Met => AttemptDisposition::Adopted,
+                DependencyState::Unread => AttemptDisposition::AdoptedUnread,
                 // Of a job that waits for others nothing may run, whoever started it.
-                NeedsState::Open => AttemptDisposition::StoppedForNeeds,
+                DependencyState::Open => AttemptDisposition::StoppedForNeeds,
             },
             Some(TaskSlot::Assigned(_)) => AttemptDisposition::HeldAlready,
             _ => AttemptDisposition::TaskDone,
@@ -255,12 +255,12 @@
 
     /// What a new leader makes of each attempt of an earlier one: without these lines nothing told why a task was
     /// started a second time after a takeover.
-    fn log_disposition(&mut self, m: MachineIx, k: TaskKey, attempt: u64, what_becomes: AttemptDisposition) {
+    fn log_disposition(&mut self, m: MachineIndex, k: TaskKey, attempt: u64, what_becomes: AttemptDisposition) {
         match what_becomes {
             AttemptDisposition::Adopted | AttemptDisposition::AdoptedUnread => self.counts.adopted += 1,
             _ => self.counts.orphaned += 1,
         }
-        let level = self.takeover_log.level();
+        let level = self.failover_log.level();
         let (job, machine) = (&self.jobs[k.0], &self.machines[m]);
         log::log!(
             level,
@@ -276,7 +276,7 @@
     /// Has the machine taken up what the answers to its reports told it? What it missed is told
     /// directly, if that reaches it. A machine whose reports came, and which nothing reached, once got
     /// one start after another, and none was ever taken back.
-    fn record_acknowledgements(&mut self, m: MachineIx, heeded: bool, missed: Vec<TaskKey>, now: f64) {
+    fn record_acknowledgements(&mut self, m: MachineIndex, heeded: bool, missed: Vec<TaskKey>, now: f64) {
         let machine = &mut self.machines[m];
         if missed.is_empty() {
             if heeded {
@@ -301,7 +301,7 @@
     /// An earlier owner's start goes on under this one, or is stopped by it.
     fn adopt_attempt(
         &mut self,
-        m: MachineIx,
+        m: MachineIndex,
         k: TaskKey,
         (attempt, state): (u64, TaskState),
         stop: Option<f64>,
@@ -329,7 +329,7 @@
         let machine = &self.machines[m];
         // The next owner has to know of it as well.
         if machine.is_reconciled() && !(machine.record_stored && machine.stored_jobs.contains(&k.0)) {
-            self.want_record(m);
+            self.request_record(m);
         }
     }
 
@@ -340,7 +340,7 @@
         }
     }
 
-    pub(super) fn observe_task_state(&mut self, m: MachineIx, k: TaskKey, state: TaskState, now: f64) {
+    pub(super) fn observe_task_state(&mut self, m: MachineIndex, k: TaskKey, state: TaskState, now: f64) {
         let Some(h) = self.machines[m].assignments.get_mut(&k) else { return };
         let (was_running, had_begun) = (h.state == AssignmentState::Running, h.state.has_started());
         h.state = match state {
@@ -371,7 +371,7 @@
     }
 
     /// The task runs or ran here, and so its image is here.
-    fn image_seen(&mut self, m: MachineIx, k: TaskKey) {
+    fn image_seen(&mut self, m: MachineIndex, k: TaskKey) {
         let job = &self.jobs[k.0];
         if let Some(i) = job.image {
             self.machines[m].mark_image_ready(i, job.spec.image_gb);
@@ -382,7 +382,7 @@
     /// not by an unanswered direct command, nor in the reply to a report that is still
     /// on its way while a direct answer overtakes it. A direct start counts as unanswered from the
     /// moment it is sent: another call that is under way to the machine doesn't carry it.
-    fn release_withdrawn_start(&mut self, m: MachineIx, k: TaskKey, origin: HeartbeatSource) {
+    fn release_withdrawn_start(&mut self, m: MachineIndex, k: TaskKey, origin: HeartbeatSource) {
         let machine = &self.machines[m];
         let Some(h) = machine.assignments.get(&k) else { return };
         if h.stop_grace_s.is_some()
@@ -394,7 +394,7 @@
         }
     }
 
-    fn on_task_exited(&mut self, m: MachineIx, k: TaskKey, t: &TaskReport, now: f64) {
+    fn on_task_exited(&mut self, m: MachineIndex, k: TaskKey, t: &TaskReport, now: f64) {
         let Some(held) = self.release_resources(m, k) else { return };
         if t.exit_reason == Some(ExitReason::Done) {
             self.image_seen(m, k);
--- a/crates/scheduler/src/shard/writes/batch.rs
+++ b/crates/scheduler/src/shard/writes/batch.rs
@@ -1,40 +1,40 @@
 //! The next writes, the most urgent first.
 
-use super::{What, Write, sized};
-use crate::fleet::machine_groups::{RACK_PREFIX, rack_key};
+use super::{PendingWrite, WritePurpose, serialize_with_size};
+use crate::fleet::machine_groups::{MACHINE_GROUP_PREFIX, machine_group_key};
 use crate::fleet::{FLEET_KEY, MACHINE_PREFIX};
-use crate::intern::{JobIx, RackIx};
+use crate::intern::{JobIndex, MachineGroupIndex};
 use crate::jobs::{JobRecord, Phase, job_key};
 use crate::shard::Shard;
 use std::ops::ControlFlow;
 
 /// Besides what can be spared, one cancellation that follows from another each so often,
 /// until they press.
-const EASED_EVERY_S: f64 = 0.25;
-const PROGRESS_EVERY_S: f64 = 4.0;
-const FLEET_EVERY_S: f64 = 5.0;
+const CASCADE_THROTTLE_INTERVAL_S: f64 = 0.25;
+const PROGRESS_INTERVAL_S: f64 = 4.0;
+const FLEET_RECORD_INTERVAL_S: f64 = 5.0;
 /// With less room in bytes than this, a batch takes no further write.
-const LEAST_ROOM: usize = 20 * 1024;
+const MIN_BATCH_BYTES: usize = 20 * 1024;
 
 /// Writes that go into one transaction.
 struct Batch {
-    writes: Vec<Write>,
+    writes: Vec<PendingWrite>,
     /// Most writes.
-    ops: usize,
+    max_writes: usize,
     /// Bytes that are left.
-    room: usize,
+    remaining_bytes: usize,
     /// The writes that may be made now without going short.
     spare: usize,
 }
 
 impl Batch {
     /// Takes a write, if there is one; ends the search for others once no more fit.
-    fn take(&mut self, w: Option<Write>) -> ControlFlow<()> {
+    fn push(&mut self, w: Option<PendingWrite>) -> ControlFlow<()> {
         if let Some(w) = w {
-            self.room = self.room.saturating_sub(w.bytes);
+            self.remaining_bytes = self.remaining_bytes.saturating_sub(w.bytes);
             self.writes.push(w);
         }
-        if self.room > LEAST_ROOM && self.writes.len() < self.ops {
+        if self.remaining_bytes > MIN_BATCH_BYTES && self.writes.len() < self.max_writes {
             ControlFlow::Continue(())
         } else {
             ControlFlow::Break(())
@@ -50,75 +50,75 @@
     /// The next writes, the most urgent first, no more than `ops` and `bytes`.
     /// `spare`: the writes that may be made now without going short; progress
     /// and tidying come only out of these.
-    pub fn next_writes(&mut self, ops: usize, bytes: usize, spare: usize, now: f64) -> Vec<Write> {
-        let mut batch = Batch { writes: Vec::new(), ops, room: bytes, spare };
+    pub fn next_writes(&mut self, ops: usize, bytes: usize, spare: usize, now: f64) -> Vec<PendingWrite> {
+        let mut batch = Batch { writes: Vec::new(), max_writes: ops, remaining_bytes: bytes, spare };
         let _full = self.fill(&mut batch, now);
         batch.writes
     }
 
     fn fill(&mut self, batch: &mut Batch, now: f64) -> ControlFlow<()> {
-        self.write_finals(batch, now)?;
+        self.write_ends(batch, now)?;
         self.delete_stale_records(batch)?;
         // Racks take all there is for minutes at a time, and a checkpoint that is too old is none:
         // one put a second goes before them then.
-        if self.checkpoint_presses(now) {
-            batch.take(self.checkpoint_write(false, now))?;
+        if self.checkpoint_is_overdue(now) {
+            batch.push(self.checkpoint_write(false, now))?;
         }
         while let Some(w) = self.accounts_write(false, now) {
-            batch.take(Some(w))?;
+            batch.push(Some(w))?;
         }
         // Another tree of quotas: it holds once it is stored.
         if let Some(w) = self.quota_write() {
-            batch.take(Some(w))?;
+            batch.push(Some(w))?;
         }
         self.write_racks(batch, now)?;
         self.write_fleet(batch, now)?;
         self.write_progress(batch, now)?;
         while let Some(w) = self.accounts_write(batch.has_spare(), now) {
-            batch.take(Some(w))?;
+            batch.push(Some(w))?;
         }
         // What a successor would read instead of everything comes after all that must be stored.
-        batch.take(self.checkpoint_write(batch.has_spare(), now))?;
-        self.tidy(batch)
+        batch.push(self.checkpoint_write(batch.has_spare(), now))?;
+        self.delete_stale_keys(batch)
     }
 
     /// A user's own cancellation, then what is done, then cancellations that follow
     /// from another: those have most of `cancel_s` left, so that a few at a time
     /// do, until they press.
-    fn finals_in_turn(&mut self, spare: usize, now: f64) -> Vec<JobIx> {
-        let turn = |j: &JobIx| {
+    fn ordered_ends(&mut self, spare: usize, now: f64) -> Vec<JobIndex> {
+        let turn = |j: &JobIndex| {
             let job = &self.jobs[*j];
-            let follows = job.doomed.is_some() && !self.doom_presses(*j, now);
-            (follows, job.wanted != Phase::Cancelled, job.doomed.is_some())
+            let follows = job.cascade_cancelled_at.is_some() && !self.cascade_is_overdue(*j, now);
+            (follows, job.desired_phase != Phase::Cancelled, job.cascade_cancelled_at.is_some())
         };
-        let mut f: Vec<_> = self.finals.iter().map(|j| (turn(j), *j)).collect();
+        let mut f: Vec<_> = self.pending_ends.iter().map(|j| (turn(j), *j)).collect();
         f.sort();
         let at_ease = f.iter().position(|((follows, ..), _)| *follows).unwrap_or(f.len());
         // The writer takes each write as soon as there is one to take, so that a share of
         // a transaction would be all of it.
-        let in_turn = usize::from(now - self.eased_at >= EASED_EVERY_S);
+        let in_turn = usize::from(now - self.cascade_throttled_at >= CASCADE_THROTTLE_INTERVAL_S);
         f.truncate(at_ease + in_turn.max(spare));
         if in_turn > 0 && f.len() > at_ease {
-            self.eased_at = now;
+            self.cascade_throttled_at = now;
         }
         f.into_iter().map(|(_, j)| j).collect()
     }
 
-    fn write_finals(&mut self, batch: &mut Batch, now: f64) -> ControlFlow<()> {
-        for j in self.finals_in_turn(batch.spare, now) {
+    fn write_ends(&mut self, batch: &mut Batch, now: f64) -> ControlFlow<()> {
+        for j in self.ordered_ends(batch.spare, now) {
             let job = &self.jobs[j];
             let key = job_key(&job.id);
             if self.in_flight.contains(&key) {
                 continue;
             }
-            let phase = job.wanted;
+            let phase = job.desired_phase;
             let ended_ms = self.day_now_ms(now);
-            let r = JobRecord::ended(&job.spec, job.at_ms, phase, ended_ms, self.value_bytes);
+            let r = JobRecord::ended(&job.spec, job.accepted_at_ms, phase, ended_ms, self.value_bytes);
             let job = &mut self.jobs[j];
-            job.final_sent = true;
+            job.end_write_sent = true;
             job.ended_ms = ended_ms;
-            self.end_sent(j);
-            batch.take(self.put(key, What::Final(j, phase), &r))?;
+            self.on_end_sent(j);
+            batch.push(self.enqueue_write(key, WritePurpose::JobEnd(j, phase), &r))?;
         }
         ControlFlow::Continue(())
     }
@@ -127,51 +127,60 @@
     /// what can be spared is nothing where the starts take all there is. A successor once
     /// found twice as many machines as there were, and waited for the others.
     fn delete_stale_records(&mut self, batch: &mut Batch) -> ControlFlow<()> {
-        let stale = self.cleanup.iter().find(|k| k.starts_with(RACK_PREFIX) || k.starts_with(MACHINE_PREFIX));
+        let stale =
+            self.stale_keys.iter().find(|k| k.starts_with(MACHINE_GROUP_PREFIX) || k.starts_with(MACHINE_PREFIX));
         if let Some(key) = stale.filter(|k| !self.in_flight.contains(*k)).cloned() {
-            batch.take(self.delete_write(key))?;
+            batch.push(self.delete_write(key))?;
         }
         ControlFlow::Continue(())
     }
 
     fn write_racks(&mut self, batch: &mut Batch, now: f64) -> ControlFlow<()> {
-        let mut due: Vec<((bool, f64), RackIx)> = self
-            .racks_due
+        let mut due: Vec<((bool, f64), MachineGroupIndex)> = self
+            .dirty_groups
             .iter()
-            .filter(|r| !self.in_flight.contains(&rack_key(**r)))
-            .map(|r| (self.racks.list.get(r).map_or((false, 0.0), |rack| rack.turn(now)), *r))
+            .filter(|r| !self.in_flight.contains(&machine_group_key(**r)))
+            .map(|r| {
+                (
+                    self.machine_groups
+                        .list
+                        .get(r)
+                        .map_or((false, 0.0), |machine_group| machine_group.write_priority(now)),
+                    *r,
+                )
+            })
             .collect();
         due.sort_by(|(a, i), (b, j)| b.0.cmp(&a.0).then(b.1.total_cmp(&a.1)).then(i.cmp(j)));
-        due.truncate(batch.ops);
+        due.truncate(batch.max_writes);
         for (_, r) in due {
-            let empty = self.racks.list.get(&r).is_none_or(|r| r.members.is_empty());
-            batch.take(if empty { self.rack_gone(r) } else { self.rack_write(r) })?;
+            let empty = self.machine_groups.list.get(&r).is_none_or(|r| r.members.is_empty());
+            batch.push(if empty { self.delete_group(r) } else { self.write_group(r) })?;
         }
         ControlFlow::Continue(())
     }
 
     /// The counts of the owner before stand until there are new ones.
     fn write_fleet(&mut self, batch: &mut Batch, now: f64) -> ControlFlow<()> {
-        let fleet_due = now - self.fleet_at >= FLEET_EVERY_S && self.gathered(now);
+        let fleet_due = now - self.fleet_at >= FLEET_RECORD_INTERVAL_S && self.heartbeats_gathered(now);
         if !batch.has_spare() || !fleet_due || self.in_flight.contains(FLEET_KEY) {
             return ControlFlow::Continue(());
         }
         self.fleet_at = now;
         let mut r = self.fleet_record();
         // A help to a successor and no need: what does not fit is left out.
-        while sized(&r).is_some_and(|v| v.1 > self.value_bytes) && r.pools.pop().is_some() {}
+        while serialize_with_size(&r).is_some_and(|v| v.1 > self.value_bytes) && r.pools.pop().is_some() {}
         if r != self.fleet_stored {
-            batch.take(self.put(FLEET_KEY.into(), What::Fleet(r.clone()), &r))?;
+            batch.push(self.enqueue_write(FLEET_KEY.into(), WritePurpose::Fleet(r.clone()), &r))?;
         }
         ControlFlow::Continue(())
     }
 
     fn write_progress(&mut self, batch: &mut Batch, now: f64) -> ControlFlow<()> {
-        if now - self.progress_at < PROGRESS_EVERY_S {
+        if now - self.progress_at < PROGRESS_INTERVAL_S {
             return ControlFlow::Continue(());
         }
         for j in self.progress_due.clone() {
-            if self.jobs[j].wanted == Phase::Open {
+            if self.jobs[j].desired_phase == Phase::Open {
                 self.write_progress_of(j, batch)?;
             }
             self.progress_due.remove(&j);
@@ -180,7 +189,7 @@
         ControlFlow::Continue(())
     }
 
-    fn write_progress_of(&mut self, j: JobIx, batch: &mut Batch) -> ControlFlow<()> {
+    fn write_progress_of(&mut self, j: JobIndex, batch: &mut Batch) -> ControlFlow<()> {
         let chunks: Vec<u32> = self.jobs[j].dirty_chunks.iter().copied().collect();
         for c in chunks {
             let key = self.jobs.progress_key(j, c);
@@ -192,17 +201,22 @@
             }
             self.jobs[j].dirty_chunks.remove(&c);
             let r = self.jobs.progress(j, c);
-            batch.take(self.put(key, What::Progress(j, c, r.clone()), &r))?;
+            batch.push(self.enqueue_write(key, WritePurpose::Progress(j, c, r.clone()), &r))?;
         }
         ControlFlow::Continue(())
     }
 
-    fn tidy(&mut self, batch: &mut Batch) -> ControlFlow<()> {
-        let room_for = batch.spare.saturating_sub(batch.writes.len() + 2);
-        let tidy: Vec<String> =
-            self.cleanup.iter().filter(|k| !self.in_flight.contains(*k)).take(room_for).cloned().collect();
+    fn delete_stale_keys(&mut self, batch: &mut Batch) -> ControlFlow<()> {
+        let cheapest_preemption = batch.spare.saturating_sub(batch.writes.len() + 2);
+        let tidy: Vec<String> = self
+            .stale_keys
+            .iter()
+            .filter(|k| !self.in_flight.contains(*k))
+            .take(cheapest_preemption)
+            .cloned()
+            .collect();
         for key in tidy {
-            batch.take(self.delete_write(key))?;
+            batch.push(self.delete_write(key))?;
         }
         ControlFlow::Continue(())
     }
--- a/crates/scheduler/src/shard/writes/outcome.rs
+++ b/crates/scheduler/src/shard/writes/outcome.rs
@@ -1,69 +1,69 @@
 //! What came of writes: applied, not applied, or told by the state service afterwards.
 
-use super::{What, Write};
+use super::{PendingWrite, WritePurpose};
 use crate::fleet::{AssignmentState, Phase as MachinePhase};
-use crate::intern::{Index, JobIx, MachineIx};
+use crate::intern::{Index, JobIndex, MachineIndex};
 use crate::jobs::Phase;
 use crate::shard::Shard;
 
 impl Shard {
     /// These writes are applied, all at this revision.
-    pub fn on_applied(&mut self, writes: Vec<Write>, revision: u64, now: f64) {
-        self.revision_seen(revision);
+    pub fn on_writes_applied(&mut self, writes: Vec<PendingWrite>, revision: u64, now: f64) {
+        self.on_revision(revision);
         for w in writes {
             self.in_flight.remove(&w.key);
-            match w.what {
-                What::Checkpoint => self.checkpoint_applied(&w.key),
-                What::Cleanup => {
+            match w.purpose {
+                WritePurpose::Checkpoint => self.checkpoint_applied(&w.key),
+                WritePurpose::DeleteStale => {
                     self.versions.remove(&w.key);
-                    self.value_names(&w.key, &[]);
+                    self.on_group_value_stored(&w.key, &[]);
                     continue;
                 }
-                What::Final(j, phase) => self.end_stands(j, phase, now),
-                What::Rack(_, contents) => {
+                WritePurpose::JobEnd(j, phase) => self.on_end_committed(j, phase, now),
+                WritePurpose::MachineGroup(_, contents) => {
                     // Its value may have room for names again.
-                    self.place_due = true;
-                    let machines: Vec<MachineIx> = contents.iter().map(|c| c.0).collect();
-                    self.value_names(&w.key, &machines);
+                    self.placement_due = true;
+                    let machines: Vec<MachineIndex> = contents.iter().map(|c| c.0).collect();
+                    self.on_group_value_stored(&w.key, &machines);
                     for (m, jobs, retiring) in contents {
-                        self.record_applied(m, jobs, retiring);
+                        self.on_group_record_stored(m, jobs, retiring);
                     }
                 }
-                What::Progress(j, c, r) => {
+                WritePurpose::Progress(j, c, r) => {
                     if self.jobs.get(j).is_some_and(|j| j.phase == Phase::Open) {
-                        self.jobs.progress_stored(j, c, &r);
+                        self.jobs.on_progress_stored(j, c, &r);
                     } else {
-                        self.cleanup.insert(w.key.clone());
+                        self.stale_keys.insert(w.key.clone());
                     }
                 }
-                What::Fleet(r) => self.fleet_stored = r,
-                What::Quota(step) => self.quota_applied(step),
-                What::Accounts(round, place) => self.accounts_applied(round, place),
+                WritePurpose::Fleet(r) => self.fleet_stored = r,
+                WritePurpose::Quota(step) => self.quota_applied(step),
+                WritePurpose::ServiceLevels(round, place) => self.accounts_applied(round, place),
             }
             self.versions.insert(w.key, revision);
         }
     }
 
     /// The end of this job is stored, as the answer to its write or the watch tells, whichever comes first.
-    pub(in crate::shard) fn end_stands(&mut self, j: JobIx, phase: Phase, now: f64) {
+    pub(in crate::shard) fn on_end_committed(&mut self, j: JobIndex, phase: Phase, now: f64) {
         if self.jobs.get(j).is_none_or(|job| job.phase != Phase::Open) {
             return;
         }
         let chunks: Vec<String> = self.jobs.progress_keys(j).filter(|k| self.versions.contains_key(k)).collect();
-        self.cleanup.extend(chunks);
-        self.finals.remove(&j);
+        self.stale_keys.extend(chunks);
+        self.pending_ends.remove(&j);
         self.progress_due.remove(&j);
-        self.jobs.settled(j, phase);
+        self.jobs.on_end_committed(j, phase);
         self.account_end(j, phase, now);
-        self.end_stored(j, now);
-        self.after_end(j, phase, now);
+        self.on_end_stored(j, now);
+        self.on_dependency_ended(j, phase, now);
     }
 
-    fn record_applied(&mut self, m: MachineIx, jobs: Vec<JobIx>, retiring: bool) {
+    fn on_group_record_stored(&mut self, m: MachineIndex, jobs: Vec<JobIndex>, retiring: bool) {
         if self.machines.get_mut(m).is_none() {
             return;
         }
-        self.recorded_or_gone(m);
+        self.release_superseded_values(m);
         let machine = &mut self.machines.list[m.ix()];
         machine.record_stored = true;
         if machine.is_reconciled() {
@@ -71,7 +71,7 @@
             machine.stored_jobs = jobs.into_iter().filter(|j| self.jobs.get(*j).is_some()).collect();
         }
         if retiring && machine.phase == MachinePhase::Terminating {
-            self.deletes.insert(m);
+            self.machines_to_delete.insert(m);
         }
         if machine.phase != MachinePhase::Up {
             return;
@@ -88,32 +88,32 @@
             }
         }
         if again {
-            self.want_record(m);
+            self.request_record(m);
         }
     }
 
     /// These writes were not applied: they are wanted still.
-    pub fn on_not_applied(&mut self, writes: Vec<Write>) {
+    pub fn on_writes_rejected(&mut self, writes: Vec<PendingWrite>) {
         for w in writes {
             self.in_flight.remove(&w.key);
-            match w.what {
-                What::Final(..) => {}
-                What::Checkpoint => self.checkpoint_failed(&w.key),
-                What::Rack(r, _) => self.rack_due(r),
-                What::Progress(j, c, _) => {
+            match w.purpose {
+                WritePurpose::JobEnd(..) => {}
+                WritePurpose::Checkpoint => self.checkpoint_failed(&w.key),
+                WritePurpose::MachineGroup(r, _) => self.mark_group_dirty(r),
+                WritePurpose::Progress(j, c, _) => {
                     if self.jobs.get(j).is_some_and(|j| j.phase == Phase::Open) {
                         self.jobs[j].dirty_chunks.insert(c);
                         self.progress_due.insert(j);
                     }
                 }
-                What::Fleet(_) | What::Quota(_) | What::Accounts(..) => {}
-                What::Cleanup => _ = self.cleanup.insert(w.key),
+                WritePurpose::Fleet(_) | WritePurpose::Quota(_) | WritePurpose::ServiceLevels(..) => {}
+                WritePurpose::DeleteStale => _ = self.stale_keys.insert(w.key),
             }
         }
     }
 
     /// The state service's own word on a key whose version was in doubt.
-    pub fn on_version(&mut self, key: &str, version: u64) {
+    pub fn on_version_known(&mut self, key: &str, version: u64) {
         if version == 0 {
             self.versions.remove(key);
         } else {
--- a/crates/scheduler/tests/owner/checkpoint.rs
+++ b/crates/scheduler/tests/owner/checkpoint.rs
@@ -2,7 +2,7 @@
 
 use crate::world::{World, job, report};
 use lupinspur_scheduler::jobs::JobRecord;
-use lupinspur_scheduler::shard::job_of;
+use lupinspur_scheduler::shard::parse_job_record;
 use serde_json::json;
 
 /// Does a checkpoint hold, after three minutes in which all writes were made?
@@ -28,7 +28,7 @@
     let mut incomplete = World::with(&["h1"]);
     incomplete.accept(job("req-1", 1, json!({"awaits": ["req-2"]})), 0.7);
     incomplete.shard.watched(100_000);
-    incomplete.shard.cannot_take_in("job/req-2");
+    incomplete.shard.mark_unreadable_record("job/req-2");
     assert!(!has_checkpoint(&mut incomplete));
 }
 
@@ -36,6 +36,6 @@
 #[test]
 fn a_record_counts_under_its_own_key_only() {
     let value = serde_json::to_value(JobRecord::accepted(job("req-1", 1, json!({})), 0)).expect("a record");
-    assert!(job_of("job/req-1", &value).is_ok());
-    assert!(job_of("job/req-2", &value).is_err());
+    assert!(parse_job_record("job/req-1", &value).is_ok());
+    assert!(parse_job_record("job/req-2", &value).is_err());
 }
--- a/crates/scheduler/tests/owner/ends.rs
+++ b/crates/scheduler/tests/owner/ends.rs
@@ -55,8 +55,8 @@
     let writes = world.send_writes(now);
     let key = job_key("req-1");
     let end = writes.iter().find(|w| w.key == key).expect("its end is written");
-    let lupinspur_scheduler::wire::Mutation::Put { value, .. } = end.change.clone() else { panic!("a put") };
-    world.shard.on_not_applied(writes);
+    let lupinspur_scheduler::wire::Mutation::Put { value, .. } = end.mutation.clone() else { panic!("a put") };
+    world.shard.on_writes_rejected(writes);
     serde_json::from_value(value).expect("a record")
 }
 
--- a/crates/scheduler/tests/owner/moving.rs
+++ b/crates/scheduler/tests/owner/moving.rs
@@ -1,7 +1,7 @@
 //! A job that goes to another cell.
 
 use crate::world::{World, job, report};
-use lupinspur_cells::CellIx;
+use lupinspur_cells::ShardId;
 use lupinspur_scheduler::jobs::{JobRecord, Phase};
 use serde_json::{Value, json};
 
@@ -14,9 +14,9 @@
 fn after_it_left(world: &mut World) -> (JobRecord, u64) {
     let index = world.accept(job(JOB, 1, json!({})), 1.0);
     let before: JobRecord = serde_json::from_value(world.keys[KEY].0.clone()).expect("a record");
-    let (record, version, ..) = world.shard.goes(index, CellIx(1)).expect("a stored job");
+    let (record, version, ..) = world.shard.begin_move(index, ShardId(1)).expect("a stored job");
     world.stored(KEY, serde_json::to_value(record).expect("JSON"));
-    world.shard.left(JOB, 2.0);
+    world.shard.on_job_moved(JOB, 2.0);
     for (counter, now) in [(1, 3.0), (2, 3.6)] {
         world.hear(&report("m", counter, &[]), now);
     }
--- a/crates/scheduler/tests/owner/occupied.rs
+++ b/crates/scheduler/tests/owner/occupied.rs
@@ -1,7 +1,7 @@
 //! What a machine lists as not ended occupies its task, whatever is thought of its job: it starts nowhere else.
 
 use crate::world::{NEXT_TOKEN, TOKEN, World, job, report, report_of, tasks};
-use lupinspur_scheduler::fleet::machine_groups::{RACK_PREFIX, RackRecord};
+use lupinspur_scheduler::fleet::machine_groups::{MACHINE_GROUP_PREFIX, MachineGroupRecord};
 use lupinspur_scheduler::jobs::{JobRecord, Phase, TaskSlot};
 use lupinspur_scheduler::shard::Forbidden;
 use lupinspur_scheduler::wire::{Command, CommandKind};
@@ -23,10 +23,10 @@
 }
 
 /// The record of `req-1` is read.
-fn read_need(world: &mut World, phase: Phase, now: f64) {
+fn read_dependency(world: &mut World, phase: Phase, now: f64) {
     let record = JobRecord { phase, ..JobRecord::accepted(job("req-1", 1, json!({})), 0) };
     world.shard.add_job(record, 5, now);
-    world.shard.need_was_read("req-1", now);
+    world.shard.on_dependency_read("req-1", now);
 }
 
 /// The commands in the answer to a report of the first session that lists this attempt as running.
@@ -56,7 +56,7 @@
     let mut world = successor_with_an_unread_need();
     hear_running(&mut world, "h1", 5, "req-2/0", EARLIER_ATTEMPT, 100.2);
     world.hear(&report_of("h2", (1, 5), NEXT_TOKEN, &[]), 100.3);
-    read_need(&mut world, Phase::Done, 100.9);
+    read_dependency(&mut world, Phase::Done, 100.9);
     world.tick_until(101.0, 102.0);
     world.write(102.0);
     assert!(world.held("h2").is_none(), "its attempt on h1 was never seen to end");
@@ -70,7 +70,7 @@
     assert_eq!(tasks(&told, CommandKind::Stop), [""; 0]);
     assert_eq!(tasks(&direct_commands(&mut world, 100.3), CommandKind::Stop), [""; 0]);
     assert_eq!(world.held("h1").map(|h| h.attempt), Some(EARLIER_ATTEMPT), "adopted");
-    read_need(&mut world, Phase::Done, 100.9);
+    read_dependency(&mut world, Phase::Done, 100.9);
     let told = hear_running(&mut world, "h1", 6, "req-2/0", EARLIER_ATTEMPT, 101.0);
     assert_eq!(tasks(&told, CommandKind::Stop), [""; 0]);
 }
@@ -79,7 +79,7 @@
 fn stopped_once_the_need_is_read(phase: Phase) {
     let mut world = successor_with_an_unread_need();
     hear_running(&mut world, "h1", 5, "req-2/0", EARLIER_ATTEMPT, 100.2);
-    read_need(&mut world, phase, 100.9);
+    read_dependency(&mut world, phase, 100.9);
     assert_eq!(tasks(&direct_commands(&mut world, 101.0), CommandKind::Stop), ["req-2/0"], "{phase:?}");
 }
 
@@ -99,7 +99,7 @@
 fn what_runs_is_stopped_once_the_need_is_known_to_be_open_elsewhere() {
     let mut world = successor_with_an_unread_need();
     hear_running(&mut world, "h1", 5, "req-2/0", EARLIER_ATTEMPT, 100.2);
-    world.shard.need_was_read("req-1", 100.9);
+    world.shard.on_dependency_read("req-1", 100.9);
     assert_eq!(tasks(&direct_commands(&mut world, 101.0), CommandKind::Stop), ["req-2/0"]);
 }
 
@@ -176,12 +176,13 @@
 fn the_record_of_a_machine_names_what_it_lists_and_nobody_holds() {
     let (mut world, _) = held_and_listed_again();
     let h2 = world.index("h2");
-    world.shard.want_record(h2);
+    world.shard.request_record(h2);
     world.tick_until(1.7, 2.5);
     world.write(2.6);
     let named = |(key, (value, _)): (&String, &(serde_json::Value, u64))| {
-        let record: RackRecord = serde_json::from_value(value.clone()).ok().filter(|_| key.starts_with(RACK_PREFIX))?;
-        record.each().into_iter().find(|(machine, _)| machine == "h2").map(|(_, own)| own.jobs)
+        let record: MachineGroupRecord =
+            serde_json::from_value(value.clone()).ok().filter(|_| key.starts_with(MACHINE_GROUP_PREFIX))?;
+        record.machine_records().into_iter().find(|(machine, _)| machine == "h2").map(|(_, own)| own.jobs)
     };
     assert_eq!(world.keys.iter().find_map(named), Some(vec!["req-1".to_owned()]));
 }
@@ -222,10 +223,10 @@
     world.stored_rack(0, "h1", &["req-9"], false);
     world.take_over(100.0);
     let h1 = world.index("h1");
-    world.shard.want_record(h1);
+    world.shard.request_record(h1);
     world.tick_until(100.1, 101.0);
     world.write(101.0);
-    let value = &world.keys[&format!("{RACK_PREFIX}0")].0;
+    let value = &world.keys[&format!("{MACHINE_GROUP_PREFIX}0")].0;
     assert_eq!(value["jobs"], json!(["req-9"]));
 }
 
@@ -236,7 +237,7 @@
     let machine = json!({"machine": "h1", "jobs": [0]});
     let value =
         json!({"shard": 0, "type": "gone", "zone": "a", "spot": false, "jobs": ["req-9"], "machines": [machine]});
-    world.stored(&format!("{RACK_PREFIX}0"), value);
+    world.stored(&format!("{MACHINE_GROUP_PREFIX}0"), value);
     world.take_over(100.0);
     world.hear(&report_of("h2", (1, 5), NEXT_TOKEN, &[]), 100.2);
     world.accept(job("req-9", 1, json!({})), 100.3);
@@ -245,7 +246,7 @@
     for s in 1..=22u32 {
         let now = 100.0 + f64::from(s);
         world.hear(&report_of("h2", (1, 5 + u64::from(s)), NEXT_TOKEN, &[]), now);
-        world.shard.look_again();
+        world.shard.request_placement();
         world.tick_until(now + 0.1, now + 0.9);
     }
     assert!(world.held("h2").is_some());
@@ -333,5 +334,5 @@
     hear_running(&mut world, "h1", 5, "req-1/0", EARLIER_ATTEMPT, 100.1);
     world.tick_until(100.2, 101.0);
     world.write(101.1);
-    assert_eq!(world.keys[&format!("{RACK_PREFIX}0")].0["jobs"], json!(["req-1"]));
+    assert_eq!(world.keys[&format!("{MACHINE_GROUP_PREFIX}0")].0["jobs"], json!(["req-1"]));
 }
--- a/crates/scheduler/tests/owner/takeover.rs
+++ b/crates/scheduler/tests/owner/takeover.rs
@@ -190,8 +190,9 @@
 fn a_recorded_spot_machine_takes_no_work_that_may_not_use_it() {
     let mut world = World::new();
     let machine = json!({"machine": "h1", "addr": "127.0.0.1:9", "retiring": false, "jobs": []});
-    let rack = json!({"shard": 0, "type": "m32", "zone": "a", "spot": true, "jobs": [], "machines": [machine]});
-    world.stored("rack/0", rack);
+    let machine_group =
+        json!({"shard": 0, "type": "m32", "zone": "a", "spot": true, "jobs": [], "machines": [machine]});
+    world.stored("rack/0", machine_group);
     world.stored_job(job("req-1", 1, json!({"fallow": false})), Phase::Open);
     world.take_over(100.0);
     let mut said = report_of("h1", (1, 5), NEXT_TOKEN, &[]);
@@ -207,13 +208,14 @@
     let mut world = World::new();
     world.stored_job(job("req-1", 1, json!({})), Phase::Open);
     let machine = json!({"machine": "h1", "addr": "127.0.0.1:9", "retiring": false, "jobs": [0]});
-    let rack = json!({"shard": 0, "type": "new", "zone": "a", "spot": false, "jobs": ["req-1"], "machines": [machine]});
-    world.stored("rack/0", rack);
+    let machine_group =
+        json!({"shard": 0, "type": "new", "zone": "a", "spot": false, "jobs": ["req-1"], "machines": [machine]});
+    world.stored("rack/0", machine_group);
     world.take_over(100.0);
     assert!(!started_on_h2(&mut world, 100.1, 99.0 + LEASE_S), "within the lease");
     world.tick_until(100.0 + LEASE_S, 101.0 + LEASE_S);
     // As the owner does now and then.
-    world.shard.look_again();
+    world.shard.request_placement();
     assert!(started_on_h2(&mut world, 101.1 + LEASE_S, 104.0 + LEASE_S), "after it");
 }
 
--- a/crates/scheduler/tests/owner/world.rs
+++ b/crates/scheduler/tests/owner/world.rs
@@ -1,11 +1,13 @@
 //! One shard in front of a stand-in for the state service's keys, driven step by step.
 
-use lupinspur_scheduler::fleet::machine_groups::{RACK_PREFIX, RackRecord};
+use lupinspur_scheduler::fleet::machine_groups::{MACHINE_GROUP_PREFIX, MachineGroupRecord};
 use lupinspur_scheduler::fleet::{Assignment, Machine};
-use lupinspur_scheduler::intern::{Index, JobIx, MachineIx, RackIx};
+use lupinspur_scheduler::intern::{Index, JobIndex, MachineGroupIndex, MachineIndex};
 use lupinspur_scheduler::jobs::{JOB_PREFIX, JobRecord, Phase, job_key};
 use lupinspur_scheduler::params::{Params, Team, Tuning};
-use lupinspur_scheduler::shard::{HeartbeatOutcome, Loaded, PushOutcome, PushRequest, Shard, Shown, Write};
+use lupinspur_scheduler::shard::{
+    HeartbeatOutcome, JobView, LoadedState, PendingWrite, PushOutcome, PushRequest, Shard,
+};
 use lupinspur_scheduler::wire::{Command, CommandKind, Heartbeat, JobRequest, JobState, MachineType, Mutation};
 use serde::de::DeserializeOwned;
 use serde_json::{Value, json};
@@ -87,7 +89,7 @@
 impl World {
     /// An owner that begins with nothing at 0 s.
     pub fn new() -> World {
-        let loaded = Loaded::default();
+        let loaded = LoadedState::default();
         let shard = Shard::new(&params(), Tuning::default(), TOKEN, types(), loaded, 0.0);
         World { shard, keys: BTreeMap::new(), revision: TOKEN }
     }
@@ -110,13 +112,16 @@
     /// The next owner begins with what is stored.
     pub fn take_over(&mut self, now: f64) {
         self.revision = self.revision.max(NEXT_TOKEN);
-        let number = |key: &str| key[RACK_PREFIX.len()..].parse::<usize>().expect("a number");
-        let racks = self.readable::<RackRecord>(RACK_PREFIX);
-        let loaded = Loaded {
+        let number = |key: &str| key[MACHINE_GROUP_PREFIX.len()..].parse::<usize>().expect("a number");
+        let machine_groups = self.readable::<MachineGroupRecord>(MACHINE_GROUP_PREFIX);
+        let loaded = LoadedState {
             jobs: self.readable::<JobRecord>(JOB_PREFIX).into_iter().map(|(_, r, n)| (r, n)).collect(),
-            racks_from: racks.iter().map(|r| number(&r.0) + 1).max().unwrap_or(0),
-            racks: racks.into_iter().map(|(k, r, n)| (RackIx::new(number(&k)), r, n)).collect(),
-            ..Loaded::default()
+            next_group_number: machine_groups.iter().map(|r| number(&r.0) + 1).max().unwrap_or(0),
+            machine_groups: machine_groups
+                .into_iter()
+                .map(|(k, r, n)| (MachineGroupIndex::new(number(&k)), r, n))
+                .collect(),
+            ..LoadedState::default()
         };
         self.shard = Shard::new(&params(), Tuning::default(), NEXT_TOKEN, types(), loaded, now);
     }
@@ -133,7 +138,7 @@
         let machine = json!({"machine": machine, "addr": "127.0.0.1:9", "retiring": retiring, "jobs": places});
         let value = json!({"shard": 0, "type": "m32", "zone": "a", "spot": false, "jobs": jobs,
             "machines": [machine]});
-        self.stored(&format!("{RACK_PREFIX}{number}"), value);
+        self.stored(&format!("{MACHINE_GROUP_PREFIX}{number}"), value);
     }
 
     pub fn stored_job(&mut self, job: JobRequest, phase: Phase) {
@@ -143,7 +148,7 @@
     }
 
     /// A job is accepted, and the owner knows.
-    pub fn accept(&mut self, job: JobRequest, now: f64) -> JobIx {
+    pub fn accept(&mut self, job: JobRequest, now: f64) -> JobIndex {
         self.stored_job(job.clone(), Phase::Open);
         let added = self.shard.add_job(JobRecord::accepted(job, 0), self.revision, now);
         self.shard.tick(now);
@@ -166,20 +171,20 @@
     }
 
     /// What is to be stored next, sent and not answered yet.
-    pub fn send_writes(&mut self, now: f64) -> Vec<Write> {
+    pub fn send_writes(&mut self, now: f64) -> Vec<PendingWrite> {
         self.shard.next_writes(8, 50_000, 8, now)
     }
 
     /// They are stored, and the owner knows.
-    pub fn store_writes(&mut self, writes: Vec<Write>, now: f64) {
+    pub fn store_writes(&mut self, writes: Vec<PendingWrite>, now: f64) {
         self.revision += 1;
         for write in &writes {
-            match write.change.clone() {
+            match write.mutation.clone() {
                 Mutation::Put { key, value, .. } => _ = self.keys.insert(key, (value, self.revision)),
                 Mutation::Delete { key } => _ = self.keys.remove(&key),
             }
         }
-        self.shard.on_applied(writes, self.revision, now);
+        self.shard.on_writes_applied(writes, self.revision, now);
     }
 
     /// All that is to be stored is.
@@ -220,7 +225,7 @@
         }
     }
 
-    pub fn index(&self, machine: &str) -> MachineIx {
+    pub fn index(&self, machine: &str) -> MachineIndex {
         self.shard.machines.find(machine).expect("a known machine")
     }
 
@@ -241,9 +246,9 @@
     }
 
     pub fn state(&self, id: &str) -> Option<JobState> {
-        match self.shard.show(id)? {
-            Shown::Told(state, ..) => Some(state),
-            Shown::Settling => None,
+        match self.shard.job_view(id)? {
+            JobView::Visible(state, ..) => Some(state),
+            JobView::Committing => None,
         }
     }
 }
--- a/examples/history.rs
+++ b/examples/history.rs
@@ -9,7 +9,7 @@
 
 use lupinspur::jobs::{JobRecord, Phase, job_key};
 use lupinspur::settings::Settings;
-use lupinspur::shard::{Found, Loaded, Shard, job_of};
+use lupinspur::shard::{LoadedCheckpoint, LoadedState, Shard, parse_job_record};
 use lupinspur::tuning::Tuning;
 use lupinspur::wire::JobRequest;
 use lupinspur_recovery::Writer;
@@ -58,7 +58,11 @@
 /// The record of job `i`: the first are open, the others ended.
 fn record(i: u64) -> Value {
     let open = JobRecord::accepted(request(i), 1_700_000_000_000 + i);
-    let r = if i < OPEN { open } else { JobRecord::ended(&open.job, open.at_ms, Phase::Done, open.at_ms, 16_000) };
+    let r = if i < OPEN {
+        open
+    } else {
+        JobRecord::ended(&open.job, open.accepted_at_ms, Phase::Done, open.accepted_at_ms, 16_000)
+    };
     serde_json::to_value(r).expect("a value")
 }
 
@@ -69,7 +73,7 @@
     kb.unwrap_or(0.0) / 1024.0
 }
 
-fn owner(loaded: Loaded) -> Shard {
+fn owner(loaded: LoadedState) -> Shard {
     let settings = Settings::parse(SETTINGS).expect("settings");
     Shard::new(&settings.params(), Tuning::default(), 10, Vec::new(), loaded, 0.0)
 }
@@ -90,13 +94,14 @@
         (requests, bytes) = (requests + 1, bytes + size);
         let began = Instant::now();
         let items = page.iter().filter_map(|t| serde_json::from_str::<Value>(t).ok());
-        let read = items.filter_map(|v| Some((job_of(v["path"].as_str()?, &v["v"]).ok()?, v["stamp"].as_u64()?)));
+        let read =
+            items.filter_map(|v| Some((parse_job_record(v["path"].as_str()?, &v["v"]).ok()?, v["stamp"].as_u64()?)));
         jobs.extend(read.filter(|(r, _)| keep || r.phase == Phase::Open));
         taken += began.elapsed().as_secs_f64();
     }
     let began = Instant::now();
-    let shard = owner(Loaded { jobs, ..Loaded::default() });
-    (requests, bytes, taken + began.elapsed().as_secs_f64(), shard.held_in_memory()[0])
+    let shard = owner(LoadedState { jobs, ..LoadedState::default() });
+    (requests, bytes, taken + began.elapsed().as_secs_f64(), shard.memory_footprint()[0])
 }
 
 fn checkpoint() -> (u64, usize, f64, usize) {
@@ -115,17 +120,18 @@
         values.iter().filter_map(|(k, t)| Some((k.clone(), serde_json::from_str(t).ok()?))).collect();
     let mut read = lupinspur_recovery::read(parsed.iter().map(|(k, v)| (k.as_str(), v))).expect("a checkpoint");
     let open = std::mem::take(&mut read.open);
-    let jobs = open.iter().filter_map(|o| Some((job_of(&job_key(&o.id), &o.value).ok()?, o.version))).collect();
-    let checkpoint = Found { read: Some(read), ..Found::default() };
-    let shard = owner(Loaded { jobs, checkpoint, ..Loaded::default() });
+    let jobs =
+        open.iter().filter_map(|o| Some((parse_job_record(&job_key(&o.id), &o.value).ok()?, o.version))).collect();
+    let checkpoint = LoadedCheckpoint { read: Some(read), ..LoadedCheckpoint::default() };
+    let shard = owner(LoadedState { jobs, checkpoint, ..LoadedState::default() });
     // And one request for the changes since.
     let pages = bytes.div_ceil(PAGE_BYTES) as u64 + 1;
-    (pages, bytes, began.elapsed().as_secs_f64(), shard.held_in_memory()[0])
+    (pages, bytes, began.elapsed().as_secs_f64(), shard.memory_footprint()[0])
 }
 
 /// An owner that sees so many jobs come, wait for half a minute, and be cancelled.
 fn life(jobs: u64) -> (u64, usize, f64, usize) {
-    let mut s = owner(Loaded::default());
+    let mut s = owner(LoadedState::default());
     let (mut revision, mut puts, mut bytes) = (10, 0, 0);
     let began = Instant::now();
     for i in 0..jobs {
@@ -144,11 +150,11 @@
             revision += 1;
             puts += writes.len() as u64;
             bytes += writes.iter().map(|w| w.bytes).sum::<usize>();
-            s.on_applied(writes, revision, now);
+            s.on_writes_applied(writes, revision, now);
         }
         s.tick(now);
     }
-    (puts, bytes, began.elapsed().as_secs_f64(), s.held_in_memory()[0])
+    (puts, bytes, began.elapsed().as_secs_f64(), s.memory_footprint()[0])
 }
 
 fn main() {
--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -4,7 +4,7 @@
 use crate::clock;
 use crate::job_status::{JobStatus, Lookup, status_of_item};
 use crate::jobs::job_key;
-use crate::node::{Cell, LeadershipStatus, Node, Place};
+use crate::node::{JobLocation, LeadershipStatus, Node, ShardRuntime};
 use crate::peer::{JobAnswer as PeerAnswer, Outcome, Verb};
 use crate::responses::{status_from_leader, status_from_record};
 use crate::wire::JobState;
@@ -17,26 +17,26 @@
 impl Node {
     /// Shows or cancels a job, here if this is its owner, else by asking the owner.
     pub async fn about(&self, verb: Verb, id: &str) -> Lookup {
-        let cell = match self.place_of(id, turn(verb)).await {
-            Place::In(c) => c,
-            Place::Answered(w) => return w,
+        let cell = match self.locate_job(id, turn(verb)).await {
+            JobLocation::In(c) => c,
+            JobLocation::Answered(w) => return w,
         };
         let lookup = match cell.leadership_status(clock::now()) {
             LeadershipStatus::Leading => cell.about_here(verb, id).await,
             LeadershipStatus::Following(node) => {
-                if let Some(t) = self.final_known(id) {
+                if let Some(t) = self.known_end(id) {
                     return Lookup::Known(t);
                 }
                 let limit = (verb == Verb::Cancel).then_some(Duration::from_millis(3500));
-                match self.peers.ask(&node, verb, (id, cell.ix.0), limit).await {
+                match self.peers.ask(&node, verb, (id, cell.id.0), limit).await {
                     Some(a) => self.heard_from_peer(id, &a),
                     None => self.about_stored(verb, id).await,
                 }
             }
             LeadershipStatus::NoLeader => self.about_stored(verb, id).await,
         };
-        if lookup == Lookup::Unable {
-            self.forget_cell(id);
+        if lookup == Lookup::Unavailable {
+            self.forget_job_shard(id);
         }
         lookup
     }
@@ -45,11 +45,11 @@
         match (a.outcome(), JobState::parse(&a.state)) {
             (Outcome::Known, Some(state)) => {
                 let t = JobStatus { state, done: a.done, running: a.running };
-                self.note_final(id, t);
+                self.note_end(id, t);
                 Lookup::Known(t)
             }
             (Outcome::Unknown, _) => Lookup::Absent,
-            _ => Lookup::Unable,
+            _ => Lookup::Unavailable,
         }
     }
 
@@ -57,7 +57,7 @@
     /// was after the question: ends are stored before anybody is told of them. Questions about open
     /// jobs once got no answer by nodes that could not reach the owner, for as long as that lasted.
     async fn about_stored(&self, verb: Verb, id: &str) -> Lookup {
-        if let Some(t) = self.final_known(id) {
+        if let Some(t) = self.known_end(id) {
             return Lookup::Known(t);
         }
         match self.state.get(&job_key(id), turn(verb)).await {
@@ -65,16 +65,16 @@
             Ok(Some(item)) => {
                 let lookup = status_from_record(verb, &item);
                 if let Lookup::Known(told) = lookup {
-                    self.note_final(id, told);
+                    self.note_end(id, told);
                 }
                 lookup
             }
-            Err(_) => Lookup::Unable,
+            Err(_) => Lookup::Unavailable,
         }
     }
 }
 
-impl Cell {
+impl ShardRuntime {
     /// The owner's own answer.
     pub async fn about_here(&self, verb: Verb, id: &str) -> Lookup {
         let began = clock::now();
@@ -85,24 +85,24 @@
                 if verb == Verb::Cancel {
                     s.cancel(id);
                 }
-                (s.token, s.show(id))
+                (s.token, s.job_view(id))
             });
-            let Some((token, seen)) = seen else { return Lookup::Unable };
+            let Some((token, seen)) = seen else { return Lookup::Unavailable };
             match seen {
                 Some(shown) => {
                     if let Some(told) = status_from_leader(verb, shown) {
                         return Lookup::Known(told);
                     }
                     if now - began > if verb == Verb::Show { SETTLES_WITHIN_S } else { CANCELS_WITHIN_S } {
-                        return Lookup::Unable;
+                        return Lookup::Unavailable;
                     }
                     // A final state is told only once it is stored.
                     self.wake();
                     async_io::Timer::after(Duration::from_millis(10)).await;
                 }
-                None if looked => return Lookup::Unable,
+                None if looked => return Lookup::Unavailable,
                 None => {
-                    if let Some(t) = self.final_known(id) {
+                    if let Some(t) = self.known_end(id) {
                         return Lookup::Known(t);
                     }
                     match self.state.get(&job_key(id), turn(verb)).await {
@@ -110,16 +110,16 @@
                         // What is over need not be known here: its record says it all.
                         Ok(Some(item)) => match status_of_item(&item) {
                             Some(t) if t.is_final() => {
-                                self.note_final(id, t);
+                                self.note_end(id, t);
                                 return Lookup::Known(t);
                             }
                             _ => {
                                 // Another cell's is not taken in, and nothing can be said of it here.
                                 looked = true;
-                                self.take_job(token, &item);
+                                self.apply_job(token, &item);
                             }
                         },
-                        Err(_) => return Lookup::Unable,
+                        Err(_) => return Lookup::Unavailable,
                     }
                 }
             }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -9,7 +9,7 @@
 use crate::job_status::{Lookup, valid_id};
 use crate::node::Node;
 use crate::peer::Verb;
-use crate::responses::{about_answer, report_answer, unable};
+use crate::responses::{about_answer, report_answer, unavailable};
 use crate::shard::HeartbeatOutcome;
 use crate::state::RequestPriority;
 use crate::wire;
@@ -31,7 +31,7 @@
                 if self.healthy() {
                     Outgoing::json(200, &serde_json::json!({}))
                 } else {
-                    unable()
+                    unavailable()
                 }
             }
             (Method::Post, wire::JOBS_PATH) => {
@@ -68,12 +68,12 @@
                 let began = clock::now();
                 let lookup = self.about(verb, id).await;
                 if verb == Verb::Cancel && lookup != Lookup::Absent {
-                    let job = |s: &mut crate::shard::Shard| s.whose(id);
+                    let job = |s: &mut crate::shard::Shard| s.class_and_team(id);
                     // Elsewhere than at the owner nobody knows whose job it is.
                     let unknown = || ("(unknown)".to_owned(), "(unknown)".to_owned());
-                    let here = self.knows_job(id, began).and_then(|c| c.with_shard(began, job).flatten());
+                    let here = self.shard_knowing_job(id, began).and_then(|c| c.with_shard(began, job).flatten());
                     let (class, team) = here.unwrap_or_else(unknown);
-                    self.note_answer(&class, &team, Reading::Cancelled, lookup != Lookup::Unable, began);
+                    self.note_answer(&class, &team, Reading::Cancelled, lookup != Lookup::Unavailable, began);
                 }
                 log::debug!("{verb:?} {id} is answered with {lookup:?}");
                 about_answer(verb, id, lookup, self.leader_lease_valid_until(id))
@@ -86,17 +86,17 @@
             Ok(r) => r,
             Err(why) => return Outgoing::error(400, &why),
         };
-        let Some(cell) = self.cell_of_machine(&r.machine, r.token).await else { return unable() };
+        let Some(cell) = self.shard_of_machine(&r.machine, r.token).await else { return unavailable() };
         let now = clock::now();
         let heard = cell.with_shard(now, |s| s.on_heartbeat(&r, now));
         if matches!(heard, Some(HeartbeatOutcome::Reply(_))) {
             cell.wake();
         }
-        report_answer(heard, cell.lease_valid_until(), || cell.elsewhere(now))
+        report_answer(heard, cell.lease_valid_until(), || cell.redirect_target(now))
     }
 
     /// The end of this controller's lease, if it owns this job.
     fn leader_lease_valid_until(&self, id: &str) -> Option<f64> {
-        self.knows_job(id, clock::now()).and_then(|c| c.lease_valid_until())
+        self.shard_knowing_job(id, clock::now()).and_then(|c| c.lease_valid_until())
     }
 }
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -6,8 +6,8 @@
 use crate::jobs::{JobRecord, RECORD_GROWS_BY, job_key};
 use crate::node::Node;
 use crate::peer::Verb;
-use crate::responses::{job_answer, resubmission_answer, status_from_record, unable};
-use crate::shard::{Unfit, judge};
+use crate::responses::{job_answer, resubmission_answer, status_from_record, unavailable};
+use crate::shard::{AdmissionError, check_admission};
 use crate::state::{COMMIT_TIMEOUT, CompareAndSwap, RequestPriority, StateError};
 use crate::wire::{self, Compare, JobRequest, JobState, Kind, Mutation};
 use lupinspur_accounts::Reading;
@@ -106,38 +106,38 @@
     async fn submit(&self, job: JobRequest) -> Outgoing {
         let id = job.id.clone();
         let began = clock::now();
-        if let Some(cell) = self.knows_job(&id, began) {
+        if let Some(cell) = self.shard_knowing_job(&id, began) {
             let lookup = cell.about_here(Verb::Show, &id).await;
             return resubmission_answer(&id, lookup, cell.lease_valid_until());
         }
-        if let Some(t) = self.final_known(&id) {
+        if let Some(t) = self.known_end(&id) {
             return job_answer(200, &id, t, false);
         }
         // What was accepted stays so: limits and machine types may be others since.
-        match judge(&job, &self.settings.teams, &self.types()) {
+        match check_admission(&job, &self.settings.teams, &self.machine_types()) {
             Ok(()) => {}
-            Err(Unfit::Never(why)) => return self.never(&id, &why).await,
-            Err(Unfit::CannotTell) => return unable(),
+            Err(AdmissionError::Rejected(why)) => return self.never(&id, &why).await,
+            Err(AdmissionError::Undecided) => return unavailable(),
         }
         let mut record = JobRecord::accepted(job, clock::wall_ms());
-        let home = self.home(&record.job.team);
+        let home = self.home_shard(&record.job.team);
         record.cell = home.map(|c| c.0).filter(|c| *c != 0);
         let key = job_key(&id);
-        let Ok(value) = serde_json::to_value(&record) else { return unable() };
+        let Ok(value) = serde_json::to_value(&record) else { return unavailable() };
         if value.to_string().len() + RECORD_GROWS_BY > self.settings.value_bytes() {
             return self.never(&id, "the job's description is too long").await;
         }
         for need in record.job.needs() {
             if clock::now() - began > ACCEPT_WITHIN_S {
-                return unable();
+                return unavailable();
             }
             match self.need(need, &id).await {
                 Need::Accepted => {}
                 Need::Wrong(why) => return self.never(&id, &format!("{need}: {why}")).await,
-                Need::CannotTell => return unable(),
+                Need::CannotTell => return unavailable(),
             }
         }
-        let cell = self.cell(home.unwrap_or_default());
+        let cell = self.shard(home.unwrap_or_default());
         // Another owner may have ended the job by the time of the answer: only the shard of this moment takes it in.
         let token = cell.as_ref().and_then(|c| c.with_shard(began, |s| s.token));
         let mut limit = ACCEPT_FIRST_TIMEOUT;
@@ -148,7 +148,7 @@
             match self.state.commit_within(limit, vec![condition], vec![change], RequestPriority::Urgent).await {
                 Ok(CompareAndSwap::Applied(version)) => {
                     let now = clock::now();
-                    self.note_cell(&id, home.unwrap_or_default());
+                    self.note_job_shard(&id, home.unwrap_or_default());
                     let add = |s: &mut crate::shard::Shard| {
                         (Some(s.token) == token).then(|| s.add_job(record.clone(), version, now)).flatten()
                     };
@@ -162,7 +162,7 @@
                 Err(StateError::Unknown) if clock::now() - began < ACCEPT_WITHIN_S => {
                     limit = (limit * 2).min(COMMIT_TIMEOUT);
                 }
-                Err(_) => return unable(),
+                Err(_) => return unavailable(),
             }
         }
     }
@@ -174,7 +174,7 @@
             // It is stored, and so accepted: what its record says was true after it was submitted again.
             lookup = match self.state.get(&job_key(id), RequestPriority::Normal).await {
                 Ok(Some(item)) => status_from_record(Verb::Show, &item),
-                _ => Lookup::Unable,
+                _ => Lookup::Unavailable,
             };
         }
         resubmission_answer(id, lookup, self.leader_lease_valid_until(id))
@@ -186,7 +186,7 @@
         match self.state.get(&job_key(id), RequestPriority::Normal).await {
             Ok(None) => Outgoing::error(422, why),
             Ok(Some(_)) => self.accepted_before(id).await,
-            Err(_) => unable(),
+            Err(_) => unavailable(),
         }
     }
 
@@ -205,7 +205,7 @@
         };
         let now = clock::now();
         let kind = |s: &mut crate::shard::Shard| s.jobs.find(need).map(|j| s.jobs[j].spec.kind);
-        let here = self.knows_job(need, now).and_then(|c| c.with_shard(now, kind).flatten());
+        let here = self.shard_knowing_job(need, now).and_then(|c| c.with_shard(now, kind).flatten());
         if let Some(kind) = here.or_else(|| self.accepted_kind(need)) {
             return of_kind(kind);
         }
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -4,12 +4,12 @@
 //! rate that leaves the state service to the controllers.
 
 use crate::election::{LEADERSHIP_PREFIX, LeadershipRecord, MACHINE_TYPES_KEY};
-use crate::fleet::machine_groups::{RACK_PREFIX, RackRecord};
+use crate::fleet::machine_groups::{MACHINE_GROUP_PREFIX, MachineGroupRecord};
 use crate::fleet::{FLEET_KEY, MACHINE_PREFIX, MachineRecord};
 use crate::http::Client;
 use crate::jobs::{JOB_PREFIX, PART_PREFIX, PROGRESS_PREFIX, Phase, ProgressRecord};
 use crate::settings::Settings;
-use crate::shard::{FleetRecord, job_of};
+use crate::shard::{FleetRecord, parse_job_record};
 use crate::wire::{self, KeyValue, KeyValuePage};
 use http_types::Method;
 use lupinspur_quota::stored::{HEAD as QUOTA_HEAD, Head, PREFIX as QUOTA_PREFIX, Part, generation_of};
@@ -82,7 +82,7 @@
         (JOB_PREFIX, "jobs"),
         (PROGRESS_PREFIX, "progress"),
         (PART_PREFIX, "progress"),
-        (RACK_PREFIX, "racks"),
+        (MACHINE_GROUP_PREFIX, "racks"),
         (MACHINE_PREFIX, "machines of an earlier version"),
         (MACHINE_TYPES_KEY, "machine types"),
         ("own/node/", "cells"),
@@ -134,7 +134,7 @@
                 }
                 self.progress.push((i.key, id));
             }
-            "racks" => self.rack(&i),
+            "racks" => self.machine_group(&i),
             "machines of an earlier version" => {
                 _ = self.read::<MachineRecord>(&i);
                 let name = i.key.trim_start_matches(MACHINE_PREFIX).to_owned();
@@ -161,7 +161,7 @@
         }
         match lupinspur_recovery::read(values.iter().map(|i| (i.key.as_str(), &i.value))) {
             // Chunks alone may stand there before the first head does.
-            Err(lupinspur_recovery::Unusable::None) => {}
+            Err(lupinspur_recovery::CheckpointError::None) => {}
             Err(e) => self.fault(lupinspur_recovery::HEAD, e.to_string()),
             Ok(r) => {
                 let open: HashSet<String> = r.open.into_iter().map(|o| o.id).collect();
@@ -172,7 +172,7 @@
     }
 
     fn job(&mut self, i: &KeyValue) {
-        let r = match job_of(&i.key, &i.value) {
+        let r = match parse_job_record(&i.key, &i.value) {
             Ok(r) => r,
             Err(e) => return self.fault(&i.key, e),
         };
@@ -203,8 +203,8 @@
         }
     }
 
-    fn rack(&mut self, i: &KeyValue) {
-        let Some(r) = self.read::<RackRecord>(i) else { return };
+    fn machine_group(&mut self, i: &KeyValue) {
+        let Some(r) = self.read::<MachineGroupRecord>(i) else { return };
         let names = |what: &str, at: &[u32], of: usize| {
             at.iter().find(|n| **n as usize >= of).map(|n| format!("names {what} {n} of {of}"))
         };
@@ -257,7 +257,7 @@
     PART_PREFIX,
     PROGRESS_PREFIX,
     QUOTA_PREFIX,
-    RACK_PREFIX,
+    MACHINE_GROUP_PREFIX,
 ];
 
 /// Reads everything, no more than `rate` requests a second.
--- a/src/job_status.rs
+++ b/src/job_status.rs
@@ -24,7 +24,7 @@
     Known(JobStatus),
     /// The state service itself has no such job.
     Absent,
-    Unable,
+    Unavailable,
 }
 
 pub fn valid_id(id: &str) -> bool {
--- a/src/main.rs
+++ b/src/main.rs
@@ -52,9 +52,9 @@
 }
 
 /// The file of cells, if nothing in it is wrong; or each fault on a line of its own.
-fn cells(path: &Path, settings: &Settings) -> Result<lupinspur_cells::Plan, String> {
+fn cells(path: &Path, settings: &Settings) -> Result<lupinspur_cells::ShardingPlan, String> {
     let teams: Vec<String> = settings.teams.iter().map(|t| t.name.clone()).collect();
-    load(path, |text| lupinspur_cells::Plan::parse(text, &teams))
+    load(path, |text| lupinspur_cells::ShardingPlan::parse(text, &teams))
 }
 
 fn run(args: Args) -> Result<(), String> {
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -18,11 +18,11 @@
     }
 }
 
-impl Cell {
+impl ShardRuntime {
     pub(super) async fn renew_lease_loop(self: Arc<Self>) {
         let every = Duration::from_secs_f64((self.tuning.leader_lease_s / 5.0).min(1.5));
         let mut renewal_sent_at = f64::MIN;
-        while self.open() {
+        while self.is_open() {
             let due = clock::now() - renewal_sent_at >= every.as_secs_f64();
             let lease = lock(&self.election).lease_to_renew(due);
             if let Some(id) = lease {
@@ -88,12 +88,12 @@
     }
 
     async fn campaign_once(self: &Arc<Self>) {
-        if !self.open() || self.merges() && self.ix.0 != 0 {
+        if !self.is_open() || self.is_merging() && self.id.0 != 0 {
             return;
         }
         // Whoever does not know the machine types cannot act, and must not stand in the
         // way of those that can.
-        if self.types().is_empty() {
+        if self.machine_types().is_empty() {
             return;
         }
         // Before the lock: it looks at the claims of all cells.
@@ -128,11 +128,12 @@
             let me = self.clone();
             // Reading may take longer than the lease lasts: it goes on being renewed meanwhile. A
             // reading that had to be over within a lease would never be over with a long history.
-            EX.spawn(async move {
-                me.load_state(t).await;
-                me.failover_in_progress.store(false, Ordering::Relaxed);
-            })
-            .detach();
+            EXECUTOR
+                .spawn(async move {
+                    me.load_state(t).await;
+                    me.failover_in_progress.store(false, Ordering::Relaxed);
+                })
+                .detach();
         }
     }
 
@@ -172,11 +173,11 @@
 
     /// Where there are several cells, each controller leaves to others what is not its turn.
     fn campaign_delay_s(&self) -> f64 {
-        let of = self.cells().len();
+        let of = self.shards().len();
         if of < 2 {
             return 0.0;
         }
-        campaign_delay_s(&self.settings.node, &self.settings.nodes(), self.ix, self.shards_led())
+        campaign_delay_s(&self.settings.node, &self.settings.nodes(), self.id, self.shards_led())
     }
 
     /// Leaves the claim of an earlier self to the other controllers, and a word of it for later
@@ -205,10 +206,10 @@
         let sizes = |t: &[MachineType]| -> Vec<MachineType> {
             t.iter().map(|t| MachineType { price: 0.0, spot_price: 0.0, ..t.clone() }).collect()
         };
-        while self.open() && self.ix.0 == 0 {
-            Timer::after(KEEP_TYPES_EVERY).await;
+        while self.is_open() && self.id.0 == 0 {
+            Timer::after(STORE_TYPES_INTERVAL).await;
             let Some(token) = self.with_shard(clock::now(), |s| s.token) else { continue };
-            let types = self.types();
+            let types = self.machine_types();
             let stored = lock(&self.types_stored).clone();
             let known = stored.as_ref().is_some_and(|s| sizes(&s.types) == sizes(&types));
             if known || !self.types_asked.load(Ordering::Relaxed) {
@@ -255,8 +256,8 @@
 
     pub(super) fn observe_record(&self, item: Option<KeyValue>) {
         // Nobody's claim, with a plan in it: there are several cells from now on.
-        if let Some(plan) = item.as_ref().and_then(Cell::plan_in) {
-            return self.node.saw_plan(plan);
+        if let Some(plan) = item.as_ref().and_then(ShardRuntime::active_plan_in) {
+            return self.node.observe_plan(plan);
         }
         let seen = item
             .and_then(|i| Some(ObservedRecord { record: serde_json::from_value(i.value).ok()?, version: i.version }));
@@ -277,11 +278,11 @@
                     Ok((items, revision)) => {
                         self.state_answered();
                         // The plan in force decides what the other keys mean.
-                        match items.iter().find(|i| i.key == LEADERSHIP_KEY).and_then(Cell::plan_in) {
-                            Some(plan) => self.saw_plan(plan),
-                            None => self.leave_cells(),
+                        match items.iter().find(|i| i.key == LEADERSHIP_KEY).and_then(ShardRuntime::active_plan_in) {
+                            Some(plan) => self.observe_plan(plan),
+                            None => self.leave_sharding(),
                         }
-                        for c in self.cells().iter().filter(|c| items.iter().all(|i| i.key != c.leadership_key)) {
+                        for c in self.shards().iter().filter(|c| items.iter().all(|i| i.key != c.leadership_key)) {
                             c.on_record_deleted(revision);
                         }
                         // What stands beside the claims first: it may say that they are not ours.
@@ -302,7 +303,7 @@
                 }
                 continue;
             };
-            match self.state.watch(LEADERSHIP_PREFIX, revision, WATCH_WAIT).await {
+            match self.state.watch(LEADERSHIP_PREFIX, revision, WATCH_TIMEOUT).await {
                 Ok(ev) => {
                     self.state_answered();
                     from = Some(ev.revision.max(revision));
@@ -336,12 +337,12 @@
                 Vec::new()
             });
             self.note_stored_types(stored.clone(), item.version);
-            let mut types = lock(&self.types);
+            let mut types = lock(&self.machine_types);
             if types.is_empty() && !stored.is_empty() {
                 *types = Arc::new(stored);
             }
         } else if item.key == backoff_key(&self.settings.node) {
-            for c in self.cells().iter() {
+            for c in self.shards().iter() {
                 lock(&c.election).leadership_yielded(clock::now());
             }
         }
@@ -355,17 +356,17 @@
         }
     }
 
-    fn runtime_for_key(&self, key: &str) -> Option<Arc<Cell>> {
-        self.cells().iter().find(|c| c.leadership_key == key).cloned()
+    fn runtime_for_key(&self, key: &str) -> Option<Arc<ShardRuntime>> {
+        self.shards().iter().find(|c| c.leadership_key == key).cloned()
     }
 
     /// A key under the claims' prefix has this value now, or is gone.
     fn saw(self: &Arc<Self>, key: String, news: WatchedKey) {
         // Where there are several cells this key is no cell's claim, but the plan.
-        if key == LEADERSHIP_KEY && self.cells().len() > 1 {
-            return match news.item().and_then(Cell::plan_in) {
-                Some(plan) => self.saw_plan(plan),
-                None => self.leave_cells(),
+        if key == LEADERSHIP_KEY && self.shards().len() > 1 {
+            return match news.item().and_then(ShardRuntime::active_plan_in) {
+                Some(plan) => self.observe_plan(plan),
+                None => self.leave_sharding(),
             };
         }
         match (self.runtime_for_key(&key), news) {
@@ -377,7 +378,7 @@
     }
 
     async fn campaign_for_all(&self) {
-        for c in self.cells().iter().filter(|c| lock(&c.election).token().is_none()) {
+        for c in self.shards().iter().filter(|c| lock(&c.election).token().is_none()) {
             c.campaign().await;
         }
     }
--- a/src/node/loops.rs
+++ b/src/node/loops.rs
@@ -2,41 +2,41 @@
 
 use super::*;
 
-impl Cell {
-    pub(super) async fn ticks(self: Arc<Self>) {
+impl ShardRuntime {
+    pub(super) async fn tick_loop(self: Arc<Self>) {
         let mut looked_again = 0.0;
         let mut told = (clock::now(), 0, Counts::default());
         let (mut alarmed, mut accounts) = (0.0, (0.0, 0));
-        while self.open() {
+        while self.is_open() {
             // What reports and submissions bring is placed together, a little later.
-            Timer::after(GATHER).await;
-            Self::woken(&self.wakes.pace.1).await;
+            Timer::after(GATHER_PAUSE).await;
+            Self::wait_for_wake(&self.wakes.pace.1).await;
             let now = clock::now();
             let deaf = self.with_shard(now, |s| {
-                if now - looked_again > LOOK_AGAIN_S {
+                if now - looked_again > PLACEMENT_RETRY_S {
                     looked_again = now;
-                    s.look_again();
+                    s.request_placement();
                 }
-                if now - alarmed > ALARMS_EVERY_S {
+                if now - alarmed > ALERT_INTERVAL_S {
                     alarmed = now;
-                    self.tell_alarms(&s.service_alarms(now), "service");
+                    self.log_alerts(&s.service_level_alerts(now), "service");
                 }
                 if accounts.1 != s.token {
                     accounts = (now, s.token);
-                } else if now - accounts.0 >= ACCOUNTS_EVERY_S {
+                } else if now - accounts.0 >= SERVICE_LEVEL_LOG_INTERVAL_S {
                     accounts = (now, s.token);
-                    match serde_json::to_string(&s.service_told(now)) {
+                    match serde_json::to_string(&s.service_level_report(now)) {
                         Ok(text) => log::info!("{LOG_MARK}{text}"),
                         Err(e) => log::error!("the accounts cannot be told: {e}"),
                     }
                 }
                 if told.1 != s.token {
                     told = (now, s.token, s.counts);
-                } else if now - told.0 >= SUMMARY_EVERY_S {
+                } else if now - told.0 >= SUMMARY_INTERVAL_S {
                     log::info!("{:.0} s: {}", now - told.0, s.summary(&told.2));
                     told = (now, s.token, s.counts);
                 }
-                s.writable = self.state.is_responsive(now);
+                s.state_service_writable = self.state.is_responsive(now);
                 s.tick(now);
                 s.is_partitioned_from_workers(now)
             });
@@ -50,31 +50,31 @@
                         let _ = self.state.revoke(l).await;
                     }
                 }
-                Some(_) => self.carry_out(),
+                Some(_) => self.wake_writers(),
                 None => {}
             }
         }
     }
 
-    pub(super) async fn woken(rx: &Receiver<()>) {
+    pub(super) async fn wait_for_wake(rx: &Receiver<()>) {
         let _ = async {
             let _ = rx.recv().await;
         }
         .or(async {
-            Timer::after(TICK).await;
+            Timer::after(TICK_INTERVAL).await;
         })
         .await;
     }
 
-    pub(super) async fn writer(self: Arc<Self>) {
-        let (done_tx, done_rx) = async_channel::bounded::<()>(MOST_COMMITS);
+    pub(super) async fn write_loop(self: Arc<Self>) {
+        let (done_tx, done_rx) = async_channel::bounded::<()>(MAX_CONCURRENT_COMMITS);
         let mut running = 0;
-        while self.open() {
-            Self::woken(&self.wakes.writer.1).await;
+        while self.is_open() {
+            Self::wait_for_wake(&self.wakes.writer.1).await;
             while done_rx.try_recv().is_ok() {
                 running -= 1;
             }
-            while running < MOST_COMMITS {
+            while running < MAX_CONCURRENT_COMMITS {
                 let now = clock::now();
                 let available = self.state.available_writes();
                 let ops = self.state.txn_ops.min(available);
@@ -86,24 +86,25 @@
                 running += 1;
                 let me = self.clone();
                 let done = done_tx.clone();
-                EX.spawn(async move {
-                    me.write(token, writes).await;
-                    let _ = done.send(()).await;
-                    let _ = me.wakes.writer.0.try_send(());
-                })
-                .detach();
+                EXECUTOR
+                    .spawn(async move {
+                        me.write(token, writes).await;
+                        let _ = done.send(()).await;
+                        let _ = me.wakes.writer.0.try_send(());
+                    })
+                    .detach();
             }
         }
     }
 
-    pub(super) async fn write(&self, token: u64, writes: Vec<crate::shard::Write>) {
+    pub(super) async fn write(&self, token: u64, writes: Vec<crate::shard::PendingWrite>) {
         let mut conditions = vec![Compare { key: self.leadership_key.clone(), version: token }];
-        conditions.extend(writes.iter().map(|w| Compare { key: self.outer(&w.key), version: w.version }));
+        conditions.extend(writes.iter().map(|w| Compare { key: self.to_stored_key(&w.key), version: w.version }));
         let outer = |c: &Mutation| match c.clone() {
-            Mutation::Put { key, value, lease } => Mutation::Put { key: self.outer(&key), value, lease },
-            Mutation::Delete { key } => Mutation::Delete { key: self.outer(&key) },
+            Mutation::Put { key, value, lease } => Mutation::Put { key: self.to_stored_key(&key), value, lease },
+            Mutation::Delete { key } => Mutation::Delete { key: self.to_stored_key(&key) },
         };
-        let changes = writes.iter().map(|w| outer(&w.change)).collect();
+        let changes = writes.iter().map(|w| outer(&w.mutation)).collect();
         let outcome = self.state.commit(conditions, changes, RequestPriority::Normal).await;
         let mine = |f: &mut dyn FnMut(&mut Shard)| {
             if let Some(s) = lock(&self.shard).as_mut().filter(|s| s.token == token) {
@@ -111,13 +112,13 @@
             }
         };
         match outcome {
-            Ok(CompareAndSwap::Applied(revision)) => self.stored(token, writes, revision),
+            Ok(CompareAndSwap::Applied(revision)) => self.on_writes_stored(token, writes, revision),
             Ok(CompareAndSwap::Conflict(_)) | Err(StateError::Unknown) => {
                 // Some version is not what was thought, or nobody knows: ask for each key.
                 let (mut stand, mut wanted) = (Vec::new(), Vec::new());
                 for w in writes {
                     let item = loop {
-                        match self.state.get(&self.outer(&w.key), RequestPriority::Normal).await {
+                        match self.state.get(&self.to_stored_key(&w.key), RequestPriority::Normal).await {
                             Ok(i) => break i,
                             Err(_) => Timer::after(Duration::from_millis(200)).await,
                         };
@@ -126,48 +127,48 @@
                         }
                     };
                     let version = item.as_ref().map_or(0, |i| i.version);
-                    mine(&mut |s| s.on_version(&w.key, version));
-                    if w.stands_as(item.as_ref()) { stand.push((w, version)) } else { wanted.push(w) }
+                    mine(&mut |s| s.on_version_known(&w.key, version));
+                    if w.matches_stored(item.as_ref()) { stand.push((w, version)) } else { wanted.push(w) }
                 }
                 self.read_leadership_record().await;
                 for (w, version) in stand {
-                    self.stored(token, vec![w], version);
+                    self.on_writes_stored(token, vec![w], version);
                 }
                 let mut wanted = Some(wanted);
-                mine(&mut |s| s.on_not_applied(wanted.take().unwrap_or_default()));
+                mine(&mut |s| s.on_writes_rejected(wanted.take().unwrap_or_default()));
             }
             Err(_) => {
                 Timer::after(Duration::from_millis(100)).await;
                 let mut writes = Some(writes);
-                mine(&mut |s| s.on_not_applied(writes.take().unwrap_or_default()));
+                mine(&mut |s| s.on_writes_rejected(writes.take().unwrap_or_default()));
             }
         }
     }
 
     /// These writes of the owner with this token stand at the state service, by this revision.
-    fn stored(&self, token: u64, writes: Vec<crate::shard::Write>, revision: u64) {
+    fn on_writes_stored(&self, token: u64, writes: Vec<crate::shard::PendingWrite>, revision: u64) {
         let now = clock::now();
         let mut ended = Vec::new();
         if let Some(s) = lock(&self.shard).as_mut().filter(|s| s.token == token) {
-            ended = s.ends_of(&writes);
-            s.on_applied(writes, revision, now);
+            ended = s.job_ends_in(&writes);
+            s.on_writes_applied(writes, revision, now);
         }
         // JobStatus from here on without the state service, when the shard has given them back.
         for (id, state, done) in ended {
-            self.note_final(&id, JobStatus { state, done, running: 0 });
+            self.note_end(&id, JobStatus { state, done, running: 0 });
         }
         let _ = self.wakes.direct.0.try_send(());
         // What waited for a job that is stored as done may start.
         self.wake();
     }
 
-    pub(super) async fn direct(self: Arc<Self>) {
+    pub(super) async fn push_loop(self: Arc<Self>) {
         // Machines that are silent keep a call for a second and more each, hundreds at once.
         let most = (self.settings.sockets / 8).clamp(8, 512);
         let (done_tx, done_rx) = async_channel::bounded::<()>(most);
         let mut running = 0;
-        while self.open() {
-            Self::woken(&self.wakes.direct.1).await;
+        while self.is_open() {
+            Self::wait_for_wake(&self.wakes.direct.1).await;
             while done_rx.try_recv().is_ok() {
                 running -= 1;
             }
@@ -177,18 +178,19 @@
                 running += 1;
                 let me = self.clone();
                 let done = done_tx.clone();
-                EX.spawn(async move {
-                    let outcome = me.workers.commands(send.addr, &send.body, || me.may_still_push(&send)).await;
-                    let now = clock::now();
-                    // Only the shard that sent it may learn of it.
-                    if let Some(s) = lock(&me.shard).as_mut().filter(|s| s.token == send.body.token) {
-                        s.on_push_outcome(&send, outcome, now);
-                    }
-                    let _ = done.send(()).await;
-                    me.wake();
-                    let _ = me.wakes.direct.0.try_send(());
-                })
-                .detach();
+                EXECUTOR
+                    .spawn(async move {
+                        let outcome = me.workers.commands(send.addr, &send.body, || me.may_still_push(&send)).await;
+                        let now = clock::now();
+                        // Only the shard that sent it may learn of it.
+                        if let Some(s) = lock(&me.shard).as_mut().filter(|s| s.token == send.body.token) {
+                            s.on_push_outcome(&send, outcome, now);
+                        }
+                        let _ = done.send(()).await;
+                        me.wake();
+                        let _ = me.wakes.direct.0.try_send(());
+                    })
+                    .detach();
             }
         }
     }
@@ -232,14 +234,14 @@
         owns
     }
 
-    pub(super) async fn rentals(self: Arc<Self>) {
-        while self.open() {
+    pub(super) async fn rental_loop(self: Arc<Self>) {
+        while self.is_open() {
             let now = clock::now();
             let launch = self
                 .with_shard(now, |s| (s.token, s.launches.pending.first().cloned()))
                 .and_then(|(t, l)| Some((t, l?)));
             let Some((token, l)) = launch else {
-                Timer::after(TICK).await;
+                Timer::after(TICK_INTERVAL).await;
                 continue;
             };
             let request = self.with_shard(now, |s| RentRequest {
@@ -268,12 +270,12 @@
         }
     }
 
-    pub(super) async fn deletions(self: Arc<Self>) {
-        while self.open() {
+    pub(super) async fn deletion_loop(self: Arc<Self>) {
+        while self.is_open() {
             let now = clock::now();
             let call = self.with_shard(now, |s| s.next_delete().map(|c| (s.token, c))).flatten();
             let Some((token, CloudCall::Delete(machines, names))) = call else {
-                Timer::after(TICK).await;
+                Timer::after(TICK_INTERVAL).await;
                 continue;
             };
             let outcome = self.cloud.delete(names, || self.may_still_call_cloud(token, "returns")).await;
@@ -286,11 +288,11 @@
         }
     }
 
-    pub(super) async fn lists(self: Arc<Self>) {
-        while self.open() {
+    pub(super) async fn machine_list_loop(self: Arc<Self>) {
+        while self.is_open() {
             // The cloud's calls are for all cells together.
-            let of = self.cells().len();
-            Timer::after(Duration::from_secs_f64(LIST_EVERY_S * of as f64)).await;
+            let of = self.shards().len();
+            Timer::after(Duration::from_secs_f64(MACHINE_LIST_INTERVAL_S * of as f64)).await;
             let now = clock::now();
             let Some(token) = self.with_shard(now, |s| s.token) else { continue };
             if let Ok(list) = self.cloud.list().await {
@@ -304,21 +306,21 @@
 }
 
 impl Node {
-    pub(super) fn tell_alarms(&self, alarms: &[Alarm], whose: &str) {
+    pub(super) fn log_alerts(&self, alarms: &[Alert], whose: &str) {
         for a in alarms {
             if a.under { log::warn!("{whose}: {a}") } else { log::info!("{whose}: {a}") }
         }
     }
 
     /// What the door says now and then: alarms of what users were answered, and reports that went elsewhere.
-    pub(super) async fn tell_door(self: Arc<Self>) {
+    pub(super) async fn log_ingress_loop(self: Arc<Self>) {
         let mut reports_at = 0.0;
         loop {
-            Timer::after(Duration::from_secs_f64(ALARMS_EVERY_S)).await;
+            Timer::after(Duration::from_secs_f64(ALERT_INTERVAL_S)).await;
             let now = clock::now();
-            let alarms = lock(&self.door).alarms(now);
-            self.tell_alarms(&alarms, "this controller's door");
-            if now - reports_at >= SUMMARY_EVERY_S {
+            let alarms = lock(&self.ingress).alarms(now);
+            self.log_alerts(&alarms, "this controller's door");
+            if now - reports_at >= SUMMARY_INTERVAL_S {
                 let taken = |n: &AtomicU64| n.swap(0, Ordering::Relaxed);
                 let (sent_on, turned_away) = (taken(&self.heartbeats_redirected), taken(&self.heartbeats_rejected));
                 if sent_on + turned_away > 0 {
@@ -332,21 +334,21 @@
     /// All controllers begin at the same moment, and the cloud refuses what is over its
     /// limit: those that are refused ask again at times of their own. The last of five
     /// once asked together with the others for ever, and was refused every time.
-    pub(super) async fn learn_types(self: Arc<Self>) {
+    pub(super) async fn learn_machine_types_loop(self: Arc<Self>) {
         let campaign_delay_s = (self.settings.peers.len() + 1) as f64 / self.settings.cloud_rps;
         loop {
-            let first = self.types().is_empty();
+            let first = self.machine_types().is_empty();
             let pause_s = match self.cloud.types(first).await {
                 Ok(t) if !t.is_empty() => {
                     self.types_asked.store(true, Ordering::Relaxed);
                     let now = clock::now();
                     let mut mine = false;
-                    for c in self.cells().iter() {
+                    for c in self.shards().iter() {
                         mine |= c.with_shard(now, |s| s.on_types(t.clone(), now)).is_some();
                     }
-                    *lock(&self.types) = Arc::new(t);
+                    *lock(&self.machine_types) = Arc::new(t);
                     // Prices matter to the owner; the others judge submissions by sizes.
-                    if mine { TYPES_EVERY_S } else { TYPES_EVERY_S * 3.0 }
+                    if mine { MACHINE_TYPES_INTERVAL_S } else { MACHINE_TYPES_INTERVAL_S * 3.0 }
                 }
                 _ if first => campaign_delay_s.min(2.0),
                 _ => campaign_delay_s,
--- a/src/node/merging.rs
+++ b/src/node/merging.rs
@@ -12,46 +12,46 @@
 
 use super::shard_exchange::{CELLS_PREFIX, PRESENT_PREFIX};
 use super::*;
-use crate::fleet::machine_groups::RackRecord;
-use lupinspur_cells::activation::{InForce, NOBODY, Presence, comes_into_force, may_take_in};
+use crate::fleet::machine_groups::MachineGroupRecord;
+use lupinspur_cells::activation::{ActivePlan, NOBODY, Presence, all_agree_on, may_absorb_all};
 
-type TakenIn = (Vec<(String, RackRecord, u64)>, Vec<(String, u64)>);
+type TakenIn = (Vec<(String, MachineGroupRecord, u64)>, Vec<(String, u64)>);
 
 impl Node {
     /// Are the cells that are in force on their way back to one?
-    pub(super) fn merges(&self) -> bool {
+    pub(super) fn is_merging(&self) -> bool {
         self.merging.load(Ordering::Relaxed)
     }
 
     /// Does this controller's file ask for the way back?
-    pub(super) fn goes_back(&self) -> bool {
+    pub(super) fn wants_single_shard(&self) -> bool {
         self.plan.as_ref().is_some_and(|p| p.cells == 1)
     }
 
     /// The plan as it is stored.
-    pub(super) fn saw_plan(self: &Arc<Self>, f: InForce) {
+    pub(super) fn observe_plan(self: &Arc<Self>, f: ActivePlan) {
         let merging = f.merging;
-        self.enter_cells(f.cells);
+        self.enter_sharding(f.cells);
         if !merging || self.merging.swap(true, Ordering::Relaxed) {
             return;
         }
         log::info!("the cells merge: cell 0 takes in what the others had");
-        for c in self.cells().iter().filter(|c| c.ix.0 != 0) {
+        for c in self.shards().iter().filter(|c| c.id.0 != 0) {
             c.resign();
         }
         self.update_rate_shares();
     }
 
     /// No plan is in force any more: there is one cell, as if there had never been others.
-    pub(super) fn leave_cells(self: &Arc<Self>) {
-        if lock(&self.in_force).take().is_none() {
+    pub(super) fn leave_sharding(self: &Arc<Self>) {
+        if lock(&self.active_plan).take().is_none() {
             return;
         }
         log::info!("there is one cell from now on");
         self.merging.store(false, Ordering::Relaxed);
-        lock(&self.job_cells).clear();
-        lock(&self.machine_cells).clear();
-        let one = Cell::new(self.clone(), CellIx(0), LEADERSHIP_KEY.into());
+        lock(&self.shard_by_job).clear();
+        lock(&self.shard_by_machine).clear();
+        let one = ShardRuntime::new(self.clone(), ShardId(0), LEADERSHIP_KEY.into());
         one.observe_record(None);
         self.replace_shards(vec![one]);
         self.update_rate_shares();
@@ -62,9 +62,9 @@
     i.value.get("node").and_then(serde_json::Value::as_str).unwrap_or_default()
 }
 
-impl Cell {
-    pub(super) fn takes_all(&self) -> bool {
-        self.takes_all.load(Ordering::Relaxed)
+impl ShardRuntime {
+    pub(super) fn absorbs_all_shards(&self) -> bool {
+        self.absorbs_all_shards.load(Ordering::Relaxed)
     }
 
     /// The claims of all other cells, as they are stored.
@@ -78,11 +78,11 @@
     }
 
     /// May this claim take in what all the others had?
-    pub(super) async fn others_are_nobody_s(&self, token: u64) -> Result<bool, StateError> {
-        let plan = lock(&self.in_force).clone();
-        let Some(plan) = plan.filter(|_| self.merges() && self.ix.0 == 0) else { return Ok(false) };
+    pub(super) async fn other_shards_are_abandoned(&self, token: u64) -> Result<bool, StateError> {
+        let plan = lock(&self.active_plan).clone();
+        let Some(plan) = plan.filter(|_| self.is_merging() && self.id.0 == 0) else { return Ok(false) };
         let claims = self.other_leadership_records(plan.cells).await?;
-        Ok(may_take_in(token, claims.iter().map(|(_, i)| i.as_ref().map(|i| (record_holder(i), i.version)))))
+        Ok(may_absorb_all(token, claims.iter().map(|(_, i)| i.as_ref().map(|i| (record_holder(i), i.version)))))
     }
 
     /// Steps down, so that the claim goes at once.
@@ -91,23 +91,23 @@
         self.leadership_lost(|o| lease = o.step_down(clock::now()));
         if let Some(l) = lease {
             let me = self.clone();
-            EX.spawn(async move { _ = me.state.revoke(l).await }).detach();
+            EXECUTOR.spawn(async move { _ = me.state.revoke(l).await }).detach();
         }
     }
 
     /// The first step: all controllers want one cell.
-    pub(super) async fn begin_merging(&self, token: u64, plan: &lupinspur_cells::Plan) {
+    pub(super) async fn begin_merging(&self, token: u64, plan: &lupinspur_cells::ShardingPlan) {
         let Some(wanted) = self.plan.clone() else { return };
         let Ok((items, _)) = self.state.list(PRESENT_PREFIX, RequestPriority::Normal).await else { return };
         let present: Vec<Presence> = parse_items(items).map(|(_, p, _)| p).collect();
-        if !comes_into_force(&wanted, &self.settings.nodes(), &present) {
+        if !all_agree_on(&wanted, &self.settings.nodes(), &present) {
             return;
         }
         let Ok(Some(stands)) = self.state.get(LEADERSHIP_KEY, RequestPriority::Normal).await else { return };
-        if Cell::plan_in(&stands).is_none_or(|f| f.merging) {
+        if ShardRuntime::active_plan_in(&stands).is_none_or(|f| f.merging) {
             return;
         }
-        let Ok(value) = serde_json::to_value(InForce::merging(plan.clone())) else { return };
+        let Ok(value) = serde_json::to_value(ActivePlan::merging(plan.clone())) else { return };
         let conditions = vec![
             Compare { key: self.leadership_key.clone(), version: token },
             Compare { key: LEADERSHIP_KEY.into(), version: stands.version },
@@ -118,7 +118,7 @@
     }
 
     /// The next step of a merging, by the owner of cell 0.
-    pub(super) async fn merge(self: &Arc<Self>, token: u64, plan: &lupinspur_cells::Plan) {
+    pub(super) async fn merge(self: &Arc<Self>, token: u64, plan: &lupinspur_cells::ShardingPlan) {
         let Ok(claims) = self.other_leadership_records(plan.cells).await else { return };
         let free: Vec<&String> = claims.iter().filter(|(_, i)| i.is_none()).map(|(k, _)| k).collect();
         if !free.is_empty() {
@@ -134,11 +134,11 @@
         if !claims.iter().all(|(_, i)| i.as_ref().is_some_and(|i| record_holder(i) == NOBODY)) {
             return;
         }
-        let read_at = *lock(&self.read_at);
-        if !self.takes_all() {
+        let read_at = *lock(&self.loaded_at);
+        if !self.absorbs_all_shards() {
             return self.reacquire_leadership(token).await;
         }
-        if read_at.0 != token || !self.nothing_left(plan, read_at.1).await {
+        if read_at.0 != token || !self.others_are_cleared(plan, read_at.1).await {
             return;
         }
         let Ok(Some(stands)) = self.state.get(LEADERSHIP_KEY, RequestPriority::Normal).await else { return };
@@ -155,7 +155,7 @@
     }
 
     /// Does nothing of the others stand any more, and does a checkpoint of since then tell of all jobs?
-    async fn nothing_left(&self, plan: &lupinspur_cells::Plan, read_at: u64) -> bool {
+    async fn others_are_cleared(&self, plan: &lupinspur_cells::ShardingPlan, read_at: u64) -> bool {
         let prefixes = (1..plan.cells).map(|c| format!("c{c}/")).chain([CELLS_PREFIX.to_owned()]);
         for prefix in prefixes {
             match self.state.list(&prefix, RequestPriority::Normal).await {
@@ -171,19 +171,19 @@
     /// What the other cells kept, while they merge into this one: racks, and the rest, which is of
     /// no use any more. So is what passed between them.
     pub(super) async fn read_merged(&self) -> Result<TakenIn, StateError> {
-        let (mut racks, mut stale) = (Vec::new(), Vec::new());
-        if !self.takes_all() {
-            return Ok((racks, stale));
+        let (mut machine_groups, mut stale) = (Vec::new(), Vec::new());
+        if !self.absorbs_all_shards() {
+            return Ok((machine_groups, stale));
         }
-        for c in 1..self.cells().len() {
+        for c in 1..self.shards().len() {
             let (items, _) = self.state.list(&format!("c{c}/"), RequestPriority::Normal).await?;
             let (of_racks, rest): (Vec<KeyValue>, Vec<KeyValue>) =
-                items.into_iter().partition(|i| i.key.starts_with(&format!("c{c}/{RACK_PREFIX}")));
+                items.into_iter().partition(|i| i.key.starts_with(&format!("c{c}/{MACHINE_GROUP_PREFIX}")));
             stale.extend(rest.into_iter().map(|i| (i.key, i.version)));
-            racks.extend(parse_items::<RackRecord>(of_racks));
+            machine_groups.extend(parse_items::<MachineGroupRecord>(of_racks));
         }
         let (items, _) = self.state.list(CELLS_PREFIX, RequestPriority::Normal).await?;
         stale.extend(items.into_iter().map(|i| (i.key, i.version)));
-        Ok((racks, stale))
+        Ok((machine_groups, stale))
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -8,8 +8,8 @@
 mod shard_exchange;
 mod shard_runtime;
 
-pub use routing::Place;
-pub use shard_runtime::Cell;
+pub use routing::JobLocation;
+pub use shard_runtime::ShardRuntime;
 
 use crate::clock;
 use crate::cloud::{CloudClient, CloudError};
@@ -17,15 +17,17 @@
     CRASH_LOOP_BACKOFF_S, ElectionStep, LEADERSHIP_KEY, LEADERSHIP_PREFIX, LeaderElection, LeadershipRecord,
     MACHINE_TYPES_KEY, ObservedRecord, backoff_key,
 };
-use crate::fleet::machine_groups::RACK_PREFIX;
+use crate::fleet::machine_groups::MACHINE_GROUP_PREFIX;
 use crate::fleet::{FLEET_KEY, MACHINE_PREFIX};
 use crate::health::Health;
-use crate::intern::{Index, RackIx};
+use crate::intern::{Index, MachineGroupIndex};
 use crate::job_status::{JobStatus, Lookup};
 use crate::jobs::{JOB_PREFIX, JobRecord, PART_PREFIX, PROGRESS_PREFIX, Phase};
 use crate::peer::Peers;
 use crate::settings::Settings;
-use crate::shard::{CloudCall, Counts, Found, Loaded, LoadedQuotas, PushRequest, Shard, job_of};
+use crate::shard::{
+    CloudCall, Counts, LoadedCheckpoint, LoadedQuotas, LoadedState, PushRequest, Shard, parse_job_record,
+};
 use crate::state::{CompareAndSwap, KvClient, MAX_TRANSACTION_BYTES, RequestPriority, StateError};
 use crate::tuning::Tuning;
 use crate::wire::{Compare, KeyValue, Kind, MachineType, Mutation, RentRequest};
@@ -36,9 +38,9 @@
 use futures_lite::FutureExt;
 use lru::LruCache;
 use lupinspur_accounts::gate::LOG_MARK;
-use lupinspur_accounts::inheritance::Carried;
-use lupinspur_accounts::{Alarm, Book, Reading, Told as ServiceTold};
-use lupinspur_cells::CellIx;
+use lupinspur_accounts::inheritance::InheritedTotals;
+use lupinspur_accounts::{Alert, Reading, ServiceLevelReport as ServiceTold, ServiceLevelTracker};
+use lupinspur_cells::ShardId;
 use lupinspur_quota::Plan;
 use lupinspur_quota::stored::{HEAD, PREFIX};
 use serde::de::DeserializeOwned;
@@ -48,34 +50,34 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-pub(crate) static EX: Executor<'static> = Executor::new();
+pub(crate) static EXECUTOR: Executor<'static> = Executor::new();
 
-const TICK: Duration = Duration::from_millis(100);
-const GATHER: Duration = Duration::from_millis(20);
-const LOOK_AGAIN_S: f64 = 1.0;
-const SUMMARY_EVERY_S: f64 = 10.0;
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+const GATHER_PAUSE: Duration = Duration::from_millis(20);
+const PLACEMENT_RETRY_S: f64 = 1.0;
+const SUMMARY_INTERVAL_S: f64 = 10.0;
 /// The accounts as a whole go to the log this often; the gate reads the last ones.
-const ACCOUNTS_EVERY_S: f64 = 30.0;
-const ALARMS_EVERY_S: f64 = 1.0;
+const SERVICE_LEVEL_LOG_INTERVAL_S: f64 = 30.0;
+const ALERT_INTERVAL_S: f64 = 1.0;
 /// A submission that is answered later than this was not accepted in time.
-const ACCEPTED_WITHIN_S: f64 = 1.0;
-const MOST_COMMITS: usize = 3;
+const ACCEPTANCE_OBJECTIVE_S: f64 = 1.0;
+const MAX_CONCURRENT_COMMITS: usize = 3;
 /// Jobs that are over, and jobs that were accepted, that a node remembers; the others it asks for.
-const MOST_KEPT: NonZeroUsize = NonZeroUsize::new(10_000).unwrap();
-const LIST_EVERY_S: f64 = 3.0;
-const TYPES_EVERY_S: f64 = 20.0;
-const KEEP_TYPES_EVERY: Duration = Duration::from_secs(1);
-const LOOK_UP_EVERY: Duration = Duration::from_secs(1);
+const CACHED_JOBS: NonZeroUsize = NonZeroUsize::new(10_000).unwrap();
+const MACHINE_LIST_INTERVAL_S: f64 = 3.0;
+const MACHINE_TYPES_INTERVAL_S: f64 = 20.0;
+const STORE_TYPES_INTERVAL: Duration = Duration::from_secs(1);
+const DEPENDENCY_LOOKUP_INTERVAL: Duration = Duration::from_secs(1);
 /// Where there are several cells, what changes is read together.
-const WATCH_PAUSE: Duration = Duration::from_millis(150);
-const WATCH_WAIT: Duration = Duration::from_millis(1500);
+const WATCH_BATCH_PAUSE: Duration = Duration::from_millis(150);
+const WATCH_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// What files of the operators enable.
 #[derive(Debug, Default)]
 pub struct Features {
     pub quotas: Option<Plan>,
     pub elastic: Option<lupinspur_elastic::Plan>,
-    pub cells: Option<lupinspur_cells::Plan>,
+    pub cells: Option<lupinspur_cells::ShardingPlan>,
 }
 
 /// Who acts, as far as this node knows.
@@ -107,22 +109,22 @@
     pub peers: Peers,
     /// Who this process is, in every claim that it makes.
     own_record: LeadershipRecord,
-    cells: Mutex<Cells>,
+    shards: Mutex<ShardRuntimes>,
     /// The operators' file of cells, and the plan that is in force.
-    plan: Option<lupinspur_cells::Plan>,
-    in_force: Mutex<Option<lupinspur_cells::Plan>>,
+    plan: Option<lupinspur_cells::ShardingPlan>,
+    active_plan: Mutex<Option<lupinspur_cells::ShardingPlan>>,
     /// The cells in force are on their way back to one.
     merging: AtomicBool,
-    cell_exchange: Mutex<shard_exchange::CellExchange>,
+    shard_exchange: Mutex<shard_exchange::ShardExchange>,
     /// Which cell a job, or a machine, was last found in.
-    job_cells: Mutex<LruCache<String, CellIx>>,
-    machine_cells: Mutex<LruCache<String, CellIx>>,
-    types: Mutex<Arc<Vec<MachineType>>>,
-    finals: Mutex<LruCache<String, JobStatus>>,
+    shard_by_job: Mutex<LruCache<String, ShardId>>,
+    shard_by_machine: Mutex<LruCache<String, ShardId>>,
+    machine_types: Mutex<Arc<Vec<MachineType>>>,
+    known_ends: Mutex<LruCache<String, JobStatus>>,
     /// Jobs that this node has seen to be accepted: they stay so.
-    accepted: Mutex<LruCache<String, Kind>>,
+    accepted_jobs: Mutex<LruCache<String, Kind>>,
     /// What users were answered at this controller's door, by class and team.
-    door: Mutex<Book>,
+    ingress: Mutex<ServiceLevelTracker>,
     state_answered_at: Mutex<f64>,
     health: Mutex<Health>,
     /// The machine types as the state service has them.
@@ -141,7 +143,7 @@
     version: u64,
 }
 
-pub type Cells = Arc<Vec<Arc<Cell>>>;
+pub type ShardRuntimes = Arc<Vec<Arc<ShardRuntime>>>;
 
 fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
     m.lock().unwrap_or_else(|e| e.into_inner())
@@ -164,19 +166,19 @@
             state: KvClient::new(&settings),
             cloud: CloudClient::new(&settings),
             workers: WorkerClient::new(&settings),
-            peers: Peers::new(&EX, &settings),
+            peers: Peers::new(&EXECUTOR, &settings),
             own_record: me,
-            cells: Mutex::default(),
+            shards: Mutex::default(),
             plan: features.cells,
-            in_force: Mutex::default(),
+            active_plan: Mutex::default(),
             merging: AtomicBool::new(false),
-            cell_exchange: Mutex::default(),
-            job_cells: Mutex::new(LruCache::new(MOST_KEPT)),
-            machine_cells: Mutex::new(LruCache::new(MOST_KEPT)),
-            types: Mutex::default(),
-            finals: Mutex::new(LruCache::new(MOST_KEPT)),
-            accepted: Mutex::new(LruCache::new(MOST_KEPT)),
-            door: Mutex::new(Book::new(settings.terms.clone())),
+            shard_exchange: Mutex::default(),
+            shard_by_job: Mutex::new(LruCache::new(CACHED_JOBS)),
+            shard_by_machine: Mutex::new(LruCache::new(CACHED_JOBS)),
+            machine_types: Mutex::default(),
+            known_ends: Mutex::new(LruCache::new(CACHED_JOBS)),
+            accepted_jobs: Mutex::new(LruCache::new(CACHED_JOBS)),
+            ingress: Mutex::new(ServiceLevelTracker::new(settings.terms.clone())),
             state_answered_at: Mutex::new(-100.0),
             health: Mutex::default(),
             types_stored: Mutex::default(),
@@ -193,80 +195,80 @@
     /// Sets all loops going.
     pub fn spawn_loops(self: &Arc<Self>) {
         let n = || self.clone();
-        self.replace_shards(vec![Cell::new(n(), CellIx(0), LEADERSHIP_KEY.into())]);
-        EX.spawn(n().learn_types()).detach();
-        EX.spawn(n().watch_leadership()).detach();
-        EX.spawn(n().tell_door()).detach();
-        EX.spawn(n().offer_plan()).detach();
+        self.replace_shards(vec![ShardRuntime::new(n(), ShardId(0), LEADERSHIP_KEY.into())]);
+        EXECUTOR.spawn(n().learn_machine_types_loop()).detach();
+        EXECUTOR.spawn(n().watch_leadership()).detach();
+        EXECUTOR.spawn(n().log_ingress_loop()).detach();
+        EXECUTOR.spawn(n().offer_plan_loop()).detach();
     }
 
     /// These cells from now on, in the order of their numbers.
-    fn replace_shards(self: &Arc<Self>, cells: Vec<Arc<Cell>>) {
-        let before = std::mem::replace(&mut *lock(&self.cells), Arc::new(cells.clone()));
+    fn replace_shards(self: &Arc<Self>, cells: Vec<Arc<ShardRuntime>>) {
+        let before = std::mem::replace(&mut *lock(&self.shards), Arc::new(cells.clone()));
         for c in before.iter() {
             c.closed.store(true, Ordering::Relaxed);
             c.leadership_lost(|o| o.lease_lost());
         }
-        cells.iter().for_each(Cell::spawn_loops);
+        cells.iter().for_each(ShardRuntime::spawn_loops);
     }
 
-    pub fn cells(&self) -> Cells {
-        lock(&self.cells).clone()
+    pub fn shards(&self) -> ShardRuntimes {
+        lock(&self.shards).clone()
     }
 
     /// How many cells this process holds a claim of.
     fn shards_led(&self) -> usize {
-        self.cells().iter().filter(|c| lock(&c.election).token().is_some()).count()
+        self.shards().iter().filter(|c| lock(&c.election).token().is_some()).count()
     }
 
     /// What this process may spend at the services follows from what it owns.
     fn update_rate_shares(&self) {
-        let of = if self.merges() { 1 } else { self.cells().len() };
+        let of = if self.is_merging() { 1 } else { self.shards().len() };
         let owned = self.shards_led();
         self.state.set_share(&self.settings, owned, of);
         self.cloud.set_share(&self.settings, owned, of);
     }
 
     /// What users were answered at this controller's door.
-    pub fn door_told(&self, now: f64) -> ServiceTold {
-        lock(&self.door).told(now)
+    pub fn ingress_report(&self, now: f64) -> ServiceTold {
+        lock(&self.ingress).told(now)
     }
 
-    pub fn types(&self) -> Arc<Vec<MachineType>> {
-        lock(&self.types).clone()
+    pub fn machine_types(&self) -> Arc<Vec<MachineType>> {
+        lock(&self.machine_types).clone()
     }
 
     pub fn healthy(&self) -> bool {
         let now = clock::now();
-        let (useful, owns) = (!lock(&self.types).is_empty(), self.leads_any_shard(now));
+        let (useful, owns) = (!lock(&self.machine_types).is_empty(), self.leads_any_shard(now));
         let answered = *lock(&self.state_answered_at);
         lock(&self.health).says(useful, owns, answered, now)
     }
 
     /// Final states never change: any node may tell them once it has learnt them.
-    pub fn final_known(&self, id: &str) -> Option<JobStatus> {
-        lock(&self.finals).get(id).copied()
+    pub fn known_end(&self, id: &str) -> Option<JobStatus> {
+        lock(&self.known_ends).get(id).copied()
     }
 
-    pub fn note_final(&self, id: &str, t: JobStatus) {
+    pub fn note_end(&self, id: &str, t: JobStatus) {
         if t.is_final() {
-            lock(&self.finals).put(id.to_owned(), t);
+            lock(&self.known_ends).put(id.to_owned(), t);
         }
     }
 
     pub fn accepted_kind(&self, id: &str) -> Option<Kind> {
-        lock(&self.accepted).get(id).copied()
+        lock(&self.accepted_jobs).get(id).copied()
     }
 
     pub fn note_accepted(&self, id: &str, kind: Kind) {
-        lock(&self.accepted).put(id.to_owned(), kind);
+        lock(&self.accepted_jobs).put(id.to_owned(), kind);
     }
 
     /// A user waited for this answer from `began` on.
     pub fn note_answer(&self, class: &str, team: &str, what: Reading, served: bool, began: f64) {
         let now = clock::now();
-        let in_time = what != Reading::Accepted || now - began <= ACCEPTED_WITHIN_S;
-        lock(&self.door).answered(class, team, what, served && in_time, now);
+        let in_time = what != Reading::Accepted || now - began <= ACCEPTANCE_OBJECTIVE_S;
+        lock(&self.ingress).answered(class, team, what, served && in_time, now);
     }
 
     fn state_answered(&self) {
@@ -275,11 +277,11 @@
 
     /// Something may be there to place, in some cell that is owned here.
     pub fn wake(&self) {
-        self.cells().iter().for_each(|c| c.wake());
+        self.shards().iter().for_each(|c| c.wake());
     }
 
     /// Does this controller own any cell?
     fn leads_any_shard(&self, now: f64) -> bool {
-        self.cells().iter().any(|c| c.leadership_status(now) == LeadershipStatus::Leading)
+        self.shards().iter().any(|c| c.leadership_status(now) == LeadershipStatus::Leading)
     }
 }
