--- a/src/node/shard_exchange/activation.rs
+++ b/src/node/shard_exchange/activation.rs
@@ -4,15 +4,15 @@
 
 impl Node {
     /// Offers the plan of this controller's file until it is in force.
-    pub(in crate::node) async fn offer_plan(self: Arc<Self>) {
+    pub(in crate::node) async fn offer_plan_loop(self: Arc<Self>) {
         let Some(plan) = self.plan.clone() else { return };
         let present = Presence { node: self.settings.node.clone(), plan: Some(plan.clone()) };
         let Ok(value) = serde_json::to_value(&present) else { return };
         let mut lease = None;
         // At once, and before submissions: a deployment that begins is parted before its first flood.
         loop {
-            let in_force = lock(&self.in_force).clone();
-            if !offers(&plan, in_force.as_ref()) {
+            let in_force = lock(&self.active_plan).clone();
+            if !has_plan_to_offer(&plan, in_force.as_ref()) {
                 lease = None;
                 Timer::after(OFFER_EVERY).await;
                 continue;
@@ -30,7 +30,7 @@
                 }
             }
             if in_force.is_none() && self.leads_any_shard(clock::now()) {
-                self.bring_into_force(&plan).await;
+                self.activate_plan(&plan).await;
             }
             Timer::after(OFFER_EVERY).await;
         }
@@ -38,37 +38,38 @@
 
     /// The owner of the one cell that there is puts the plan in its claim's place, once everybody
     /// understands it.
-    async fn bring_into_force(self: &Arc<Self>, plan: &lupinspur_cells::Plan) {
+    async fn activate_plan(self: &Arc<Self>, plan: &lupinspur_cells::ShardingPlan) {
         let Ok((items, _)) = self.state.list(PRESENT_PREFIX, RequestPriority::Urgent).await else { return };
         let present: Vec<Presence> = parse_items(items).map(|(_, p, _)| p).collect();
-        if !comes_into_force(plan, &self.settings.nodes(), &present) {
+        if !all_agree_on(plan, &self.settings.nodes(), &present) {
             return;
         }
         let Ok(before) = self.state.get(LEDGER_KEY, RequestPriority::Urgent).await else { return };
-        let cells = self.cells();
+        let cells = self.shards();
         let Some(cell) = cells.first().filter(|_| cells.len() == 1) else { return };
         let now = clock::now();
         // What is in use stays cell 0's, and nothing is added to it from here on; the rest goes to
         // the teams' homes.
         let made = cell.with_shard(now, |s| {
-            let (token, in_use) = (s.token, s.in_use());
-            let mut ledger = Ledger::begin(&limits(&self.settings.teams), plan.cells, CellIx(0));
+            let (token, in_use) = (s.token, s.limit_usage());
+            let mut ledger = Ledger::begin(&team_limits_by_name(&self.settings.teams), plan.cells, ShardId(0));
             for (team, used) in &in_use {
-                let Some(own) = ledger.share(team, CellIx(0)) else { continue };
+                let Some(own) = ledger.share(team, ShardId(0)) else { continue };
                 let home = plan.home(team);
                 let amount = own.less(*used);
-                let gift = Gift { team: team.clone(), from: CellIx(0), to: home, amount };
-                if home != CellIx(0)
+                let gift = QuotaTransfer { team: team.clone(), from: ShardId(0), to: home, amount };
+                if home != ShardId(0)
                     && let Some(l) = ledger.after(&[gift])
                 {
                     ledger = l;
                 }
             }
-            s.set_shares(&self.settings.teams, &ledger, CellIx(0));
+            s.set_limit_shares(&self.settings.teams, &ledger, ShardId(0));
             (token, ledger)
         });
         let Some((token, ledger)) = made else { return };
-        let (Ok(claim), Ok(shares)) = (serde_json::to_value(InForce::new(plan.clone())), serde_json::to_value(&ledger))
+        let (Ok(claim), Ok(shares)) =
+            (serde_json::to_value(ActivePlan::new(plan.clone())), serde_json::to_value(&ledger))
         else {
             return;
         };
@@ -101,7 +102,7 @@
         // From the moment that it is sent the cells may be owned by others, who wait for nobody.
         lock(&cell.election).suspend(true);
         match self.state.commit(conditions, changes, RequestPriority::Urgent).await {
-            Ok(CompareAndSwap::Applied(_)) => self.enter_cells(plan.clone()),
+            Ok(CompareAndSwap::Applied(_)) => self.enter_sharding(plan.clone()),
             // It may be stored, now or later. Without this claim it can't be any more.
             Err(StateError::Unknown) => {
                 log::warn!("nobody knows whether the plan of cells came into force: giving the claim up");
@@ -113,16 +114,16 @@
                 log::info!("the plan of cells did not come into force: {outcome:?}");
                 lock(&cell.election).suspend(false);
                 cell.read_leadership_record().await;
-                let whole = Ledger::begin(&limits(&self.settings.teams), 1, CellIx(0));
-                cell.with_shard(clock::now(), |s| s.set_shares(&self.settings.teams, &whole, CellIx(0)));
+                let whole = Ledger::begin(&team_limits_by_name(&self.settings.teams), 1, ShardId(0));
+                cell.with_shard(clock::now(), |s| s.set_limit_shares(&self.settings.teams, &whole, ShardId(0)));
             }
         }
     }
 
     /// The plan is in force: this process takes part in its cells from now on.
-    pub(in crate::node) fn enter_cells(self: &Arc<Self>, plan: lupinspur_cells::Plan) {
+    pub(in crate::node) fn enter_sharding(self: &Arc<Self>, plan: lupinspur_cells::ShardingPlan) {
         {
-            let mut in_force = lock(&self.in_force);
+            let mut in_force = lock(&self.active_plan);
             match &*in_force {
                 Some(p) if *p == plan => return,
                 Some(_) => {
@@ -133,12 +134,12 @@
             }
         }
         log::info!("{} cells are in force", plan.cells);
-        let cell = |c| Cell::new(self.clone(), CellIx(c), crate::election::shard_leadership_key(c));
-        let cells: Vec<Arc<Cell>> = (0..plan.cells).map(cell).collect();
+        let cell = |c| ShardRuntime::new(self.clone(), ShardId(c), crate::election::shard_leadership_key(c));
+        let cells: Vec<Arc<ShardRuntime>> = (0..plan.cells).map(cell).collect();
         // As far as this process knows nobody has claimed them: what it hears next may say more.
         cells.iter().for_each(|c| c.observe_record(None));
         self.replace_shards(cells);
-        *lock(&self.cell_exchange) = CellExchange::default();
-        EX.spawn(self.clone().watch_cells()).detach();
+        *lock(&self.shard_exchange) = ShardExchange::default();
+        EXECUTOR.spawn(self.clone().watch_cells()).detach();
     }
 }
--- a/src/node/shard_exchange/mod.rs
+++ b/src/node/shard_exchange/mod.rs
@@ -10,13 +10,15 @@
 mod tests;
 
 use super::*;
-use crate::shard::limits;
-use lupinspur_cells::activation::{InForce, Presence, comes_into_force, offers};
-use lupinspur_cells::escrow::{Amount, Gift, Ledger, Use, gifts};
-use lupinspur_cells::load_snapshot::Picture;
-use lupinspur_cells::machine_transfer::{self, BYTES_A_MACHINE, Handed, Handover, giver_next, taker_next, to_whom};
-use lupinspur_cells::rebalance::{Leader, Orders, has_to_raise};
-use lupinspur_cells::spill::spills;
+use crate::shard::team_limits_by_name;
+use lupinspur_cells::activation::{ActivePlan, Presence, all_agree_on, has_plan_to_offer};
+use lupinspur_cells::escrow::{Amount, Ledger, QuotaTransfer, QuotaUse, quota_transfers};
+use lupinspur_cells::load_snapshot::LoadSnapshot;
+use lupinspur_cells::machine_transfer::{
+    self, MAX_BYTES_PER_MACHINE, MachineTransfer, TransferredMachine, next_by_receiver, next_by_sender, next_receiver,
+};
+use lupinspur_cells::rebalance::{RebalancePlan, Rebalancer, must_reacquire};
+use lupinspur_cells::spill::plan_spills;
 use std::collections::BTreeSet;
 
 pub(in crate::node) const CELLS_PREFIX: &str = "cells/";
@@ -32,24 +34,24 @@
 
 /// What a node knows of the cells together.
 #[derive(Default)]
-pub(in crate::node) struct CellExchange {
+pub(in crate::node) struct ShardExchange {
     ledger: Option<(Ledger, u64)>,
-    pictures: HashMap<u32, Picture>,
-    orders: Option<(Orders, u64)>,
+    pictures: HashMap<u32, LoadSnapshot>,
+    orders: Option<(RebalancePlan, u64)>,
     /// Machines on their way, by their value's key, with its version.
-    hands: HashMap<String, (Handover, u64)>,
+    hands: HashMap<String, (MachineTransfer, u64)>,
     /// What the leader remembers, while cell 0 is owned here, and by which claim.
-    leader: (u64, Leader),
+    leader: (u64, Rebalancer),
 }
 
 impl Node {
     /// Shares and pictures, as they are stored.
     pub(super) async fn watch_cells(self: Arc<Self>) {
         let mut from: Option<u64> = None;
-        while lock(&self.in_force).is_some() {
+        while lock(&self.active_plan).is_some() {
             let heard = match from {
                 None => self.state.list(CELLS_PREFIX, RequestPriority::Normal).await,
-                Some(r) => self.state.watch(CELLS_PREFIX, r, WATCH_WAIT).await.map(|ev| {
+                Some(r) => self.state.watch(CELLS_PREFIX, r, WATCH_TIMEOUT).await.map(|ev| {
                     let item = |e: crate::wire::WatchEvent| {
                         Some(KeyValue {
                             key: e.put?,
@@ -65,7 +67,7 @@
                 Ok((items, revision)) => {
                     items.into_iter().for_each(|i| self.observe(i));
                     from = Some(revision);
-                    Timer::after(WATCH_PAUSE * 4).await;
+                    Timer::after(WATCH_BATCH_PAUSE * 4).await;
                 }
                 Err(_) => {
                     from = None;
@@ -81,13 +83,13 @@
                 self.observe_ledger(l, item.version);
             }
         } else if item.key.starts_with(PICTURES) {
-            if let Ok(p) = serde_json::from_value::<Picture>(item.value) {
-                lock(&self.cell_exchange).pictures.insert(p.cell.0, p);
+            if let Ok(p) = serde_json::from_value::<LoadSnapshot>(item.value) {
+                lock(&self.shard_exchange).pictures.insert(p.cell.0, p);
             }
         } else if item.key == ORDERS_KEY {
-            match serde_json::from_value::<Orders>(item.value) {
+            match serde_json::from_value::<RebalancePlan>(item.value) {
                 Ok(o) => {
-                    let mut b = lock(&self.cell_exchange);
+                    let mut b = lock(&self.shard_exchange);
                     if b.orders.as_ref().is_none_or(|x| x.1 < item.version) {
                         b.orders = Some((o, item.version));
                     }
@@ -95,7 +97,7 @@
                 Err(e) => log::error!("{ORDERS_KEY} holds something unknown: {e}"),
             }
         } else if item.key.starts_with(machine_transfer::PREFIX) {
-            match serde_json::from_value::<Handover>(item.value) {
+            match serde_json::from_value::<MachineTransfer>(item.value) {
                 Ok(h) => self.observe_handover(&item.key, h, item.version),
                 Err(e) => log::error!("{} holds something unknown: {e}", item.key),
             }
@@ -103,16 +105,17 @@
     }
 }
 
-impl Cell {
+impl ShardRuntime {
     /// Tells the others of this cell, gives what it does not need, and lets waiting work go.
-    pub(in crate::node) async fn look_around(self: Arc<Self>) {
-        while self.open() {
-            let Some(plan) = lock(&self.in_force).clone() else { return };
+    pub(in crate::node) async fn exchange_round_loop(self: Arc<Self>) {
+        while self.is_open() {
+            let Some(plan) = lock(&self.active_plan).clone() else { return };
             Timer::after(Duration::from_secs_f64(plan.picture_s * (0.9 + 0.2 * fastrand::f64()))).await;
             let now = clock::now();
-            let seen = self.with_shard(now, |s| (s.token, s.gathered(now).then(|| s.picture(self.ix, now))));
+            let seen =
+                self.with_shard(now, |s| (s.token, s.heartbeats_gathered(now).then(|| s.load_snapshot(self.id, now))));
             let Some((token, picture)) = seen else { continue };
-            if self.merges() {
+            if self.is_merging() {
                 self.merge(token, &plan).await;
                 continue;
             }
@@ -120,27 +123,27 @@
             if let Ok(value) = serde_json::to_value(&mine)
                 && value.to_string().len() <= self.settings.value_bytes()
             {
-                let key = format!("{PICTURES}{}", self.ix.0);
+                let key = format!("{PICTURES}{}", self.id.0);
                 let change = Mutation::Put { key, value, lease: None };
                 let claim = Compare { key: self.leadership_key.clone(), version: token };
                 let _ = self.state.commit(vec![claim], vec![change], RequestPriority::Normal).await;
             }
             if self.state.is_responsive(clock::now()) {
-                if self.goes_back() && self.ix.0 == 0 {
+                if self.wants_single_shard() && self.id.0 == 0 {
                     self.begin_merging(token, &plan).await;
                 }
-                self.give(token, &plan, &mine).await;
-                self.let_go(token, &plan, &mine).await;
-                if self.ix.0 == 0 {
-                    self.lead(token, &plan, &mine).await;
+                self.give_quota(token, &plan, &mine).await;
+                self.spill_over(token, &plan, &mine).await;
+                if self.id.0 == 0 {
+                    self.rebalance(token, &plan, &mine).await;
                 }
-                self.hand_over(token, &plan, &mine).await;
+                self.transfer_machines(token, &plan, &mine).await;
             }
         }
     }
 
-    pub(super) fn fresh_pictures(&self, plan: &lupinspur_cells::Plan, now_ms: u64) -> Vec<Picture> {
-        let b = lock(&self.cell_exchange);
+    pub(super) fn fresh_pictures(&self, plan: &lupinspur_cells::ShardingPlan, now_ms: u64) -> Vec<LoadSnapshot> {
+        let b = lock(&self.shard_exchange);
         let bound_s = 2.0 * self.settings.time_bound_s;
         b.pictures.values().filter(|p| p.fresh(now_ms, plan.picture_s, bound_s)).cloned().collect()
     }
@@ -148,7 +151,12 @@
     /// Sends a write until it is certain that it will not be applied later: one whose answer was lost
     /// goes again, and finds what it is conditional on as it was or changed. True: it is stored;
     /// none: it may be, which a reader tells; false: it is not.
-    pub(super) async fn surely(&self, token: u64, conditions: Vec<Compare>, changes: Vec<Mutation>) -> Option<bool> {
+    pub(super) async fn commit_until_settled(
+        &self,
+        token: u64,
+        conditions: Vec<Compare>,
+        changes: Vec<Mutation>,
+    ) -> Option<bool> {
         let mut lost = false;
         loop {
             match self.state.commit(conditions.clone(), changes.clone(), RequestPriority::Normal).await {
--- a/src/node/shard_exchange/quota_shares.rs
+++ b/src/node/shard_exchange/quota_shares.rs
@@ -6,22 +6,26 @@
     /// A newer word on the shares: every cell that is owned here goes by it, unless it is giving.
     pub(super) fn observe_ledger(&self, ledger: Ledger, version: u64) {
         {
-            let mut b = lock(&self.cell_exchange);
+            let mut b = lock(&self.shard_exchange);
             if b.ledger.as_ref().is_some_and(|l| l.1 >= version) {
                 return;
             }
             b.ledger = Some((ledger.clone(), version));
         }
-        for c in self.cells().iter().filter(|c| !c.giving.load(Ordering::Relaxed) && !c.takes_all()) {
-            c.with_shard(clock::now(), |s| s.set_shares(&self.settings.teams, &ledger, c.ix));
+        for c in self
+            .shards()
+            .iter()
+            .filter(|c| !c.quota_transfer_in_progress.load(Ordering::Relaxed) && !c.absorbs_all_shards())
+        {
+            c.with_shard(clock::now(), |s| s.set_limit_shares(&self.settings.teams, &ledger, c.id));
         }
     }
 }
 
-impl Cell {
+impl ShardRuntime {
     /// The shares that this cell begins with. Nothing is begun before they are known.
     pub(in crate::node) async fn read_shares(&self) -> Result<Option<Ledger>, StateError> {
-        if lock(&self.in_force).is_none() || self.takes_all() {
+        if lock(&self.active_plan).is_none() || self.absorbs_all_shards() {
             return Ok(None);
         }
         let item = self.state.get(LEDGER_KEY, RequestPriority::Normal).await?;
@@ -32,21 +36,21 @@
                 Ok(Some(l))
             }
             // Where there is none nothing may be used of any limit.
-            None => Ok(Some(Ledger::begin(&limits(&self.settings.teams), 1, CellIx(u32::MAX)))),
+            None => Ok(Some(Ledger::begin(&team_limits_by_name(&self.settings.teams), 1, ShardId(u32::MAX)))),
         }
     }
 
-    pub(super) async fn give(&self, token: u64, plan: &lupinspur_cells::Plan, mine: &Picture) {
-        let Some((ledger, version)) = lock(&self.cell_exchange).ledger.clone() else { return };
+    pub(super) async fn give_quota(&self, token: u64, plan: &lupinspur_cells::ShardingPlan, mine: &LoadSnapshot) {
+        let Some((ledger, version)) = lock(&self.shard_exchange).ledger.clone() else { return };
         let pictures = self.fresh_pictures(plan, mine.at_ms);
-        let mut all: Vec<Gift> = Vec::new();
+        let mut all: Vec<QuotaTransfer> = Vec::new();
         for team in ledger.teams.keys() {
-            let of = |c: u32| -> Option<Use> {
-                let p = if c == self.ix.0 { mine } else { pictures.iter().find(|p| p.cell.0 == c)? };
+            let of = |c: u32| -> Option<QuotaUse> {
+                let p = if c == self.id.0 { mine } else { pictures.iter().find(|p| p.cell.0 == c)? };
                 Some(p.teams.get(team).copied().unwrap_or_default())
             };
-            let uses: Vec<Option<Use>> = (0..plan.cells).map(of).collect();
-            all.extend(gifts(self.ix, team, &ledger, &uses, self.home_by(plan, team)));
+            let uses: Vec<Option<QuotaUse>> = (0..plan.cells).map(of).collect();
+            all.extend(quota_transfers(self.id, team, &ledger, &uses, self.home_by(plan, team)));
         }
         if !all.is_empty() {
             self.part_with(token, (ledger, version), all, Vec::new(), Vec::new()).await;
@@ -59,19 +63,19 @@
         &self,
         token: u64,
         (ledger, version): (Ledger, u64),
-        given: Vec<Gift>,
+        given: Vec<QuotaTransfer>,
         mut conditions: Vec<Compare>,
         mut changes: Vec<Mutation>,
     ) -> Option<bool> {
         let next = ledger.after(&given)?;
-        self.giving.store(true, Ordering::Relaxed);
+        self.quota_transfer_in_progress.store(true, Ordering::Relaxed);
         let fits = self.with_shard(clock::now(), |s| {
             // What has come into use since the picture is not given after all.
-            let used = s.in_use();
+            let used = s.limit_usage();
             let ok =
-                s.token == token && used.iter().all(|(t, u)| next.share(t, self.ix).is_none_or(|left| u.fits(left)));
+                s.token == token && used.iter().all(|(t, u)| next.share(t, self.id).is_none_or(|left| u.fits(left)));
             if ok {
-                s.set_shares(&self.settings.teams, &next, self.ix);
+                s.set_limit_shares(&self.settings.teams, &next, self.id);
             }
             ok
         });
@@ -81,7 +85,7 @@
             conditions.push(Compare { key: self.leadership_key.clone(), version: token });
             conditions.push(Compare { key: LEDGER_KEY.into(), version });
             changes.push(Mutation::Put { key: LEDGER_KEY.into(), value, lease: None });
-            stored = self.surely(token, conditions, changes).await;
+            stored = self.commit_until_settled(token, conditions, changes).await;
             // Whatever became of it: the state service's own word on the shares, before anything is
             // counted on again.
             while stored != Some(false) && lock(&self.election).token() == Some(token) {
@@ -94,10 +98,10 @@
                 Timer::after(Duration::from_millis(300)).await;
             }
         }
-        self.giving.store(false, Ordering::Relaxed);
-        let known = lock(&self.cell_exchange).ledger.clone();
+        self.quota_transfer_in_progress.store(false, Ordering::Relaxed);
+        let known = lock(&self.shard_exchange).ledger.clone();
         if let Some((l, _)) = known {
-            self.with_shard(clock::now(), |s| s.set_shares(&self.settings.teams, &l, self.ix));
+            self.with_shard(clock::now(), |s| s.set_limit_shares(&self.settings.teams, &l, self.id));
         }
         stored
     }
--- a/src/node/shard_exchange/rebalance.rs
+++ b/src/node/shard_exchange/rebalance.rs
@@ -4,33 +4,33 @@
 
 impl Node {
     /// A team's home, by the leader's word or else by the plan's.
-    pub(in crate::node) fn home_by(&self, plan: &lupinspur_cells::Plan, team: &str) -> CellIx {
-        match &lock(&self.cell_exchange).orders {
+    pub(in crate::node) fn home_by(&self, plan: &lupinspur_cells::ShardingPlan, team: &str) -> ShardId {
+        match &lock(&self.shard_exchange).orders {
             Some((o, _)) => o.home(plan, team),
             None => plan.home(team),
         }
     }
 }
 
-impl Cell {
+impl ShardRuntime {
     /// The leader's look at all cells: its word is stored, and every cell goes by it.
-    pub(super) async fn lead(&self, token: u64, plan: &lupinspur_cells::Plan, mine: &Picture) {
+    pub(super) async fn rebalance(&self, token: u64, plan: &lupinspur_cells::ShardingPlan, mine: &LoadSnapshot) {
         let mut pictures = self.fresh_pictures(plan, mine.at_ms);
-        pictures.retain(|p| p.cell != self.ix);
+        pictures.retain(|p| p.cell != self.id);
         pictures.push(mine.clone());
-        let known = lock(&self.cell_exchange).orders.clone();
+        let known = lock(&self.shard_exchange).orders.clone();
         let (stored, version) = match known {
             Some(o) => o,
             None => match self.state.get(ORDERS_KEY, RequestPriority::Normal).await {
-                Ok(None) => (Orders::default(), 0),
+                Ok(None) => (RebalancePlan::default(), 0),
                 Ok(Some(item)) => return self.observe(item),
                 Err(_) => return,
             },
         };
         let next = {
-            let mut b = lock(&self.cell_exchange);
+            let mut b = lock(&self.shard_exchange);
             if b.leader.0 != token {
-                b.leader = (token, Leader::default());
+                b.leader = (token, Rebalancer::default());
             }
             b.leader.1.look(plan, &pictures, &stored, mine.at_ms)
         };
--- a/src/node/shard_runtime.rs
+++ b/src/node/shard_runtime.rs
@@ -4,9 +4,9 @@
 
 /// One owner's place in this process: its claim, its shard while it is owned here, its loops.
 /// Everything that the process has once it finds in its node.
-pub struct Cell {
+pub struct ShardRuntime {
     pub(super) node: Arc<Node>,
-    pub ix: CellIx,
+    pub id: ShardId,
     pub(super) leadership_key: String,
     pub(super) election: Mutex<LeaderElection>,
     pub(super) shard: Mutex<Option<Shard>>,
@@ -14,16 +14,16 @@
     pub(super) campaign_in_progress: AtomicBool,
     pub(super) failover_in_progress: AtomicBool,
     /// A part of its share is on its way to another cell.
-    pub(super) giving: AtomicBool,
+    pub(super) quota_transfer_in_progress: AtomicBool,
     /// Another set of cells has taken its place: its loops end.
     pub(super) closed: AtomicBool,
     /// By which claim, and up to which revision, everything was read.
-    pub(super) read_at: Mutex<(u64, u64)>,
+    pub(super) loaded_at: Mutex<(u64, u64)>,
     /// Cell 0, at the end of a merging: whatever the others had is its own.
-    pub(super) takes_all: AtomicBool,
+    pub(super) absorbs_all_shards: AtomicBool,
 }
 
-impl std::ops::Deref for Cell {
+impl std::ops::Deref for ShardRuntime {
     type Target = Node;
     fn deref(&self) -> &Node {
         &self.node
@@ -32,23 +32,23 @@
 
 /// Takes a job's record in. Knowing of it needs no right to act: what came while the lease was
 /// in doubt would be missing afterwards. One that is another cell's is not, or no longer, ours.
-pub(super) fn take_into(cell: &Cell, s: &mut Shard, item: &KeyValue, now: f64) {
-    match job_of(&item.key, &item.value) {
-        Ok(r) if cell.concerns(&r) => _ = s.add_job(r, item.version, now),
-        Ok(r) => s.left(&r.job.id, now),
+pub(super) fn apply_job_record(cell: &ShardRuntime, s: &mut Shard, item: &KeyValue, now: f64) {
+    match parse_job_record(&item.key, &item.value) {
+        Ok(r) if cell.is_relevant(&r) => _ = s.add_job(r, item.version, now),
+        Ok(r) => s.on_job_moved(&r.job.id, now),
         Err(e) => {
             log::error!("{} {e}", item.key);
-            s.cannot_take_in(&item.key);
+            s.mark_unreadable_record(&item.key);
         }
     }
 }
 
-impl Cell {
-    pub(super) fn new(node: Arc<Node>, ix: CellIx, leadership_key: String) -> Arc<Cell> {
+impl ShardRuntime {
+    pub(super) fn new(node: Arc<Node>, ix: ShardId, leadership_key: String) -> Arc<ShardRuntime> {
         let own = LeaderElection::new(node.own_record.clone(), node.tuning.leader_lease_s);
-        Arc::new(Cell {
+        Arc::new(ShardRuntime {
             node,
-            ix,
+            id: ix,
             leadership_key,
             election: Mutex::new(own),
             shard: Mutex::new(None),
@@ -60,28 +60,28 @@
             },
             campaign_in_progress: AtomicBool::new(false),
             failover_in_progress: AtomicBool::new(false),
-            giving: AtomicBool::new(false),
+            quota_transfer_in_progress: AtomicBool::new(false),
             closed: AtomicBool::new(false),
-            read_at: Mutex::default(),
-            takes_all: AtomicBool::new(false),
+            loaded_at: Mutex::default(),
+            absorbs_all_shards: AtomicBool::new(false),
         })
     }
 
     pub(super) fn spawn_loops(self: &Arc<Self>) {
         let c = || self.clone();
-        EX.spawn(c().store_machine_types_loop()).detach();
-        EX.spawn(c().renew_lease_loop()).detach();
-        EX.spawn(c().ticks()).detach();
-        EX.spawn(c().writer()).detach();
-        EX.spawn(c().direct()).detach();
-        EX.spawn(c().rentals()).detach();
-        EX.spawn(c().deletions()).detach();
-        EX.spawn(c().lists()).detach();
-        EX.spawn(c().look_up_needs()).detach();
-        EX.spawn(c().look_around()).detach();
+        EXECUTOR.spawn(c().store_machine_types_loop()).detach();
+        EXECUTOR.spawn(c().renew_lease_loop()).detach();
+        EXECUTOR.spawn(c().tick_loop()).detach();
+        EXECUTOR.spawn(c().write_loop()).detach();
+        EXECUTOR.spawn(c().push_loop()).detach();
+        EXECUTOR.spawn(c().rental_loop()).detach();
+        EXECUTOR.spawn(c().deletion_loop()).detach();
+        EXECUTOR.spawn(c().machine_list_loop()).detach();
+        EXECUTOR.spawn(c().look_up_dependencies()).detach();
+        EXECUTOR.spawn(c().exchange_round_loop()).detach();
     }
 
-    pub(super) fn open(&self) -> bool {
+    pub(super) fn is_open(&self) -> bool {
         !self.closed.load(Ordering::Relaxed)
     }
 
@@ -106,7 +106,7 @@
         let _ = self.wakes.pace.0.try_send(());
     }
 
-    pub(super) fn carry_out(&self) {
+    pub(super) fn wake_writers(&self) {
         let _ = self.wakes.writer.0.try_send(());
         let _ = self.wakes.direct.0.try_send(());
     }
@@ -114,10 +114,10 @@
     /// A stored job that the shard did not know of yet. `token`: of the shard for which it was read. A later
     /// one has read everything itself, after that: a job that is over need not be known to it, and would be
     /// open again by an older record.
-    pub fn take_job(&self, token: u64, item: &KeyValue) {
+    pub fn apply_job(&self, token: u64, item: &KeyValue) {
         let now = clock::now();
         if let Some(s) = lock(&self.shard).as_mut().filter(|s| s.token == token) {
-            take_into(self, s, item, now);
+            apply_job_record(self, s, item, now);
         }
         self.wake();
     }
@@ -130,8 +130,8 @@
     /// How a report is answered that this controller cannot take. Who has not heard from the state
     /// service for longer than a claim lasts does not know who owns: sent on to an owner that is
     /// gone, a worker waits for 4 s and more, and may be sent back here.
-    pub fn elsewhere(&self, now: f64) -> Option<String> {
-        let known = now - *lock(&self.state_answered_at) < self.tuning.leader_lease_s + WATCH_WAIT.as_secs_f64();
+    pub fn redirect_target(&self, now: f64) -> Option<String> {
+        let known = now - *lock(&self.state_answered_at) < self.tuning.leader_lease_s + WATCH_TIMEOUT.as_secs_f64();
         match self.leadership_status(now) {
             LeadershipStatus::Following(node) if known => {
                 self.heartbeats_redirected.fetch_add(1, Ordering::Relaxed);
--- a/src/peer_server.rs
+++ b/src/peer_server.rs
@@ -2,20 +2,20 @@
 
 use crate::clock;
 use crate::job_status::{Lookup, valid_id};
-use crate::node::{Cell, LeadershipStatus, Node};
+use crate::node::{LeadershipStatus, Node, ShardRuntime};
 use crate::peer::{
     JobAnswer, JobQuestion, MachineAnswer, MachineQuestion, Outcome, Owner, QuotaAnswer, QuotaQuestion, ServiceAnswer,
     ServiceQuestion,
 };
-use lupinspur_accounts::{Reading, Told as ServiceTold};
-use lupinspur_cells::CellIx;
+use lupinspur_accounts::{Reading, ServiceLevelReport as ServiceTold};
+use lupinspur_cells::ShardId;
 use std::sync::Arc;
 
 pub struct LeaderService(pub Arc<Node>);
 
 impl LeaderService {
-    fn cell(&self, ix: u32) -> Result<Arc<Cell>, tonic::Status> {
-        self.0.cell(CellIx(ix)).ok_or_else(|| tonic::Status::not_found(format!("there is no cell {ix}")))
+    fn cell(&self, ix: u32) -> Result<Arc<ShardRuntime>, tonic::Status> {
+        self.0.shard(ShardId(ix)).ok_or_else(|| tonic::Status::not_found(format!("there is no cell {ix}")))
     }
 }
 
@@ -69,7 +69,7 @@
         let q = request.into_inner();
         let cell = self.cell(q.cell)?;
         let told = match cell.leadership_status(now) {
-            LeadershipStatus::Leading => cell.with_shard(now, |s| s.service_told(now)),
+            LeadershipStatus::Leading => cell.with_shard(now, |s| s.service_level_report(now)),
             LeadershipStatus::Following(node) if !q.passed_on => {
                 let answer = self.0.peers.ask_service(&node, q.cell).await;
                 answer.and_then(|a| serde_json::from_str::<ServiceTold>(&a.json).ok())
@@ -79,7 +79,7 @@
         let Some(mut told) = told else { return Err(tonic::Status::unavailable("nobody owns the shard now")) };
         // What users were answered is known to whoever answered them.
         told.rows.retain(|r| !matches!(r.reading, Reading::Accepted | Reading::Cancelled));
-        told.rows.extend(self.0.door_told(now).rows);
+        told.rows.extend(self.0.ingress_report(now).rows);
         let json = serde_json::to_string(&told).map_err(|e| tonic::Status::internal(e.to_string()))?;
         Ok(tonic::Response::new(ServiceAnswer { json }))
     }
@@ -116,7 +116,7 @@
         let cell = self.cell(q.cell)?;
         let lookup = match cell.leadership_status(clock::now()) {
             LeadershipStatus::Leading => cell.about_here(verb, &q.job).await,
-            _ => Lookup::Unable,
+            _ => Lookup::Unavailable,
         };
         let mut a = JobAnswer::default();
         match lookup {
@@ -127,7 +127,7 @@
                 a.running = t.running;
             }
             Lookup::Absent => a.set_outcome(Outcome::Unknown),
-            Lookup::Unable => a.set_outcome(Outcome::Unable),
+            Lookup::Unavailable => a.set_outcome(Outcome::Unable),
         }
         Ok(tonic::Response::new(a))
     }
--- a/src/query.rs
+++ b/src/query.rs
@@ -4,7 +4,7 @@
 use crate::shard::{ElasticReport, QuotaReport, QuotaRow};
 use async_executor::Executor;
 use clap::Subcommand;
-use lupinspur_accounts::Told;
+use lupinspur_accounts::ServiceLevelReport;
 use lupinspur_model::{Run, Scenario};
 use std::fmt::Write as _;
 use std::net::SocketAddr;
@@ -164,7 +164,8 @@
     if json {
         return Ok(answer.json);
     }
-    let report: Told = serde_json::from_str(&answer.json).map_err(|e| format!("the answer is malformed: {e}"))?;
+    let report: ServiceLevelReport =
+        serde_json::from_str(&answer.json).map_err(|e| format!("the answer is malformed: {e}"))?;
     Ok(service_table(&report))
 }
 
@@ -236,7 +237,7 @@
 }
 
 /// Shares, class by class and team by team.
-pub fn service_table(report: &Told) -> String {
+pub fn service_table(report: &ServiceLevelReport) -> String {
     let head = ["", "", "reading", "asked", "served", "minute", "10 minutes", "unknown", "waits p50/p90/max s"];
     let mut rows = vec![head.map(str::to_owned).to_vec()];
     let share = |s: Option<f64>| s.map_or("-".to_owned(), |s| format!("{s:.3}"));
--- a/src/responses.rs
+++ b/src/responses.rs
@@ -5,11 +5,11 @@
 use crate::job_status::{JobStatus, Lookup, status_of_item};
 use crate::jobs::{JobRecord, Phase};
 use crate::peer::Verb;
-use crate::shard::{HeartbeatOutcome, Shown};
+use crate::shard::{HeartbeatOutcome, JobView};
 use crate::wire::{JobAnswer, KeyValue, Redirect};
 
 /// The answer of whoever cannot or may not act.
-pub fn unable() -> Outgoing {
+pub fn unavailable() -> Outgoing {
     Outgoing::error(503, "not able to act now")
 }
 
@@ -32,7 +32,7 @@
     match lookup {
         Lookup::Known(job) => known_answer(id, job, verb == Verb::Show, lease_valid_until),
         Lookup::Absent => Outgoing::error(404, "no such job"),
-        Lookup::Unable => unable(),
+        Lookup::Unavailable => unavailable(),
     }
 }
 
@@ -40,7 +40,7 @@
 pub fn resubmission_answer(id: &str, lookup: Lookup, lease_valid_until: Option<f64>) -> Outgoing {
     match lookup {
         Lookup::Known(job) => known_answer(id, job, false, lease_valid_until),
-        Lookup::Absent | Lookup::Unable => unable(),
+        Lookup::Absent | Lookup::Unavailable => unavailable(),
     }
 }
 
@@ -54,23 +54,23 @@
 ) -> Outgoing {
     match heard {
         Some(HeartbeatOutcome::Reply(reply)) => Outgoing::json(200, &reply).until(lease_valid_until),
-        Some(HeartbeatOutcome::Stale) => unable(),
+        Some(HeartbeatOutcome::Stale) => unavailable(),
         Some(HeartbeatOutcome::Superseded) | None => match owner() {
             Some(node) => Outgoing::json(421, &Redirect { report_to: Some(node) }),
-            None => unable(),
+            None => unavailable(),
         },
     }
 }
 
 /// What the owner tells of a job that it knows; none: not yet. A cancellation is confirmed only once it is
 /// stored, and until then there is nothing to say to it.
-pub fn status_from_leader(verb: Verb, shown: Shown) -> Option<JobStatus> {
+pub fn status_from_leader(verb: Verb, shown: JobView) -> Option<JobStatus> {
     match shown {
-        Shown::Told(state, done, running) => {
+        JobView::Visible(state, done, running) => {
             let job = JobStatus { state, done, running };
             (verb == Verb::Show || job.is_final()).then_some(job)
         }
-        Shown::Settling => None,
+        JobView::Committing => None,
     }
 }
 
@@ -81,13 +81,13 @@
 pub fn status_from_record(verb: Verb, item: &KeyValue) -> Lookup {
     match status_of_item(item) {
         Some(job) if job.is_final() => Lookup::Known(job),
-        Some(job) if verb == Verb::Show && !may_be_doomed(item) => Lookup::Known(job),
-        _ => Lookup::Unable,
+        Some(job) if verb == Verb::Show && !may_be_cancelled_by_dependency(item) => Lookup::Known(job),
+        _ => Lookup::Unavailable,
     }
 }
 
 /// Is this an open record of a job that waits or waited for others?
-fn may_be_doomed(item: &KeyValue) -> bool {
+fn may_be_cancelled_by_dependency(item: &KeyValue) -> bool {
     serde_json::from_value::<JobRecord>(item.value.clone())
         .is_ok_and(|r| r.phase == Phase::Open && !r.job.needs().is_empty())
 }
--- a/src/run.rs
+++ b/src/run.rs
@@ -1,7 +1,7 @@
 //! One controller, from its settings to its loops.
 
 use crate::clock;
-use crate::node::{EX, Features, Node};
+use crate::node::{EXECUTOR, Features, Node};
 use crate::peer_server::LeaderService;
 use crate::settings::Settings;
 use crate::tuning::Tuning;
@@ -42,11 +42,11 @@
     let node = Arc::new(Node::new(settings, tuning, features));
     let n = || node.clone();
     node.spawn_loops();
-    EX.spawn(crate::peer::serve(&EX, peer_listener, Arc::new(LeaderService(n())))).detach();
+    EXECUTOR.spawn(crate::peer::serve(&EXECUTOR, peer_listener, Arc::new(LeaderService(n())))).detach();
     let handler = Arc::new(move |req| {
         let me = node.clone();
         async move { me.handle(req).await }
     });
-    async_io::block_on(EX.run(crate::http::serve(&EX, listener, bounds, handler)));
+    async_io::block_on(EXECUTOR.run(crate::http::serve(&EXECUTOR, listener, bounds, handler)));
     Ok(())
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,7 +1,7 @@
 //! The settings file that the platform hands over, read and checked.
 
 use crate::wire;
-use lupinspur_accounts::{Milestone, Terms};
+use lupinspur_accounts::{CompletionObjective, ServiceLevelObjectives};
 use lupinspur_scheduler::params::Params;
 pub use lupinspur_scheduler::params::Team;
 use std::collections::HashMap;
@@ -47,7 +47,7 @@
     pub zones: Vec<String>,
     pub teams: Vec<Team>,
     /// What each class of jobs is promised.
-    pub terms: HashMap<String, Terms>,
+    pub terms: HashMap<String, ServiceLevelObjectives>,
     pub report_s: f64,
     pub lease_s: f64,
     pub cancel_s: f64,
@@ -91,8 +91,8 @@
 
 /// What the objectives promise each class. One that names no class, or is of a kind that is
 /// not known, promises nothing that can be counted by class.
-fn terms(objectives: &[wire::SettingsObjective]) -> Result<HashMap<String, Terms>, SettingsError> {
-    let mut out: HashMap<String, Terms> = HashMap::new();
+fn terms(objectives: &[wire::SettingsObjective]) -> Result<HashMap<String, ServiceLevelObjectives>, SettingsError> {
+    let mut out: HashMap<String, ServiceLevelObjectives> = HashMap::new();
     for o in objectives {
         let Some(class) = &o.class else { continue };
         let of = |what: &str, v: Option<f64>| {
@@ -102,8 +102,8 @@
         let t = out.entry(class.clone()).or_default();
         match (o.kind.as_str(), within) {
             ("wait", Some(s)) => t.wait(s),
-            ("finished", Some(s)) => t.done.push(Milestone::Within(s)),
-            ("deadline", _) => t.done.push(Milestone::Deadline(times.unwrap_or(1.0))),
+            ("finished", Some(s)) => t.done.push(CompletionObjective::Within(s)),
+            ("deadline", _) => t.done.push(CompletionObjective::Deadline(times.unwrap_or(1.0))),
             ("up", _) => t.grace_s = after,
             _ => {}
         }
--- a/tests/answering.rs
+++ b/tests/answering.rs
@@ -4,7 +4,7 @@
 use lupinspur::job_status::{JobStatus, Lookup, status_of_item};
 use lupinspur::peer::Verb;
 use lupinspur::responses::{about_answer, report_answer, resubmission_answer, status_from_leader, status_from_record};
-use lupinspur::shard::{HeartbeatOutcome, Shown};
+use lupinspur::shard::{HeartbeatOutcome, JobView};
 use lupinspur::wire::{HeartbeatReply, JobState, KeyValue};
 use serde_json::{Value, json};
 
@@ -46,26 +46,26 @@
 #[test]
 fn an_open_record_of_a_job_that_needs_others_tells_nothing() {
     assert_eq!(status_from_record(Verb::Show, &stored("open", &[])), Lookup::Known(QUEUED));
-    assert_eq!(status_from_record(Verb::Show, &stored("open", &["req-000002"])), Lookup::Unable);
+    assert_eq!(status_from_record(Verb::Show, &stored("open", &["req-000002"])), Lookup::Unavailable);
     assert_eq!(status_from_record(Verb::Show, &stored("cancelled", &["req-000002"])), Lookup::Known(CANCELLED));
 }
 
 /// Who does not own the job can store no cancellation, and so confirms none; an end that is stored it tells.
 #[test]
 fn a_cancellation_is_not_answered_by_an_open_record() {
-    assert_eq!(status_from_record(Verb::Cancel, &stored("open", &[])), Lookup::Unable);
+    assert_eq!(status_from_record(Verb::Cancel, &stored("open", &[])), Lookup::Unavailable);
     assert_eq!(status_from_record(Verb::Cancel, &stored("cancelled", &[])), Lookup::Known(CANCELLED));
 }
 
 /// The owner confirms a cancellation once it is stored, and tells nothing while an end is being stored.
 #[test]
 fn the_owner_confirms_a_cancellation_only_once_it_is_stored() {
-    let queued = Shown::Told(JobState::Queued, 0, 0);
+    let queued = JobView::Visible(JobState::Queued, 0, 0);
     assert_eq!(status_from_leader(Verb::Cancel, queued), None);
     assert_eq!(status_from_leader(Verb::Show, queued), Some(QUEUED));
-    assert_eq!(status_from_leader(Verb::Cancel, Shown::Told(JobState::Cancelled, 0, 0)), Some(CANCELLED));
-    assert_eq!(status_from_leader(Verb::Show, Shown::Settling), None);
-    assert_eq!(status_from_leader(Verb::Cancel, Shown::Settling), None);
+    assert_eq!(status_from_leader(Verb::Cancel, JobView::Visible(JobState::Cancelled, 0, 0)), Some(CANCELLED));
+    assert_eq!(status_from_leader(Verb::Show, JobView::Committing), None);
+    assert_eq!(status_from_leader(Verb::Cancel, JobView::Committing), None);
 }
 
 /// An answer to a report renews the worker's lease and carries commands: it is sent only while this
@@ -109,6 +109,6 @@
 #[test]
 fn only_an_absent_job_gets_404() {
     assert_eq!(about_answer(Verb::Show, ID, Lookup::Absent, None).status, 404);
-    assert_eq!(about_answer(Verb::Show, ID, Lookup::Unable, None).status, 503);
+    assert_eq!(about_answer(Verb::Show, ID, Lookup::Unavailable, None).status, 503);
     assert_eq!(resubmission_answer(ID, Lookup::Absent, None).status, 503);
 }
--- a/tests/claims/main.rs
+++ b/tests/claims/main.rs
@@ -10,9 +10,9 @@
 use controllers::Controllers;
 use http::lock;
 use http_types::Method;
-use lupinspur::intern::{Index, JobIx};
+use lupinspur::intern::{Index, JobIndex};
 use lupinspur::jobs::Phase;
-use lupinspur::shard::{What, Write};
+use lupinspur::shard::{PendingWrite, WritePurpose};
 use lupinspur::wire::{KeyValue, Mutation};
 use serde_json::{Value, json};
 use state_service::{Conflict, Store, TOLD_BY_TEST};
@@ -185,23 +185,23 @@
 fn a_write_was_carried_out_only_where_its_key_has_changed() {
     let item = |value: &Value, version| KeyValue { key: "rack/1".into(), value: value.clone(), version, lease: None };
     let (wanted, other) = (json!({"machines": ["host-1"]}), json!({"machines": []}));
-    let put = |what| Write {
+    let put = |what| PendingWrite {
         key: "rack/1".into(),
         version: 4,
-        what,
-        change: Mutation::Put { key: "rack/1".into(), value: wanted.clone(), lease: None },
+        purpose: what,
+        mutation: Mutation::Put { key: "rack/1".into(), value: wanted.clone(), lease: None },
         bytes: 0,
     };
-    let w = put(What::Checkpoint);
-    assert!(w.stands_as(Some(&item(&wanted, 9))));
-    assert!(!w.stands_as(Some(&item(&wanted, 4))), "another one may come later");
-    assert!(!w.stands_as(Some(&item(&other, 9))) && !w.stands_as(None));
-    let delete = Write { change: Mutation::Delete { key: "rack/1".into() }, ..put(What::Cleanup) };
-    assert!(delete.stands_as(None) && !delete.stands_as(Some(&item(&wanted, 9))));
+    let w = put(WritePurpose::Checkpoint);
+    assert!(w.matches_stored(Some(&item(&wanted, 9))));
+    assert!(!w.matches_stored(Some(&item(&wanted, 4))), "another one may come later");
+    assert!(!w.matches_stored(Some(&item(&other, 9))) && !w.matches_stored(None));
+    let delete = PendingWrite { mutation: Mutation::Delete { key: "rack/1".into() }, ..put(WritePurpose::DeleteStale) };
+    assert!(delete.matches_stored(None) && !delete.matches_stored(Some(&item(&wanted, 9))));
     let mut record =
         json!({"at_ms": 0, "phase": "cancelled", "ended_ms": 7, "job": controllers::job_request("req-000003")});
-    let end = put(What::Final(JobIx::new(0), Phase::Cancelled));
-    assert!(end.stands_as(Some(&item(&record, 9))), "whenever it was");
+    let end = put(WritePurpose::JobEnd(JobIndex::new(0), Phase::Cancelled));
+    assert!(end.matches_stored(Some(&item(&record, 9))), "whenever it was");
     record["phase"] = json!("open");
-    assert!(!end.stands_as(Some(&item(&record, 9))));
+    assert!(!end.matches_stored(Some(&item(&record, 9))));
 }
--- a/tests/golden/keys.rs
+++ b/tests/golden/keys.rs
@@ -1,13 +1,13 @@
 //! The keys under which values are stored, and the paths of requests.
 
 use lupinspur::election::{LEADERSHIP_KEY, LEADERSHIP_PREFIX, MACHINE_TYPES_KEY, backoff_key, shard_leadership_key};
-use lupinspur::fleet::machine_groups::{RACK_PREFIX, rack_key};
+use lupinspur::fleet::machine_groups::{MACHINE_GROUP_PREFIX, machine_group_key};
 use lupinspur::fleet::{FLEET_KEY, MACHINE_PREFIX, machine_key};
-use lupinspur::intern::{Index, RackIx};
+use lupinspur::intern::{Index, MachineGroupIndex};
 use lupinspur::jobs::{JOB_PREFIX, PART_PREFIX, PROGRESS_PREFIX, job_key, part_key, progress_key};
 use lupinspur::shard::ACCOUNTS_PREFIX;
 use lupinspur::wire;
-use lupinspur_cells::{CellIx, activation, machine_transfer};
+use lupinspur_cells::{ShardId, activation, machine_transfer};
 use lupinspur_quota::stored as quota;
 use lupinspur_recovery as checkpoint;
 
@@ -30,7 +30,7 @@
 
 #[test]
 fn keys_of_machines() {
-    assert_eq!((RACK_PREFIX, rack_key(RackIx::new(1))), ("rack/", "rack/1".into()));
+    assert_eq!((MACHINE_GROUP_PREFIX, machine_group_key(MachineGroupIndex::new(1))), ("rack/", "rack/1".into()));
     assert_eq!((MACHINE_PREFIX, machine_key("host-000231")), ("mach/", "mach/host-000231".into()));
     assert_eq!(FLEET_KEY, "fleet/0");
 }
@@ -54,7 +54,7 @@
 #[test]
 fn keys_of_transfers_between_cells() {
     assert_eq!(machine_transfer::PREFIX, "cells/hand/");
-    assert_eq!(machine_transfer::key(CellIx(1), CellIx(2)), "cells/hand/1/2");
+    assert_eq!(machine_transfer::key(ShardId(1), ShardId(2)), "cells/hand/1/2");
 }
 
 #[test]
--- a/tests/golden/reports.rs
+++ b/tests/golden/reports.rs
@@ -3,7 +3,7 @@
 use crate::{Samples, sent_and_received};
 use lupinspur::shard::{ElasticReport, QuotaReport, QuotaRow};
 use lupinspur_accounts::gate::LOG_MARK;
-use lupinspur_accounts::{READINGS, Reading, Row, Side, Told};
+use lupinspur_accounts::{READINGS, Reading, Row, ServiceLevelReport, Subject};
 use lupinspur_elastic::{Bound, pool};
 
 const SAMPLES: Samples = Samples(include_str!("reports.txt"));
@@ -42,7 +42,7 @@
     sent_and_received(&SAMPLES, "elastic_report", &report);
 }
 
-fn row(side: Side, reading: Reading) -> Row {
+fn row(side: Subject, reading: Reading) -> Row {
     Row {
         side,
         name: "train".into(),
@@ -58,16 +58,20 @@
 
 #[test]
 fn service_level_report() {
-    let least = Row { share: None, minute: None, ten_minutes: None, waits_s: None, ..row(Side::Team, Reading::Up) };
-    let rows = vec![row(Side::Class, Reading::Started), least];
-    sent_and_received(&SAMPLES, "service_level_report", &Told { owner: 41, chain: 40, at_s: 1234.5, rows });
-    let read: Told = serde_json::from_str(SAMPLES.named("service_level_report_least")).expect("read");
-    assert_eq!(read, Told::default());
+    let least = Row { share: None, minute: None, ten_minutes: None, waits_s: None, ..row(Subject::Team, Reading::Up) };
+    let rows = vec![row(Subject::Class, Reading::Started), least];
+    sent_and_received(
+        &SAMPLES,
+        "service_level_report",
+        &ServiceLevelReport { owner: 41, chain: 40, at_s: 1234.5, rows },
+    );
+    let read: ServiceLevelReport = serde_json::from_str(SAMPLES.named("service_level_report_least")).expect("read");
+    assert_eq!(read, ServiceLevelReport::default());
 }
 
 #[test]
 fn words_of_service_level_reports() {
     sent_and_received(&SAMPLES, "service_levels", &READINGS.to_vec());
-    sent_and_received(&SAMPLES, "service_level_sides", &vec![Side::Class, Side::Team, Side::Level]);
+    sent_and_received(&SAMPLES, "service_level_sides", &vec![Subject::Class, Subject::Team, Subject::Level]);
     assert_eq!(LOG_MARK, "service accounts: ");
 }
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -3,14 +3,14 @@
 use crate::{Samples, as_stored};
 use lupinspur::election::LeadershipRecord;
 use lupinspur::fleet::MachineRecord;
-use lupinspur::fleet::machine_groups::{RackMachine, RackRecord};
+use lupinspur::fleet::machine_groups::{MachineGroupMember, MachineGroupRecord};
 use lupinspur::jobs::{JobRecord, Phase, ProgressRecord};
 use lupinspur::shard::{FleetRecord, PoolRecord};
 use lupinspur::wire::{JobRequest, MachineType};
 use lupinspur_accounts::inheritance;
 use lupinspur_quota::plan::Organisation;
 use lupinspur_quota::stored as quota;
-use lupinspur_recovery::chunk::{Chunk, Packer, Stored};
+use lupinspur_recovery::chunk::{Chunk, ChunkBuilder, StoredRecord};
 use lupinspur_recovery::index::{Head, Line, Part};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -91,8 +91,8 @@
 }
 
 #[test]
-fn rack_record() {
-    let full = RackMachine {
+fn group_record() {
+    let full = MachineGroupMember {
         machine: "host-000231".into(),
         addr: "10.1.0.232:9000".into(),
         terminating: true,
@@ -100,9 +100,10 @@
         jobs: vec![0, 1],
         images: vec![0],
     };
-    let retiring = RackMachine { machine: "host-000232".into(), terminating: true, ..RackMachine::default() };
-    let least = RackMachine { machine: "host-000233".into(), ..RackMachine::default() };
-    let record = RackRecord {
+    let retiring =
+        MachineGroupMember { machine: "host-000232".into(), terminating: true, ..MachineGroupMember::default() };
+    let least = MachineGroupMember { machine: "host-000233".into(), ..MachineGroupMember::default() };
+    let record = MachineGroupRecord {
         shard: 4,
         type_name: "g8".into(),
         zone: "a".into(),
@@ -112,7 +113,7 @@
         machines: vec![full, retiring, least],
     };
     same("rack_record", &record);
-    same("rack_record_without_images", &RackRecord { images: Vec::new(), machines: Vec::new(), ..record });
+    same("rack_record_without_images", &MachineGroupRecord { images: Vec::new(), machines: Vec::new(), ..record });
 }
 
 /// What earlier versions wrote of a machine, under a key of its own.
@@ -165,26 +166,26 @@
         ("req-000413", 401, record(like, 1_700_000_000_250)),
         ("req-000001", 402, serde_json::json!({"unknown": true})),
     ];
-    let mut packer = Packer::new(4096, 9);
+    let mut packer = ChunkBuilder::new(4096, 9);
     for (id, version, value) in records.clone() {
-        packer.push(Stored { id: id.into(), version, value }).expect("room");
+        packer.push(StoredRecord { id: id.into(), version, value }).expect("room");
     }
     same("checkpoint_chunk", &packer.finish());
     let read: Chunk = read_and_written_again("checkpoint_chunk");
     let unpacked = read.unpack().expect("whole");
-    assert_eq!(unpacked, records.map(|(id, version, value)| Stored { id: id.into(), version, value }));
+    assert_eq!(unpacked, records.map(|(id, version, value)| StoredRecord { id: id.into(), version, value }));
 }
 
 /// The service-level accounts that a leader hands to the next.
 #[test]
 fn service_level_accounts() {
     let part: inheritance::Part = read_and_written_again("service_level_accounts");
-    let carried = inheritance::newest([part]).expect("a complete round");
+    let carried = inheritance::newest_complete_round([part]).expect("a complete round");
     assert_eq!((carried.round, carried.as_of, carried.chain), (5, 1234.5, 41));
-    let sums = vec![inheritance::Handed(8.0, 7.5, 1, 2.0, 1.5), inheritance::Handed::default()];
-    let line = |side, name: &str| inheritance::Line(side, name.into(), sums.clone());
-    use lupinspur_accounts::Side;
-    let expected = [line(Side::Class, "train"), line(Side::Team, "vision"), line(Side::Level, "all.research")];
+    let sums = vec![inheritance::ReadingTotals(8.0, 7.5, 1, 2.0, 1.5), inheritance::ReadingTotals::default()];
+    let line = |side, name: &str| inheritance::IndicatorTotals(side, name.into(), sums.clone());
+    use lupinspur_accounts::Subject;
+    let expected = [line(Subject::Class, "train"), line(Subject::Team, "vision"), line(Subject::Level, "all.research")];
     assert_eq!(carried.lines, expected);
 }
 
--- a/tests/loopback/cells.rs
+++ b/tests/loopback/cells.rs
@@ -223,8 +223,8 @@
     until(&cluster, "a machine is recorded twice", 30, &|c| {
         let store = lock(&c.store);
         let of = |prefix: &str| -> Vec<String> {
-            let racks = store.keys.iter().filter(|(k, _)| k.starts_with(prefix));
-            let machines = racks.flat_map(|(_, v)| v.0["machines"].as_array().cloned().unwrap_or_default());
+            let machine_groups = store.keys.iter().filter(|(k, _)| k.starts_with(prefix));
+            let machines = machine_groups.flat_map(|(_, v)| v.0["machines"].as_array().cloned().unwrap_or_default());
             machines.map(|m| m["machine"].as_str().unwrap_or("").to_owned()).collect()
         };
         let mut all = [of("rack/"), of("c1/rack/")].concat();
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -50,7 +50,7 @@
 mod traffic;
 mod unreachable_machines;
 mod unreachable_workers;
-mod unread_needs;
+mod unread_dependencies;
 mod users;
 mod workers;
 mod zones;
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -5,9 +5,9 @@
 //! They are never to be changed with the code: they say what an old node understands.
 
 use lupinspur::election::LeadershipRecord;
-use lupinspur::fleet::machine_groups::{RackMachine, RackRecord};
+use lupinspur::fleet::machine_groups::{MachineGroupMember, MachineGroupRecord};
 use lupinspur::fleet::{FLEET_KEY, MachineRecord};
-use lupinspur::intern::{Index, TeamIx};
+use lupinspur::intern::{Index, TeamIndex};
 use lupinspur::jobs::{self, JobRecord, Jobs, Phase, ProgressRecord, TaskSlot};
 use lupinspur::shard::{FleetRecord, PoolRecord};
 use lupinspur::wire::JobRequest;
@@ -87,7 +87,7 @@
     }
 
     #[derive(Serialize, Deserialize, Clone, Debug)]
-    pub struct RackRecord {
+    pub struct MachineGroupRecord {
         pub shard: u32,
         #[serde(rename = "type")]
         pub type_name: String,
@@ -96,11 +96,11 @@
         pub jobs: Vec<String>,
         #[serde(default, skip_serializing_if = "Vec::is_empty")]
         pub images: Vec<(String, f64)>,
-        pub machines: Vec<RackMachine>,
+        pub machines: Vec<MachineGroupMember>,
     }
 
     #[derive(Serialize, Deserialize, Clone, Debug)]
-    pub struct RackMachine {
+    pub struct MachineGroupMember {
         pub machine: String,
         #[serde(default)]
         pub addr: String,
@@ -162,17 +162,18 @@
 #[test]
 fn the_present_version_reads_what_production_stored() {
     let open: JobRecord = read(&json!({"job": job(16), "at_ms": 1764590000123u64, "phase": "open"}));
-    assert_eq!((open.phase, open.at_ms, open.ended_ms), (Phase::Open, 1_764_590_000_123, None));
+    assert_eq!((open.phase, open.accepted_at_ms, open.ended_ms), (Phase::Open, 1_764_590_000_123, None));
     assert!(open.job.needs().is_empty());
     let done: JobRecord = read(&json!({"job": job(16), "at_ms": 0, "phase": "done"}));
     assert_eq!(done.phase, Phase::Done);
     let progress: ProgressRecord = read(&json!({"done": "f07"}));
     assert_eq!(progress.done, "f07");
-    let rack: RackRecord = read(&json!({"shard":0,"type":"g8","zone":"a","spot":true,"jobs":["req-1","req-2"],
+    let machine_group: MachineGroupRecord =
+        read(&json!({"shard":0,"type":"g8","zone":"a","spot":true,"jobs":["req-1","req-2"],
         "images":[["img-07",6.2]],"machines":[{"machine":"host-000231","addr":"10.1.0.232:9000","jobs":[0,1],
         "images":[0]},{"machine":"host-000232","retiring":true}]}));
-    assert_eq!(rack.machines[0].jobs, [0, 1]);
-    assert!(rack.machines[1].terminating && rack.machines[1].jobs.is_empty());
+    assert_eq!(machine_group.machines[0].jobs, [0, 1]);
+    assert!(machine_group.machines[1].terminating && machine_group.machines[1].jobs.is_empty());
     let own: MachineRecord = read(&json!({"shard":0,"addr":"10.1.0.232:9000","type":"g8","zone":"a","spot":true,
         "retiring":false,"jobs":["req-1"],"images":[["img-07",6.2]]}));
     assert_eq!(own.jobs, ["req-1"]);
@@ -201,7 +202,7 @@
     // An old owner never writes a final record again, so that nothing is lost by the fields
     // that it drops; and a job that needs others is not submitted while there is one.
 
-    let rack = RackRecord {
+    let machine_group = MachineGroupRecord {
         shard: 0,
         type_name: "g8".into(),
         zone: "a".into(),
@@ -209,17 +210,22 @@
         jobs: vec!["req-1".into()],
         images: vec![("img-07".into(), 6.2)],
         machines: vec![
-            RackMachine {
+            MachineGroupMember {
                 machine: "host-000231".into(),
                 addr: "10.1.0.232:9000".into(),
                 jobs: vec![0],
                 images: vec![0],
-                ..RackMachine::default()
+                ..MachineGroupMember::default()
+            },
+            MachineGroupMember {
+                machine: "host-000232".into(),
+                terminating: true,
+                faulty: true,
+                ..MachineGroupMember::default()
             },
-            RackMachine { machine: "host-000232".into(), terminating: true, faulty: true, ..RackMachine::default() },
         ],
     };
-    let there: frozen::RackRecord = read(&serde_json::to_value(&rack).expect("JSON"));
+    let there: frozen::MachineGroupRecord = read(&serde_json::to_value(&machine_group).expect("JSON"));
     assert_eq!(there.machines[0].jobs, [0]);
     assert!(there.machines[1].retiring && there.machines[1].faulty);
 
@@ -248,12 +254,12 @@
     let production = frozen::chunk_tasks(today);
     let jobs_of = |tasks: u32| {
         let mut jobs = Jobs::new(jobs::chunk_tasks(tomorrow), jobs::chunk_tasks(today), 3);
-        let j = jobs.add(JobRecord::accepted(read(&job(tasks)), 0), TeamIx::new(0), 0.0);
+        let j = jobs.add(JobRecord::accepted(read(&job(tasks)), 0), TeamIndex::new(0), 0.0);
         (jobs, j)
     };
     for tasks in [1, 700, 4096, 4097, 100_000] {
         let (mut jobs, j) = jobs_of(tasks);
-        jobs.mark_done(j, tasks - 1, false);
+        jobs.mark_task_done(j, tasks - 1, false);
         let chunks: Vec<u32> = jobs[j].dirty_chunks.iter().copied().collect();
         for c in chunks {
             let (key, value) = (jobs.progress_key(j, c), jobs.progress(j, c));
@@ -325,7 +331,7 @@
         assert_eq!((&o.value, o.version), (&record(number(&o.id)), u64::from(number(&o.id)) + 1));
         let old: frozen::JobRecord = serde_json::from_value(o.value.clone()).expect("production reads it");
         assert_eq!(old.job.id, o.id);
-        lupinspur::shard::job_of(&jobs::job_key(&o.id), &o.value).expect("so does this version");
+        lupinspur::shard::parse_job_record(&jobs::job_key(&o.id), &o.value).expect("so does this version");
     }
 }
 
@@ -356,7 +362,7 @@
         let at = if top { &mut v } else { &mut v["job"] };
         let names: Vec<String> = at.as_object().expect("an object").keys().cloned().collect();
         at[&names[field % names.len()]] = with;
-        match lupinspur::shard::job_of("job/req-1", &v) {
+        match lupinspur::shard::parse_job_record("job/req-1", &v) {
             Ok(r) => proptest::prop_assert_eq!(r.job.id.as_str(), "req-1"),
             Err(e) => proptest::prop_assert!(!e.is_empty()),
         }
--- a/tests/traces/events/jobs.rs
+++ b/tests/traces/events/jobs.rs
@@ -2,7 +2,7 @@
 
 use crate::world::World;
 use lupinspur::jobs::job_key;
-use lupinspur::shard::Shown;
+use lupinspur::shard::JobView;
 
 impl World {
     /// Whether it is an event of this kind.
@@ -16,11 +16,11 @@
             }
             "cancel" => _ = self.shard().cancel(first),
             "show" => {
-                let answer = self.shard().show(first);
+                let answer = self.shard().job_view(first);
                 let text = match answer {
                     None => "unknown".to_owned(),
-                    Some(Shown::Settling) => "being stored, nothing can be told".to_owned(),
-                    Some(Shown::Told(s, d, r)) => format!("{}, {d} done, {r} running", s.as_str()),
+                    Some(JobView::Committing) => "being stored, nothing can be told".to_owned(),
+                    Some(JobView::Visible(s, d, r)) => format!("{}, {d} done, {r} running", s.as_str()),
                 };
                 self.say(&format!("{first}: {text}"));
             }
@@ -34,7 +34,7 @@
                 self.shard().tick(now);
             }
             "waiting" => {
-                let n = self.shard().graph.waiting();
+                let n = self.shard().dependencies.waiting_count();
                 let live = self.shard().jobs.live.len();
                 self.say(&format!("{n} jobs wait for others, {live} have something to do"));
             }
@@ -42,7 +42,7 @@
             "order" => {
                 let s = self.shard();
                 let mut jobs: Vec<_> = s.jobs.live.iter().map(|j| &s.jobs[*j]).collect();
-                jobs.sort_by_key(|j| (j.priority, j.urgency_ms((now * 1000.0) as u64, 1.0), j.ix));
+                jobs.sort_by_key(|j| (j.priority, j.effective_deadline_ms((now * 1000.0) as u64, 1.0), j.index));
                 let ids: Vec<String> = jobs.iter().map(|j| j.id.to_string()).collect();
                 self.say(&format!("order: {}", ids.join(", ")));
             }
--- a/tests/traces/events/owner.rs
+++ b/tests/traces/events/owner.rs
@@ -45,22 +45,22 @@
                 }
             }
             // What changed outside is looked at again now and then.
-            "look" => self.shard().look_again(),
+            "look" => self.shard().request_placement(),
             // The watch has brought all there is.
             "watched" => {
                 let revision = self.revision;
                 self.shard().watched(revision);
             }
             "lookups" => {
-                let ids = self.shard().to_look_up();
+                let ids = self.shard().dependencies_to_look_up();
                 self.say(&format!("to be looked up: {}", ids.join(", ")));
             }
             "memory" => {
-                let [jobs, machines, ..] = self.shard().held_in_memory();
+                let [jobs, machines, ..] = self.shard().memory_footprint();
                 self.say(&format!("{jobs} jobs and {machines} machines in memory"));
             }
-            "outage" => self.shard().writable = false,
-            "answers" => self.shard().writable = true,
+            "outage" => self.shard().state_service_writable = false,
+            "answers" => self.shard().state_service_writable = true,
             _ => return false,
         }
         true
--- a/tests/traces/events/questions.rs
+++ b/tests/traces/events/questions.rs
@@ -27,7 +27,7 @@
             }
             // What each class and team asked for and was served, those with enough of it.
             "service" => {
-                for r in self.shard().service_told(now).rows {
+                for r in self.shard().service_level_report(now).rows {
                     let part = |s: Option<f64>| s.map_or("nothing known".to_owned(), |s| format!("{s:.2}"));
                     let unknown = if r.unknown > 0 { format!(", {} unknown", r.unknown) } else { String::new() };
                     if first.is_empty() || first == r.name {
@@ -40,7 +40,7 @@
                         ));
                     }
                 }
-                let alarms = self.shard().service_alarms(now);
+                let alarms = self.shard().service_level_alerts(now);
                 alarms.iter().for_each(|a| self.say(&format!("warned: {a}")));
             }
             // Each elastic job: what it may have, wants and holds; and the shrinks.
--- a/tests/traces/events/writes.rs
+++ b/tests/traces/events/writes.rs
@@ -19,14 +19,14 @@
             }
             "write-answered" => {
                 let (revision, writes) = self.under_way.take().expect("a write under way");
-                self.shard().on_applied(writes, revision, now);
+                self.shard().on_writes_applied(writes, revision, now);
             }
             "write-one" => {
                 let writes = self.shard().next_writes(1, 50_000, 1, now);
                 let keys: Vec<&str> = writes.iter().map(|w| w.key.as_str()).collect();
                 self.say(&format!("write {}", if keys.is_empty() { "nothing".into() } else { keys.join(", ") }));
                 let revision = self.apply(&writes);
-                self.shard().on_applied(writes, revision, now);
+                self.shard().on_writes_applied(writes, revision, now);
             }
             _ => return false,
         }
--- a/tests/traces/racks.rs
+++ b/tests/traces/machine_groups.rs
@@ -2,9 +2,9 @@
 
 use crate::words::attempt_text;
 use crate::world::{TEAMS, World, world};
-use lupinspur::fleet::machine_groups::{RACK_PREFIX, RackRecord};
+use lupinspur::fleet::machine_groups::{MACHINE_GROUP_PREFIX, MachineGroupRecord};
 use lupinspur::fleet::{Assignment, AssignmentState};
-use lupinspur::intern::JobIx;
+use lupinspur::intern::JobIndex;
 use lupinspur::settings::Settings;
 use lupinspur::wire::Mutation;
 use std::collections::{BTreeMap, BTreeSet};
@@ -66,7 +66,7 @@
             let m = w.machine(&name);
             let shard = w.shard();
             let started = shard.machines[m].assignments.iter().filter(|(_, h)| h.state > AssignmentState::Planned);
-            let running = |(k, h): (&(JobIx, u32), &Assignment)| {
+            let running = |(k, h): (&(JobIndex, u32), &Assignment)| {
                 format!("{}/{}@{}:running", shard.jobs[k.0].id, k.1, attempt_text(h.attempt))
             };
             let tasks: Vec<String> = started.map(running).collect();
@@ -84,9 +84,9 @@
 /// The machines and jobs that stored racks name, with the size of the largest value.
 fn recorded(w: &World) -> (BTreeMap<String, BTreeSet<String>>, Vec<String>, usize) {
     let (mut jobs, mut machines, mut most) = (BTreeMap::new(), Vec::new(), 0);
-    for (_, (value, _)) in w.store.iter().filter(|(k, _)| k.starts_with(RACK_PREFIX)) {
+    for (_, (value, _)) in w.store.iter().filter(|(k, _)| k.starts_with(MACHINE_GROUP_PREFIX)) {
         most = most.max(value.to_string().len());
-        let r: RackRecord = serde_json::from_value(value.clone()).expect("a rack");
+        let r: MachineGroupRecord = serde_json::from_value(value.clone()).expect("a rack");
         for m in &r.machines {
             let named = m.jobs.iter().map(|j| r.jobs[*j as usize].clone());
             jobs.entry(m.machine.clone()).or_insert_with(BTreeSet::new).extend(named);
@@ -119,14 +119,14 @@
     w.event(1.0, "takeover", &["20"]);
     for step in 0..100 {
         let writes = w.shard().next_writes(4, 50_000, 4, 1.1);
-        for change in writes.iter().map(|w| &w.change) {
+        for change in writes.iter().map(|w| &w.mutation) {
             if let Mutation::Put { key, value, .. } = change {
                 assert!(value.to_string().len() <= 2048, "{key} is too large");
             }
         }
         let done = writes.is_empty();
         let revision = w.apply(&writes);
-        w.shard().on_applied(writes, revision, 1.1);
+        w.shard().on_writes_applied(writes, revision, 1.1);
         let (now, _, _) = recorded(&w);
         for (machine, jobs) in &before {
             let named = now.get(machine).unwrap_or_else(|| panic!("step {step}: {machine} is recorded nowhere"));
--- a/tests/traces/main.rs
+++ b/tests/traces/main.rs
@@ -11,9 +11,9 @@
 mod cells;
 mod events;
 mod golden;
+mod machine_groups;
 mod many_jobs;
 mod placing;
-mod racks;
 #[path = "../common/settings.rs"]
 mod settings;
 mod words;
--- a/tests/traces/many_jobs.rs
+++ b/tests/traces/many_jobs.rs
@@ -3,8 +3,8 @@
 use crate::words::attempt_text;
 use crate::world::world;
 use lupinspur::fleet::Assignment;
-use lupinspur::fleet::machine_groups::RACK_PREFIX;
-use lupinspur::intern::JobIx;
+use lupinspur::fleet::machine_groups::MACHINE_GROUP_PREFIX;
+use lupinspur::intern::JobIndex;
 use lupinspur::jobs::job_key;
 
 /// Guards against a cascade that takes all writes, or takes too long: three hundred jobs
@@ -23,22 +23,22 @@
     }
     w.event(1.0, "cancel", &["req-1"]);
     let m = w.machine("h1");
-    let (mut now, mut told, mut racks) = (1.0, None, 0);
+    let (mut now, mut told, mut machine_groups) = (1.0, None, 0);
     let cancel_s = w.settings.cancel_s;
     while now < 60.0 {
-        w.shard().want_record(m);
+        w.shard().request_record(m);
         let writes = w.shard().next_writes(1, 50_000, 0, now);
         told = told.or(writes.iter().any(|w| w.key == job_key("req-1")).then_some(now));
-        racks += usize::from(now < 6.0 && writes.iter().any(|w| w.key.starts_with(RACK_PREFIX)));
+        machine_groups += usize::from(now < 6.0 && writes.iter().any(|w| w.key.starts_with(MACHINE_GROUP_PREFIX)));
         let revision = w.apply(&writes);
-        w.shard().on_applied(writes, revision, now);
+        w.shard().on_writes_applied(writes, revision, now);
         if !(0..300).any(|i| w.store[&job_key(&format!("req-{}", 100 + i))].0["phase"] == "open") {
             break;
         }
         now += 0.05;
     }
     assert_eq!(told, Some(1.0), "the user is told first");
-    assert!(racks > 70, "of a hundred writes only {racks} were for starts");
+    assert!(machine_groups > 70, "of a hundred writes only {machine_groups} were for starts");
     assert!(now - 1.0 < cancel_s * 0.75, "the last was cancelled at {now:.1}");
 }
 
@@ -62,7 +62,7 @@
         w.event(now + 0.9, "watched", &[]);
         let m = w.machine(&name);
         let shard = w.shard();
-        let done = |(k, h): (&(JobIx, u32), &Assignment)| {
+        let done = |(k, h): (&(JobIndex, u32), &Assignment)| {
             format!("{}/{}@{}:done", shard.jobs[k.0].id, k.1, attempt_text(h.attempt))
         };
         let tasks: Vec<String> = shard.machines[m].assignments.iter().map(done).collect();
@@ -75,7 +75,7 @@
         w.shard().on_deleted(&[m]);
         w.event(now + 6.0, "write", &[]);
         w.event(now + 10.0, "tick", &[]);
-        held.push(w.shard().held_in_memory());
+        held.push(w.shard().memory_footprint());
     }
     let (early, last) = (held[9], held[59]);
     assert_eq!(early[0], last[0], "jobs: {held:?}");
@@ -114,7 +114,7 @@
                     break;
                 }
                 let revision = w.apply(&writes);
-                w.shard().on_applied(writes, revision, now);
+                w.shard().on_writes_applied(writes, revision, now);
                 w.event(now, "watched", &[]);
             }
             if wanted && round > 0 {
--- a/tests/traces/placing.rs
+++ b/tests/traces/placing.rs
@@ -2,9 +2,9 @@
 
 use crate::words::attempt_text;
 use crate::world::world;
-use lupinspur::intern::MachineIx;
+use lupinspur::intern::MachineIndex;
 use lupinspur::jobs::job_key;
-use lupinspur::shard::placement::{Promised, taken_by};
+use lupinspur::shard::placement::{Promised, alternative_machine};
 
 /// What one machine's report costs, in pairs of a job and a machine that are looked at,
 /// with so many other machines at work and so many other jobs waiting.
@@ -24,10 +24,10 @@
     let m = w.machine("h0");
     let (key, held) = w.shard().machines[m].assignments.iter().next().expect("a task on each machine");
     let task = format!("req-1/{}@{}:done", key.1, attempt_text(held.attempt));
-    let before = w.shard().looked_at;
+    let before = w.shard().pairs_examined;
     w.event(2.0, "report", &["h0", "seq=3", "token=10", &task]);
     assert_eq!(w.shard().machines[m].assignments.len(), 1, "the next job takes the place");
-    w.shard().looked_at - before
+    w.shard().pairs_examined - before
 }
 
 /// Guards against work that follows jobs times machines: with hundreds of either, each
@@ -56,7 +56,7 @@
     for step in 0..4 {
         w.event(1.0 + f64::from(step), "tick", &[]);
     }
-    assert_eq!(w.shard().mended(), 2);
+    assert_eq!(w.shard().repairs(), 2);
     assert!(w.shard().machines[m].assignments.contains_key(&(one, 1)), "placed again");
     w.event(5.0, "write", &[]);
     assert_eq!(w.store[&job_key("req-2")].0["phase"], "done");
@@ -73,7 +73,7 @@
         w.event(0.6, "report", &[h, "seq=2", "token=10"]);
     }
     w.event(1.0, "job", &["req-1", "cpus=20", "tasks=2", "service", "nospot"]);
-    let leaving: Vec<MachineIx> =
+    let leaving: Vec<MachineIndex> =
         w.shard().machines.iter().filter(|(_, m)| m.service_tasks == 1).map(|(i, _)| i).collect();
     let empty =
         w.shard().machines.iter().find(|(_, m)| m.assignments.is_empty()).map(|(i, _)| i).expect("an empty machine");
@@ -81,9 +81,9 @@
     let s = w.shard();
     let job = &s.jobs[s.jobs.find("req-1").expect("the job")];
     let mut promised = Promised::default();
-    assert_eq!(taken_by(s, job, leaving[0], &promised, 1.0), Some(empty));
+    assert_eq!(alternative_machine(s, job, leaving[0], &promised, 1.0), Some(empty));
     promised.insert(empty, job.spec.cpus);
-    assert_eq!(taken_by(s, job, leaving[1], &promised, 1.0), None);
+    assert_eq!(alternative_machine(s, job, leaving[1], &promised, 1.0), None);
 }
 
 /// Guards against a base in which only a few machines have room: services wait there for an
--- a/tests/traces/words.rs
+++ b/tests/traces/words.rs
@@ -1,6 +1,6 @@
 //! The words of an event, and how answers are written.
 
-use lupinspur::fleet::machine_groups::{RackMachine, RackRecord};
+use lupinspur::fleet::machine_groups::{MachineGroupMember, MachineGroupRecord};
 use lupinspur::wire::{Command, CommandKind};
 use serde_json::Value;
 
@@ -38,8 +38,8 @@
 
 /// Each machine of a stored rack, with the jobs that it may hold.
 pub fn rack_text(value: &Value) -> String {
-    let r: RackRecord = serde_json::from_value(value.clone()).expect("a rack");
-    let machine = |m: &RackMachine| {
+    let r: MachineGroupRecord = serde_json::from_value(value.clone()).expect("a rack");
+    let machine = |m: &MachineGroupMember| {
         let mut jobs: Vec<&str> = m.jobs.iter().map(|j| r.jobs[*j as usize].as_str()).collect();
         jobs.sort_unstable();
         format!("{}{} {jobs:?}", m.machine, if m.terminating { " retiring" } else { "" })
--- a/tests/traces/world.rs
+++ b/tests/traces/world.rs
@@ -2,10 +2,10 @@
 
 use super::settings;
 use super::words::{argument, command_text, has_flag, number, parse_attempt, rack_text};
-use lupinspur::intern::MachineIx;
+use lupinspur::intern::MachineIndex;
 use lupinspur::jobs::{JobRecord, job_key};
 use lupinspur::settings::Settings;
-use lupinspur::shard::{ACCOUNTS_PREFIX, PushRequest, Shard, Write};
+use lupinspur::shard::{ACCOUNTS_PREFIX, PendingWrite, PushRequest, Shard};
 use lupinspur::wire::{Command, Heartbeat, JobRequest, Mutation, TaskReport};
 use lupinspur_model::stored;
 use lupinspur_quota::Plan;
@@ -49,7 +49,7 @@
     pub store: BTreeMap<String, (Value, u64)>,
     pub revision: u64,
     pub sent: HashMap<String, PushRequest>,
-    pub under_way: Option<(u64, Vec<Write>)>,
+    pub under_way: Option<(u64, Vec<PendingWrite>)>,
     pub out: String,
     pub quotas: Option<Plan>,
     pub elastic: Option<lupinspur_elastic::Plan>,
@@ -108,10 +108,10 @@
         }
     }
 
-    pub fn apply(&mut self, writes: &[Write]) -> u64 {
+    pub fn apply(&mut self, writes: &[PendingWrite]) -> u64 {
         self.revision += 1;
         for w in writes {
-            match &w.change {
+            match &w.mutation {
                 Mutation::Put { key, value, .. } => _ = self.store.insert(key.clone(), (value.clone(), self.revision)),
                 Mutation::Delete { key } => _ = self.store.remove(key),
             }
@@ -119,7 +119,7 @@
         self.revision
     }
 
-    fn say_writes(&mut self, writes: &[Write]) {
+    fn say_writes(&mut self, writes: &[PendingWrite]) {
         // The accounts go with everything and say nothing of what is decided here.
         for w in writes.iter().filter(|w| !w.key.starts_with(ACCOUNTS_PREFIX)) {
             self.say(&format!("write {}", write_text(w)));
@@ -136,16 +136,16 @@
             match mode {
                 "lost" => {
                     self.say("the write was lost");
-                    self.shard().on_not_applied(writes);
+                    self.shard().on_writes_rejected(writes);
                     return;
                 }
                 "unanswered" => {
                     self.say("the write was applied, its answer was lost");
                     let revision = self.apply(&writes);
                     for w in &writes {
-                        self.shard().on_version(&w.key, revision);
+                        self.shard().on_version_known(&w.key, revision);
                     }
-                    self.shard().on_not_applied(writes);
+                    self.shard().on_writes_rejected(writes);
                     return;
                 }
                 _ => {
@@ -154,13 +154,13 @@
                         assert_eq!(there, w.version, "{} is written over a version that is not there", w.key);
                     }
                     let revision = self.apply(&writes);
-                    self.shard().on_applied(writes, revision, now);
+                    self.shard().on_writes_applied(writes, revision, now);
                 }
             }
         }
     }
 
-    pub fn machine(&mut self, name: &str) -> MachineIx {
+    pub fn machine(&mut self, name: &str) -> MachineIndex {
         self.shard().machines.find(name).expect("a known machine")
     }
 
@@ -192,8 +192,8 @@
     }
 }
 
-fn write_text(w: &Write) -> String {
-    let Mutation::Put { value, .. } = &w.change else { return format!("{}: deleted", w.key) };
+fn write_text(w: &PendingWrite) -> String {
+    let Mutation::Put { value, .. } = &w.mutation else { return format!("{}: deleted", w.key) };
     let brief = match (value.get("phase"), value.get("machines"), value.get("done")) {
         (Some(p), _, _) => format!("phase {}", p.as_str().unwrap_or("?")),
         (_, Some(_), _) => rack_text(value),
--- a/tests/waiting.rs
+++ b/tests/waiting.rs
@@ -9,7 +9,7 @@
 use lupinspur::jobs::JobRecord;
 use lupinspur::settings::Settings;
 use lupinspur::shard::placement::fits;
-use lupinspur::shard::{CloudCall, HeartbeatOutcome, Loaded, PushOutcome, Shard};
+use lupinspur::shard::{CloudCall, HeartbeatOutcome, LoadedState, PushOutcome, Shard};
 use lupinspur::tuning::Tuning;
 use lupinspur::wire::{Command, CommandKind, ExitReason, Heartbeat, JobRequest, TaskReport, TaskState};
 use lupinspur_model::stored::types;
@@ -129,7 +129,7 @@
     fn new(seed: u64) -> Day {
         let settings = Settings::parse(&settings::settings(TEAMS)).expect("settings");
         let tuning = Tuning { extra: 2, window_s: 4.0, hold_s: 15.0, leader_lease_s: 6.0 };
-        let shard = Shard::new(&settings.params(), tuning, TOKEN, types(), Loaded::default(), 0.0);
+        let shard = Shard::new(&settings.params(), tuning, TOKEN, types(), LoadedState::default(), 0.0);
         let mut random = fastrand::Rng::with_seed(seed);
         let worker = |i: usize| {
             let worker = Worker {
@@ -190,7 +190,7 @@
                 return;
             }
             self.revision += 1;
-            self.shard.on_applied(writes, self.revision, now);
+            self.shard.on_writes_applied(writes, self.revision, now);
         }
     }
 
@@ -236,7 +236,7 @@
     /// Jobs of which nothing was started and that a machine with room would take.
     fn waits_beside_room(&self, now: f64) -> Vec<String> {
         let s = &self.shard;
-        let waits = |j: &&lupinspur::jobs::Job| j.open() && j.assigned + j.done == 0 && !j.at_fault();
+        let waits = |j: &&lupinspur::jobs::Job| j.is_open() && j.assigned + j.done == 0 && !j.at_fault();
         let in_limit = |j: &lupinspur::jobs::Job| {
             let team = &s.teams[j.team.ix()];
             team.spec.cpus_max <= 0.0 || team.cpus_used + j.spec.cpus <= team.spec.cpus_max
@@ -259,7 +259,7 @@
             }
             self.reports(now);
             // As the node does it, once a second or more often.
-            self.shard.look_again();
+            self.shard.request_placement();
             self.shard.tick(now);
             self.write(now);
             self.direct(now);
