--- a/crates/accounts/examples/cost.rs
+++ b/crates/accounts/examples/cost.rs
@@ -43,16 +43,16 @@
                 may_have_started: false,
                 seen_from: now,
             };
-            let t = book.enter(&e, now);
-            (1..=8).for_each(|n| book.runs(t, Tasks { begun: n, running: n, done: 0 }, now + f64::from(n)));
-            book.ended(t, End::Done, now + 20.0, now + 20.0);
+            let t = book.track(&e, now);
+            (1..=8).for_each(|n| book.on_progress(t, Tasks { begun: n, running: n, done: 0 }, now + f64::from(n)));
+            book.on_ended(t, End::Done, now + 20.0, now + 20.0);
         }
         let event = began.elapsed().as_nanos() as f64 / f64::from(JOBS * 10);
         let began = Instant::now();
         for i in 0..LOOKS {
             let now = 2000.0 + f64::from(i);
             book.advance(now);
-            black_box((Underserved::look(&book, &Default::default(), now), book.alarms(now)));
+            black_box((Underserved::evaluate(&book, &Default::default(), now), book.alerts(now)));
         }
         println!(
             "{classes:>8} {teams:>8} {event:>14.0} {:>14.1}",
--- a/crates/accounts/src/gate.rs
+++ b/crates/accounts/src/gate.rs
@@ -179,7 +179,7 @@
 /// that was not handed over. What was lost between owners is unknown, and judged by nobody.
 fn together(lines: &[ServiceLevelReport]) -> Vec<Row> {
     let mut last: BTreeMap<u64, &ServiceLevelReport> = BTreeMap::new();
-    last.extend(lines.iter().map(|t| (if t.chain > 0 { t.chain } else { t.owner }, t)));
+    last.extend(lines.iter().map(|t| (if t.chain > 0 { t.chain } else { t.leader }, t)));
     let mut rows: BTreeMap<(Subject, &str, u8), Row> = BTreeMap::new();
     for r in last.values().flat_map(|t| &t.rows) {
         let of = rows.entry((r.side, &r.name, r.reading as u8)).or_insert(Row {
--- a/crates/accounts/src/inheritance.rs
+++ b/crates/accounts/src/inheritance.rs
@@ -66,11 +66,11 @@
 impl ServiceLevelTracker {
     /// The values of one round, each no longer than `limit` bytes as JSON. An account whose own
     /// line is longer than that is left out.
-    pub fn hand_over(&mut self, round: u64, chain: u64, limit: usize, now: f64) -> Vec<Part> {
+    pub fn export(&mut self, round: u64, chain: u64, limit: usize, now: f64) -> Vec<Part> {
         self.advance(now);
         let mut values: Vec<Vec<IndicatorTotals>> = vec![Vec::new()];
         let mut room = limit.saturating_sub(FRAME);
-        for a in &self.accounts {
+        for a in &self.indicators {
             let of = |r| {
                 let (all, ten) = (a.sums(r).total, a.sums(r).over(Span::TenMinutes, now));
                 let unknown = a.unknown[r as usize];
@@ -105,11 +105,11 @@
 
     /// Goes on with an earlier owner's sums. `within_s`: how far the two owners' times of day may
     /// lie apart; what fell due around the end of the earlier accounts is unknown.
-    pub fn carry(&mut self, c: &InheritedTotals, within_s: f64, now: f64) {
+    pub fn inherit(&mut self, c: &InheritedTotals, within_s: f64, now: f64) {
         (self.settled_before, self.lost_until) = (c.as_of - within_s, c.as_of + within_s);
         for IndicatorTotals(side, name, sums) in &c.lines {
             let a = self.indicator(*side, name, now);
-            let account = &mut self.accounts[a.ix()];
+            let account = &mut self.indicators[a.ix()];
             for (r, &ReadingTotals(asked, served, unknown, ten_asked, ten_served)) in READINGS.into_iter().zip(sums) {
                 let ten = Share { asked: ten_asked, served: ten_served };
                 account.carried(r, Share { asked, served }, unknown, ten, c.as_of, now);
--- a/crates/accounts/src/lib.rs
+++ b/crates/accounts/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! Everything here decides and nothing waits: no sockets, no files, no clock; times are
 //! seconds of the caller's steady clock. An event costs the same however many classes and
-//! teams there are, and what is kept is bounded: names beyond [`MOST_CLASSES`] and
+//! teams there are, and what is kept is bounded: names beyond [`MAX_CLASSES`] and
 //! [`MOST_TEAMS`] share one account each.
 //!
 //! - [`terms`]: what a class was promised
--- a/crates/accounts/src/report.rs
+++ b/crates/accounts/src/report.rs
@@ -8,12 +8,12 @@
 /// Under this share a class or team counts as not served.
 pub const ALERT_THRESHOLD: f64 = 0.5;
 /// So many jobs, or so many seconds of replicas and cpus, make a window worth a warning.
-const LEAST_JOBS: f64 = 8.0;
-const LEAST_SECONDS: f64 = 60.0;
+const MIN_JOBS: f64 = 8.0;
+const MIN_SECONDS: f64 = 60.0;
 
 fn enough(r: Reading, asked: f64) -> bool {
     let seconds = matches!(r, Reading::Up | Reading::Held);
-    asked >= if seconds { LEAST_SECONDS } else { LEAST_JOBS }
+    asked >= if seconds { MIN_SECONDS } else { MIN_JOBS }
 }
 
 /// One reading of one account. Shares are from 0 to 1; none where nothing was asked for.
@@ -36,8 +36,8 @@
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct ServiceLevelReport {
     /// Who counted last.
-    #[serde(default)]
-    pub owner: u64,
+    #[serde(rename = "owner", default)]
+    pub leader: u64,
     /// The owner that began these accounts: those after it went on with its sums. 0: not told,
     /// as by a version in which each owner began anew.
     #[serde(default)]
@@ -62,9 +62,9 @@
 
 impl ServiceLevelTracker {
     /// Every reading that has something, classes first.
-    pub fn told(&self, now: f64) -> ServiceLevelReport {
+    pub fn report(&self, now: f64) -> ServiceLevelReport {
         let mut rows = Vec::new();
-        for a in &self.accounts {
+        for a in &self.indicators {
             for r in READINGS {
                 let sums = a.sums(r);
                 let unknown = a.unknown[r as usize];
@@ -89,7 +89,7 @@
             }
         }
         rows.sort_by(|a, b| (a.side, &a.name, a.reading as u8).cmp(&(b.side, &b.name, b.reading as u8)));
-        ServiceLevelReport { owner: 0, chain: 0, at_s: now, rows }
+        ServiceLevelReport { leader: 0, chain: 0, at_s: now, rows }
     }
 
     /// The lowest reading over ten minutes of one side, where enough was asked for.
@@ -98,7 +98,7 @@
             let s = a.sums(r).over(Span::TenMinutes, now);
             s.part().filter(|_| enough(r, s.asked))
         };
-        self.accounts
+        self.indicators
             .iter()
             .filter(|a| a.side == side)
             .flat_map(|a| READINGS.iter().filter_map(move |r| Some((a.name.as_str(), *r, of(a, *r)?))))
@@ -106,12 +106,12 @@
     }
 
     /// What fell under a half since the last call, or is back above it.
-    pub fn alarms(&mut self, now: f64) -> Vec<Alert> {
+    pub fn alerts(&mut self, now: f64) -> Vec<Alert> {
         let mut out = Vec::new();
-        for i in 0..self.accounts.len() {
+        for i in 0..self.indicators.len() {
             for r in READINGS {
                 for span in [Span::Minute, Span::TenMinutes] {
-                    let a = &self.accounts[i];
+                    let a = &self.indicators[i];
                     let Share { asked, served } = a.sums(r).over(span, now);
                     if !enough(r, asked) {
                         continue;
--- a/crates/accounts/src/tracker/indicator.rs
+++ b/crates/accounts/src/tracker/indicator.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 
 /// Waits are kept in milliseconds up to a day, to one part in a hundred.
-const MOST_WAIT_MS: u64 = 86_400_000;
+const MAX_WAIT_MS: u64 = 86_400_000;
 
 /// One account, dense, classes and teams apart.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -37,7 +37,7 @@
 
 impl ServiceLevelIndicator {
     pub(super) fn new(name: &str, side: Subject, now: f64) -> ServiceLevelIndicator {
-        let waits = Histogram::new_with_max(MOST_WAIT_MS, 2).unwrap_or_else(|_| {
+        let waits = Histogram::new_with_max(MAX_WAIT_MS, 2).unwrap_or_else(|_| {
             // The bounds are constants for which the library has a histogram.
             unreachable!("a histogram of a day in milliseconds")
         });
--- a/crates/accounts/src/tracker/mod.rs
+++ b/crates/accounts/src/tracker/mod.rs
@@ -36,10 +36,10 @@
 
 #[derive(Debug)]
 pub struct ServiceLevelTracker {
-    terms: HashMap<String, ServiceLevelObjectives>,
-    pub accounts: Vec<ServiceLevelIndicator>,
+    objectives: HashMap<String, ServiceLevelObjectives>,
+    pub indicators: Vec<ServiceLevelIndicator>,
     by_name: [HashMap<String, IndicatorIndex>; 3],
-    tickets: Vec<Option<TrackedJob>>,
+    tracked: Vec<Option<TrackedJob>>,
     /// Guards against a moment that belongs to an earlier job under the same number.
     generations: Vec<u32>,
     free: Vec<u32>,
@@ -54,7 +54,7 @@
 
 /// Who counts what fell due at some moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Whose {
+enum CountedBy {
     Earlier,
     Nobody,
     Ours,
@@ -63,10 +63,10 @@
 impl ServiceLevelTracker {
     pub fn new(terms: HashMap<String, ServiceLevelObjectives>) -> ServiceLevelTracker {
         ServiceLevelTracker {
-            terms,
-            accounts: Vec::new(),
+            objectives: terms,
+            indicators: Vec::new(),
             by_name: Default::default(),
-            tickets: Vec::new(),
+            tracked: Vec::new(),
             generations: Vec::new(),
             free: Vec::new(),
             due: BinaryHeap::new(),
@@ -76,18 +76,18 @@
         }
     }
 
-    fn whose(&self, due: f64) -> Whose {
+    fn counted_by(&self, due: f64) -> CountedBy {
         if due < self.settled_before {
-            Whose::Earlier
+            CountedBy::Earlier
         } else if due < self.lost_until {
-            Whose::Nobody
+            CountedBy::Nobody
         } else {
-            Whose::Ours
+            CountedBy::Ours
         }
     }
 
-    pub fn terms(&self, class: &str) -> Option<&ServiceLevelObjectives> {
-        self.terms.get(class)
+    pub fn objectives(&self, class: &str) -> Option<&ServiceLevelObjectives> {
+        self.objectives.get(class)
     }
 
     /// The account of this name; one for all others once there are too many.
@@ -102,15 +102,15 @@
         if let Some(&a) = names.get(name) {
             return a;
         }
-        let a = IndicatorIndex(self.accounts.len() as u32);
+        let a = IndicatorIndex(self.indicators.len() as u32);
         names.insert(name.to_owned(), a);
-        self.accounts.push(ServiceLevelIndicator::new(name, side, now));
+        self.indicators.push(ServiceLevelIndicator::new(name, side, now));
         a
     }
 
     /// The accounts of an open job's class and team.
     pub fn of(&self, t: TrackedJobIndex) -> Option<[IndicatorIndex; 2]> {
-        Some(self.tickets.get(t.0 as usize)?.as_ref()?.accounts)
+        Some(self.tracked.get(t.0 as usize)?.as_ref()?.indicators)
     }
 
     pub fn find(&self, side: Subject, name: &str) -> Option<IndicatorIndex> {
@@ -128,50 +128,50 @@
 
     fn count_part(&mut self, accounts: [IndicatorIndex; 2], r: Reading, now: f64, part: f64) {
         for a in accounts {
-            self.accounts[a.ix()].add(r, now, 1.0, part);
+            self.indicators[a.ix()].add(r, now, 1.0, part);
         }
     }
 
-    fn cannot_tell(&mut self, accounts: [IndicatorIndex; 2], r: Reading) {
+    fn count_unknown(&mut self, accounts: [IndicatorIndex; 2], r: Reading) {
         for a in accounts {
-            self.accounts[a.ix()].unknown[r as usize] += 1;
+            self.indicators[a.ix()].unknown[r as usize] += 1;
         }
     }
 
     /// A job whose time begins, or began under an earlier owner.
-    pub fn enter(&mut self, e: &Entry, now: f64) -> TrackedJobIndex {
+    pub fn track(&mut self, e: &Entry, now: f64) -> TrackedJobIndex {
         let accounts = self.of_job(e.class, e.team, now);
-        let terms = self.terms.get(e.class).cloned().unwrap_or_default();
+        let terms = self.objectives.get(e.class).cloned().unwrap_or_default();
         let wait = terms.wait_s.map(|w| e.from.max(e.waits_from) + w);
         let deadline = (!e.service).then(|| terms.latest(e.submitted, e.from, e.deadline_s)).flatten();
         let grace = terms.grace_s.or(terms.wait_s).unwrap_or(0.0);
         // A start or an end that fell due under an earlier owner is in its accounts, or lost.
-        let start = wait.map(|due| self.whose(due));
-        let unknown = |w: Option<Whose>| w == Some(Whose::Nobody);
+        let start = wait.map(|due| self.counted_by(due));
+        let unknown = |w: Option<CountedBy>| w == Some(CountedBy::Nobody);
         let doubted = terms.wait_s.is_some_and(|w| w < e.may_have_waited_s);
-        if start.is_some_and(|w| w != Whose::Earlier) && (e.may_have_started || doubted) || unknown(start) {
-            self.cannot_tell(accounts, Reading::Started);
+        if start.is_some_and(|w| w != CountedBy::Earlier) && (e.may_have_started || doubted) || unknown(start) {
+            self.count_unknown(accounts, Reading::Started);
         }
-        let done = deadline.map(|due| self.whose(due));
+        let done = deadline.map(|due| self.counted_by(due));
         if unknown(done) {
-            self.cannot_tell(accounts, Reading::Done);
+            self.count_unknown(accounts, Reading::Done);
         }
-        let wait = wait.filter(|_| start == Some(Whose::Ours) && !doubted);
-        let deadline = deadline.filter(|_| done == Some(Whose::Ours));
+        let wait = wait.filter(|_| start == Some(CountedBy::Ours) && !doubted);
+        let deadline = deadline.filter(|_| done == Some(CountedBy::Ours));
         let counts_from = e.from + grace;
         if e.service && e.seen_from > counts_from {
             let lost = (e.seen_from - counts_from.max(self.settled_before).max(0.0)).max(0.0);
             for a in accounts {
-                self.accounts[a.ix()].unknown[Reading::Up as usize] += (lost * f64::from(e.tasks)) as u64;
+                self.indicators[a.ix()].unknown[Reading::Up as usize] += (lost * f64::from(e.tasks)) as u64;
             }
         }
         let n = self.free.pop().unwrap_or_else(|| {
-            self.tickets.push(None);
+            self.tracked.push(None);
             self.generations.push(0);
-            self.tickets.len() as u32 - 1
+            self.tracked.len() as u32 - 1
         });
-        self.tickets[n as usize] = Some(TrackedJob {
-            accounts,
+        self.tracked[n as usize] = Some(TrackedJob {
+            indicators: accounts,
             service: e.service,
             tasks: e.tasks,
             from: e.from,
@@ -179,7 +179,7 @@
             done_due: deadline,
             running: 0,
             best: 0,
-            waited: e.may_have_started || doubted || start.is_some_and(|w| w != Whose::Ours),
+            waited: e.may_have_started || doubted || start.is_some_and(|w| w != CountedBy::Ours),
             counted: false,
         });
         let generation = self.generations[n as usize];
@@ -195,11 +195,11 @@
     }
 
     /// So many of a job's tasks were begun, run, and are done.
-    pub fn runs(&mut self, t: TrackedJobIndex, tasks: Tasks, now: f64) {
+    pub fn on_progress(&mut self, t: TrackedJobIndex, tasks: Tasks, now: f64) {
         let Tasks { begun, running, done } = tasks;
-        let Some(ticket) = self.tickets.get_mut(t.0 as usize).and_then(Option::as_mut) else { return };
+        let Some(ticket) = self.tracked.get_mut(t.0 as usize).and_then(Option::as_mut) else { return };
         let before = std::mem::replace(&mut ticket.running, running);
-        let accounts = ticket.accounts;
+        let accounts = ticket.indicators;
         let in_time = ticket.start_due.is_some_and(|due| now <= due);
         if in_time {
             ticket.best = ticket.best.max(begun + done);
@@ -215,7 +215,7 @@
         ticket.waited |= all;
         if ticket.counted && before != running {
             for a in accounts {
-                let account = &mut self.accounts[a.ix()];
+                let account = &mut self.indicators[a.ix()];
                 account.integrate(now);
                 account.replicas.served += f64::from(running) - f64::from(before);
             }
@@ -225,33 +225,33 @@
         }
         if all {
             for a in accounts {
-                self.accounts[a.ix()].waits.saturating_record((waited.max(0.0) * 1000.0) as u64);
+                self.indicators[a.ix()].waits.saturating_record((waited.max(0.0) * 1000.0) as u64);
             }
         }
     }
 
     /// A job is over, and its number is free for another. A start or an end that is not due
     /// yet counts for nothing where its user cancelled it.
-    pub fn ended(&mut self, t: TrackedJobIndex, end: End, ended: f64, now: f64) {
-        let Some(ticket) = self.tickets.get_mut(t.0 as usize).and_then(Option::take) else { return };
+    pub fn on_ended(&mut self, t: TrackedJobIndex, end: End, ended: f64, now: f64) {
+        let Some(ticket) = self.tracked.get_mut(t.0 as usize).and_then(Option::take) else { return };
         self.generations[t.0 as usize] = self.generations[t.0 as usize].wrapping_add(1);
         self.free.push(t.0);
-        self.leave(&ticket, now);
+        self.stop_counting_replicas(&ticket, now);
         if end == End::Done {
             if let Some(due) = ticket.start_due {
                 // All of it was done before all of it was seen to run at one time.
                 let part = if ended <= due { 1.0 } else { ticket.begun() };
-                self.count_part(ticket.accounts, Reading::Started, now, part);
+                self.count_part(ticket.indicators, Reading::Started, now, part);
             }
             if let Some(due) = ticket.done_due {
-                self.count(ticket.accounts, Reading::Done, now, ended <= due);
+                self.count(ticket.indicators, Reading::Done, now, ended <= due);
             }
         }
     }
 
-    fn leave(&mut self, ticket: &TrackedJob, now: f64) {
-        for a in ticket.accounts.into_iter().filter(|_| ticket.counted) {
-            let account = &mut self.accounts[a.ix()];
+    fn stop_counting_replicas(&mut self, ticket: &TrackedJob, now: f64) {
+        for a in ticket.indicators.into_iter().filter(|_| ticket.counted) {
+            let account = &mut self.indicators[a.ix()];
             account.integrate(now);
             account.replicas.asked -= f64::from(ticket.tasks);
             account.replicas.served -= f64::from(ticket.running);
@@ -262,20 +262,20 @@
     /// it started in time nobody can say.
     pub fn from_record(&mut self, e: &Entry, end: End, ended: Option<f64>, now: f64) {
         let accounts = self.of_job(e.class, e.team, now);
-        let terms = self.terms.get(e.class).cloned().unwrap_or_default();
-        let start = terms.wait_s.map(|w| self.whose(e.from.max(e.waits_from) + w));
-        if start.is_some_and(|w| w != Whose::Earlier) && end == End::Done {
-            self.cannot_tell(accounts, Reading::Started);
+        let terms = self.objectives.get(e.class).cloned().unwrap_or_default();
+        let start = terms.wait_s.map(|w| self.counted_by(e.from.max(e.waits_from) + w));
+        if start.is_some_and(|w| w != CountedBy::Earlier) && end == End::Done {
+            self.count_unknown(accounts, Reading::Started);
         }
         let latest = terms.latest(e.submitted, e.from, e.deadline_s);
         let (Some(latest), End::Done, false) = (latest, end, e.service) else { return };
         // It was counted when it ended, or when it fell due.
-        match ended.map(|ended| (ended, self.whose(ended.min(latest)))) {
-            Some((_, Whose::Earlier)) => {}
-            None | Some((_, Whose::Nobody)) => self.cannot_tell(accounts, Reading::Done),
-            Some((ended, Whose::Ours)) => {
+        match ended.map(|ended| (ended, self.counted_by(ended.min(latest)))) {
+            Some((_, CountedBy::Earlier)) => {}
+            None | Some((_, CountedBy::Nobody)) => self.count_unknown(accounts, Reading::Done),
+            Some((ended, CountedBy::Ours)) => {
                 for a in accounts {
-                    let sums = &mut self.accounts[a.ix()].sums[Reading::Done as usize];
+                    let sums = &mut self.indicators[a.ix()].sums[Reading::Done as usize];
                     sums.add_at(ended.min(now), now, 1.0, f64::from(u8::from(ended <= latest)));
                 }
             }
@@ -286,7 +286,7 @@
     /// in cpu-seconds.
     pub fn held(&mut self, side: Subject, name: &str, asked: f64, held: f64, now: f64) {
         let a = self.indicator(side, name, now);
-        self.accounts[a.ix()].add(Reading::Held, now, asked, held.min(asked));
+        self.indicators[a.ix()].add(Reading::Held, now, asked, held.min(asked));
     }
 
     /// A submission or a cancellation that a user waited for at this controller's door.
@@ -303,8 +303,8 @@
             if self.generations[n as usize] != generation {
                 continue;
             }
-            let Some(ticket) = self.tickets[n as usize].as_mut() else { continue };
-            let accounts = ticket.accounts;
+            let Some(ticket) = self.tracked[n as usize].as_mut() else { continue };
+            let accounts = ticket.indicators;
             match what {
                 Due::Start if ticket.start_due.take().is_some() => {
                     let part = ticket.begun();
@@ -317,7 +317,7 @@
                     ticket.counted = true;
                     let (tasks, running) = (f64::from(ticket.tasks), f64::from(ticket.running));
                     for a in accounts {
-                        let account = &mut self.accounts[a.ix()];
+                        let account = &mut self.indicators[a.ix()];
                         account.integrate(now);
                         account.replicas.asked += tasks;
                         account.replicas.served += running;
@@ -326,16 +326,16 @@
                 _ => {}
             }
         }
-        self.accounts.iter_mut().for_each(|a| a.integrate(now));
+        self.indicators.iter_mut().for_each(|a| a.integrate(now));
     }
 
     /// A reading over a window, if anything was asked for.
     pub fn part(&self, a: IndicatorIndex, r: Reading, span: Span, now: f64) -> Share {
-        self.accounts[a.ix()].sums(r).over(span, now)
+        self.indicators[a.ix()].sums(r).over(span, now)
     }
 
     /// Open jobs in the book.
     pub fn open(&self) -> usize {
-        self.tickets.len() - self.free.len()
+        self.tracked.len() - self.free.len()
     }
 }
--- a/crates/accounts/src/tracker/tracked_job.rs
+++ b/crates/accounts/src/tracker/tracked_job.rs
@@ -44,7 +44,7 @@
 
 #[derive(Debug)]
 pub(super) struct TrackedJob {
-    pub(super) accounts: [IndicatorIndex; 2],
+    pub(super) indicators: [IndicatorIndex; 2],
     pub(super) service: bool,
     pub(super) tasks: u32,
     pub(super) from: f64,
--- a/crates/accounts/src/underserved.rs
+++ b/crates/accounts/src/underserved.rs
@@ -14,13 +14,13 @@
 /// must be helped before it is there.
 pub const UNDERSERVED_THRESHOLD: f64 = 0.65;
 /// So many jobs tell something.
-const LEAST_ASKED: f64 = 8.0;
+const MIN_ASKED: f64 = 8.0;
 
 /// The readings that the order of starts can mend.
-const MENDABLE: [Reading; 2] = [Reading::Started, Reading::Done];
+const IMPROVABLE_READINGS: [Reading; 2] = [Reading::Started, Reading::Done];
 
 /// Whoever has sunk gains only over those that are served better by this much.
-const APART: f64 = 0.1;
+const MIN_LEAD: f64 = 0.1;
 
 /// Jobs of an account that are open and not counted yet, and how many of them will be done in
 /// time if it goes on being served as it is.
@@ -51,23 +51,23 @@
 impl Underserved {
     /// Looks at every account once. `ahead`: what its open jobs will come to; a class of the
     /// lowest priority was once seen to sink only when its first jobs had waited in vain.
-    pub fn look(book: &ServiceLevelTracker, ahead: &HashMap<IndicatorIndex, Forecast>, now: f64) -> Underserved {
+    pub fn evaluate(book: &ServiceLevelTracker, ahead: &HashMap<IndicatorIndex, Forecast>, now: f64) -> Underserved {
         let share = |i: usize| {
-            let a = &book.accounts[i];
+            let a = &book.indicators[i];
             let of = |r: &Reading| {
                 let mut s = a.sums(*r).over(Span::TenMinutes, now);
                 if let (Reading::Done, Some(x)) = (r, ahead.get(&IndicatorIndex::of(i))) {
                     s.add(x.open, x.will);
                 }
-                s.part().filter(|_| s.asked >= LEAST_ASKED)
+                s.part().filter(|_| s.asked >= MIN_ASKED)
             };
-            MENDABLE.iter().filter_map(of).min_by(f64::total_cmp)
+            IMPROVABLE_READINGS.iter().filter_map(of).min_by(f64::total_cmp)
         };
-        let shares: Vec<Option<f64>> = (0..book.accounts.len()).map(share).collect();
+        let shares: Vec<Option<f64>> = (0..book.indicators.len()).map(share).collect();
         // Where all have sunk, those that are served least are helped. Of each side the two best:
         // an account is held against the others.
         let mut best = [[None; 2]; 3];
-        for (a, s) in book.accounts.iter().zip(&shares) {
+        for (a, s) in book.indicators.iter().zip(&shares) {
             let [first, second] = &mut best[a.side as usize];
             if s.is_some_and(|s| first.is_none_or(|f| s > f)) {
                 (*second, *first) = (*first, *s);
@@ -79,19 +79,19 @@
             let [first, second] = best[a.side as usize];
             let others = if *s == first { second } else { first };
             s.is_some_and(|s| {
-                s < UNDERSERVED_THRESHOLD && others.is_none_or(|o| o >= UNDERSERVED_THRESHOLD || s < o - APART)
+                s < UNDERSERVED_THRESHOLD && others.is_none_or(|o| o >= UNDERSERVED_THRESHOLD || s < o - MIN_LEAD)
             })
         };
-        Underserved(book.accounts.iter().zip(&shares).map(sunk).collect())
+        Underserved(book.indicators.iter().zip(&shares).map(sunk).collect())
     }
 
-    pub fn has(&self, a: IndicatorIndex) -> bool {
+    pub fn contains(&self, a: IndicatorIndex) -> bool {
         self.0.get(a.ix()).copied().unwrap_or(false)
     }
 
     /// Of either a job's class or its team.
-    pub fn either(&self, accounts: [IndicatorIndex; 2]) -> bool {
-        accounts.iter().any(|a| self.has(*a))
+    pub fn contains_either(&self, accounts: [IndicatorIndex; 2]) -> bool {
+        accounts.iter().any(|a| self.contains(*a))
     }
 
     pub fn any(&self) -> bool {
--- a/crates/accounts/tests/gate.rs
+++ b/crates/accounts/tests/gate.rs
@@ -35,20 +35,20 @@
 
 /// The owner's own accounts, as they stand in its log.
 #[test]
-fn teams_are_judged_by_the_accounts() {
+fn teams_are_judged_by_the_service_levels() {
     let mut b = ServiceLevelTracker::new(HashMap::new());
     for i in 0..20 {
         b.answered("match", if i % 2 == 0 { "red" } else { "blue" }, Reading::Accepted, i % 2 == 0 || i < 6, 5.0);
     }
     b.answered("rare", "blue", Reading::Accepted, false, 5.0);
-    let text = serde_json::to_string(&b.told(6.0)).expect("JSON");
+    let text = serde_json::to_string(&b.report(6.0)).expect("JSON");
     let told: ServiceLevelReport = serde_json::from_str(&text).expect("the same");
     let j = gate::accounts("log", std::slice::from_ref(&told)).expect("readings");
     assert_eq!(lines(&j), ["log: team blue accepted: 0.273"], "one job of a class says nothing");
     // A successor's accounts come beside the last of the owner before, not in their place.
     let mut next = ServiceLevelTracker::new(HashMap::new());
     (0..10).for_each(|_| next.answered("match", "blue", Reading::Accepted, true, 9.0));
-    let next = ServiceLevelReport { owner: 7, ..next.told(10.0) };
+    let next = ServiceLevelReport { leader: 7, ..next.report(10.0) };
     let j = gate::accounts("log", &[told.clone(), told, next]).expect("readings");
     assert_eq!((lines(&j), j.lowest.map(|l| l.1 > 0.6)), (vec![], Some(true)), "13 of 21");
 }
@@ -56,7 +56,7 @@
 /// Guards against accounts that cannot be believed: those of one chain of owners count once, the
 /// last that was logged, and they are held against what was measured, or say that they do not know.
 #[test]
-fn accounts_agree_with_what_was_measured_or_say_unknown() {
+fn service_levels_agree_with_what_was_measured_or_say_unknown() {
     let report = r#"{"targets":[
         {"kind":"wait","class":"desk","within_s":1.0,"value":0.9,"of":100},
         {"kind":"deadline","class":"match","times":1.0,"value":0.5,"of":100},
@@ -79,7 +79,7 @@
             waits_s,
         }
     };
-    let told = |owner, rows| ServiceLevelReport { owner, chain: 5, at_s: 0.0, rows };
+    let told = |owner, rows| ServiceLevelReport { leader: owner, chain: 5, at_s: 0.0, rows };
     let early = told(5, vec![row("desk", Reading::Started, 50.0, 0.1, 0)]);
     let late = |unknown| {
         told(
--- a/crates/accounts/tests/handed.rs
+++ b/crates/accounts/tests/inheritance.rs
@@ -39,7 +39,7 @@
 
 /// As the state service keeps it: text, and no more than `limit` bytes a value.
 fn stored(b: &mut ServiceLevelTracker, round: u64, limit: usize, now: f64) -> Vec<Part> {
-    let parts = b.hand_over(round, 7, limit, now);
+    let parts = b.export(round, 7, limit, now);
     let texts: Vec<String> = parts.iter().map(|p| serde_json::to_string(p).expect("JSON")).collect();
     assert!(texts.iter().all(|t| t.len() <= limit), "{:?}", texts.iter().map(String::len).collect::<Vec<_>>());
     texts.iter().map(|t| serde_json::from_str(t).expect("the same")).collect()
@@ -47,33 +47,33 @@
 
 fn successor(c: &InheritedTotals, now: f64) -> ServiceLevelTracker {
     let mut b = ServiceLevelTracker::new(terms());
-    b.carry(c, MARGIN_S, now);
+    b.inherit(c, MARGIN_S, now);
     b
 }
 
 fn sums(b: &ServiceLevelTracker, class: &str, r: Reading) -> (f64, f64, u64) {
-    let a = &b.accounts[b.find(Subject::Class, class).expect("an account").ix()];
+    let a = &b.indicators[b.find(Subject::Class, class).expect("an account").ix()];
     (a.sums(r).total.asked, a.sums(r).total.served, a.unknown[r as usize])
 }
 
 /// Guards against the gate that cried wolf: each of several owners counted the same waiting job
 /// as missed once more, and those that had started and lost their machines as well.
 #[test]
-fn a_job_that_waits_through_several_owners_is_missed_once() {
+fn a_job_that_waits_through_several_leaders_is_missed_once() {
     let mut first = ServiceLevelTracker::new(terms());
     for _ in 0..10 {
-        let t = first.enter(&entry("desk", 100.0), 100.0);
-        first.runs(t, tasks(4, 0), 101.0);
+        let t = first.track(&entry("desk", 100.0), 100.0);
+        first.on_progress(t, tasks(4, 0), 101.0);
     }
-    first.enter(&entry("desk", 100.0), 100.0);
+    first.track(&entry("desk", 100.0), 100.0);
     first.advance(103.0);
     let mut carried = newest_complete_round(stored(&mut first, 1, 4000, 110.0)).expect("a round");
     assert_eq!((carried.chain, carried.as_of), (7, 110.0));
     for round in 2..5 {
         let mut next = successor(&carried, 110.0 + round as f64);
         // The one that waits, and one that had started and lost its machines.
-        next.enter(&entry("desk", 100.0), 111.0);
-        next.enter(&entry("desk", 100.0), 111.0);
+        next.track(&entry("desk", 100.0), 111.0);
+        next.track(&entry("desk", 100.0), 111.0);
         next.advance(112.0);
         assert_eq!(sums(&next, "desk", Reading::Started), (11.0, 10.0, 0));
         carried = newest_complete_round(stored(&mut next, round, 4000, 110.0 + 2.0 * round as f64)).expect("a round");
@@ -83,17 +83,17 @@
 /// What fell due between the last accounts that were stored and their owner's end is unknown,
 /// neither served nor missed; what falls due later is the successor's.
 #[test]
-fn what_was_lost_between_two_owners_is_told_as_unknown() {
+fn what_was_lost_between_two_leaders_is_told_as_unknown() {
     let mut first = ServiceLevelTracker::new(terms());
-    first.enter(&entry("match", 60.0), 60.0);
+    first.track(&entry("match", 60.0), 60.0);
     let carried = newest_complete_round(stored(&mut first, 1, 4000, 100.0)).expect("a round");
     let mut next = successor(&carried, 130.0);
     // Due at 90: counted. At 100.5: who knows. At 110: it runs, and may have been in time.
-    next.enter(&entry("match", 60.0), 130.0);
-    next.enter(&entry("match", 70.5), 130.0);
-    next.enter(&Entry { may_have_started: true, ..entry("match", 80.0) }, 130.0);
+    next.track(&entry("match", 60.0), 130.0);
+    next.track(&entry("match", 70.5), 130.0);
+    next.track(&Entry { may_have_started: true, ..entry("match", 80.0) }, 130.0);
     // Due at 115, and never on any machine: nobody else can have counted it.
-    next.enter(&entry("match", 85.0), 130.0);
+    next.track(&entry("match", 85.0), 130.0);
     next.advance(131.0);
     assert_eq!(sums(&next, "match", Reading::Started), (2.0, 0.0, 2));
     // Done under the first owner at 99, at its end, and after it.
@@ -162,7 +162,7 @@
     /// Whenever owners end and whatever they had stored: no reading counts more jobs than there
     /// are, nothing is served that was not asked for, and classes and teams agree.
     #[test]
-    fn through_any_owners_a_job_counts_at_most_once(steps in steps()) {
+    fn through_any_leaders_a_job_counts_at_most_once(steps in steps()) {
         let mut b = ServiceLevelTracker::new(terms());
         let (mut now, mut round, mut began) = (1000.0, 0u64, 0.0);
         let mut disk: Vec<Part> = Vec::new();
@@ -173,17 +173,17 @@
             match s {
                 Step::Enter(desk) => {
                     let class = if desk { "desk" } else { "match" };
-                    let ticket = Some(b.enter(&entry(class, now), now));
+                    let ticket = Some(b.track(&entry(class, now), now));
                     jobs.push(Job { class, from: now, running: 0, placed: false, ticket });
                     entered[usize::from(desk)] += 1.0;
                 }
                 Step::Runs(j, n) => if let Some(j) = jobs.get_mut(j) {
                     (j.running, j.placed) = (n, j.placed || n > 0);
-                    if let Some(t) = j.ticket { b.runs(t, tasks(n, 0), now) }
+                    if let Some(t) = j.ticket { b.on_progress(t, tasks(n, 0), now) }
                 },
                 Step::End(j) => if jobs.get(j).is_some_and(|j| j.class == "match") {
                     let j = jobs.remove(j);
-                    if let Some(t) = j.ticket { b.ended(t, End::Done, now, now) }
+                    if let Some(t) = j.ticket { b.on_ended(t, End::Done, now, now) }
                     ended.push((j.class, j.from, now));
                 },
                 Step::Wait(s) => { now += f64::from(s); b.advance(now); }
@@ -197,15 +197,15 @@
                     now += f64::from(s);
                     b = ServiceLevelTracker::new(terms());
                     let Some(c) = newest_complete_round(disk.clone()) else { return Ok(()) };
-                    b.carry(&c, MARGIN_S, now);
+                    b.inherit(&c, MARGIN_S, now);
                     // The records since the checkpoint, more of them than are needed.
                     for (class, from, at) in &ended {
                         b.from_record(&entry(class, *from), End::Done, Some(*at), now);
                     }
                     for j in &mut jobs {
                         let e = Entry { may_have_started: j.placed, seen_from: now, ..entry(j.class, j.from) };
-                        let t = b.enter(&e, now);
-                        b.runs(t, tasks(j.running, 0), now);
+                        let t = b.track(&e, now);
+                        b.on_progress(t, tasks(j.running, 0), now);
                         j.ticket = Some(t);
                     }
                     began = now;
@@ -217,7 +217,7 @@
         for (i, class) in ["match", "desk"].into_iter().enumerate() {
             let Some(a) = b.find(Subject::Class, class) else { continue };
             for r in [Reading::Started, Reading::Done] {
-                let s = b.accounts[a.ix()].sums(r).total;
+                let s = b.indicators[a.ix()].sums(r).total;
                 // A start in time that was counted, whose machines are gone by the time that the
                 // next owner looks, is no such case here: a job once placed stays so.
                 prop_assert!(s.asked <= entered[i] + 1e-6, "{class} {}: {} of {}", r.name(), s.asked, entered[i]);
@@ -225,7 +225,7 @@
             }
         }
         for r in [Reading::Started, Reading::Done] {
-            let of = |side| b.accounts.iter().filter(|a| a.side == side).map(|a| a.sums(r).total.asked).sum::<f64>();
+            let of = |side| b.indicators.iter().filter(|a| a.side == side).map(|a| a.sums(r).total.asked).sum::<f64>();
             prop_assert!((of(Subject::Class) - of(Subject::Team)).abs() < 1.0);
         }
     }
--- a/crates/accounts/tests/book.rs
+++ b/crates/accounts/tests/tracker.rs
@@ -44,28 +44,28 @@
 
 fn share(b: &ServiceLevelTracker, side: Subject, name: &str, r: Reading) -> (f64, f64) {
     let a = b.find(side, name).expect("an account");
-    let s = b.accounts[a.ix()].sums(r).total;
+    let s = b.indicators[a.ix()].sums(r).total;
     (s.asked, s.served)
 }
 
 #[test]
 fn each_job_counts_once_in_each_reading() {
     let mut b = ServiceLevelTracker::new(terms());
-    let one = b.enter(&entry("match", "red", 100.0), 100.0);
-    let two = b.enter(&entry("match", "red", 100.0), 100.0);
-    let three = b.enter(&entry("letters", "blue", 100.0), 100.0);
-    b.runs(one, tasks(3, 0), 110.0);
+    let one = b.track(&entry("match", "red", 100.0), 100.0);
+    let two = b.track(&entry("match", "red", 100.0), 100.0);
+    let three = b.track(&entry("letters", "blue", 100.0), 100.0);
+    b.on_progress(one, tasks(3, 0), 110.0);
     assert_eq!(share(&b, Subject::Class, "match", Reading::Started), (0.0, 0.0), "three of four tasks run");
-    b.runs(one, tasks(2, 2), 120.0);
-    b.runs(one, tasks(4, 0), 121.0);
+    b.on_progress(one, tasks(2, 2), 120.0);
+    b.on_progress(one, tasks(4, 0), 121.0);
     assert_eq!(share(&b, Subject::Class, "match", Reading::Started), (1.0, 1.0));
-    b.runs(two, tasks(1, 0), 125.0);
+    b.on_progress(two, tasks(1, 0), 125.0);
     b.advance(131.0);
     assert_eq!(share(&b, Subject::Class, "match", Reading::Started), (2.0, 1.25), "of the second one task in 30 s");
-    b.runs(two, tasks(4, 0), 140.0);
-    b.ended(one, End::Done, 150.0, 151.0);
-    b.ended(two, End::Done, 161.0, 161.0);
-    b.ended(three, End::Cancelled, 161.0, 161.0);
+    b.on_progress(two, tasks(4, 0), 140.0);
+    b.on_ended(one, End::Done, 150.0, 151.0);
+    b.on_ended(two, End::Done, 161.0, 161.0);
+    b.on_ended(three, End::Cancelled, 161.0, 161.0);
     b.advance(900.0);
     assert_eq!(share(&b, Subject::Class, "match", Reading::Started), (2.0, 1.25));
     assert_eq!(share(&b, Subject::Team, "red", Reading::Done), (2.0, 1.0), "within 1.5 times its deadline, and after");
@@ -80,12 +80,12 @@
 #[test]
 fn a_wait_ends_when_the_start_is_taken_and_not_when_the_image_is_there() {
     let mut b = ServiceLevelTracker::new(terms());
-    let t = b.enter(&entry("desk", "red", 100.0), 100.0);
-    b.runs(t, Tasks { begun: 3, ..Tasks::default() }, 100.5);
-    b.runs(t, Tasks { begun: 4, ..Tasks::default() }, 101.0);
+    let t = b.track(&entry("desk", "red", 100.0), 100.0);
+    b.on_progress(t, Tasks { begun: 3, ..Tasks::default() }, 100.5);
+    b.on_progress(t, Tasks { begun: 4, ..Tasks::default() }, 101.0);
     b.advance(102.001);
     b.advance(112.0);
-    b.runs(t, tasks(4, 0), 112.0);
+    b.on_progress(t, tasks(4, 0), 112.0);
     b.advance(122.0);
     assert_eq!(share(&b, Subject::Class, "desk", Reading::Started), (1.0, 1.0));
     let (asked, served) = share(&b, Subject::Class, "desk", Reading::Up);
@@ -96,12 +96,12 @@
 #[test]
 fn replicas_that_are_down_count_against_their_service() {
     let mut b = ServiceLevelTracker::new(terms());
-    let t = b.enter(&entry("desk", "red", 10.0), 10.0);
-    b.runs(t, tasks(4, 0), 11.0);
+    let t = b.track(&entry("desk", "red", 10.0), 10.0);
+    b.on_progress(t, tasks(4, 0), 11.0);
     b.advance(12.001);
-    b.runs(t, tasks(2, 0), 22.001);
-    b.runs(t, tasks(4, 0), 32.001);
-    b.ended(t, End::Cancelled, 42.001, 42.001);
+    b.on_progress(t, tasks(2, 0), 22.001);
+    b.on_progress(t, tasks(4, 0), 32.001);
+    b.on_ended(t, End::Cancelled, 42.001, 42.001);
     b.advance(60.0);
     let (asked, served) = share(&b, Subject::Class, "desk", Reading::Up);
     assert!((asked - 120.0).abs() < 0.1 && (served - 100.0).abs() < 0.1, "{served} of {asked}");
@@ -109,38 +109,38 @@
 
 /// What a successor cannot know is told as such: neither served nor missed.
 #[test]
-fn after_a_takeover_only_what_the_records_tell_is_known() {
+fn after_a_failover_only_what_the_records_tell_is_known() {
     let mut b = ServiceLevelTracker::new(terms());
     b.from_record(&entry("match", "red", 100.0), End::Done, Some(130.0), 400.0);
     b.from_record(&entry("match", "red", 100.0), End::Done, Some(190.0), 400.0);
     b.from_record(&entry("match", "red", 100.0), End::Done, None, 400.0);
     b.from_record(&entry("match", "red", 100.0), End::Cancelled, Some(130.0), 400.0);
     let open = Entry { may_have_started: true, ..entry("match", "red", 380.0) };
-    let t = b.enter(&open, 400.0);
-    b.runs(t, tasks(4, 0), 401.0);
+    let t = b.track(&open, 400.0);
+    b.on_progress(t, tasks(4, 0), 401.0);
     assert_eq!(share(&b, Subject::Class, "match", Reading::Done), (2.0, 1.0));
     assert_eq!(share(&b, Subject::Class, "match", Reading::Started), (0.0, 0.0));
     let a = b.find(Subject::Class, "match").expect("an account");
-    assert_eq!(b.accounts[a.ix()].unknown[Reading::Started as usize], 4);
-    assert_eq!(b.accounts[a.ix()].unknown[Reading::Done as usize], 1);
+    assert_eq!(b.indicators[a.ix()].unknown[Reading::Started as usize], 4);
+    assert_eq!(b.indicators[a.ix()].unknown[Reading::Done as usize], 1);
     assert_eq!(b.part(a, Reading::Done, Span::TenMinutes, 400.0).asked, 2.0, "they ended within ten minutes");
     assert_eq!(b.part(a, Reading::Done, Span::Minute, 400.0).asked, 0.0);
 }
 
 #[test]
-fn an_alarm_is_told_once_and_taken_back_once() {
+fn an_alert_is_told_once_and_taken_back_once() {
     let mut b = ServiceLevelTracker::new(terms());
     for i in 0..10 {
         b.answered("match", "red", Reading::Accepted, i < 4, 100.0);
     }
-    let told: Vec<String> = b.alarms(101.0).iter().map(ToString::to_string).collect();
+    let told: Vec<String> = b.alerts(101.0).iter().map(ToString::to_string).collect();
     assert_eq!(told.len(), 4, "a class and a team, over a minute and ten: {told:?}");
     assert_eq!(told[0], "class match is served under a half: accepted 0.40 over a minute");
-    assert!(b.alarms(102.0).is_empty());
+    assert!(b.alerts(102.0).is_empty());
     for _ in 0..10 {
         b.answered("match", "red", Reading::Accepted, true, 103.0);
     }
-    let back = b.alarms(104.0);
+    let back = b.alerts(104.0);
     assert!(back.len() == 4 && back.iter().all(|a| !a.under), "{back:?}");
     let (name, r, low) = b.lowest(Subject::Team, 104.0).expect("a team");
     assert_eq!((name, r, low), ("red", Reading::Accepted, 0.7));
@@ -153,7 +153,7 @@
     for i in 0..1000 {
         b.answered(&format!("c{i}"), &format!("t{i}"), Reading::Accepted, true, 1.0);
     }
-    assert!(b.accounts.len() <= MAX_CLASSES + MAX_TEAMS + 2);
+    assert!(b.indicators.len() <= MAX_CLASSES + MAX_TEAMS + 2);
     assert_eq!(share(&b, Subject::Class, OTHERS, Reading::Accepted).0, (1000 - MAX_CLASSES) as f64);
 }
 
@@ -163,19 +163,19 @@
     let mut b = ServiceLevelTracker::new(terms());
     for i in 0..10 {
         for class in ["match", "letters"] {
-            let t = b.enter(&entry(class, class, 100.0), 100.0);
-            b.runs(t, tasks(4, 0), 101.0);
+            let t = b.track(&entry(class, class, 100.0), 100.0);
+            b.on_progress(t, tasks(4, 0), 101.0);
             let late = class == "letters" && i < 4;
-            b.ended(t, End::Done, if late { 400.0 } else { 120.0 }, 121.0);
+            b.on_ended(t, End::Done, if late { 400.0 } else { 120.0 }, 121.0);
         }
     }
-    let t = b.enter(&entry("match", "few", 100.0), 100.0);
+    let t = b.track(&entry("match", "few", 100.0), 100.0);
     let few = b.of(t).expect("an open job");
-    b.ended(t, End::Done, 500.0, 122.0);
+    b.on_ended(t, End::Done, 500.0, 122.0);
     let of = |class: &str| [b.find(Subject::Class, class).expect("a class"), few[1]];
-    let sunk = Underserved::look(&b, &HashMap::new(), 123.0);
-    assert!(sunk.either(of("letters")) && sunk.any());
-    assert!(!sunk.either(of("match")) && !sunk.either(few));
+    let sunk = Underserved::evaluate(&b, &HashMap::new(), 123.0);
+    assert!(sunk.contains_either(of("letters")) && sunk.any());
+    assert!(!sunk.contains_either(of("match")) && !sunk.contains_either(few));
 }
 
 /// Guards against a class that is seen to sink only when its first jobs have waited in vain: what
@@ -189,15 +189,18 @@
     let mut b = ServiceLevelTracker::new(terms());
     for class in ["match", "letters"] {
         for _ in 0..20 {
-            b.enter(&entry(class, class, 100.0), 100.0);
+            b.track(&entry(class, class, 100.0), 100.0);
         }
     }
     let of = |class: &str| b.find(Subject::Class, class).expect("a class");
     let look = |of_match: f64, of_letters: f64| {
         let x = |will| Forecast { open: 20.0, will };
-        let s =
-            Underserved::look(&b, &HashMap::from([(of("match"), x(of_match)), (of("letters"), x(of_letters))]), 110.0);
-        (s.has(of("match")), s.has(of("letters")))
+        let s = Underserved::evaluate(
+            &b,
+            &HashMap::from([(of("match"), x(of_match)), (of("letters"), x(of_letters))]),
+            110.0,
+        );
+        (s.contains(of("match")), s.contains(of("letters")))
     };
     assert_eq!(look(18.0, 12.0), (false, true));
     assert_eq!(look(12.0, 4.0), (false, true), "both are below, one far more");
@@ -237,12 +240,12 @@
             match s {
                 Step::Enter(c, t) => {
                     let e = entry(["match", "letters", "desk"][c], ["red", "blue"][t], now);
-                    open.push(b.enter(&e, now));
+                    open.push(b.track(&e, now));
                     entered += 1.0;
                 }
-                Step::Runs(j, n) => if let Some(t) = open.get(j) { b.runs(*t, tasks(n, 0), now) },
+                Step::Runs(j, n) => if let Some(t) = open.get(j) { b.on_progress(*t, tasks(n, 0), now) },
                 Step::End(j, done) => if j < open.len() {
-                    b.ended(open.remove(j), if done { End::Done } else { End::Cancelled }, now, now);
+                    b.on_ended(open.remove(j), if done { End::Done } else { End::Cancelled }, now, now);
                 },
                 Step::Wait(s) => { now += f64::from(s); b.advance(now); }
             }
@@ -251,7 +254,7 @@
         now += 10_000.0;
         b.advance(now);
         let mut sums = [[0.0; 2]; 3];
-        for a in &b.accounts {
+        for a in &b.indicators {
             for (i, r) in [Reading::Started, Reading::Done, Reading::Up].into_iter().enumerate() {
                 let s = a.sums(r).total;
                 prop_assert!(s.served >= -1e-6 && s.served <= s.asked + 1e-6);
--- a/crates/cells/src/activation.rs
+++ b/crates/cells/src/activation.rs
@@ -18,7 +18,8 @@
 pub struct ActivePlan {
     node: String,
     nonce: String,
-    pub cells: ShardingPlan,
+    #[serde(rename = "cells")]
+    pub plan: ShardingPlan,
     /// On the way back to one: cell 0 takes in what the others had, and these are owned no more.
     #[serde(default)]
     pub merging: bool,
@@ -26,7 +27,7 @@
 
 impl ActivePlan {
     pub fn new(plan: ShardingPlan) -> ActivePlan {
-        ActivePlan { node: NOBODY.into(), nonce: "plan".into(), cells: plan, merging: false }
+        ActivePlan { node: NOBODY.into(), nonce: "plan".into(), plan: plan, merging: false }
     }
 
     pub fn merging(plan: ShardingPlan) -> ActivePlan {
--- a/crates/cells/src/escrow.rs
+++ b/crates/cells/src/escrow.rs
@@ -14,32 +14,33 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Amount {
     pub cpus: f64,
-    pub cards: f64,
+    #[serde(rename = "cards")]
+    pub accelerators: f64,
 }
 
 impl Amount {
-    pub fn new(cpus: f64, cards: f64) -> Amount {
-        Amount { cpus, cards }
+    pub fn new(cpus: f64, accelerators: f64) -> Amount {
+        Amount { cpus, accelerators: accelerators }
     }
 
     pub fn plus(self, o: Amount) -> Amount {
-        Amount::new(self.cpus + o.cpus, self.cards + o.cards)
+        Amount::new(self.cpus + o.cpus, self.accelerators + o.accelerators)
     }
 
-    pub fn less(self, o: Amount) -> Amount {
-        Amount::new((self.cpus - o.cpus).max(0.0), (self.cards - o.cards).max(0.0))
+    pub fn minus(self, o: Amount) -> Amount {
+        Amount::new((self.cpus - o.cpus).max(0.0), (self.accelerators - o.accelerators).max(0.0))
     }
 
     pub fn fits(self, o: Amount) -> bool {
-        self.cpus <= o.cpus + EPSILON && self.cards <= o.cards + EPSILON
+        self.cpus <= o.cpus + EPSILON && self.accelerators <= o.accelerators + EPSILON
     }
 
     fn least(self, o: Amount) -> Amount {
-        Amount::new(self.cpus.min(o.cpus), self.cards.min(o.cards))
+        Amount::new(self.cpus.min(o.cpus), self.accelerators.min(o.accelerators))
     }
 
     fn is_none(self) -> bool {
-        self.cpus <= EPSILON && self.cards <= EPSILON
+        self.cpus <= EPSILON && self.accelerators <= EPSILON
     }
 }
 
@@ -68,7 +69,7 @@
 
 impl Ledger {
     /// All of every limit is `cell`'s. Teams without a limit do not stand in the ledger.
-    pub fn begin(limits: &[(String, Amount)], cells: u32, cell: ShardId) -> Ledger {
+    pub fn new(limits: &[(String, Amount)], cells: u32, cell: ShardId) -> Ledger {
         let shares = |limit: Amount| {
             let mut all = vec![Amount::default(); cells as usize];
             if let Some(s) = all.get_mut(cell.ix()) {
@@ -87,12 +88,12 @@
     pub fn within(&self, limits: &[(String, Amount)]) -> bool {
         limits.iter().all(|(t, l)| {
             let sum = self.teams.get(t).into_iter().flatten().fold(Amount::default(), |s, a| s.plus(*a));
-            sum.fits(Amount::new(l.cpus * (1.0 + EPSILON), l.cards * (1.0 + EPSILON)))
+            sum.fits(Amount::new(l.cpus * (1.0 + EPSILON), l.accelerators * (1.0 + EPSILON)))
         })
     }
 
     /// The ledger after these gifts; none where somebody would give what is not theirs.
-    pub fn after(&self, gifts: &[QuotaTransfer]) -> Option<Ledger> {
+    pub fn apply(&self, gifts: &[QuotaTransfer]) -> Option<Ledger> {
         let mut next = self.clone();
         for g in gifts {
             let shares = next.teams.get_mut(&g.team)?;
@@ -104,7 +105,7 @@
             if shares.len() <= most {
                 shares.resize(most + 1, Amount::default());
             }
-            shares[g.from.ix()] = own.less(g.amount);
+            shares[g.from.ix()] = own.minus(g.amount);
             shares[g.to.ix()] = shares[g.to.ix()].plus(g.amount);
         }
         Some(next)
@@ -113,7 +114,7 @@
 
 /// What a cell keeps beyond what it uses and wants: a part of the limit, so that every new task
 /// does not need a gift.
-const KEPT_PART: f64 = 0.05;
+const RESERVE_SHARE: f64 = 0.05;
 
 /// What `me` gives of one team: what it neither uses nor wants goes to those that want more than
 /// they have, in the proportion of what they lack; the rest to the team's home. `uses`: of every
@@ -129,20 +130,20 @@
     let own = shares.get(me.ix()).copied().unwrap_or_default();
     let Some(mine) = uses.get(me.ix()).copied().flatten() else { return Vec::new() };
     let limit = shares.iter().fold(Amount::default(), |s, a| s.plus(*a));
-    let kept = Amount::new(limit.cpus * KEPT_PART, limit.cards * KEPT_PART);
-    let needs = Amount::new(mine.held.cpus.max(mine.wanted.cpus), mine.held.cards.max(mine.wanted.cards));
+    let kept = Amount::new(limit.cpus * RESERVE_SHARE, limit.accelerators * RESERVE_SHARE);
+    let needs = Amount::new(mine.held.cpus.max(mine.wanted.cpus), mine.held.accelerators.max(mine.wanted.accelerators));
     let lacks: Vec<(ShardId, Amount)> = uses
         .iter()
         .enumerate()
         .filter(|(c, _)| *c != me.ix())
         .filter_map(|(c, u)| Some((ShardId(c as u32), u.as_ref()?)))
-        .map(|(c, u)| (c, u.wanted.less(shares.get(c.ix()).copied().unwrap_or_default())))
+        .map(|(c, u)| (c, u.wanted.minus(shares.get(c.ix()).copied().unwrap_or_default())))
         .filter(|(_, l)| !l.is_none())
         .collect();
     let lacking = lacks.iter().fold(Amount::default(), |s, l| s.plus(l.1));
     // Somebody waits: what is kept for later is given, too, except at home.
-    let spare = own.less(needs);
-    let spare = if lacks.is_empty() || me == home { spare.less(kept) } else { spare };
+    let spare = own.minus(needs);
+    let spare = if lacks.is_empty() || me == home { spare.minus(kept) } else { spare };
     let given = spare.least(lacking);
     let part = |l: f64, of: f64, all: f64| if of > EPSILON { all * l / of } else { 0.0 };
     let mut out: Vec<QuotaTransfer> = lacks
@@ -151,11 +152,14 @@
             team: team.to_owned(),
             from: me,
             to: *c,
-            amount: Amount::new(part(l.cpus, lacking.cpus, given.cpus), part(l.cards, lacking.cards, given.cards)),
+            amount: Amount::new(
+                part(l.cpus, lacking.cpus, given.cpus),
+                part(l.accelerators, lacking.accelerators, given.accelerators),
+            ),
         })
         .collect();
-    let rest = own.less(needs).less(kept).less(given);
-    if me != home && lacks.is_empty() && rest.cpus + rest.cards > kept.cpus.max(kept.cards) {
+    let rest = own.minus(needs).minus(kept).minus(given);
+    if me != home && lacks.is_empty() && rest.cpus + rest.accelerators > kept.cpus.max(kept.accelerators) {
         out.push(QuotaTransfer { team: team.to_owned(), from: me, to: home, amount: rest });
     }
     out.retain(|g| !g.amount.is_none());
--- a/crates/cells/src/machine_transfer.rs
+++ b/crates/cells/src/machine_transfer.rs
@@ -36,8 +36,8 @@
     /// None: the one before is over, and another may begin.
     pub machines: Vec<TransferredMachine>,
     /// The giver's own records name none of them any more.
-    #[serde(default)]
-    pub left: bool,
+    #[serde(rename = "left", default)]
+    pub released_by_sender: bool,
 }
 
 /// Bytes of a value that one machine takes, at the most.
@@ -50,7 +50,7 @@
 }
 
 impl MachineTransfer {
-    pub fn over(&self) -> bool {
+    pub fn is_complete(&self) -> bool {
         self.machines.is_empty()
     }
 }
@@ -58,15 +58,15 @@
 /// The value that the giver stores next, if it is its turn. `named`: whether its stored records may
 /// still name this machine.
 pub fn next_by_sender(h: &MachineTransfer, named: impl Fn(&str) -> bool) -> Option<MachineTransfer> {
-    let due = !h.over() && !h.left && !h.machines.iter().any(|m| named(&m.machine));
-    due.then(|| MachineTransfer { left: true, ..h.clone() })
+    let due = !h.is_complete() && !h.released_by_sender && !h.machines.iter().any(|m| named(&m.machine));
+    due.then(|| MachineTransfer { released_by_sender: true, ..h.clone() })
 }
 
 /// The value that the taker stores next, if it is its turn. `settled`: whether this machine stands in
 /// its own stored records, or is gone.
 pub fn next_by_receiver(h: &MachineTransfer, settled: impl Fn(&str) -> bool) -> Option<MachineTransfer> {
-    let due = !h.over() && h.left && h.machines.iter().all(|m| settled(&m.machine));
-    due.then(|| MachineTransfer { machines: Vec::new(), left: false, ..h.clone() })
+    let due = !h.is_complete() && h.released_by_sender && h.machines.iter().all(|m| settled(&m.machine));
+    due.then(|| MachineTransfer { machines: Vec::new(), released_by_sender: false, ..h.clone() })
 }
 
 /// What a cell gives of its machines, by the leader's word: the first cell for which it has such an
@@ -82,6 +82,6 @@
     orders
         .filter(|o| o.from == me && o.to != me && o.cpus > EPSILON)
         .filter(|o| token_of(o.to).is_some_and(|t| t > token))
-        .find(|o| !under_way.iter().any(|h| h.from == me && h.to == o.to && !h.over()))
+        .find(|o| !under_way.iter().any(|h| h.from == me && h.to == o.to && !h.is_complete()))
         .map(|o| (o.to, o.cpus))
 }
--- a/crates/cells/src/plan.rs
+++ b/crates/cells/src/plan.rs
@@ -106,7 +106,7 @@
     }
 
     /// The cell of a machine that nobody knows.
-    pub fn cell_of_stranger(&self, machine: &str) -> ShardId {
+    pub fn shard_of_unknown(&self, machine: &str) -> ShardId {
         ShardId((0..self.cells).max_by_key(|c| draw(machine, *c)).unwrap_or(0))
     }
 }
--- a/crates/cells/src/rebalance.rs
+++ b/crates/cells/src/rebalance.rs
@@ -29,7 +29,7 @@
 }
 
 /// So many looks long orders are obeyed.
-const FRESH_LOOKS: f64 = 5.0;
+const FRESH_ROUNDS: f64 = 5.0;
 /// A team's home moves only after its cell has been short for so many times as long as it takes
 /// for machines to move.
 const HOME_AFTER: f64 = 4.0;
@@ -38,15 +38,15 @@
 /// Machines obey the highest token that they have seen. A cell with an older claim than those whose
 /// machines it is to get takes its claim anew, which costs it a takeover: only after it has been short for
 /// so many times as long, only for as much as this part of what it holds, and then it rests as well.
-const RAISE_AFTER: f64 = 3.0;
-const RAISE_FOR: f64 = 0.1;
+const REACQUIRE_AFTER: f64 = 3.0;
+const REACQUIRE_MIN_SHARE: f64 = 0.1;
 /// Of the room that a cell tells, the part that a team whose home moves there may want.
-const PART_OF_ROOM: f64 = 0.5;
+const USABLE_SHARE: f64 = 0.5;
 
 impl RebalancePlan {
     /// Are the moves of now? `bound_s`: by how much two clocks may differ.
-    pub fn fresh(&self, plan: &ShardingPlan, now_ms: u64, bound_s: f64) -> bool {
-        now_ms.abs_diff(self.at_ms) as f64 / 1000.0 <= plan.picture_s * FRESH_LOOKS + bound_s
+    pub fn is_fresh(&self, plan: &ShardingPlan, now_ms: u64, bound_s: f64) -> bool {
+        now_ms.abs_diff(self.at_ms) as f64 / 1000.0 <= plan.picture_s * FRESH_ROUNDS + bound_s
     }
 
     /// A team's home: as the leader has it, or else as the plan does.
@@ -55,8 +55,8 @@
     }
 
     /// Do they have to be stored, after those that are?
-    pub fn differ(&self, stored: &RebalancePlan, plan: &ShardingPlan) -> bool {
-        let old = self.at_ms.saturating_sub(stored.at_ms) as f64 / 1000.0 >= plan.picture_s * FRESH_LOOKS / 2.0;
+    pub fn must_be_stored(&self, stored: &RebalancePlan, plan: &ShardingPlan) -> bool {
+        let old = self.at_ms.saturating_sub(stored.at_ms) as f64 / 1000.0 >= plan.picture_s * FRESH_ROUNDS / 2.0;
         self.homes != stored.homes || self.moves != stored.moves || !self.moves.is_empty() && old
     }
 }
@@ -70,7 +70,7 @@
     /// When a team's home was last moved.
     moved: BTreeMap<String, u64>,
     /// When a cell was last given an order for which it has to take its claim anew.
-    raised: BTreeMap<ShardId, u64>,
+    reacquired_at: BTreeMap<ShardId, u64>,
 }
 
 /// Has this cell to take its claim anew before the machines that are ordered to it would obey?
@@ -84,13 +84,13 @@
 }
 
 /// What waits in a cell beyond its room and what boots for it, in cpus.
-fn lacks(p: &LoadSnapshot) -> f64 {
-    (p.waits - p.room - p.boots).max(0.0)
+fn shortage(p: &LoadSnapshot) -> f64 {
+    (p.waiting_cpus - p.free_cpus - p.booting_cpus).max(0.0)
 }
 
 impl Rebalancer {
     /// One look at fresh pictures. `stored`: the word that stands.
-    pub fn look(
+    pub fn plan_round(
         &mut self,
         plan: &ShardingPlan,
         pictures: &[LoadSnapshot],
@@ -98,7 +98,7 @@
         now_ms: u64,
     ) -> RebalancePlan {
         let after_ms = (plan.reassign_after_s * 1000.0) as u64;
-        let short: BTreeSet<ShardId> = pictures.iter().filter(|p| lacks(p) > EPSILON).map(|p| p.cell).collect();
+        let short: BTreeSet<ShardId> = pictures.iter().filter(|p| shortage(p) > EPSILON).map(|p| p.shard).collect();
         // A cell of which nothing is known is not known to be short.
         self.short_since.retain(|c, _| short.contains(c));
         for c in &short {
@@ -110,24 +110,24 @@
             since.is_some_and(|s| now_ms.saturating_sub(*s) as f64 >= after_ms as f64 * times)
         };
         let mut idle: Vec<(&LoadSnapshot, f64)> =
-            pictures.iter().filter(|p| !short.contains(&p.cell)).map(|p| (p, p.idle)).collect();
+            pictures.iter().filter(|p| !short.contains(&p.shard)).map(|p| (p, p.idle_cpus)).collect();
         let mut needy: Vec<(&LoadSnapshot, f64)> =
-            pictures.iter().filter(|p| lasting(p.cell, 1.0)).map(|p| (p, lacks(p))).collect();
-        needy.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cell.cmp(&b.0.cell)));
+            pictures.iter().filter(|p| lasting(p.shard, 1.0)).map(|p| (p, shortage(p))).collect();
+        needy.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.shard.cmp(&b.0.shard)));
         let mut moves = Vec::new();
         for (to, mut lack) in needy {
-            idle.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.cell.cmp(&b.0.cell)));
-            let may_raise = lasting(to.cell, RAISE_AFTER) && self.may_raise(plan, to.cell, now_ms);
+            idle.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.shard.cmp(&b.0.shard)));
+            let may_raise = lasting(to.shard, REACQUIRE_AFTER) && self.may_reacquire(plan, to.shard, now_ms);
             for (from, left) in idle.iter_mut() {
                 let cpus = left.min(lack);
                 let obeyed = from.token < to.token;
-                if cpus > EPSILON && (obeyed || may_raise && cpus >= to.held * RAISE_FOR) {
+                if cpus > EPSILON && (obeyed || may_raise && cpus >= to.assigned_cpus * REACQUIRE_MIN_SHARE) {
                     if !obeyed {
-                        self.raised.entry(to.cell).or_insert(now_ms);
+                        self.reacquired_at.entry(to.shard).or_insert(now_ms);
                     }
                     *left -= cpus;
                     lack -= cpus;
-                    moves.push(MachineMove { from: from.cell, to: to.cell, cpus });
+                    moves.push(MachineMove { from: from.shard, to: to.shard, cpus });
                 }
             }
         }
@@ -145,13 +145,13 @@
     }
 
     /// For a few looks, so that the cell hears of it; then not for long.
-    fn may_raise(&mut self, plan: &ShardingPlan, cell: ShardId, now_ms: u64) -> bool {
-        let Some(at) = self.raised.get(&cell) else { return true };
+    fn may_reacquire(&mut self, plan: &ShardingPlan, cell: ShardId, now_ms: u64) -> bool {
+        let Some(at) = self.reacquired_at.get(&cell) else { return true };
         let since_s = now_ms.saturating_sub(*at) as f64 / 1000.0;
         if since_s > plan.reassign_after_s * HOME_RESTS {
-            self.raised.remove(&cell);
+            self.reacquired_at.remove(&cell);
         }
-        since_s <= plan.picture_s * FRESH_LOOKS || since_s > plan.reassign_after_s * HOME_RESTS
+        since_s <= plan.picture_s * FRESH_ROUNDS || since_s > plan.reassign_after_s * HOME_RESTS
     }
 
     /// At most one in a look: the team that waits most in a cell that stays short, and the cell
@@ -166,19 +166,19 @@
     ) -> Option<(String, ShardId)> {
         let rest_ms = plan.reassign_after_s * 1000.0 * HOME_RESTS;
         let rests = |t: &str| self.moved.get(t).is_some_and(|at| (now_ms.saturating_sub(*at) as f64) < rest_ms);
-        let waits = |p: &LoadSnapshot, t: &str| p.teams.get(t).map_or(0.0, |u| u.wanted.less(u.held).cpus);
+        let waits = |p: &LoadSnapshot, t: &str| p.teams.get(t).map_or(0.0, |u| u.wanted.minus(u.held).cpus);
         let of = |p: &LoadSnapshot| p.teams.keys().map(|t| (t.clone(), waits(p, t))).collect::<Vec<_>>();
         let (team, wants, from) = pictures
             .iter()
-            .filter(|p| stays_short(p.cell))
-            .flat_map(|p| of(p).into_iter().map(|(t, w)| (t, w, p.cell)))
+            .filter(|p| stays_short(p.shard))
+            .flat_map(|p| of(p).into_iter().map(|(t, w)| (t, w, p.shard)))
             .filter(|(t, w, c)| *w > EPSILON && stored.home(plan, t) == *c && !rests(t))
             .max_by(|a, b| a.1.total_cmp(&b.1).then(b.0.cmp(&a.0)))?;
-        let room = |p: &LoadSnapshot| p.room - p.waits;
+        let room = |p: &LoadSnapshot| p.free_cpus - p.waiting_cpus;
         let best = pictures
             .iter()
-            .filter(|p| p.cell != from && p.waits <= EPSILON)
+            .filter(|p| p.shard != from && p.waiting_cpus <= EPSILON)
             .max_by(|a, b| room(a).total_cmp(&room(b)))?;
-        (room(best) * PART_OF_ROOM >= wants).then_some((team, best.cell))
+        (room(best) * USABLE_SHARE >= wants).then_some((team, best.shard))
     }
 }
--- a/crates/cells/src/spill.rs
+++ b/crates/cells/src/spill.rs
@@ -40,8 +40,8 @@
     let mut room: Vec<(ShardId, f64, &LoadSnapshot)> = pictures
         .iter()
         // Who is short himself takes nothing.
-        .filter(|p| p.cell != mine.cell && p.room > p.waits)
-        .map(|p| (p.cell, (p.room - p.waits) * PART_OF_ROOM, p))
+        .filter(|p| p.shard != mine.shard && p.free_cpus > p.waiting_cpus)
+        .map(|p| (p.shard, (p.free_cpus - p.waiting_cpus) * PART_OF_ROOM, p))
         .collect();
     let goes_on =
         |w: &SpillCandidate<J>| w.waited_s >= plan.spill_after_s * f64::from(1u32 << (w.moves.min(MAX_DOUBLINGS) + 1));
@@ -49,7 +49,7 @@
         waiting.iter().filter(|w| w.waited_s >= plan.spill_after_s && (w.moves < MAX_MOVES || goes_on(w))).collect();
     due.sort_by(|a, b| b.waited_s.total_cmp(&a.waited_s));
     let mut unusable: Vec<(ShardId, UnusableCapacity)> =
-        pictures.iter().filter(|p| p.cell != mine.cell).map(|p| (p.cell, p.unusable)).collect();
+        pictures.iter().filter(|p| p.shard != mine.shard).map(|p| (p.shard, p.unusable_capacity)).collect();
     let mut out = Vec::new();
     for w in due {
         if out.len() >= MAX_SPILLS_AT_ONCE {
--- a/crates/cells/tests/cells.rs
+++ b/crates/cells/tests/cells.rs
@@ -49,7 +49,7 @@
 /// The value of `own/0` while cells are in force, read by a version that knows of none: a claim
 /// of somebody else, which it must not take over.
 #[test]
-fn a_version_without_cells_sees_another_owner() {
+fn a_version_without_cells_sees_another_leader() {
     #[derive(serde::Deserialize)]
     struct Before {
         node: String,
@@ -58,7 +58,7 @@
     let text = serde_json::to_string(&ActivePlan::new(ShardingPlan::of(3))).expect("JSON");
     let seen: Before = serde_json::from_str(&text).expect("a claim");
     assert_eq!((seen.node.as_str(), seen.nonce.as_str()), (NOBODY, "plan"));
-    assert_eq!(serde_json::from_str::<ActivePlan>(&text).expect("the plan").cells, ShardingPlan::of(3));
+    assert_eq!(serde_json::from_str::<ActivePlan>(&text).expect("the plan").plan, ShardingPlan::of(3));
     assert!(serde_json::from_str::<ActivePlan>(r#"{"node":"sprig-1","nonce":"77"}"#).is_err(), "a claim is no plan");
 }
 
@@ -124,11 +124,11 @@
 #[test]
 fn shares_follow_demand_and_go_home() {
     let limits = vec![("red".to_owned(), cpus(100.0))];
-    let l = Ledger::begin(&limits, 3, ShardId(0));
+    let l = Ledger::new(&limits, 3, ShardId(0));
     let home = ShardId(1);
     let given = quota_transfers(ShardId(0), "red", &l, &[usage(10.0, 20.0), usage(0.0, 60.0), None], home);
     assert_eq!(given, [QuotaTransfer { team: "red".into(), from: ShardId(0), to: ShardId(1), amount: cpus(60.0) }]);
-    let l = l.after(&given).expect("its own");
+    let l = l.apply(&given).expect("its own");
     assert_eq!((l.share("red", ShardId(0)), l.share("red", ShardId(1))), (Some(cpus(40.0)), Some(cpus(60.0))));
     assert!(l.within(&limits));
     // What is held is never given, whoever waits.
@@ -141,11 +141,18 @@
     assert!(quota_transfers(ShardId(2), "red", &l, &[None, usage(0.0, 90.0), None], home).is_empty());
     let given = quota_transfers(home, "red", &l, &[usage(40.0, 500.0), usage(0.0, 0.0), None], home);
     assert_eq!(given[0].amount, cpus(55.0));
-    assert_eq!(l.after(&[QuotaTransfer { amount: cpus(61.0), ..given[0].clone() }]), None, "more than it has");
+    assert_eq!(l.apply(&[QuotaTransfer { amount: cpus(61.0), ..given[0].clone() }]), None, "more than it has");
 }
 
 fn picture(cell: u32, room: f64, waits: f64) -> LoadSnapshot {
-    LoadSnapshot { cell: ShardId(cell), room, waits, held: 100.0, longest_s: 30.0, ..LoadSnapshot::default() }
+    LoadSnapshot {
+        shard: ShardId(cell),
+        free_cpus: room,
+        waiting_cpus: waits,
+        assigned_cpus: 100.0,
+        longest_wait_s: 30.0,
+        ..LoadSnapshot::default()
+    }
 }
 
 #[test]
@@ -179,7 +186,7 @@
         plan_spills(&plan, &mine, &[picture(1, 50.0, 60.0)], &waiting, 15.0).is_empty(),
         "who is short takes nothing"
     );
-    let moved = LoadSnapshot { boots: 900.0, ..mine.clone() };
+    let moved = LoadSnapshot { booting_cpus: 900.0, ..mine.clone() };
     assert!(plan_spills(&plan, &moved, &others, &waiting[..1], 5.0).is_empty(), "machines of its own are there sooner");
 }
 
@@ -189,7 +196,7 @@
     let plan = ShardingPlan::of(3);
     let large =
         |waited_s| [SpillCandidate { job: "large", cpus: 44.0, task_cpus: 4.0, waited_s, moves: 0, spot: true }];
-    let (mine, others) = (LoadSnapshot { held: 0.0, ..picture(0, 0.0, 44.0) }, [picture(1, 32.0, 0.0)]);
+    let (mine, others) = (LoadSnapshot { assigned_cpus: 0.0, ..picture(0, 0.0, 44.0) }, [picture(1, 32.0, 0.0)]);
     assert!(plan_spills(&plan, &mine, &others, &large(24.0), 15.0).is_empty(), "it waits for machines of its own");
     assert_eq!(plan_spills(&plan, &mine, &others, &large(25.0), 15.0), [("large", ShardId(1))]);
     assert!(plan_spills(&plan, &mine, &[picture(1, 7.0, 0.0)], &large(25.0), 15.0).is_empty(), "no room for a task");
@@ -245,7 +252,7 @@
     fn a_limit_holds_over_all_cells(steps in steps()) {
         const LIMIT: f64 = 100.0;
         let limits = vec![("red".to_owned(), cpus(LIMIT))];
-        let (mut store, mut version) = (Ledger::begin(&limits, 4, ShardId(0)), 1u64);
+        let (mut store, mut version) = (Ledger::new(&limits, 4, ShardId(0)), 1u64);
         let mut cells = vec![Cell::default(); 4];
         cells[0].believes = LIMIT;
         let share = |l: &Ledger, c: usize| l.share("red", ShardId(c as u32)).unwrap_or_default().cpus;
@@ -263,7 +270,7 @@
                     let given = quota_transfers(ShardId(c as u32), "red", &store, &uses, ShardId(1));
                     let sum: f64 = given.iter().map(|g| g.amount.cpus).sum();
                     if sum > 0.0 {
-                        let next = store.after(&given).expect("its own");
+                        let next = store.apply(&given).expect("its own");
                         // It stops counting on it before the write is sent.
                         let left = share(&next, c);
                         prop_assert!(cells[c].used <= left + 1e-3);
--- a/crates/cells/tests/reassign.rs
+++ b/crates/cells/tests/rebalance.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 fn picture(cell: u32, token: u64, idle: f64, waits: f64) -> LoadSnapshot {
-    LoadSnapshot { cell: ShardId(cell), token, idle, waits, ..LoadSnapshot::default() }
+    LoadSnapshot { shard: ShardId(cell), token, idle_cpus: idle, waiting_cpus: waits, ..LoadSnapshot::default() }
 }
 
 /// A cell that stays short gets what stands idle elsewhere, as far as those machines would obey it; one
@@ -21,22 +21,25 @@
     let plan = ShardingPlan::of(3);
     let (mut leader, none) = (Rebalancer::default(), RebalancePlan::default());
     let all = [picture(0, 10, 64.0, 0.0), picture(1, 20, 0.0, 80.0), picture(2, 30, 96.0, 0.0)];
-    assert!(leader.look(&plan, &all, &none, 1_000).moves.is_empty());
+    assert!(leader.plan_round(&plan, &all, &none, 1_000).moves.is_empty());
     let calm = [all[0].clone(), picture(1, 20, 0.0, 0.0), all[2].clone()];
-    assert!(leader.look(&plan, &calm, &none, 9_000).moves.is_empty());
-    assert!(leader.look(&plan, &all, &none, 11_500).moves.is_empty(), "it was not short in between");
-    let orders = leader.look(&plan, &all, &none, 21_500);
+    assert!(leader.plan_round(&plan, &calm, &none, 9_000).moves.is_empty());
+    assert!(leader.plan_round(&plan, &all, &none, 11_500).moves.is_empty(), "it was not short in between");
+    let orders = leader.plan_round(&plan, &all, &none, 21_500);
     // Cell 2's machines have seen token 30 and would not obey cell 1.
     assert_eq!(orders.moves, [MachineMove { from: ShardId(0), to: ShardId(1), cpus: 64.0 }]);
-    assert!(Rebalancer::default().look(&plan, &all, &none, 21_500).moves.is_empty(), "a successor has seen nothing");
+    assert!(
+        Rebalancer::default().plan_round(&plan, &all, &none, 21_500).moves.is_empty(),
+        "a successor has seen nothing"
+    );
     // Still short after a while, it is worth a claim of its own anew: told for a few looks, then not for long.
-    let asked = |s: u64| leader.look(&plan, &all, &none, s * 1000).moves.iter().any(|m| m.from == ShardId(2));
+    let asked = |s: u64| leader.plan_round(&plan, &all, &none, s * 1000).moves.iter().any(|m| m.from == ShardId(2));
     let said: Vec<bool> = [30, 42, 48, 60, 200, 260].into_iter().map(asked).collect();
     assert_eq!(said, [false, true, true, false, false, true]);
-    assert!(orders.differ(&none, &plan) && !orders.differ(&orders, &plan));
-    assert!(orders.fresh(&plan, 30_000, 1.0) && !orders.fresh(&plan, 40_000, 1.0));
+    assert!(orders.must_be_stored(&none, &plan) && !orders.must_be_stored(&orders, &plan));
+    assert!(orders.is_fresh(&plan, 30_000, 1.0) && !orders.is_fresh(&plan, 40_000, 1.0));
     let later = RebalancePlan { at_ms: 27_000, ..orders.clone() };
-    assert!(later.differ(&orders, &plan), "orders that are to be obeyed are renewed");
+    assert!(later.must_be_stored(&orders, &plan), "orders that are to be obeyed are renewed");
     let token_of = |c: ShardId| Some([10, 20, 30][c.ix()]);
     assert_eq!(next_receiver(ShardId(0), 10, orders.moves.iter(), &[], token_of), Some((ShardId(1), 64.0)));
     let wrong_way = [MachineMove { from: ShardId(2), to: ShardId(1), cpus: 32.0 }];
@@ -45,7 +48,8 @@
     );
     assert!(!must_reacquire(ShardId(1), 20, &orders.moves, token_of));
     assert_eq!(next_receiver(ShardId(0), 25, orders.moves.iter(), &[], token_of), None, "its claim is newer by now");
-    let under_way = MachineTransfer { from: ShardId(0), to: ShardId(1), machines: vec![handed(0)], left: false };
+    let under_way =
+        MachineTransfer { from: ShardId(0), to: ShardId(1), machines: vec![handed(0)], released_by_sender: false };
     assert_eq!(next_receiver(ShardId(0), 10, orders.moves.iter(), &[under_way], token_of), None, "one at a time");
 }
 
@@ -59,9 +63,9 @@
         teams: BTreeMap::from([("red".to_owned(), use_of(10.0, 10.0 + waits))]),
         ..picture(cell, 10, 0.0, waits)
     };
-    let roomy = |cell: u32, room: f64| LoadSnapshot { room, ..picture(cell, 20, 0.0, 0.0) };
+    let roomy = |cell: u32, room: f64| LoadSnapshot { free_cpus: room, ..picture(cell, 20, 0.0, 0.0) };
     let mut leader = Rebalancer::default();
-    let look = |l: &mut Rebalancer, p: &[LoadSnapshot], o: &RebalancePlan, s: u64| l.look(&plan, p, o, s * 1000);
+    let look = |l: &mut Rebalancer, p: &[LoadSnapshot], o: &RebalancePlan, s: u64| l.plan_round(&plan, p, o, s * 1000);
     let (mut orders, tight, wide) =
         (RebalancePlan::default(), [short(0, 100.0), roomy(1, 150.0)], [short(0, 100.0), roomy(1, 300.0)]);
     orders = look(&mut leader, &tight, &orders, 1);
@@ -119,7 +123,7 @@
     machine_groups: Vec<BTreeSet<String>>,
     hands: BTreeMap<String, (MachineTransfer, u64)>,
     revision: u64,
-    owners: Vec<Owner>,
+    leaders: Vec<Owner>,
     late: Vec<Write>,
 }
 
@@ -146,7 +150,7 @@
         for c in 0..CELLS {
             w.machine_groups.push((0..MACHINES).filter(|m| m % CELLS == c).map(|m| handed(m).machine).collect());
             w.claims.push(0);
-            w.owners.push(Owner::default());
+            w.leaders.push(Owner::default());
         }
         (0..CELLS).for_each(|c| w.ends(c));
         w
@@ -156,7 +160,7 @@
         self.revision += 1;
         self.claims[c] = self.revision;
         let away: BTreeSet<String> = self.names(|h| h.from.ix() == c);
-        self.owners[c] = Owner {
+        self.leaders[c] = Owner {
             token: self.revision,
             own: self.machine_groups[c].difference(&away).cloned().collect(),
             named: self.machine_groups[c].intersection(&away).cloned().collect(),
@@ -181,7 +185,7 @@
 
     fn look(&mut self, c: usize, fresh: bool) {
         let (cell, hands) = (ShardId(c as u32), self.hands.clone());
-        let o = &mut self.owners[c];
+        let o = &mut self.leaders[c];
         if fresh {
             o.seen = hands;
         }
@@ -212,24 +216,28 @@
         let begins = o.chosen.iter().find_map(|(m, to)| {
             let k = key(cell, ShardId(*to as u32));
             let version = match o.seen.get(&k) {
-                Some((h, _)) if !h.over() => return None,
+                Some((h, _)) if !h.is_complete() => return None,
                 Some((_, v)) => *v,
                 None => 0,
             };
             let machines = vec![TransferredMachine { machine: m.clone(), ..handed(0) }];
-            Some((k, version, MachineTransfer { from: cell, to: ShardId(*to as u32), machines, left: false }))
+            Some((
+                k,
+                version,
+                MachineTransfer { from: cell, to: ShardId(*to as u32), machines, released_by_sender: false },
+            ))
         });
         o.sent = next.or(begins).map(|(key, version, value)| Write { cell: c, token: o.token, key, version, value });
     }
 
     /// The write is through: what stands is read before anything else.
     fn settled(&mut self, c: usize, stored: Option<bool>) {
-        let Some(w) = self.owners[c].sent.take() else { return };
-        self.owners[c].seen = self.hands.clone();
+        let Some(w) = self.leaders[c].sent.take() else { return };
+        self.leaders[c].seen = self.hands.clone();
         let stands = self.hands.get(&w.key).map(|h| h.0.machines.clone()).unwrap_or_default();
-        if stored == Some(false) && !w.value.left && w.value.from.ix() == c {
+        if stored == Some(false) && !w.value.released_by_sender && w.value.from.ix() == c {
             for m in w.value.machines.iter().filter(|m| !stands.contains(m)) {
-                self.owners[c].chosen.remove(&m.machine);
+                self.leaders[c].chosen.remove(&m.machine);
             }
         }
         self.look(c, true);
@@ -238,8 +246,8 @@
     fn step(&mut self, s: &Step) {
         match *s {
             Step::Choose(c, n, to) => {
-                let higher = to != c && self.claims[to] > self.owners[c].token;
-                let o = &mut self.owners[c];
+                let higher = to != c && self.claims[to] > self.leaders[c].token;
+                let o = &mut self.leaders[c];
                 let bare = |m: &&String| !o.arriving.contains(*m) && !o.chosen.contains_key(*m);
                 let m = o.own.iter().filter(bare).nth(n).cloned();
                 if let (Some(m), true) = (m, higher) {
@@ -248,17 +256,17 @@
             }
             Step::Look(c, fresh) => self.look(c, fresh),
             Step::Record(c) => {
-                self.machine_groups[c] = self.owners[c].own.clone();
-                self.owners[c].named.clear();
+                self.machine_groups[c] = self.leaders[c].own.clone();
+                self.leaders[c].named.clear();
             }
             Step::Arrives(c) => {
-                if let Some(w) = self.owners[c].sent.clone() {
+                if let Some(w) = self.leaders[c].sent.clone() {
                     let stored = self.apply(&w);
                     self.settled(c, Some(stored));
                 }
             }
             Step::Unanswered(c) => {
-                if let Some(w) = self.owners[c].sent.clone() {
+                if let Some(w) = self.leaders[c].sent.clone() {
                     self.apply(&w);
                     // It goes again, and finds that something has changed.
                     let again = self.apply(&w);
@@ -266,7 +274,7 @@
                 }
             }
             Step::Later(c) => {
-                if let Some(w) = self.owners[c].sent.clone() {
+                if let Some(w) = self.leaders[c].sent.clone() {
                     self.late.push(w.clone());
                     let stored = self.apply(&w);
                     self.settled(c, stored.then_some(true));
@@ -320,7 +328,7 @@
             for m in (0..MACHINES).map(|m| handed(m).machine) {
                 let whose: Vec<usize> = (0..CELLS).filter(|c| own[*c].contains(&m)).collect();
                 prop_assert_eq!(whose.len(), 1, "{} is of {:?} after {:?}", m, whose, s);
-                let uses = |c: &usize| w.owners[*c].own.contains(&m) && !w.owners[*c].chosen.contains_key(&m);
+                let uses = |c: &usize| w.leaders[*c].own.contains(&m) && !w.leaders[*c].chosen.contains_key(&m);
                 let users: Vec<usize> = (0..CELLS).filter(uses).collect();
                 prop_assert!(users.len() <= 1, "{} is used by {:?} after {:?}", m, users, s);
             }
@@ -331,8 +339,8 @@
             w.step(&Step::Arrives(c));
             w.step(&Step::Record(c));
         }
-        prop_assert!(w.hands.values().all(|h| h.0.over()), "{:?}", w.hands);
-        let none: usize = w.owners.iter().map(|o| o.chosen.len()).sum();
+        prop_assert!(w.hands.values().all(|h| h.0.is_complete()), "{:?}", w.hands);
+        let none: usize = w.leaders.iter().map(|o| o.chosen.len()).sum();
         prop_assert_eq!(none, 0);
     }
 }
--- a/crates/cells/tests/spill.rs
+++ b/crates/cells/tests/spill.rs
@@ -11,7 +11,14 @@
 /// A cell in which more waits than there is room for, though some of the room is of no use to what waits.
 fn short(cell: u32, on_demand: f64, any_kind: f64) -> LoadSnapshot {
     let unusable = UnusableCapacity { on_demand, any_kind };
-    LoadSnapshot { cell: ShardId(cell), room: 40.0, waits: 48.0, longest_s: 120.0, unusable, ..LoadSnapshot::default() }
+    LoadSnapshot {
+        shard: ShardId(cell),
+        free_cpus: 40.0,
+        waiting_cpus: 48.0,
+        longest_wait_s: 120.0,
+        unusable_capacity: unusable,
+        ..LoadSnapshot::default()
+    }
 }
 
 fn waiting(job: &'static str, waited_s: f64, spot: bool) -> SpillCandidate<&'static str> {
@@ -19,7 +26,7 @@
 }
 
 fn goes(others: &[LoadSnapshot], waiting: &[SpillCandidate<&'static str>]) -> Vec<(&'static str, ShardId)> {
-    let mine = LoadSnapshot { waits: 44.0, ..LoadSnapshot::default() };
+    let mine = LoadSnapshot { waiting_cpus: 44.0, ..LoadSnapshot::default() };
     plan_spills(&ShardingPlan::of(3), &mine, others, waiting, BOOT_S)
 }
 
--- a/crates/histories/src/history.rs
+++ b/crates/histories/src/history.rs
@@ -33,8 +33,8 @@
     }
 
     /// A job waits for others: it may be cancelled with one of them.
-    pub fn needs(&mut self, id: &str, needs: &[String]) {
-        self.job(id).needs = needs.to_vec();
+    pub fn dependencies(&mut self, id: &str, dependencies: &[String]) {
+        self.job(id).dependencies = dependencies.to_vec();
     }
 
     /// A request is about to be sent to a controller.
@@ -70,7 +70,7 @@
             if next != id && job.may_be_cancelled() {
                 return true;
             }
-            open.extend(job.needs.iter().map(String::as_str));
+            open.extend(job.dependencies.iter().map(String::as_str));
         }
         false
     }
--- a/crates/histories/src/job.rs
+++ b/crates/histories/src/job.rs
@@ -57,7 +57,7 @@
     /// All its tasks are done, as the machines see it.
     pub(crate) tasks_done: bool,
     /// Jobs that have to be done before it starts.
-    pub(crate) needs: Vec<String>,
+    pub(crate) dependencies: Vec<String>,
 }
 
 impl JobHistory {
--- a/crates/histories/tests/rules.rs
+++ b/crates/histories/tests/rules.rs
@@ -115,15 +115,15 @@
 fn a_job_is_cancelled_with_what_it_needs() {
     let chain = || {
         let mut h = accepted();
-        h.needs(JOB, &["req-0002".to_owned()]);
-        h.needs("req-0002", &["req-0003".to_owned()]);
+        h.dependencies(JOB, &["req-0002".to_owned()]);
+        h.dependencies("req-0002", &["req-0003".to_owned()]);
         h
     };
     assert_eq!(poll(&mut chain(), Cancelled), Some(Rule::WentBack), "nobody cancelled any of them");
-    for need in ["req-0002", "req-0003"] {
+    for dependency in ["req-0002", "req-0003"] {
         let mut h = chain();
-        let _pending = h.sent(need, 0, Request::Cancel);
-        assert_eq!(poll(&mut h, Cancelled), None, "with {need}");
+        let _pending = h.sent(dependency, 0, Request::Cancel);
+        assert_eq!(poll(&mut h, Cancelled), None, "with {dependency}");
         assert_eq!(poll(&mut h, Running), Some(Rule::WentBack));
     }
     // A need that is done dooms nothing.
--- a/crates/model/src/elections.rs
+++ b/crates/model/src/elections.rs
@@ -11,8 +11,8 @@
 use lupinspur_wire::Mutation;
 
 /// How often an owner renews its lease, and how often whoever may not act tries.
-const RENEW_EVERY_S: f64 = 0.8;
-const RETRY_EVERY_S: f64 = 0.15;
+const RENEW_INTERVAL_S: f64 = 0.8;
+const RETRY_INTERVAL_S: f64 = 0.15;
 
 /// A process that goes on after a pause reads what came meanwhile in any order, within this.
 const AFTER_PAUSE_S: f64 = 0.4;
@@ -144,7 +144,7 @@
     fn renew(&mut self, i: usize, c: usize) {
         let now = self.now;
         let held = &self.nodes[i].cells[c];
-        let every = if held.own.valid_token(now).is_some() { RENEW_EVERY_S } else { RETRY_EVERY_S };
+        let every = if held.own.valid_token(now).is_some() { RENEW_INTERVAL_S } else { RETRY_INTERVAL_S };
         let Some(lease) = held.own.lease() else { return };
         if held.claim.renewing || now - held.claim.renewed_at < every {
             return;
--- a/crates/model/src/late_reports.rs
+++ b/crates/model/src/late_reports.rs
@@ -5,7 +5,7 @@
 use lupinspur_wire::Heartbeat;
 
 /// Copies that are kept at most.
-const MOST_KEPT: usize = 200;
+const MAX_KEPT: usize = 200;
 /// They arrive within so many seconds of the leader's beginning.
 const WITHIN_S: f64 = 0.5;
 
@@ -20,7 +20,7 @@
     /// A copy of half of the reports is kept while the trouble lasts.
     pub(crate) fn keep_report(&mut self, report: &Heartbeat) {
         let lasts = self.now < self.spells.copies_for_next_leader;
-        if lasts && self.late_reports.kept.len() < MOST_KEPT && self.chance.bool() {
+        if lasts && self.late_reports.kept.len() < MAX_KEPT && self.chance.bool() {
             self.late_reports.kept.push(report.clone());
         }
     }
--- a/crates/model/src/observer.rs
+++ b/crates/model/src/observer.rs
@@ -267,7 +267,7 @@
     pub(crate) fn observe_loss(&mut self, machine: usize) {
         let tasks = self.machines[machine].tasks.iter().filter(|(_, t)| matches!(t.state, State::Runs(_)));
         let ids: BTreeSet<&str> = tasks.map(|(n, _)| job_of(n)).collect();
-        let one_zone = ids.into_iter().filter(|id| self.jobs.get(*id).is_some_and(|j| j.spec.one_zone)).count();
+        let one_zone = ids.into_iter().filter(|id| self.jobs.get(*id).is_some_and(|j| j.spec.zone_affinity)).count();
         self.counts.coincidences.one_zone_jobs_losing_machine += one_zone as u64;
     }
 }
--- a/crates/model/src/odd_requests.rs
+++ b/crates/model/src/odd_requests.rs
@@ -11,7 +11,7 @@
 use serde_json::{Value, json};
 
 /// One odd request comes every so many steps.
-const EVERY_STEPS: u64 = 10;
+const STEPS_BETWEEN_REQUESTS: u64 = 10;
 
 /// A submission that has to be refused.
 #[derive(Debug, Clone, Copy)]
@@ -94,7 +94,7 @@
     }
 
     pub(crate) fn step_odd_requests(&mut self, steps: u64) {
-        if self.now >= self.spells.odd_requests || !steps.is_multiple_of(EVERY_STEPS) {
+        if self.now >= self.spells.odd_requests || !steps.is_multiple_of(STEPS_BETWEEN_REQUESTS) {
             return;
         }
         self.counts.coincidences.odd_requests += 1;
--- a/crates/model/src/pipelines.rs
+++ b/crates/model/src/pipelines.rs
@@ -9,7 +9,7 @@
 
 /// How often an owner looks up needs that nobody has told of, and how long after its takeover it has read those that
 /// the checkpoint does not have.
-const LOOK_UP_EVERY_S: f64 = 1.0;
+const LOOKUP_INTERVAL_S: f64 = 1.0;
 const NEEDS_READ_AFTER_S: f64 = 0.6;
 /// A need was accepted at least so long before.
 const ACCEPTED_BEFORE_S: f64 = 1.0;
@@ -31,17 +31,17 @@
         if earlier.is_empty() {
             return;
         }
-        let need = earlier[self.pipeline_draws.usize(0..earlier.len())].clone();
-        if let Some(j) = self.jobs.get_mut(&need) {
+        let dependency = earlier[self.pipeline_draws.usize(0..earlier.len())].clone();
+        if let Some(j) = self.jobs.get_mut(&dependency) {
             j.needed = true;
         }
-        job.spec.needs = Some(vec![need]);
+        job.spec.dependencies = Some(vec![dependency]);
     }
 
     /// Is all that this job needs done, as the machines have it?
     pub(crate) fn dependencies_are_done(&self, job: &Job) -> bool {
-        let done = |need: &String| self.jobs.get(need).is_some_and(job_done);
-        job.spec.needs.iter().flatten().all(done)
+        let done = |dependency: &String| self.jobs.get(dependency).is_some_and(job_done);
+        job.spec.dependencies.iter().flatten().all(done)
     }
 
     /// Notes since when jobs wait for no other any more.
@@ -61,13 +61,13 @@
         let now = self.now;
         let held = &mut self.nodes[node].cells[cell];
         let Some(shard) = held.shard.as_mut() else { return };
-        if now - shard.began_at < NEEDS_READ_AFTER_S || now - held.dependencies_read_at < LOOK_UP_EVERY_S {
+        if now - shard.began_at < NEEDS_READ_AFTER_S || now - held.dependencies_read_at < LOOKUP_INTERVAL_S {
             return;
         }
         held.dependencies_read_at = now;
-        let needs: BTreeSet<String> =
+        let dependencies: BTreeSet<String> =
             shard.unread_dependencies().into_iter().chain(shard.dependencies_to_look_up()).collect();
-        for id in needs {
+        for id in dependencies {
             let Some((value, version)) = self.store.keys.get(&job_key(&id)) else { continue };
             let record: JobRecord = serde_json::from_value(value.clone()).expect("a record");
             if concerns(cell, &record) {
@@ -84,8 +84,8 @@
         let Some(shard) = self.nodes[node].cells[cell].shard.as_ref() else { return };
         let unread: BTreeSet<String> = shard.unread_dependencies().into_iter().collect();
         let waits = |id: &str| {
-            let needs = self.jobs.get(id).and_then(|j| j.spec.needs.as_ref());
-            needs.is_some_and(|needs| needs.iter().any(|need| unread.contains(need)))
+            let dependencies = self.jobs.get(id).and_then(|j| j.spec.dependencies.as_ref());
+            dependencies.is_some_and(|dependencies| dependencies.iter().any(|dependency| unread.contains(dependency)))
         };
         let now = self.now;
         let tasks = self.machines.iter().flat_map(|m| m.tasks.keys().filter(move |task| m.holds(task, now)));
--- a/crates/model/src/rules.rs
+++ b/crates/model/src/rules.rs
@@ -45,13 +45,13 @@
             };
             let zone = self.machines[i].zone;
             let (here, everywhere) = (on(Some(zone)), on(None));
-            if spec.spread && here > (spec.tasks as usize).div_ceil(2) {
+            if spec.zone_anti_affinity && here > (spec.tasks as usize).div_ceil(2) {
                 self.breaks(format!("wrong_place: {id} is not spread"));
             }
             if spec.zone.as_ref().is_some_and(|z| z != ZONES[zone]) {
                 self.breaks(format!("wrong_place: {task} in zone {}", ZONES[zone]));
             }
-            if spec.one_zone && here < everywhere {
+            if spec.zone_affinity && here < everywhere {
                 self.breaks(format!("wrong_place: {id} is in more than one zone"));
             }
             let limit = self.params.teams.iter().find(|t| t.name == spec.team).map_or(0.0, |t| t.cpus_max);
@@ -73,7 +73,7 @@
         let held = self.nodes.iter().flat_map(|n| &n.cells);
         let mut shards = held.filter(|h| h.own.valid_token(self.now).is_some()).filter_map(|h| h.shard.as_ref());
         let Some(s) = shards.find(|s| s.jobs.find(id).is_some()) else {
-            return format!("no owner knows it; {:?}", self.store.job(id).map(|r| (r.cell, r.phase)));
+            return format!("no owner knows it; {:?}", self.store.job(id).map(|r| (r.shard, r.phase)));
         };
         let Some(j) = s.jobs.find(id) else { return "the owner does not know it".into() };
         let shares = self.store.read::<Ledger>(LEDGER_KEY).map(|l| l.0.teams);
--- a/crates/model/src/shard_exchange.rs
+++ b/crates/model/src/shard_exchange.rs
@@ -37,7 +37,7 @@
 
 /// Does a record concern this cell?
 pub(crate) fn concerns(c: usize, r: &JobRecord) -> bool {
-    r.phase != Phase::Open || r.cell.unwrap_or(0) as usize == c
+    r.phase != Phase::Open || r.shard.unwrap_or(0) as usize == c
 }
 
 pub(crate) fn shared(key: &str) -> bool {
@@ -81,7 +81,7 @@
             return None;
         }
         let r = self.store.job(id)?;
-        let c = r.cell.unwrap_or(0) as usize;
+        let c = r.shard.unwrap_or(0) as usize;
         self.nodes[node].job_cells.insert(id.to_owned(), c);
         Some(c)
     }
@@ -120,7 +120,7 @@
         if !looked.iter().all(|l| *l) {
             return None;
         }
-        let first = self.plan.cell_of_stranger(machine).ix();
+        let first = self.plan.shard_of_unknown(machine).ix();
         let n = &mut self.nodes[node];
         let obeyed = |c: &usize| n.cells[*c].own.observed_version().is_some_and(|v| v >= token);
         let c = Some(first).filter(&obeyed).or_else(|| (0..cells).find(&obeyed))?;
@@ -137,7 +137,7 @@
         n.seen_at = self.now;
         n.seen = Seen {
             ledger: self.store.read(LEDGER_KEY),
-            pictures: pictures.into_iter().map(|(_, p, _)| (p.cell.ix(), p)).collect(),
+            pictures: pictures.into_iter().map(|(_, p, _)| (p.shard.ix(), p)).collect(),
             orders: self.store.read(ORDERS_KEY).unwrap_or_default(),
             hands: hands.into_iter().map(|(k, h, v)| (k, (h, v))).collect(),
         };
@@ -192,13 +192,13 @@
         let claim = (self.leadership_key(c), token);
         self.store.commit(std::slice::from_ref(&claim), &[put(&format!("{PICTURES}{c}"), &mine)], None);
         self.see(i);
-        let fresh = |p: &&LoadSnapshot| p.cell != cell && p.fresh(mine.at_ms, self.plan.picture_s, 0.0);
+        let fresh = |p: &&LoadSnapshot| p.shard != cell && p.is_fresh(mine.at_ms, self.plan.picture_s, 0.0);
         let others: Vec<LoadSnapshot> = self.nodes[i].seen.pictures.values().filter(fresh).cloned().collect();
         if let Some((ledger, _)) = self.nodes[i].seen.ledger.clone() {
             let mut all = Vec::new();
             for team in ledger.teams.keys() {
                 let of = |x: usize| -> Option<QuotaUse> {
-                    let p = if x == c { &mine } else { others.iter().find(|p| p.cell.ix() == x)? };
+                    let p = if x == c { &mine } else { others.iter().find(|p| p.shard.ix() == x)? };
                     Some(p.teams.get(team).copied().unwrap_or_default())
                 };
                 let uses: Vec<Option<QuotaUse>> = (0..self.cells).map(of).collect();
@@ -217,8 +217,8 @@
             let team = s.team_name(team).to_owned();
             let spare = |own: Amount| {
                 let used = s.limit_usage().into_iter().find(|u| u.0 == team).map_or(own, |u| u.1);
-                let spare = own.less(used);
-                Amount::new(takes.cpus.min(spare.cpus), takes.cards.min(spare.cards))
+                let spare = own.minus(used);
+                Amount::new(takes.cpus.min(spare.cpus), takes.accelerators.min(spare.accelerators))
             };
             let amount = ledger.share(&team, cell).map(spare);
             let gift = |amount| QuotaTransfer { team: team.clone(), from: cell, to, amount };
@@ -253,7 +253,7 @@
     ) {
         let (now, cell, teams) = (self.now, ShardId(c as u32), self.params.teams.clone());
         let Some((ledger, version)) = self.nodes[i].seen.ledger.clone() else { return };
-        let Some(next) = ledger.after(given) else { return };
+        let Some(next) = ledger.apply(given) else { return };
         let Some(s) = self.nodes[i].acting(c, now) else { return };
         if s.limit_usage().iter().all(|(t, u)| next.share(t, cell).is_none_or(|left| u.fits(left))) {
             s.set_limit_shares(&teams, &next, cell);
@@ -272,8 +272,8 @@
         if h.leader.0 != token {
             h.leader = (token, Rebalancer::default());
         }
-        let next = h.leader.1.look(&self.plan, &all, &stored, mine.at_ms);
-        if next.differ(&stored, &self.plan) {
+        let next = h.leader.1.plan_round(&self.plan, &all, &stored, mine.at_ms);
+        if next.must_be_stored(&stored, &self.plan) {
             self.counts.homes += u64::from(next.homes != stored.homes);
             self.surely(
                 vec![(self.leadership_key(0), token), (ORDERS_KEY.into(), version)],
@@ -285,7 +285,7 @@
     pub(crate) fn hand_over(&mut self, i: usize, c: usize, token: u64, now_ms: u64) {
         let (now, cell) = (self.now, ShardId(c as u32));
         let seen = self.nodes[i].seen.clone();
-        let fresh = seen.orders.0.fresh(&self.plan, now_ms, 0.0);
+        let fresh = seen.orders.0.is_fresh(&self.plan, now_ms, 0.0);
         let moves = if fresh { seen.orders.0.moves.clone() } else { Vec::new() };
         let token_of = |c: ShardId| seen.pictures.get(&c.ix()).map(|p| p.token);
         if must_reacquire(cell, token, &moves, token_of) {
@@ -303,11 +303,18 @@
         for (to, machines) in chosen {
             let key = machine_transfer::key(cell, to);
             let version = match seen.hands.get(&key) {
-                Some((h, _)) if !h.over() => continue,
+                Some((h, _)) if !h.is_complete() => continue,
                 Some((_, v)) => *v,
                 None => 0,
             };
-            self.put_handover(i, c, token, &key, version, MachineTransfer { from: cell, to, machines, left: false });
+            self.put_handover(
+                i,
+                c,
+                token,
+                &key,
+                version,
+                MachineTransfer { from: cell, to, machines, released_by_sender: false },
+            );
         }
         for (key, (h, version)) in seen.hands {
             let Some(s) = self.nodes[i].acting(c, now) else { return };
@@ -326,7 +333,7 @@
         let conditions = vec![(self.leadership_key(c), token), (key.to_owned(), version)];
         let stored = self.surely(conditions, vec![put(key, &h)]);
         let stands = self.store.read::<MachineTransfer>(key);
-        let begins = h.from.ix() == c && !h.left;
+        let begins = h.from.ix() == c && !h.released_by_sender;
         self.counts.handed += if begins && stored == Some(true) { h.machines.len() as u64 } else { 0 };
         if begins && stored == Some(false) {
             let stands = stands.as_ref().map(|s| s.0.machines.clone()).unwrap_or_default();
--- a/crates/model/src/spells.rs
+++ b/crates/model/src/spells.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 
 /// Machines of cancelled jobs that hang, at most.
-const MOST_HANGING: usize = 8;
+const MAX_HANGING: usize = 8;
 /// Users who cancel together do it within so many seconds.
 const CANCEL_WITHIN_S: f64 = 0.2;
 /// A job that ends is cancelled within so many seconds: before its owner hears of the end, while that is stored, and
@@ -68,7 +68,7 @@
         }
         let of_them = |task: &String| task.split('/').next().is_some_and(|id| running.iter().any(|r| r == id));
         let theirs = self.machines.iter_mut().filter(|m| m.tasks.keys().any(of_them));
-        theirs.take(MOST_HANGING).for_each(|m| m.hangs = hang_until);
+        theirs.take(MAX_HANGING).for_each(|m| m.hangs = hang_until);
     }
 
     /// Jobs of which a task runs somewhere.
--- a/crates/model/src/users.rs
+++ b/crates/model/src/users.rs
@@ -193,7 +193,7 @@
                 }
                 let mut record = JobRecord::accepted(job.spec.clone(), (now * 1000.0) as u64);
                 if self.cells > 1 {
-                    record.cell = Some(n.seen.orders.0.home(&self.plan, &job.spec.team).0);
+                    record.shard = Some(n.seen.orders.0.home(&self.plan, &job.spec.team).0);
                 }
                 let value = serde_json::to_value(&record).expect("a record");
                 let change = Mutation::Put { key: job_key(&id), value, lease: None };
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -43,8 +43,8 @@
         name: t.name.clone(),
         cpus: t.cpus,
         cpus_max: t.cpus_max,
-        cards: 0.0,
-        cards_max: 0.0,
+        accelerators: 0.0,
+        accelerators_max: 0.0,
     };
     let mut terms = HashMap::new();
     let done = vec![CompletionObjective::Deadline(1.5), CompletionObjective::Within(120.0)];
@@ -172,7 +172,7 @@
         }
         if cells > 1 {
             // As when the plan came into force, before anything ran.
-            let ledger = Ledger::begin(&team_limits_by_name(&w.params.teams), cells as u32, ShardId(0));
+            let ledger = Ledger::new(&team_limits_by_name(&w.params.teams), cells as u32, ShardId(0));
             w.store.commit(&[], &[put(LEDGER_KEY, &ledger)], None);
         }
         for i in 0..scenario.machines {
@@ -292,8 +292,8 @@
         let cell = which.wrapping_sub(LEADER);
         if cell < self.cells {
             let owns = |n: &Node| n.cells[cell].valid_token(self.now).is_some();
-            let owner = self.nodes.iter().position(owns).unwrap_or(self.struck_leader);
-            self.struck_leader = owner;
+            let leader = self.nodes.iter().position(owns).unwrap_or(self.struck_leader);
+            self.struck_leader = leader;
         }
         if cell < self.cells || which == SAME_LEADER { self.struck_leader } else { which % self.controllers }
     }
--- a/crates/model/tests/all_machines_die.rs
+++ b/crates/model/tests/all_machines_die.rs
@@ -10,7 +10,7 @@
 const JOBS_FOR_S: f64 = 45.0;
 const DIE_AT_S: f64 = 20.0;
 /// A machine that is missed and another that is rented take at least so long.
-const LEAST_WAIT_S: f64 = 5.0;
+const MIN_WAIT_S: f64 = 5.0;
 
 /// The machines that there are have room for all jobs: nothing is rented before they die.
 fn few_jobs(cells: u32) -> Scenario {
@@ -30,7 +30,7 @@
     for run in runs {
         assert_eq!((&run.broken, run.begun), (&None, run.jobs), "seed {}", run.seed);
     }
-    let waited = |run: &&Run| run.waits.is_some_and(|[.., longest]| longest > LEAST_WAIT_S);
+    let waited = |run: &&Run| run.waits.is_some_and(|[.., longest]| longest > MIN_WAIT_S);
     let waited = runs.iter().filter(waited).count();
     assert!(waited * 2 > runs.len(), "jobs had to wait in {waited} of {} runs", runs.len());
 }
--- a/crates/model/tests/close_looks.rs
+++ b/crates/model/tests/close_looks.rs
@@ -104,7 +104,7 @@
 
 /// An owner that acts past its lease tells what was before: seen through answers alone.
 #[test]
-fn an_owner_that_answers_past_its_lease_is_seen() {
+fn a_leader_that_answers_past_its_lease_is_seen() {
     let still = trouble(CHANGE_AT_S, Kind::StandsStill, LEADER, 8.0);
     for cells in CELLS {
         let broken = |seed| play(&busy(cells), seed, &[looks(), still], Some(Wrong::ActsPastLease)).broken;
--- a/crates/model/tests/meetings.rs
+++ b/crates/model/tests/fault_combinations.rs
@@ -143,7 +143,7 @@
 
 /// Reports of before reach every controller while a new leader begins.
 #[test]
-fn late_reports_reach_a_new_leader() {
+fn late_heartbeats_reach_a_new_leader() {
     let copies = at(5.0, Kind::Copies, 0, 40.0);
     let troubles = [copies, at(25.0, Kind::Ends, LEADER, 10.0), at(24.8, Kind::CancelServices, 0, 2.0)];
     let evidence = mostly(signs![takeovers >= 1, overtaken_reports >= 20]).sometimes(signs![copies_to_new_leader >= 1]);
@@ -153,7 +153,7 @@
 /// Reports of before reach a new leader, and the machines that sent them are cut off. What began there since is not in
 /// them. So many machines are cut off that the leader takes none of them for gone before their leases end.
 #[test]
-fn late_reports_of_machines_that_are_cut_off() {
+fn late_heartbeats_of_machines_that_are_cut_off() {
     let copies = at(1.0, Kind::CopiesForNextLeader, 0, 8.0);
     let cut = [0, 1].map(|zone| at(19.0, Kind::CutZone, zone, 18.0));
     let troubles = with(vec![copies, at(20.0, Kind::Ends, LEADER, 40.0)], cut);
--- a/crates/model/tests/meetings_machines.rs
+++ b/crates/model/tests/fault_combinations_machines.rs
@@ -119,7 +119,7 @@
 
 /// Copies of reports reach every controller just as a new leader begins, also from an earlier session or attempt.
 #[test]
-fn copies_of_reports_for_the_next_leader() {
+fn copies_of_heartbeats_for_the_next_leader() {
     let evidence = mostly(signs![
         takeovers >= 2,
         copies_to_new_leader >= 5,
@@ -140,7 +140,7 @@
 /// Old reports, of an earlier session or attempt, come seconds to more than a lease late; machines are lost and
 /// return in the meantime.
 #[test]
-fn old_reports_after_newer_ones() {
+fn old_heartbeats_after_newer_ones() {
     let evidence = mostly(signs![takeovers >= 1, overtaken_reports >= 5, reports_of_earlier_session >= 1]);
     meets(small, evidence, |rng| {
         let mut troubles = vec![trouble(BEGINS_S - 10.0, Kind::Copies, 0, 50.0)];
--- a/crates/model/tests/kinds.rs
+++ b/crates/model/tests/kinds.rs
@@ -12,7 +12,7 @@
 /// Seeds that are played without the fault.
 const SEEDS: u64 = 4;
 /// Seeds that are played with it, until the wrong decision is seen.
-const MOST_SEEDS: u64 = 12;
+const MAX_SEEDS: u64 = 12;
 
 /// A wrong decision that is seen only where a kind of fault strikes.
 struct Case {
@@ -197,7 +197,7 @@
     let without = first_seen(case, SEEDS, &case.context);
     assert_eq!(without, None, "{wrong:?} is seen as {rule:?} without {kind:?}");
     let all = [case.context.as_slice(), &case.faults].concat();
-    let Some(seed) = first_seen(case, MOST_SEEDS, &all) else {
+    let Some(seed) = first_seen(case, MAX_SEEDS, &all) else {
         panic!("{wrong:?} is not seen as {rule:?} with {kind:?}")
     };
     let right = play(&case.scenario, seed, &all, None).broken;
--- a/crates/model/tests/handing.rs
+++ b/crates/model/tests/machine_transfers.rs
@@ -16,7 +16,7 @@
 const PLAYED_S: f64 = 120.0;
 
 fn params() -> Params {
-    let team = Team { name: "red".into(), cpus: 0.0, cpus_max: 0.0, cards: 0.0, cards_max: 0.0 };
+    let team = Team { name: "red".into(), cpus: 0.0, cpus_max: 0.0, accelerators: 0.0, accelerators_max: 0.0 };
     Params {
         teams: vec![team],
         zones: vec!["a".into(), "b".into(), "c".into()],
--- a/crates/model/tests/refused_leader.rs
+++ b/crates/model/tests/refused_leader.rs
@@ -73,7 +73,7 @@
 /// An owner that acts past its lease keeps the tasks of cancelled jobs in its zone alive, and tells users
 /// who reach it that they run; over one cell as over three.
 #[test]
-fn an_owner_that_acts_past_its_lease_is_seen() {
+fn a_leader_that_acts_past_its_lease_is_seen() {
     let cut = at(30.0, Kind::CutZoneWithController, SAME_LEADER, LONG_OUTAGE_S);
     let out_of_reach = with(refused_then_down(), [cut]);
     let only_answers = machines(30.0, Kind::DeafToCommands, LONG_OUTAGE_S + 10.0);
--- a/crates/recovery/benches/takeover.rs
+++ b/crates/recovery/benches/takeover.rs
@@ -20,13 +20,13 @@
 
 fn takeover(c: &mut Criterion) {
     let mut w = Writer::new(16 * 1024, 0.0);
-    (0..OPEN).for_each(|i| w.opened(&format!("req-{i:06}")));
+    (0..OPEN).for_each(|i| w.on_opened(&format!("req-{i:06}")));
     let mut stored: BTreeMap<String, Value> = BTreeMap::new();
-    while w.due(10, 10, 100.0) {
+    while w.is_due(10, 10, 100.0) {
         let number = |id: &str| id.trim_start_matches("req-").parse().unwrap_or(0);
-        let Some(p) = w.next(10, 100.0, |id| Some((1, record(number(id), "open")))) else { break };
+        let Some(p) = w.next_value(10, 100.0, |id| Some((1, record(number(id), "open")))) else { break };
         stored.insert(p.key.clone(), p.value);
-        w.applied(&p.key);
+        w.on_applied(&p.key);
     }
     let texts: Vec<(String, String)> = stored.iter().map(|(k, v)| (k.clone(), v.to_string())).collect();
     let mut g = c.benchmark_group("takeover");
--- a/crates/recovery/src/safe_revision.rs
+++ b/crates/recovery/src/safe_revision.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Default)]
 pub struct SafeRevision {
     watched: u64,
-    sent: HashMap<String, u64>,
+    on_end_sent: HashMap<String, u64>,
 }
 
 impl SafeRevision {
@@ -25,16 +25,16 @@
     }
 
     /// The end of this record was sent, for the first time or again.
-    pub fn sent(&mut self, id: &str) {
-        self.sent.entry(id.to_owned()).or_insert(self.watched);
+    pub fn on_end_sent(&mut self, id: &str) {
+        self.on_end_sent.entry(id.to_owned()).or_insert(self.watched);
     }
 
     /// Its end is stored, and known here.
-    pub fn settled(&mut self, id: &str) {
-        self.sent.remove(id);
+    pub fn on_end_settled(&mut self, id: &str) {
+        self.on_end_sent.remove(id);
     }
 
     pub fn revision(&self) -> u64 {
-        self.sent.values().copied().fold(self.watched, u64::min)
+        self.on_end_sent.values().copied().fold(self.watched, u64::min)
     }
 }
--- a/crates/recovery/src/writer.rs
+++ b/crates/recovery/src/writer.rs
@@ -108,14 +108,14 @@
     }
 
     /// A record is open: it belongs into the checkpoint.
-    pub fn opened(&mut self, id: &str) {
+    pub fn on_opened(&mut self, id: &str) {
         if !self.place.contains_key(id) {
             self.fresh.insert(id.to_owned());
         }
     }
 
     /// A record is over, and that is stored.
-    pub fn ended(&mut self, id: &str) {
+    pub fn on_ended(&mut self, id: &str) {
         self.fresh.remove(id);
         if let Some((n, i)) = self.place.remove(id)
             && let Some(c) = self.chunks.get_mut(&n)
@@ -131,15 +131,15 @@
         self.place.len() + self.fresh.len()
     }
 
-    fn behind(&self, revision: u64) -> u64 {
+    fn changes_behind(&self, revision: u64) -> u64 {
         self.head.map_or(u64::MAX, |h| revision.saturating_sub(h.at))
     }
 
     /// Is a put wanted now? `known`: a revision up to which every change is known here;
     /// `revision`: the newest that was seen. A round that is under way goes on.
-    pub fn due(&self, known: u64, revision: u64, now: f64) -> bool {
+    pub fn is_due(&self, known: u64, revision: u64, now: f64) -> bool {
         let waited = now - self.began_at;
-        let enough = self.behind(revision) >= CHANGES_PER_ROUND || waited >= SECONDS_PER_ROUND;
+        let enough = self.changes_behind(revision) >= CHANGES_PER_ROUND || waited >= SECONDS_PER_ROUND;
         // Where nothing is known there is nothing to claim.
         let new = known > self.head.map_or(0, |h| h.at);
         self.current.is_some() || enough && waited >= MIN_SECONDS_PER_ROUND && new
@@ -149,14 +149,14 @@
     /// would soon be gone, or none was ever stored for a while.
     pub fn is_overdue(&self, revision: u64, now: f64) -> bool {
         match self.head {
-            Some(_) => self.behind(revision) >= OVERDUE_CHANGES,
+            Some(_) => self.changes_behind(revision) >= OVERDUE_CHANGES,
             None => now - self.since >= SECONDS_PER_ROUND,
         }
     }
 
     /// The next value to be put, none while one is under way. `record` gives a record's
     /// version and value as they are stored; one that it does not know is over.
-    pub fn next(
+    pub fn next_value(
         &mut self,
         known: u64,
         now: f64,
@@ -275,7 +275,7 @@
     }
 
     /// The put under way is stored. Returns keys whose values are of no more use.
-    pub fn applied(&mut self, key: &str) -> Vec<String> {
+    pub fn on_applied(&mut self, key: &str) -> Vec<String> {
         let Some(round) = &mut self.current else { return Vec::new() };
         if round.under_way.as_ref().is_none_or(|(p, _)| p.key != key) {
             return Vec::new();
@@ -312,7 +312,7 @@
 
     /// The put under way was not applied, or nobody knows: it is wanted again. A chunk is made
     /// anew, since some of it may be over.
-    pub fn failed(&mut self, key: &str) {
+    pub fn on_failed(&mut self, key: &str) {
         let Some(round) = &mut self.current else { return };
         if round.under_way.as_ref().is_none_or(|(p, _)| p.key != key) {
             return;
--- a/crates/recovery/tests/histories.rs
+++ b/crates/recovery/tests/histories.rs
@@ -100,8 +100,8 @@
         let mut known = SafeRevision::default();
         known.watched(s.revision);
         let before: Vec<&str> = read.iter().flat_map(|r| r.open.iter().map(|o| o.id.as_str())).collect();
-        before.iter().filter(|id| !open.contains_key(**id)).for_each(|id| writer.ended(id));
-        open.keys().for_each(|id| writer.opened(id));
+        before.iter().filter(|id| !open.contains_key(**id)).for_each(|id| writer.on_ended(id));
+        open.keys().for_each(|id| writer.on_opened(id));
         (Owner { writer, known, open, watched: s.revision, unanswered: Vec::new() }, used)
     }
 
@@ -109,7 +109,7 @@
         for (revision, key, value) in s.changes.iter().filter(|c| c.0 > self.watched) {
             if let (Some(id), true) = (key.strip_prefix("job/"), value["phase"] == "open") {
                 self.open.insert(id.to_owned(), *revision);
-                self.writer.opened(id);
+                self.writer.on_opened(id);
             }
         }
         self.watched = s.revision;
@@ -154,7 +154,7 @@
     #[test]
     fn a_checkpoint_and_the_changes_since_are_a_full_read(steps in steps(), keeps in 20..400u64) {
         let mut s = Service { keeps, ..Service::default() };
-        let (mut owner, mut now, mut ids) = (Owner::begin(&s, 0.0).0, 0.0, 0u64);
+        let (mut leader, mut now, mut ids) = (Owner::begin(&s, 0.0).0, 0.0, 0u64);
         let (mut used, mut deaths, mut late_first) = (0, 0, false);
         for step in steps {
             now += 30.0;
@@ -166,38 +166,38 @@
                 }
                 Step::End { which, answered } => {
                     let mine: Vec<String> =
-                        owner.open.keys().filter(|id| !owner.unanswered.contains(id)).cloned().collect();
+                        leader.open.keys().filter(|id| !leader.unanswered.contains(id)).cloned().collect();
                     if mine.is_empty() { continue }
                     let id = which.get(&mine).clone();
-                    owner.known.sent(&id);
+                    leader.known.on_end_sent(&id);
                     s.put(&format!("job/{id}"), record(&id, "done"));
-                    owner.unanswered.push(id);
+                    leader.unanswered.push(id);
                     if !answered { continue }
-                    for id in std::mem::take(&mut owner.unanswered) {
-                        owner.open.remove(&id);
-                        owner.writer.ended(&id);
-                        owner.known.settled(&id);
+                    for id in std::mem::take(&mut leader.unanswered) {
+                        leader.open.remove(&id);
+                        leader.writer.on_ended(&id);
+                        leader.known.on_end_settled(&id);
                     }
                 }
-                Step::Answers => for id in std::mem::take(&mut owner.unanswered) {
-                    owner.open.remove(&id);
-                    owner.writer.ended(&id);
-                    owner.known.settled(&id);
+                Step::Answers => for id in std::mem::take(&mut leader.unanswered) {
+                    leader.open.remove(&id);
+                    leader.writer.on_ended(&id);
+                    leader.known.on_end_settled(&id);
                 },
-                Step::Watch => owner.watch(&s),
+                Step::Watch => leader.watch(&s),
                 Step::Write(outcomes) => for o in outcomes {
-                    let known = owner.known.revision();
-                    if !owner.writer.due(known, s.revision, now) { break }
-                    let records = owner.open.clone();
-                    let put = owner.writer.next(known, now, |id| Some((*records.get(id)?, record(id, "open"))));
+                    let known = leader.known.revision();
+                    if !leader.writer.is_due(known, s.revision, now) { break }
+                    let records = leader.open.clone();
+                    let put = leader.writer.next_value(known, now, |id| Some((*records.get(id)?, record(id, "open"))));
                     let Some(put) = put else { break };
                     prop_assert!(put.value.to_string().len() <= LIMIT, "{} has {}", put.key, put.value.to_string().len());
                     match o {
-                        0 => owner.writer.failed(&put.key),
-                        1 => { s.put(&put.key, put.value.clone()); owner.writer.failed(&put.key); }
+                        0 => leader.writer.on_failed(&put.key),
+                        1 => { s.put(&put.key, put.value.clone()); leader.writer.on_failed(&put.key); }
                         _ => {
                             s.put(&put.key, put.value.clone());
-                            for gone in owner.writer.applied(&put.key) { s.keys.remove(&gone); }
+                            for gone in leader.writer.on_applied(&put.key) { s.keys.remove(&gone); }
                         }
                     }
                 },
@@ -209,7 +209,7 @@
                     late_first |= !by_checkpoint && s.checkpoint().is_err();
                     prop_assert_eq!(&next.open, &s.open(), "by checkpoint: {}", by_checkpoint);
                     prop_assert_eq!(next.writer.open(), next.open.len());
-                    owner = next;
+                    leader = next;
                 }
             }
             let (next, by_checkpoint) = Owner::begin(&s, now);
@@ -261,12 +261,12 @@
     for i in 0..n {
         let id = format!("req-{i}");
         open.insert(id.clone(), s.put(&format!("job/{id}"), record(&id, "open")));
-        w.opened(&id);
+        w.on_opened(&id);
     }
-    while w.due(s.revision, s.revision, 100.0) {
-        let Some(p) = w.next(s.revision, 100.0, |id| Some((*open.get(id)?, record(id, "open")))) else { break };
+    while w.is_due(s.revision, s.revision, 100.0) {
+        let Some(p) = w.next_value(s.revision, 100.0, |id| Some((*open.get(id)?, record(id, "open")))) else { break };
         s.put(&p.key, p.value);
-        w.applied(&p.key);
+        w.on_applied(&p.key);
     }
     (s, open.into_keys().collect())
 }
@@ -313,17 +313,17 @@
         revision += 8;
         now += 0.4;
         let id = format!("req-{i:06}");
-        w.opened(&id);
+        w.on_opened(&id);
         open.insert(id, revision);
         if open.len() > 500 {
             let oldest = format!("req-{:06}", i - 500);
-            w.ended(&oldest);
+            w.on_ended(&oldest);
             open.remove(&oldest);
         }
-        while w.due(revision, revision, now) {
-            let put = w.next(revision, now, |id| Some((*open.get(id)?, record(id, "open"))));
+        while w.is_due(revision, revision, now) {
+            let put = w.next_value(revision, now, |id| Some((*open.get(id)?, record(id, "open"))));
             let Some(p) = put else { break };
-            w.applied(&p.key);
+            w.on_applied(&p.key);
         }
     }
     assert!(w.counts.rounds > 50, "{:?}", w.counts);
--- a/crates/scheduler/src/dependency_graph.rs
+++ b/crates/scheduler/src/dependency_graph.rs
@@ -19,7 +19,7 @@
 
 #[derive(Debug, Default)]
 struct Node {
-    needs: Vec<JobIndex>,
+    dependencies: Vec<JobIndex>,
     dependents: Vec<JobIndex>,
     /// Needs that are not stored as done, those not known here included.
     unmet: u32,
@@ -45,17 +45,17 @@
         j: JobIndex,
         id: &str,
         phase: Phase,
-        needs: &[String],
+        dependencies: &[String],
         look: impl Fn(&str) -> Option<(JobIndex, Phase)>,
     ) -> DependencyUpdate {
         let mut news = DependencyUpdate::default();
         let mut doomed = false;
         if phase == Phase::Open {
-            for need in needs {
+            for dependency in dependencies {
                 self.pairs_examined += 1;
-                match look(need) {
+                match look(dependency) {
                     None => {
-                        self.unknown_dependencies.entry(need.clone()).or_default().push(j);
+                        self.unknown_dependencies.entry(dependency.clone()).or_default().push(j);
                         self.nodes.entry(j).or_default().unmet += 1;
                     }
                     Some((n, phase)) => doomed |= self.link(n, phase, j),
@@ -92,7 +92,7 @@
             node.unmet += 1;
         }
         if phase == Phase::Open {
-            node.needs.push(n);
+            node.dependencies.push(n);
         }
         phase == Phase::Cancelled
     }
@@ -116,7 +116,7 @@
     pub fn on_job_ended(&mut self, j: JobIndex, phase: Phase) -> DependencyUpdate {
         let mut news = DependencyUpdate::default();
         let Some(node) = self.nodes.remove(&j) else { return news };
-        for n in &node.needs {
+        for n in &node.dependencies {
             if let Some(n) = self.nodes.get_mut(n) {
                 n.dependents.retain(|k| *k != j);
             }
@@ -124,7 +124,7 @@
         for k in node.dependents {
             self.pairs_examined += 1;
             let Some(after) = self.nodes.get_mut(&k) else { continue };
-            after.needs.retain(|n| *n != j);
+            after.dependencies.retain(|n| *n != j);
             if phase == Phase::Cancelled {
                 news.cancelled.push(k);
                 continue;
@@ -148,8 +148,8 @@
     }
 
     /// Open jobs that this one needs directly.
-    pub fn needs(&self, j: JobIndex) -> &[JobIndex] {
-        self.nodes.get(&j).map_or(&[], |n| &n.needs)
+    pub fn dependencies(&self, j: JobIndex) -> &[JobIndex] {
+        self.nodes.get(&j).map_or(&[], |n| &n.dependencies)
     }
 
     /// Needs that were not heard of here yet, in the order of their ids.
@@ -189,11 +189,11 @@
     fn add(
         g: &mut DependencyGraph,
         i: usize,
-        needs: &[usize],
+        dependencies: &[usize],
         phase: impl Fn(usize) -> Option<Phase>,
     ) -> DependencyUpdate {
-        let needs: Vec<String> = needs.iter().map(|n| name(*n)).collect();
-        g.add(ix(i), &name(i), phase(i).unwrap_or(Phase::Open), &needs, |id| {
+        let dependencies: Vec<String> = dependencies.iter().map(|n| name(*n)).collect();
+        g.add(ix(i), &name(i), phase(i).unwrap_or(Phase::Open), &dependencies, |id| {
             let n: usize = id.strip_prefix("req-")?.parse().ok()?;
             Some((ix(n), phase(n)?))
         })
@@ -208,11 +208,11 @@
             let mut seen: Vec<usize> = Vec::new();
             let mut freed = Vec::new();
             for i in order {
-                let needs: &[usize] = if i == 0 { &[] } else { &[i - 1] };
+                let dependencies: &[usize] = if i == 0 { &[] } else { &[i - 1] };
                 // 0 was done long ago, and its record says so.
                 let phase =
                     |n: usize| (n == i || seen.contains(&n)).then_some([Phase::Done, Phase::Open, Phase::Open][n]);
-                freed.extend(add(&mut g, i, needs, phase).ready);
+                freed.extend(add(&mut g, i, dependencies, phase).ready);
                 seen.push(i);
             }
             assert!(!g.is_waiting(ix(1)), "what it needs is done: {order:?}");
--- a/crates/scheduler/src/fleet/machine.rs
+++ b/crates/scheduler/src/fleet/machine.rs
@@ -114,7 +114,7 @@
     pub service_tasks: usize,
     pub unassigned: TaskMap<(u64, UnassignedAttempt)>,
     pub cpus_used: f64,
-    pub cards_used: f64,
+    pub accelerators_used: f64,
     pub memory_used: f64,
     /// Jobs that the stored record names.
     pub stored_jobs: BTreeSet<JobIndex>,
@@ -190,7 +190,7 @@
             service_tasks: 0,
             unassigned: TaskMap::new(),
             cpus_used: 0.0,
-            cards_used: 0.0,
+            accelerators_used: 0.0,
             memory_used: 0.0,
             stored_jobs: BTreeSet::new(),
             record_stored: false,
--- a/crates/scheduler/src/fleet/mixture.rs
+++ b/crates/scheduler/src/fleet/mixture.rs
@@ -11,13 +11,13 @@
 pub struct Mixture {
     pub target: usize,
     pub spot: usize,
-    pub fallback: usize,
+    pub on_demand_fallback: usize,
     pub base: usize,
 }
 
 pub fn mixture(target: usize, extra: usize, ready_spot: usize, base: usize) -> Mixture {
     let spot = if target == 0 { 0 } else { target + extra };
-    Mixture { target, spot, fallback: spot.saturating_sub(ready_spot).min(target), base }
+    Mixture { target, spot, on_demand_fallback: spot.saturating_sub(ready_spot).min(target), base }
 }
 
 /// Demand in machines, smoothed into a count.
--- a/crates/scheduler/src/jobs/job.rs
+++ b/crates/scheduler/src/jobs/job.rs
@@ -10,10 +10,10 @@
 /// What is assumed for a job whose user states no deadline.
 const UNSTATED_DEADLINE_S: f64 = 100.0;
 /// Milliseconds that a cpu-second of remaining work puts a job back, and at most.
-const WORK_WEIGHS_MS: f64 = 10.0;
-const MOST_WORK_MS: f64 = 120_000.0;
+const WORK_PENALTY_MS: f64 = 10.0;
+const MAX_WORK_MS: f64 = 120_000.0;
 /// How long a late job gives way to those that may still be in time.
-const LATE_GIVES_WAY_MS: u64 = 60_000;
+const LATE_JOB_PENALTY_MS: u64 = 60_000;
 /// A task is in one place.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum TaskSlot {
@@ -34,7 +34,7 @@
     pub image: Option<ImageIndex>,
     pub accepted_at_ms: u64,
     /// The cell that its record names, and how often it has gone from one to another.
-    pub cell: Option<u32>,
+    pub shard: Option<u32>,
     pub moves: u8,
     /// It is going to another cell: nothing of it is started here.
     pub moving_away: bool,
@@ -116,7 +116,7 @@
 
     /// Most tasks of this job that may be in one zone.
     pub fn zone_limit(&self) -> u32 {
-        if self.spec.spread { self.spec.tasks.div_ceil(2) } else { u32::MAX }
+        if self.spec.zone_anti_affinity { self.spec.tasks.div_ceil(2) } else { u32::MAX }
     }
 
     /// Its tasks held in this zone.
@@ -130,7 +130,7 @@
 
     /// Do others wait for it, or did it wait for others?
     pub fn in_pipeline(&self) -> bool {
-        self.inherited_deadline_ms.is_some() || !self.spec.needs().is_empty()
+        self.inherited_deadline_ms.is_some() || !self.spec.dependencies().is_empty()
     }
 
     /// When its user wants it done, in milliseconds of the day.
@@ -154,8 +154,8 @@
     pub fn effective_deadline_ms(&self, now_ms: u64, pressure: f64) -> u64 {
         let work_s = f64::from(self.unfinished()) * self.spec.cpus * self.spec.estimate_s.max(1.0);
         let deadline = self.deadline_ms();
-        let late = if now_ms > deadline { LATE_GIVES_WAY_MS } else { 0 };
-        deadline + late + ((work_s * WORK_WEIGHS_MS).min(MOST_WORK_MS) * pressure) as u64
+        let late = if now_ms > deadline { LATE_JOB_PENALTY_MS } else { 0 };
+        deadline + late + ((work_s * WORK_PENALTY_MS).min(MAX_WORK_MS) * pressure) as u64
     }
 
     pub fn has_queued(&mut self) -> bool {
--- a/crates/scheduler/src/jobs/mod.rs
+++ b/crates/scheduler/src/jobs/mod.rs
@@ -86,7 +86,7 @@
             team,
             image,
             accepted_at_ms: r.accepted_at_ms,
-            cell: r.cell,
+            shard: r.shard,
             moves: r.moves,
             moving_away: false,
             phase: r.phase,
--- a/crates/scheduler/src/jobs/records.rs
+++ b/crates/scheduler/src/jobs/records.rs
@@ -43,8 +43,8 @@
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended_ms: Option<u64>,
     /// The cell that it belongs to; missing: cell 0.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cell: Option<u32>,
+    #[serde(rename = "cell", default, skip_serializing_if = "Option::is_none")]
+    pub shard: Option<u32>,
     /// How often it has gone from one cell to another.
     #[serde(default, skip_serializing_if = "crate::election::is_default")]
     pub moves: u8,
@@ -52,7 +52,7 @@
 
 impl JobRecord {
     pub fn accepted(job: JobRequest, at_ms: u64) -> JobRecord {
-        JobRecord { job, accepted_at_ms: at_ms, phase: Phase::Open, ended_ms: None, cell: None, moves: 0 }
+        JobRecord { job, accepted_at_ms: at_ms, phase: Phase::Open, ended_ms: None, shard: None, moves: 0 }
     }
 
     /// How the job ended, in a value that surely fits. A record that an earlier version
@@ -62,7 +62,7 @@
         let mut r = JobRecord { phase, ended_ms: Some(ended_ms), ..JobRecord::accepted(job.clone(), at_ms) };
         // It is kept for ever: where it might have run is asked by nobody afterwards.
         let j = &mut r.job;
-        (j.types, j.zone, j.image, j.needs) = (None, None, None, None);
+        (j.types, j.zone, j.image, j.dependencies) = (None, None, None, None);
         if serde_json::to_string(&r).is_ok_and(|t| t.len() > value_bytes) {
             r.job.class = String::new();
         }
--- a/crates/scheduler/src/params.rs
+++ b/crates/scheduler/src/params.rs
@@ -9,8 +9,8 @@
     pub name: String,
     pub cpus: f64,
     pub cpus_max: f64,
-    pub cards: f64,
-    pub cards_max: f64,
+    pub accelerators: f64,
+    pub accelerators_max: f64,
 }
 
 /// Times in seconds.
--- a/crates/scheduler/src/shard/admission.rs
+++ b/crates/scheduler/src/shard/admission.rs
@@ -21,7 +21,9 @@
         Kind::Service => f64::from(r.tasks),
         Kind::Array => r.elastic.map_or(1.0, |s| f64::from(s.smallest)),
     };
-    for (what, need, most) in [("cpus", r.cpus * n, team.cpus_max), ("cards", r.cards * n, team.cards_max)] {
+    for (what, need, most) in
+        [("cpus", r.cpus * n, team.cpus_max), ("cards", r.accelerators * n, team.accelerators_max)]
+    {
         if most > 0.0 && need > most + EPSILON {
             return never(format!("needs {need} {what}, the team's limit is {most}"));
         }
@@ -42,6 +44,6 @@
 pub fn type_fits(r: &JobRequest, t: &MachineType) -> bool {
     r.types.as_ref().is_none_or(|l| l.contains(&t.name))
         && r.cpus <= t.cpus + EPSILON
-        && r.cards <= t.cards + EPSILON
+        && r.accelerators <= t.accelerators + EPSILON
         && r.memory_gb <= t.memory_gb + EPSILON
 }
--- a/crates/scheduler/src/shard/checkpointing.rs
+++ b/crates/scheduler/src/shard/checkpointing.rs
@@ -25,7 +25,7 @@
 /// A need that nobody has told of is looked up, so many at a time.
 const MAX_LOOKED_UP: usize = 10;
 /// Nothing is told of jobs whose needs a takeover has not met: those are looked up faster.
-const MOST_READ_AT_ONCE: usize = 40;
+const MAX_DEPENDENCIES_READ_AT_ONCE: usize = 40;
 
 /// What a takeover found of a checkpoint.
 #[derive(Debug, Default)]
@@ -70,7 +70,7 @@
         // Whoever goes on with a checkpoint has to know all that is not open any more: one that had
         // gone to another cell once stood in it for ever, and was started here again by the second
         // owner after, long after it was done there.
-        found.gone.iter().for_each(|id| g.writer.ended(id));
+        found.gone.iter().for_each(|id| g.writer.on_ended(id));
         g.known.watched(found.revision);
         g
     }
@@ -83,9 +83,9 @@
         self.on_dependency_read(&id, now);
         let job = &self.jobs[j];
         if job.phase == Phase::Open {
-            self.checkpointer.writer.opened(&job.id);
+            self.checkpointer.writer.on_opened(&job.id);
         } else {
-            self.checkpointer.writer.ended(&job.id);
+            self.checkpointer.writer.on_ended(&job.id);
             self.checkpointer.over.push_back((now, j));
         }
     }
@@ -110,15 +110,15 @@
     /// The write of its end goes out.
     pub(super) fn on_end_sent(&mut self, j: JobIndex) {
         let id = self.jobs[j].id.clone();
-        self.checkpointer.known.sent(&id);
+        self.checkpointer.known.on_end_sent(&id);
     }
 
     /// Its end is stored.
     pub(super) fn on_end_stored(&mut self, j: JobIndex, now: f64) {
         let id = self.jobs[j].id.clone();
-        self.checkpointer.known.settled(&id);
-        self.elastic_leave(j);
-        self.checkpointer.writer.ended(&id);
+        self.checkpointer.known.on_end_settled(&id);
+        self.elastic_forget(j);
+        self.checkpointer.writer.on_ended(&id);
         self.checkpointer.over.push_back((now, j));
     }
 
@@ -155,7 +155,7 @@
     pub(super) fn checkpoint_write(&mut self, spare: bool, now: f64) -> Option<PendingWrite> {
         let r = &self.checkpointer;
         let (known, newest) = (r.known.revision(), r.newest);
-        if r.incomplete || !(spare || self.checkpoint_is_overdue(now)) || !r.writer.due(known, newest, now) {
+        if r.incomplete || !(spare || self.checkpoint_is_overdue(now)) || !r.writer.is_due(known, newest, now) {
             return None;
         }
         let mut writer = std::mem::take(&mut self.checkpointer.writer);
@@ -163,10 +163,10 @@
             let job = self.jobs.get(self.jobs.find(id)?).filter(|j| j.phase == Phase::Open)?;
             let version = *self.versions.get(&job_key(id))?;
             let mut record = JobRecord::accepted(job.spec.clone(), job.accepted_at_ms);
-            (record.cell, record.moves) = (job.cell, job.moves);
+            (record.shard, record.moves) = (job.shard, job.moves);
             Some((version, serde_json::to_value(&record).ok()?))
         };
-        let put = writer.next(known, now, record);
+        let put = writer.next_value(known, now, record);
         self.checkpointer.writer = writer;
         if !spare {
             self.checkpointer.overdue_written_at = now;
@@ -176,7 +176,7 @@
         // under way: that would take the new value with it.
         self.stale_keys.remove(&key);
         if self.in_flight.contains(&key) {
-            self.checkpointer.writer.failed(&key);
+            self.checkpointer.writer.on_failed(&key);
             return None;
         }
         self.enqueue_write(key, WritePurpose::Checkpoint, &value)
@@ -184,7 +184,7 @@
 
     pub(super) fn checkpoint_applied(&mut self, key: &str) {
         let before = self.checkpointer.writer.stored_round();
-        let gone = self.checkpointer.writer.applied(key);
+        let gone = self.checkpointer.writer.on_applied(key);
         self.stale_keys.extend(gone);
         let round = self.checkpointer.writer.stored_round();
         if round != before {
@@ -193,7 +193,7 @@
     }
 
     pub(super) fn checkpoint_failed(&mut self, key: &str) {
-        self.checkpointer.writer.failed(key);
+        self.checkpointer.writer.on_failed(key);
     }
 
     /// Needs of jobs here that nobody has told of: they ended long ago, or come yet.
@@ -215,7 +215,7 @@
 
     /// Needs to be read at once, so many at a time.
     pub fn unread_dependencies(&self) -> Vec<String> {
-        self.checkpointer.unread_dependencies.iter().take(MOST_READ_AT_ONCE).cloned().collect()
+        self.checkpointer.unread_dependencies.iter().take(MAX_DEPENDENCIES_READ_AT_ONCE).cloned().collect()
     }
 
     /// The record of this need was read, and taken in if it concerns this shard.
@@ -251,10 +251,10 @@
         }
         let (mut due, mut seen) = (vec![j], HashSet::from([j]));
         while let Some(j) = due.pop() {
-            if self.jobs[j].spec.needs().iter().any(|need| unread.contains(need)) {
+            if self.jobs[j].spec.dependencies().iter().any(|dependency| unread.contains(dependency)) {
                 return true;
             }
-            due.extend(self.dependencies.needs(j).iter().filter(|n| seen.insert(**n)));
+            due.extend(self.dependencies.dependencies(j).iter().filter(|n| seen.insert(**n)));
         }
         false
     }
@@ -262,12 +262,12 @@
     /// A job that is no longer this shard's leaves its memory at once.
     pub(super) fn forget_job(&mut self, j: JobIndex) {
         let id = self.jobs[j].id.clone();
-        self.checkpointer.writer.ended(&id);
+        self.checkpointer.writer.on_ended(&id);
         self.jobs.on_end_committed(j, Phase::Cancelled);
         self.dependencies.on_job_ended(j, Phase::Cancelled);
         self.pending_ends.remove(&j);
         self.progress_due.remove(&j);
-        self.accounts_forget(j);
+        self.forget_untracked(j);
         self.drop_references(&BTreeSet::from([j]));
         self.versions.remove(&job_key(&id));
         self.jobs.remove(j);
--- a/crates/scheduler/src/shard/dependencies.rs
+++ b/crates/scheduler/src/shard/dependencies.rs
@@ -28,8 +28,14 @@
         if !self.dependencies.is_waiting(j) {
             return DependencyState::Met;
         }
-        let mut missing = self.jobs[j].spec.needs().iter().filter(|need| self.dependencies.is_unknown_dependency(need));
-        if self.dependencies.needs(j).is_empty() && missing.all(|need| self.is_unread_dependency(need)) {
+        let mut missing = self.jobs[j]
+            .spec
+            .dependencies()
+            .iter()
+            .filter(|dependency| self.dependencies.is_unknown_dependency(dependency));
+        if self.dependencies.dependencies(j).is_empty()
+            && missing.all(|dependency| self.is_unread_dependency(dependency))
+        {
             DependencyState::Unread
         } else {
             DependencyState::Open
@@ -55,16 +61,16 @@
     pub(super) fn register_dependencies(&mut self, j: JobIndex, now: f64) {
         let job = &self.jobs[j];
         let (id, phase) = (job.id.clone(), job.phase);
-        let needs = job.spec.needs.clone().unwrap_or_default();
+        let dependencies = job.spec.dependencies.clone().unwrap_or_default();
         let known = |id: &str| self.jobs.find(id).map(|n| (n, self.jobs[n].phase));
-        let news = self.dependencies.add(j, &id, phase, &needs, known);
-        if phase == Phase::Open && !needs.is_empty() {
+        let news = self.dependencies.add(j, &id, phase, &dependencies, known);
+        if phase == Phase::Open && !dependencies.is_empty() {
             if self.dependencies.is_waiting(j) {
                 self.jobs.live.remove(&j);
             } else {
                 self.set_ready_time(j);
             }
-            self.propagate_priority(self.dependencies.needs(j).to_vec());
+            self.propagate_priority(self.dependencies.dependencies(j).to_vec());
         }
         if !self.dependencies.dependents(j).is_empty() {
             self.propagate_priority(vec![j]);
@@ -75,7 +81,7 @@
 
     /// A final phase of this job is stored.
     pub(super) fn on_dependency_ended(&mut self, j: JobIndex, phase: Phase, now: f64) {
-        let before: Vec<JobIndex> = self.dependencies.needs(j).to_vec();
+        let before: Vec<JobIndex> = self.dependencies.dependencies(j).to_vec();
         let news = self.dependencies.on_job_ended(j, phase);
         // What it needed inherits from it no more.
         self.propagate_priority(before);
@@ -87,7 +93,7 @@
             if self.jobs[j].is_open() {
                 self.jobs.live.insert(j);
                 self.set_ready_time(j);
-                self.account_due(j);
+                self.track_later(j);
                 self.placement_due = true;
                 let (job, day) = (&self.jobs[j], self.day_now_ms(now) as f64);
                 log::debug!(
@@ -115,8 +121,8 @@
     /// A job's times, its deadline aside, count from the end of the last job that it needs.
     /// An end that 0.1.0 stored has no time: there the job's own acceptance stands for it.
     fn set_ready_time(&mut self, j: JobIndex) {
-        let needs = self.jobs[j].spec.needs();
-        let ends = needs.iter().filter_map(|n| self.jobs.find(n)).map(|n| self.jobs[n].ended_ms);
+        let dependencies = self.jobs[j].spec.dependencies();
+        let ends = dependencies.iter().filter_map(|n| self.jobs.find(n)).map(|n| self.jobs[n].ended_ms);
         let last = ends.max().unwrap_or(0);
         let job = &mut self.jobs[j];
         job.ready_at_ms = job.ready_at_ms.max(last);
@@ -153,7 +159,7 @@
             let job = &mut self.jobs[j];
             if (job.priority, job.inherited_deadline_ms) != (priority, due_ms) {
                 (job.priority, job.inherited_deadline_ms) = (priority, due_ms);
-                due.extend(self.dependencies.needs(j).iter().copied());
+                due.extend(self.dependencies.dependencies(j).iter().copied());
             }
         }
     }
--- a/crates/scheduler/src/shard/elastic.rs
+++ b/crates/scheduler/src/shard/elastic.rs
@@ -53,7 +53,7 @@
 
 impl Shard {
     /// An open array that declares sizes, or whose class has some.
-    pub(super) fn elastic_enter(&mut self, j: JobIndex) {
+    pub(super) fn elastic_track(&mut self, j: JobIndex) {
         let Some(pool) = &self.elastic else { return };
         let job = &self.jobs[j];
         if job.phase != Phase::Open || job.is_service() {
@@ -67,7 +67,7 @@
         }
     }
 
-    pub(super) fn elastic_leave(&mut self, j: JobIndex) {
+    pub(super) fn elastic_forget(&mut self, j: JobIndex) {
         if let Some(pool) = &mut self.elastic {
             pool.leave(j);
         }
@@ -91,7 +91,7 @@
     }
 
     /// Tasks of a job that may be started: at its own standing, and beyond that with what is idle.
-    pub(crate) fn may_hold_more(&self, job: &Job) -> (u32, u32) {
+    pub(crate) fn additional_tasks(&self, job: &Job) -> (u32, u32) {
         match &self.elastic {
             Some(pool) if pool.sizes(job.index).is_some() => pool.more(job.index, self.elastic_held(job)),
             _ => (u32::MAX, 0),
@@ -126,7 +126,7 @@
     }
 
     /// A task is gone for certain.
-    pub(super) fn elastic_gone(&mut self, k: TaskKey) {
+    pub(super) fn on_elastic_task_gone(&mut self, k: TaskKey) {
         let now = self.ticked_at;
         if let Some(took) = self.elastic.as_mut().and_then(|p| p.gone(k, now)) {
             log::debug!("{}/{} gave its room back after {took:.2} s", self.jobs[k.0].id, k.1);
@@ -134,7 +134,7 @@
     }
 
     /// The second step where the first was not enough; and growth, into what nobody waits for.
-    pub(super) fn keep_elastic(&mut self, now: f64) {
+    pub(super) fn resize_elastic_jobs(&mut self, now: f64) {
         let Some(pool) = &mut self.elastic else { return };
         for k in pool.due(now) {
             let Some(TaskSlot::Assigned(m)) = self.jobs.get(k.0).and_then(|j| j.tasks.get(k.1 as usize)).copied()
@@ -164,7 +164,13 @@
             .filter(|(_, m)| m.is_usable(now, fresh))
             .map(|(_, m)| {
                 let t = self.types.get(m.machine_type);
-                (m.machine_type, m.spot, t.cpus - m.cpus_used, t.memory_gb - m.memory_used, t.cards - m.cards_used)
+                (
+                    m.machine_type,
+                    m.spot,
+                    t.cpus - m.cpus_used,
+                    t.memory_gb - m.memory_used,
+                    t.accelerators - m.accelerators_used,
+                )
             })
             .filter(|f| f.2 > super::EPSILON)
             .collect();
@@ -176,7 +182,7 @@
             let n: f64 = free
                 .iter()
                 .filter(|f| (r.spot || !f.1) && type_fits(r, self.types.get(f.0)))
-                .map(|f| many(f.2, r.cpus).min(many(f.3, r.memory_gb)).min(many(f.4, r.cards)).max(0.0).floor())
+                .map(|f| many(f.2, r.cpus).min(many(f.3, r.memory_gb)).min(many(f.4, r.accelerators)).max(0.0).floor())
                 .sum();
             Some((j, n.min(f64::from(u32::MAX)) as u32, self.elastic_held(job)))
         };
@@ -185,7 +191,7 @@
 
     /// Has an elastic job grown here? Nothing is rented for growth, but what it uses is not
     /// returned under it: the work is the same, and only sooner done.
-    pub(super) fn grown_on(&self, m: &Machine) -> bool {
+    pub(super) fn holds_elastic_surplus(&self, m: &Machine) -> bool {
         self.elastic.as_ref().is_some_and(|p| m.assignments.keys().any(|k| p.sizes(k.0).is_some()))
     }
 
--- a/crates/scheduler/src/shard/failover.rs
+++ b/crates/scheduler/src/shard/failover.rs
@@ -75,7 +75,11 @@
             loading_records: true,
             machines: Machines::default(),
             types: Types::default(),
-            teams: s.teams.iter().map(|t| TeamState { spec: t.clone(), cpus_used: 0.0, cards_used: 0.0 }).collect(),
+            teams: s
+                .teams
+                .iter()
+                .map(|t| TeamState { spec: t.clone(), cpus_used: 0.0, accelerators_used: 0.0 })
+                .collect(),
             service_level_tracker: ServiceLevelTracker::new(s.terms.clone()),
             underserved: Underserved::default(),
             elastic: loaded.elastic.clone().map(elastic::ElasticPool::new),
--- a/crates/scheduler/src/shard/large_jobs.rs
+++ b/crates/scheduler/src/shard/large_jobs.rs
@@ -30,10 +30,10 @@
 /// Of the cpus that other batch work gets, so many more are set apart for first parts; and so many at
 /// the most, and half of it at the beginning.
 const SHARE: f64 = 0.2;
-const MOST_CREDIT: f64 = 64.0;
+const MAX_CREDIT: f64 = 64.0;
 /// Jobs of a class whose sizes are remembered, and classes.
 const SIZES_KEPT: usize = 100;
-const MOST_CLASSES: usize = 64;
+const MAX_CLASSES: usize = 64;
 /// One in so many is among the largest.
 const TENTH: usize = 10;
 /// A machine is kept for one job for so long, in seconds, before another one is tried.
@@ -62,7 +62,7 @@
     classes: HashMap<String, Sizes>,
     pub(super) credit: f64,
     /// Machines that take nothing new until a task of this job fits, and since when.
-    kept: BTreeMap<MachineIndex, (JobIndex, f64)>,
+    reserved: BTreeMap<MachineIndex, (JobIndex, f64)>,
     spell: ReservationSpell,
 }
 
@@ -76,7 +76,7 @@
 }
 
 impl ReservationSpell {
-    fn kept(&mut self, now: f64) {
+    fn on_reserved(&mut self, now: f64) {
         if now - self.last > RESERVATION_GAP_S {
             self.since = now;
         }
@@ -88,7 +88,7 @@
     }
 
     /// May anything be kept now? A break begins where that has lasted for too long.
-    fn may_keep(&mut self, now: f64) -> bool {
+    fn may_reserve(&mut self, now: f64) -> bool {
         if now - self.last <= RESERVATION_GAP_S && now - self.since > MAX_RESERVATION_SPELL_S {
             *self = ReservationSpell {
                 since: now + RESERVATION_BREAK_S,
@@ -106,11 +106,11 @@
 
 impl LargeJobReservations {
     pub(super) fn new() -> LargeJobReservations {
-        LargeJobReservations { credit: MOST_CREDIT / 2.0, ..LargeJobReservations::default() }
+        LargeJobReservations { credit: MAX_CREDIT / 2.0, ..LargeJobReservations::default() }
     }
 
-    fn came(&mut self, r: &crate::wire::JobRequest) {
-        if !self.classes.contains_key(&r.class) && self.classes.len() >= MOST_CLASSES {
+    fn record_size(&mut self, r: &crate::wire::JobRequest) {
+        if !self.classes.contains_key(&r.class) && self.classes.len() >= MAX_CLASSES {
             return;
         }
         let sizes = self.classes.entry(r.class.clone()).or_default();
@@ -127,7 +127,7 @@
     }
 
     /// After how long a job goes ahead, in seconds, if it is among the largest of its class.
-    fn goes_after_s(&self, r: &crate::wire::JobRequest) -> Option<u64> {
+    fn initial_wait_s(&self, r: &crate::wire::JobRequest) -> Option<u64> {
         let (cpus, tasks) = size(r);
         let s = self.classes.get(&r.class)?;
         let one = cpus + EPSILON >= s.least.0 || tasks >= s.least.1;
@@ -143,7 +143,7 @@
 impl Shard {
     pub(super) fn record_job_size(&mut self, j: JobIndex) {
         if self.jobs[j].phase == Phase::Open {
-            self.large_jobs.came(&self.jobs[j].spec);
+            self.large_jobs.record_size(&self.jobs[j].spec);
         }
     }
 
@@ -154,7 +154,7 @@
         let mut told = Vec::new();
         for &j in &self.jobs.live {
             let job = &self.jobs[j];
-            if job.large_job_reported || !job.is_open() || job.at_fault() {
+            if job.large_job_reported || !job.is_open() || job.is_failing_everywhere() {
                 continue;
             }
             let waited_s = now_ms.saturating_sub(job.ready_at_ms) / 1000;
@@ -165,7 +165,7 @@
             // What an earlier owner saw begin, or wait for too long, it has told.
             let earlier = job.known_since <= self.began_at
                 && (waited_s.saturating_sub((now - self.began_at) as u64) > PROMISED_S || begun);
-            let one = self.large_jobs.goes_after_s(&job.spec).is_some() && !earlier;
+            let one = self.large_jobs.initial_wait_s(&job.spec).is_some() && !earlier;
             told.push((j, one.then_some(begun && waited_s <= PROMISED_S)));
         }
         for (j, served) in told {
@@ -185,10 +185,10 @@
     pub(crate) fn initial_allocation(&self, j: JobIndex, now_ms: u64) -> Option<u32> {
         let job = &self.jobs[j];
         let waited_s = now_ms.saturating_sub(job.ready_at_ms) / 1000;
-        if waited_s < LARGE_JOB_WAIT_S || job.spec.priority == Priority::Production || job.at_fault() {
+        if waited_s < LARGE_JOB_WAIT_S || job.spec.priority == Priority::Production || job.is_failing_everywhere() {
             return None;
         }
-        let over_s = waited_s.checked_sub(self.large_jobs.goes_after_s(&job.spec)?)?;
+        let over_s = waited_s.checked_sub(self.large_jobs.initial_wait_s(&job.spec)?)?;
         let tasks = job.spec.tasks;
         let goes = match over_s / NEXT_ALLOCATION_S {
             0 => tasks.div_ceil(INITIAL_ALLOCATION_DIVISOR),
@@ -201,7 +201,7 @@
     /// A batch task starts that takes so many cpus.
     pub(crate) fn on_batch_task_started(&mut self, cpus: f64, first_part: bool) {
         let change = if first_part { -cpus } else { cpus * SHARE };
-        self.large_jobs.credit = (self.large_jobs.credit + change).min(MOST_CREDIT);
+        self.large_jobs.credit = (self.large_jobs.credit + change).min(MAX_CREDIT);
     }
 
     /// What is set apart for first parts, in cpus.
@@ -215,21 +215,21 @@
         let job = &self.jobs[j];
         let team = &self.teams[job.team.ix()].spec;
         let services = self.jobs.live.iter().map(|i| &self.jobs[*i]).filter(|o| o.team == job.team && o.is_service());
-        let (cpus, cards) = services.fold((0.0, 0.0), |(c, g), o| {
+        let (cpus, accelerators) = services.fold((0.0, 0.0), |(c, g), o| {
             let n = f64::from(o.assigned);
-            (c + n * o.spec.cpus, g + n * o.spec.cards)
+            (c + n * o.spec.cpus, g + n * o.spec.accelerators)
         });
         let fits = |max: f64, held: f64, need: f64| max <= 0.0 || held + need <= max + EPSILON;
-        fits(team.cpus_max, cpus, job.spec.cpus) && fits(team.cards_max, cards, job.spec.cards)
+        fits(team.cpus_max, cpus, job.spec.cpus) && fits(team.accelerators_max, accelerators, job.spec.accelerators)
     }
 
     /// No machine has room for a task of this job: one is kept free of other batch work until it has.
     /// What may be stopped for it there is stopped.
     pub(crate) fn reserve_machine(&mut self, j: JobIndex, now: f64) {
         let job = &self.jobs[j];
-        let kept = self.large_jobs.kept.iter().find(|(_, k)| k.0 == j).map(|(m, _)| *m);
+        let kept = self.large_jobs.reserved.iter().find(|(_, k)| k.0 == j).map(|(m, _)| *m);
         let most = (self.machines.present.len() / MACHINES_PER_RESERVATION).max(1);
-        if self.large_jobs.spell.in_break(now) || kept.is_none() && self.large_jobs.kept.len() >= most {
+        if self.large_jobs.spell.in_break(now) || kept.is_none() && self.large_jobs.reserved.len() >= most {
             return;
         }
         let heartbeat_timeout_s = self.recent_heartbeat_s();
@@ -249,17 +249,17 @@
             .fold(0.0, f64::max)
         };
         let m = kept.filter(|m| could(&self.machines[*m])).or_else(|| {
-            let all = self.machines.iter().filter(|(i, m)| could(m) && !self.large_jobs.kept.contains_key(i));
+            let all = self.machines.iter().filter(|(i, m)| could(m) && !self.large_jobs.reserved.contains_key(i));
             // One with services never clears: kept, it would only be lost to everybody.
             let clears = all.map(|(i, m)| (clears(m), i)).filter(|c| c.0.is_finite());
             clears.min_by(|a, b| a.0.total_cmp(&b.0)).map(|o| o.1)
         });
         let Some(m) = m else { return };
-        self.large_jobs.spell.kept(now);
+        self.large_jobs.spell.on_reserved(now);
         if kept != Some(m) {
-            self.large_jobs.kept.retain(|_, k| k.0 != j);
+            self.large_jobs.reserved.retain(|_, k| k.0 != j);
             log::info!("machine {} is kept for {}", self.machines[m].name, self.jobs[j].id);
-            self.large_jobs.kept.insert(m, (j, now));
+            self.large_jobs.reserved.insert(m, (j, now));
         }
         let priority = self.jobs[j].spec.priority;
         let gives = |k: &TaskKey, h: &Assignment| h.stop_grace_s.is_none() && self.jobs[k.0].spec.priority > priority;
@@ -272,31 +272,31 @@
 
     /// Is this machine kept for another job than this one?
     pub(crate) fn is_reserved_for_other(&self, m: MachineIndex, j: JobIndex) -> bool {
-        self.large_jobs.kept.get(&m).is_some_and(|k| k.0 != j)
+        self.large_jobs.reserved.get(&m).is_some_and(|k| k.0 != j)
     }
 
     /// Its team's limit is kept for a large job, if there is no break.
     pub(crate) fn reserve_limit(&mut self, now: f64) -> bool {
         let may_keep = !self.large_jobs.spell.in_break(now);
         if may_keep {
-            self.large_jobs.spell.kept(now);
+            self.large_jobs.spell.on_reserved(now);
         }
         may_keep
     }
 
     /// Machines are kept for jobs that still wait for them, and for a while; once a pass.
     pub(crate) fn expire_reservations(&mut self, now: f64) {
-        if !self.large_jobs.spell.may_keep(now) {
-            self.large_jobs.kept.clear();
+        if !self.large_jobs.spell.may_reserve(now) {
+            self.large_jobs.reserved.clear();
         }
         let (jobs, machines) = (&self.jobs, &self.machines);
-        self.large_jobs.kept.retain(|m, (j, since)| {
+        self.large_jobs.reserved.retain(|m, (j, since)| {
             let waits = jobs.get(*j).is_some_and(|j| j.is_open() && j.unfinished() > j.assigned);
             let there = machines.list.get(*m).is_some_and(|m| m.phase == MachinePhase::Up && !m.cordoned);
             waits && there && now - *since < RESERVATION_TIMEOUT_S
         });
-        if !self.large_jobs.kept.is_empty() {
-            self.large_jobs.spell.kept(now);
+        if !self.large_jobs.reserved.is_empty() {
+            self.large_jobs.spell.on_reserved(now);
         }
     }
 }
--- a/crates/scheduler/src/shard/machine_monitor.rs
+++ b/crates/scheduler/src/shard/machine_monitor.rs
@@ -9,11 +9,11 @@
 use crate::times::stretched;
 
 /// A machine that is there answers a direct question sooner than this.
-const ANSWERS_WITHIN_S: f64 = 1.25;
+const PROBE_TIMEOUT_S: f64 = 1.25;
 /// A machine that was deleted costs at least this long.
-const LEAST_PAID_S: f64 = 60.0;
+const MIN_CHARGED_S: f64 = 60.0;
 /// So many questions in a row that a machine which is heard has not answered.
-const UNREACHED_QUESTIONS: u32 = 2;
+const MAX_UNANSWERED_PROBES: u32 = 2;
 
 impl Shard {
     /// A report is overdue: its machine is asked directly whether it is there.
@@ -49,7 +49,7 @@
                 .machines
                 .iter()
                 .filter(|(_, m)| m.zone == zone && m.phase == MachinePhase::Up && !m.suspected)
-                .filter(|(_, m)| m.incarnation > 0 && self.heartbeat_age(m, now) > ANSWERS_WITHIN_S)
+                .filter(|(_, m)| m.incarnation > 0 && self.heartbeat_age(m, now) > PROBE_TIMEOUT_S)
                 .map(|(i, _)| i)
                 .collect();
             for i in here {
@@ -106,7 +106,7 @@
     fn check_boot(&mut self, i: MachineIndex, now: f64) {
         let m = &self.machines[i];
         let boot = self.types.get(m.machine_type).boot_s;
-        if m.cordoned && now - m.first_seen_at > LEAST_PAID_S {
+        if m.cordoned && now - m.first_seen_at > MIN_CHARGED_S {
             self.terminate(i);
         } else if now - m.first_seen_at > boot * 4.0 + 15.0 {
             log::warn!("machine {} does not come up", m.name);
@@ -129,14 +129,14 @@
         // Responses, and neither answers nor commands reach it: only its deletion, or the
         // end of its session, tells that what runs there is gone.
         let never_heeds = m.missed_acknowledgements >= MAX_MISSED_ACKNOWLEDGEMENTS || m.unacknowledged_incarnations > 1;
-        let unreached = (never_heeds && m.suspected && m.unanswered_pushes >= UNREACHED_QUESTIONS
+        let unreached = (never_heeds && m.suspected && m.unanswered_pushes >= MAX_UNANSWERED_PROBES
             || m.unacknowledged_incarnations > 1)
             && responses.punctual
             && responses.acknowledged_around(m.zone);
         let aside = m.is_quarantined() && now - m.quarantined_since > QUARANTINE_S;
         let faulty = aside && m.assignments.is_empty() && m.is_reconciled();
         let emptied = m.cordoned && m.is_empty() && m.is_reconciled();
-        let paid = now - m.first_seen_at > LEAST_PAID_S;
+        let paid = now - m.first_seen_at > MIN_CHARGED_S;
         if !emptied {
             self.clear_idle_since(i);
         }
@@ -170,11 +170,11 @@
         // no report first. After all controllers had ended in a zone's cut, what ran
         // there once waited for 9 s.
         let (asked_s, questions) = match () {
-            () if m.incarnation == 0 => (ANSWERS_WITHIN_S, 2),
-            () if zone_asked => (ANSWERS_WITHIN_S, 1),
+            () if m.incarnation == 0 => (PROBE_TIMEOUT_S, 2),
+            () if zone_asked => (PROBE_TIMEOUT_S, 1),
             () => (self.probe_after_s(), 1),
         };
-        let unresponsive = m.suspected && m.unanswered_pushes >= questions && quiet > asked_s + ANSWERS_WITHIN_S;
+        let unresponsive = m.suspected && m.unanswered_pushes >= questions && quiet > asked_s + PROBE_TIMEOUT_S;
         quiet > self.heartbeat_timeout_s() && responses.rules_out_partition(m.zone)
             || unresponsive && responses.trusts_missing_replies(m.zone)
             || quiet > stretched(self.lease_s) * 2.0
--- a/crates/scheduler/src/shard/mod.rs
+++ b/crates/scheduler/src/shard/mod.rs
@@ -44,7 +44,7 @@
 pub use permission::{Forbidden, Lapsed};
 pub use quotas::{LoadedQuotas, QuotaReport, Quotas, Row as QuotaRow, fits_values, team_limits};
 pub use rebalancing::team_limits_by_name;
-pub use service_levels::{ACCOUNTS_PREFIX, Prospect, handed};
+pub use service_levels::{ACCOUNTS_PREFIX, Prospect, inherited_totals};
 pub use summary::Counts;
 pub use writes::{PendingWrite, WritePurpose};
 
@@ -82,7 +82,7 @@
 pub struct TeamState {
     pub spec: Team,
     pub cpus_used: f64,
-    pub cards_used: f64,
+    pub accelerators_used: f64,
 }
 
 /// The fleet's stored value: zone lists and counts.
@@ -251,9 +251,9 @@
         let j = self.jobs.add(r, team, now);
         self.record_job_size(j);
         self.checkpoint_job(j, now);
-        self.elastic_enter(j);
+        self.elastic_track(j);
         self.register_dependencies(j, now);
-        self.account_due(j);
+        self.track_later(j);
         self.resolve_unrecognized_job(j, now);
         Some(j)
     }
@@ -343,10 +343,10 @@
             self.resumed_at = now;
         }
         self.ticked_at = now;
-        self.keep_accounts(now);
+        self.update_service_levels(now);
         self.sweep(now);
         self.check_consistency(now);
-        self.keep_elastic(now);
+        self.resize_elastic_jobs(now);
         if now - self.machines_checked_at >= MACHINE_CHECK_INTERVAL_S {
             self.machines_checked_at = now;
             self.check_machines(now);
--- a/crates/scheduler/src/shard/placement/bin_packing.rs
+++ b/crates/scheduler/src/shard/placement/bin_packing.rs
@@ -80,7 +80,7 @@
 pub(in crate::shard) fn may_run_beside(s: &Shard, job: &Job, m: &Machine, held: u32, in_zone: u32) -> bool {
     allows(s, job, m)
         && in_zone < job.zone_limit()
-        && !(job.spec.one_zone && held > in_zone)
+        && !(job.spec.zone_affinity && held > in_zone)
         && s.record_has_space(m, job.index, &job.id)
 }
 
@@ -88,7 +88,7 @@
     let t = s.types.get(m.machine_type);
     let spec = &job.spec;
     let has_room = m.cpus_used + spec.cpus <= t.cpus + EPSILON
-        && m.cards_used + spec.cards <= t.cards + EPSILON
+        && m.accelerators_used + spec.accelerators <= t.accelerators + EPSILON
         && m.memory_used + spec.memory_gb <= t.memory_gb + EPSILON;
     has_room && may_run_beside(s, job, m, held, in_zone)
 }
@@ -140,7 +140,7 @@
 /// it may not use: so not for ever.
 pub(super) fn avoids(s: &Shard, job: &Job, m: MachineIndex, now: f64) -> bool {
     let lately = now - job.failed_at < AVOIDS_FAILED_FOR_S;
-    let elsewhere = lately && !job.at_fault() && job.failed_on.len() < s.machines.present.len();
+    let elsewhere = lately && !job.is_failing_everywhere() && job.failed_on.len() < s.machines.present.len();
     elsewhere && job.failed_on.contains(&m) || job.avoided_machine.is_some_and(|(a, until)| a == m && now <= until)
 }
 
--- a/crates/scheduler/src/shard/placement/limits.rs
+++ b/crates/scheduler/src/shard/placement/limits.rs
@@ -10,7 +10,7 @@
 }
 
 pub(super) fn unreconciled_accelerators(s: &Shard) -> f64 {
-    s.machines.iter().filter(|(_, m)| !m.is_reconciled()).map(|(_, m)| s.types.get(m.machine_type).cards).sum()
+    s.machines.iter().filter(|(_, m)| !m.is_reconciled()).map(|(_, m)| s.types.get(m.machine_type).accelerators).sum()
 }
 
 /// Does one more task stay within the team's limit?
@@ -23,7 +23,7 @@
         max <= 0.0 || need <= 0.0 || used + need + shadow <= max + EPSILON
     };
     ok(team.spec.cpus_max, team.cpus_used, job.spec.cpus, shadow.0)
-        && ok(team.spec.cards_max, team.cards_used, job.spec.cards, shadow.1)
+        && ok(team.spec.accelerators_max, team.accelerators_used, job.spec.accelerators, shadow.1)
 }
 
 /// Would so many tasks of this job find room on these machines together, within its limits?
@@ -33,7 +33,7 @@
     let team = &s.teams[job.team.ix()];
     let left = |max: f64, used: f64, unseen: f64| if max > 0.0 { max - used - unseen } else { f64::INFINITY };
     let within = many(left(team.spec.cpus_max, team.cpus_used, shadow.0), r.cpus)
-        .min(many(left(team.spec.cards_max, team.cards_used, shadow.1), r.cards))
+        .min(many(left(team.spec.accelerators_max, team.accelerators_used, shadow.1), r.accelerators))
         .min(s.quota_room(job));
     if within.floor() < f64::from(n) {
         return false;
@@ -41,7 +41,7 @@
     let on = |&(_, i): &(f64, MachineIndex)| {
         let (m, t) = (&s.machines[i], s.types.get(s.machines[i].machine_type));
         let most = many(t.cpus - m.cpus_used, r.cpus).min(many(t.memory_gb - m.memory_used, r.memory_gb));
-        most.min(many(t.cards - m.cards_used, r.cards)).max(0.0).floor()
+        most.min(many(t.accelerators - m.accelerators_used, r.accelerators)).max(0.0).floor()
     };
     options.iter().map(on).sum::<f64>() >= f64::from(n)
 }
--- a/crates/scheduler/src/shard/placement/preemption.rs
+++ b/crates/scheduler/src/shard/placement/preemption.rs
@@ -79,23 +79,23 @@
     let t = s.types.get(m.machine_type);
     let mut free = t.cpus - m.cpus_used + coming;
     let mut memory = t.memory_gb - m.memory_used;
-    let mut cards = t.cards - m.cards_used;
+    let mut accelerators = t.accelerators - m.accelerators_used;
     let mut victims = Vec::new();
     let mut kept = 0.0;
     for (surplus, k) in preemptible_tasks(s, job, m, surpluses) {
         if free + EPSILON >= job.spec.cpus
             && memory + EPSILON >= job.spec.memory_gb
-            && cards + EPSILON >= job.spec.cards
+            && accelerators + EPSILON >= job.spec.accelerators
         {
             break;
         }
         free += s.jobs[k.0].spec.cpus;
         memory += s.jobs[k.0].spec.memory_gb;
-        cards += s.jobs[k.0].spec.cards;
+        accelerators += s.jobs[k.0].spec.accelerators;
         kept += if surplus { SURPLUS_COST_S } else { 1.0 };
         victims.push(k);
     }
-    let others_fit = memory + EPSILON >= job.spec.memory_gb && cards + EPSILON >= job.spec.cards;
+    let others_fit = memory + EPSILON >= job.spec.memory_gb && accelerators + EPSILON >= job.spec.accelerators;
     let enough = free + EPSILON >= job.spec.cpus && (others_fit || coming > 0.0);
     enough.then(|| (cost(s, job, m) + kept, victims))
 }
--- a/crates/scheduler/src/shard/placement/queue_order.rs
+++ b/crates/scheduler/src/shard/placement/queue_order.rs
@@ -40,9 +40,9 @@
 
     /// Takes a job's part; does it fit beside what was taken before?
     fn take(&mut self, job: &Job) -> bool {
-        let n = f64::from(job.wants());
+        let n = f64::from(job.wanted_tasks());
         let (taken, all) = &mut self.0[job.team.ix()];
-        let (c, g) = (n * job.spec.cpus, n * job.spec.cards);
+        let (c, g) = (n * job.spec.cpus, n * job.spec.accelerators);
         let fits = taken.0 + c <= all.0 + EPSILON && taken.1 + g <= all.1 + EPSILON;
         *taken = (taken.0 + c, taken.1 + g);
         fits
@@ -93,7 +93,7 @@
     let mut priority = job.priority;
     // Whose class or team has sunk below the floor stands with the best of batch work, as
     // long as it can be served in time. Where all have sunk nobody gains by it.
-    if prospect == Prospect::InTime && job.indicators.is_some_and(|a| s.underserved.either(a)) {
+    if prospect == Prospect::InTime && job.indicators.is_some_and(|a| s.underserved.contains_either(a)) {
         priority = priority.min(Priority::High);
     }
     // Of what borrows, siblings go before strangers.
@@ -103,9 +103,9 @@
 
 /// A turn for what the job wants, and one for what it may grow into.
 fn turns_of(s: &Shard, job: &Job, rank: Rank, out: &mut Vec<QueuedTurn>) {
-    let (mut own, beyond) = s.may_hold_more(job);
-    if job.at_fault() {
-        own = own.min(job.wants().saturating_sub(job.assigned));
+    let (mut own, beyond) = s.additional_tasks(job);
+    if job.is_failing_everywhere() {
+        own = own.min(job.wanted_tasks().saturating_sub(job.assigned));
     }
     let together = own != u32::MAX && job.assigned == 0;
     if own > 0 {
--- a/crates/scheduler/src/shard/placement/unplaceable.rs
+++ b/crates/scheduler/src/shard/placement/unplaceable.rs
@@ -19,7 +19,7 @@
     fills_base: bool,
     cpus: f64,
     memory_gb: f64,
-    cards: f64,
+    accelerators: f64,
 }
 
 impl Shape {
@@ -31,7 +31,7 @@
             fills_base: may_fill_base(s, job),
             cpus: r.cpus,
             memory_gb: r.memory_gb,
-            cards: r.cards,
+            accelerators: r.accelerators,
         }
     }
 
@@ -42,7 +42,7 @@
             && (self.fills_base || !other.fills_base)
             && self.cpus <= other.cpus
             && self.memory_gb <= other.memory_gb
-            && self.cards <= other.cards
+            && self.accelerators <= other.accelerators
     }
 }
 
@@ -61,7 +61,7 @@
     /// This job found nothing. Only if nothing but its size stood in the way.
     pub(super) fn note(&mut self, s: &Shard, job: &Job) {
         let r = &job.spec;
-        let plain = r.types.is_none() && r.zone.is_none() && !r.one_zone && !r.spread;
+        let plain = r.types.is_none() && r.zone.is_none() && !r.zone_affinity && !r.zone_anti_affinity;
         if plain && job.failed_on.is_empty() && job.avoided_machine.is_none() && !self.covers(s, job) {
             self.0.push(Shape::of(s, job));
         }
--- a/crates/scheduler/src/shard/quotas/mod.rs
+++ b/crates/scheduler/src/shard/quotas/mod.rs
@@ -47,8 +47,8 @@
 pub fn team_limits(teams: &[Team]) -> Vec<TeamLimits> {
     let limits = |t: &Team| TeamLimits {
         name: t.name.clone(),
-        guarantee: Amount::new(t.cpus, t.cards),
-        limit: Amount::new(t.cpus_max, t.cards_max),
+        guarantee: Amount::new(t.cpus, t.accelerators),
+        limit: Amount::new(t.cpus_max, t.accelerators_max),
     };
     teams.iter().map(limits).collect()
 }
@@ -71,7 +71,7 @@
 const MAX_AT_LIMITS: usize = 8;
 
 fn need_of(job: &Job) -> Amount {
-    Amount::new(job.spec.cpus, job.spec.cards)
+    Amount::new(job.spec.cpus, job.spec.accelerators)
 }
 
 fn of_team(t: TeamIndex) -> quota::TeamIndex {
@@ -150,9 +150,9 @@
     }
 
     /// What unseen machines may hold counts at every level.
-    pub(crate) fn quota_unseen(&mut self, (cpus, cards): (f64, f64)) {
+    pub(crate) fn quota_unseen(&mut self, (cpus, accelerators): (f64, f64)) {
         if let Some(q) = &mut self.quotas {
-            q.ledger.unseen = Amount::new(cpus, cards);
+            q.ledger.unseen = Amount::new(cpus, accelerators);
         }
     }
 
@@ -169,7 +169,7 @@
     /// What a team is guaranteed: as the settings say, or what the levels above leave of it.
     pub(crate) fn guaranteed(&self, t: TeamIndex) -> (f64, f64) {
         match &self.quotas {
-            None => (self.teams[t.ix()].spec.cpus, self.teams[t.ix()].spec.cards),
+            None => (self.teams[t.ix()].spec.cpus, self.teams[t.ix()].spec.accelerators),
             Some(q) => {
                 let own = q.ledger.tree().path(of_team(t)).first();
                 let g = own.map_or(Amount::NONE, |l| q.ledger.tree().at(*l).guarantee);
@@ -286,7 +286,7 @@
                 let specs: Vec<Team> = self.teams.iter().map(|t| t.spec.clone()).collect();
                 let mut flat = Ledger::new(Tree::flat(&team_limits(&specs)));
                 for (i, t) in self.teams.iter().enumerate() {
-                    flat.count(of_team(TeamIndex::new(i)), Amount::new(t.cpus_used, t.cards_used));
+                    flat.count(of_team(TeamIndex::new(i)), Amount::new(t.cpus_used, t.accelerators_used));
                 }
                 flat
             }
--- a/crates/scheduler/src/shard/rebalancing.rs
+++ b/crates/scheduler/src/shard/rebalancing.rs
@@ -18,8 +18,8 @@
 
 /// The teams' limits as they are parted: those that have one.
 pub fn team_limits_by_name(teams: &[Team]) -> Vec<(String, Amount)> {
-    let limited = |t: &&Team| t.cpus_max > 0.0 || t.cards_max > 0.0;
-    teams.iter().filter(limited).map(|t| (t.name.clone(), Amount::new(t.cpus_max, t.cards_max))).collect()
+    let limited = |t: &&Team| t.cpus_max > 0.0 || t.accelerators_max > 0.0;
+    teams.iter().filter(limited).map(|t| (t.name.clone(), Amount::new(t.cpus_max, t.accelerators_max))).collect()
 }
 
 impl Shard {
@@ -30,10 +30,10 @@
             let Some(share) = shares.share(&all.name, cell) else { continue };
             let part = |share: f64, limit: f64| if limit > 0.0 { share.max(MIN_SHARE) } else { 0.0 };
             t.spec.cpus_max = part(share.cpus, all.cpus_max);
-            t.spec.cards_max = part(share.cards, all.cards_max);
+            t.spec.accelerators_max = part(share.accelerators, all.accelerators_max);
             let of = |limit: f64, share: f64, all: f64| if all > 0.0 { limit * (share / all).min(1.0) } else { limit };
             t.spec.cpus = of(all.cpus, share.cpus, all.cpus_max);
-            t.spec.cards = of(all.cards, share.cards, all.cards_max);
+            t.spec.accelerators = of(all.accelerators, share.accelerators, all.accelerators_max);
         }
         self.placement_due = true;
     }
@@ -43,43 +43,45 @@
     pub fn limit_usage(&self) -> Vec<(String, Amount)> {
         let unseen = self.machines.iter().filter(|(_, m)| !m.is_reconciled()).fold(Amount::default(), |s, (_, m)| {
             let t = self.types.get(m.machine_type);
-            s.plus(Amount::new(t.cpus, t.cards))
+            s.plus(Amount::new(t.cpus, t.accelerators))
         });
-        let of = |t: &super::TeamState| (t.spec.name.clone(), Amount::new(t.cpus_used, t.cards_used).plus(unseen));
+        let of =
+            |t: &super::TeamState| (t.spec.name.clone(), Amount::new(t.cpus_used, t.accelerators_used).plus(unseen));
         self.teams.iter().map(of).collect()
     }
 
     /// What the other cells are told.
     pub fn load_snapshot(&self, cell: ShardId, now: f64) -> LoadSnapshot {
-        let mut p = LoadSnapshot { cell, token: self.token, at_ms: self.day_now_ms(now), ..LoadSnapshot::default() };
+        let mut p =
+            LoadSnapshot { shard: cell, token: self.token, at_ms: self.day_now_ms(now), ..LoadSnapshot::default() };
         for (_, m) in self.machines.iter() {
             let cpus = self.types.get(m.machine_type).cpus;
             match m.phase {
-                MachinePhase::Booting => p.boots += cpus,
+                MachinePhase::Booting => p.booting_cpus += cpus,
                 // One that is to be returned is used again where demand rises.
                 MachinePhase::Up
                     if m.is_usable(now, self.heartbeat_timeout_s())
                         || m.could_be_uncordoned(now, self.heartbeat_timeout_s()) =>
                 {
-                    p.room += (cpus - m.cpus_used).max(0.0)
+                    p.free_cpus += (cpus - m.cpus_used).max(0.0)
                 }
                 _ => {}
             }
         }
-        p.idle = self.idle_cpus();
-        p.unusable = placement::unusable_capacity(self, now);
+        p.idle_cpus = self.idle_cpus();
+        p.unusable_capacity = placement::unusable_capacity(self, now);
         let now_ms = p.at_ms;
         let mut wanted = vec![Amount::default(); self.teams.len()];
         for job in self.jobs.live.iter().map(|&j| &self.jobs[j]).filter(|j| j.is_open()) {
             let waits = f64::from(job.unfinished().saturating_sub(job.assigned));
-            p.waits += waits * job.spec.cpus;
-            p.held += f64::from(job.assigned) * job.spec.cpus;
+            p.waiting_cpus += waits * job.spec.cpus;
+            p.assigned_cpus += f64::from(job.assigned) * job.spec.cpus;
             if job.assigned == 0 {
-                p.longest_s = p.longest_s.max(now_ms.saturating_sub(job.ready_at_ms) as f64 / 1000.0);
+                p.longest_wait_s = p.longest_wait_s.max(now_ms.saturating_sub(job.ready_at_ms) as f64 / 1000.0);
             }
             let all = f64::from(job.unfinished());
             let w = &mut wanted[job.team.ix()];
-            *w = w.plus(Amount::new(all * job.spec.cpus, all * job.spec.cards));
+            *w = w.plus(Amount::new(all * job.spec.cpus, all * job.spec.accelerators));
         }
         p.teams = self
             .limit_usage()
@@ -138,9 +140,9 @@
         let job = &mut self.jobs[j];
         job.moving_away = true;
         let mut r = JobRecord::accepted(job.spec.clone(), job.accepted_at_ms);
-        (r.cell, r.moves) = (Some(to.0), job.moves + 1);
+        (r.shard, r.moves) = (Some(to.0), job.moves + 1);
         let n = f64::from(job.spec.tasks);
-        Some((r, version, job.team, Amount::new(n * job.spec.cpus, n * job.spec.cards)))
+        Some((r, version, job.team, Amount::new(n * job.spec.cpus, n * job.spec.accelerators)))
     }
 
     /// It stays after all.
@@ -164,8 +166,8 @@
             self.moved_jobs.note(key, replaced, now);
         }
         // Nobody here counts it, neither as served nor as missed.
-        self.account_end(j, Phase::Cancelled, now);
-        self.elastic_leave(j);
+        self.track_end(j, Phase::Cancelled, now);
+        self.elastic_forget(j);
         self.forget_job(j);
     }
 
--- a/crates/scheduler/src/shard/service_levels/mod.rs
+++ b/crates/scheduler/src/shard/service_levels/mod.rs
@@ -83,7 +83,9 @@
 }
 
 /// What an earlier owner handed over, and its place, among the stored values of the checkpoint.
-pub fn handed<'a>(items: impl Iterator<Item = (&'a str, &'a serde_json::Value)>) -> Option<(InheritedTotals, u8)> {
+pub fn inherited_totals<'a>(
+    items: impl Iterator<Item = (&'a str, &'a serde_json::Value)>,
+) -> Option<(InheritedTotals, u8)> {
     let of = items.filter_map(|(k, v)| Some((k.strip_prefix(ACCOUNTS_PREFIX)?.split('/').next()?.parse().ok()?, v)));
     let (mut parts, mut places) = (Vec::new(), Vec::new());
     for (place, v) in of {
@@ -102,24 +104,24 @@
 
 impl Shard {
     /// Goes on with the accounts of the owner before, if there are some.
-    pub fn carry_accounts(&mut self, handed: Option<(InheritedTotals, u8)>, now: f64) {
-        let t = self.account_now(now);
+    pub fn inherit_service_levels(&mut self, handed: Option<(InheritedTotals, u8)>, now: f64) {
+        let t = self.day_now_s(now);
         let Some((c, place)) = handed else { return };
         let glue = &mut self.service_levels;
         (glue.chain, glue.round, glue.place) = (c.chain, c.round, place);
-        self.service_level_tracker.carry(&c, 2.0 * self.time_bound_s + HEARTBEAT_DELAY_S, t);
+        self.service_level_tracker.inherit(&c, 2.0 * self.time_bound_s + HEARTBEAT_DELAY_S, t);
     }
 
     /// The next value of the accounts as the next owner finds them, if it is time. One that is
     /// not stored spoils its round; the one before stays whole.
-    pub(in crate::shard) fn accounts_write(&mut self, spare: bool, now: f64) -> Option<PendingWrite> {
+    pub(in crate::shard) fn service_levels_write(&mut self, spare: bool, now: f64) -> Option<PendingWrite> {
         let waited = now - self.service_levels.handed_at;
         let due = waited >= if spare { REPORT_INTERVAL_S } else { MAX_REPORT_INTERVAL_S };
         if due && self.service_levels.to_send.is_empty() && self.heartbeats_gathered(now) {
-            let t = self.account_now(now);
+            let t = self.day_now_s(now);
             let glue = &mut self.service_levels;
             (glue.handed_at, glue.round) = (now, glue.round + 1);
-            let parts = self.service_level_tracker.hand_over(glue.round, glue.chain, self.value_bytes, t);
+            let parts = self.service_level_tracker.export(glue.round, glue.chain, self.value_bytes, t);
             glue.left = parts.len();
             let place = 1 - glue.place.min(1);
             glue.to_send = parts.into_iter().enumerate().map(|(n, p)| (part_key(place, n), p)).collect();
@@ -132,7 +134,7 @@
         self.enqueue_write(key, WritePurpose::ServiceLevels(part.round(), 1 - self.service_levels.place.min(1)), &part)
     }
 
-    pub(in crate::shard) fn accounts_applied(&mut self, round: u64, place: u8) {
+    pub(in crate::shard) fn on_service_levels_stored(&mut self, round: u64, place: u8) {
         let glue = &mut self.service_levels;
         if round == glue.round {
             glue.left = glue.left.saturating_sub(1);
@@ -143,12 +145,12 @@
     }
 
     /// Seconds of the day, as the accounts count them.
-    fn account_now(&self, now: f64) -> f64 {
+    fn day_now_s(&self, now: f64) -> f64 {
         self.day_ms / 1000.0 + now
     }
 
     /// A job's time begins, or it is over by its record: the next tick enters it.
-    pub(in crate::shard) fn account_due(&mut self, j: JobIndex) {
+    pub(in crate::shard) fn track_later(&mut self, j: JobIndex) {
         if self.jobs[j].phase != Phase::Open || self.jobs.live.contains(&j) {
             self.service_levels.due.push(j);
         }
@@ -156,15 +158,15 @@
 
     /// One that goes to another cell before it was entered: the next look would find it gone, and
     /// once ended the process.
-    pub(in crate::shard) fn accounts_forget(&mut self, j: JobIndex) {
+    pub(in crate::shard) fn forget_untracked(&mut self, j: JobIndex) {
         self.service_levels.due.retain(|d| *d != j);
     }
 
     /// How much later than it happens a start is seen here, or seems to be: workers report at
     /// most every half second, and the time of day of whoever accepted a job is not ours. Of a
     /// job that this owner saw come, the moment when it came is known.
-    fn sees_late_s(&self, job: &Job, now: f64) -> f64 {
-        let came = self.account_now(job.known_since) - job.ready_at_ms as f64 / 1000.0;
+    fn observation_delay_s(&self, job: &Job, now: f64) -> f64 {
+        let came = self.day_now_s(job.known_since) - job.ready_at_ms as f64 / 1000.0;
         let clocks_differ =
             job.known_since > self.began_at && came.abs() <= 2.0 * self.time_bound_s && now >= job.known_since;
         HEARTBEAT_DELAY_S + if clocks_differ { came } else { 0.0 }
@@ -176,18 +178,18 @@
         if limit > 0.0 && job.spec.cpus > 0.0 { (limit / job.spec.cpus) as u32 } else { u32::MAX }
     }
 
-    fn enter_account(&mut self, j: JobIndex, now: f64) {
-        let t = self.account_now(now);
+    fn track_job(&mut self, j: JobIndex, now: f64) {
+        let t = self.day_now_s(now);
         let may_have_waited_s = self.service_levels.arrivals.take(self.jobs[j].accepted_at_ms as f64 / 1000.0);
         let job = &self.jobs[j];
         let spec = &job.spec;
         let (from, submitted) = (job.ready_at_ms as f64 / 1000.0, job.accepted_at_ms as f64 / 1000.0);
-        let began = self.account_now(self.began_at);
+        let began = self.day_now_s(self.began_at);
         // A machine that may hold it is named with it before its first start.
         let seen = job.unreconciled_machines > 0
             || job.done > 0
             || job.tasks.iter().any(|s| matches!(s, TaskSlot::Assigned(_)));
-        let late = self.sees_late_s(job, now);
+        let late = self.observation_delay_s(job, now);
         // What a fresh cluster's first jobs could start on has to be rented first.
         let boots = self.types.list.iter().map(|t| t.boot_s).fold(0.0, f64::max) * BOOT_TIME_MARGIN;
         let waits_from = if self.is_first_leader { began + boots + self.report_s } else { 0.0 };
@@ -209,12 +211,12 @@
             Phase::Cancelled => End::Cancelled,
             Phase::Open => {
                 let ms = |s: f64| (s * 1000.0) as u64;
-                let terms = self.service_level_tracker.terms(&spec.class).filter(|_| !entry.service);
+                let terms = self.service_level_tracker.objectives(&spec.class).filter(|_| !entry.service);
                 let until = terms.and_then(|p| p.latest(submitted, from, spec.deadline_s)).map(ms);
                 let useful = terms.and_then(|p| p.last(submitted, from, spec.deadline_s)).map(ms);
                 let tasks = job.progress();
-                let ticket = self.service_level_tracker.enter(&entry, t);
-                self.service_level_tracker.runs(ticket, tasks, t);
+                let ticket = self.service_level_tracker.track(&entry, t);
+                self.service_level_tracker.on_progress(ticket, tasks, t);
                 let accounts = self.service_level_tracker.of(ticket);
                 let job = &mut self.jobs[j];
                 (job.tracked, job.indicators) = (Some(ticket), accounts);
@@ -227,20 +229,20 @@
     }
 
     /// The number of its tasks that run, or are done, has changed.
-    pub(in crate::shard) fn account_runs(&mut self, j: JobIndex, now: f64) {
-        let t = self.account_now(now);
+    pub(in crate::shard) fn track_progress(&mut self, j: JobIndex, now: f64) {
+        let t = self.day_now_s(now);
         let job = &self.jobs[j];
         if let Some(ticket) = job.tracked {
-            self.service_level_tracker.runs(ticket, job.progress(), t);
+            self.service_level_tracker.on_progress(ticket, job.progress(), t);
         }
     }
 
-    pub(in crate::shard) fn account_end(&mut self, j: JobIndex, phase: Phase, now: f64) {
-        let t = self.account_now(now);
+    pub(in crate::shard) fn track_end(&mut self, j: JobIndex, phase: Phase, now: f64) {
+        let t = self.day_now_s(now);
         let job = &mut self.jobs[j];
         let ended = if job.ended_ms > 0 { job.ended_ms as f64 / 1000.0 } else { t };
         if let Some(ticket) = job.tracked.take() {
-            self.service_level_tracker.ended(
+            self.service_level_tracker.on_ended(
                 ticket,
                 if phase == Phase::Done { End::Done } else { End::Cancelled },
                 ended,
@@ -250,12 +252,12 @@
     }
 
     /// Enters what is due, and looks now and then at who has sunk.
-    pub(in crate::shard) fn keep_accounts(&mut self, now: f64) {
+    pub(in crate::shard) fn update_service_levels(&mut self, now: f64) {
         let mut due = std::mem::take(&mut self.service_levels.due);
         due.sort_by_key(|j| self.jobs[*j].accepted_at_ms);
         for j in due {
             if self.jobs[j].tracked.is_none() {
-                self.enter_account(j, now);
+                self.track_job(j, now);
             }
         }
         if now - self.service_levels.pairs_examined < EVALUATION_INTERVAL_S {
@@ -263,18 +265,18 @@
         }
         let since = now - self.service_levels.pairs_examined;
         self.service_levels.pairs_examined = now;
-        let t = self.account_now(now);
+        let t = self.day_now_s(now);
         if self.heartbeats_gathered(now) && since < 4.0 * EVALUATION_INTERVAL_S {
-            self.account_held(since, t);
+            self.record_guarantee_use(since, t);
         }
         self.report_large_jobs(now, t);
         self.service_level_tracker.advance(t);
-        self.underserved = Underserved::look(&self.service_level_tracker, &self.ahead(t), t);
+        self.underserved = Underserved::evaluate(&self.service_level_tracker, &self.forecasts(t), t);
     }
 
     /// What becomes of the arrays that are open and in time, by class and team, where more waits
     /// than the machines can take.
-    fn ahead(&self, t: f64) -> HashMap<IndicatorIndex, Forecast> {
+    fn forecasts(&self, t: f64) -> HashMap<IndicatorIndex, Forecast> {
         if self.pressure() <= OVERLOAD_PRESSURE {
             return HashMap::new();
         }
@@ -293,7 +295,7 @@
             if now_ms < job.ready_at_ms + window / FORECAST_AFTER_PART {
                 continue;
             }
-            let tasks = f64::from(job.wants()) - f64::from(job.assigned) / 2.0;
+            let tasks = f64::from(job.wanted_tasks()) - f64::from(job.assigned) / 2.0;
             let work = tasks * job.spec.estimate_s * job.spec.cpus;
             for a in accounts {
                 open.entry(a).or_default().0.push((work, (until - now_ms) as f64 / 1000.0));
@@ -303,12 +305,12 @@
     }
 
     /// Of what each team asks for within its guarantee, what it holds.
-    fn account_held(&mut self, since: f64, t: f64) {
+    fn record_guarantee_use(&mut self, since: f64, t: f64) {
         let mut asked = vec![0.0; self.teams.len()];
         for &j in &self.jobs.live {
             let job = &self.jobs[j];
             if job.is_open() {
-                asked[job.team.ix()] += f64::from(job.wants()) * job.spec.cpus;
+                asked[job.team.ix()] += f64::from(job.wanted_tasks()) * job.spec.cpus;
             }
         }
         for (i, asked) in asked.into_iter().enumerate() {
@@ -335,15 +337,15 @@
 
     /// What fell under a half since the last call, or is back.
     pub fn service_level_alerts(&mut self, now: f64) -> Vec<Alert> {
-        let t = self.account_now(now);
-        self.service_level_tracker.alarms(t)
+        let t = self.day_now_s(now);
+        self.service_level_tracker.alerts(t)
     }
 
     pub fn service_level_report(&self, now: f64) -> ServiceLevelReport {
         ServiceLevelReport {
-            owner: self.token,
+            leader: self.token,
             chain: self.service_levels.chain,
-            ..self.service_level_tracker.told(self.account_now(now))
+            ..self.service_level_tracker.report(self.day_now_s(now))
         }
     }
 
@@ -355,7 +357,7 @@
 
     /// For operators' summary line: the class and the team that are served least.
     pub(in crate::shard) fn service_summary(&self) -> String {
-        let t = self.account_now(self.ticked_at);
+        let t = self.day_now_s(self.ticked_at);
         let least = |side: Subject, what: &str| {
             let l = self.service_level_tracker.lowest(side, t);
             l.map_or(String::new(), |(name, r, share)| format!(" {what} {name} {} {share:.2}", r.name()))
@@ -374,7 +376,7 @@
             .map(|(_, m)| self.types.get(m.machine_type).cpus)
             .sum();
         let waits = self.jobs.live.iter().map(|&j| &self.jobs[j]).filter(|j| j.is_open() && !j.is_service());
-        let waits: f64 = waits.map(|j| f64::from(j.wants().saturating_sub(j.assigned)) * j.spec.cpus).sum();
+        let waits: f64 = waits.map(|j| f64::from(j.wanted_tasks().saturating_sub(j.assigned)) * j.spec.cpus).sum();
         if there > 0.0 { (waits / there).clamp(1.0, MAX_PRESSURE) } else { 1.0 }
     }
 
--- a/crates/scheduler/src/shard/service_levels/tests.rs
+++ b/crates/scheduler/src/shard/service_levels/tests.rs
@@ -18,7 +18,7 @@
 
 /// Golden keys of the accounts: another version must find them under the same names.
 #[test]
-fn keys_of_the_accounts() {
+fn keys_of_the_service_levels() {
     assert_eq!(part_key(1, 2), "ckpt/a/1/2");
     assert_eq!(part_key(0, 0), "ckpt/a/0/0");
 }
--- a/crates/scheduler/src/shard/sizing.rs
+++ b/crates/scheduler/src/shard/sizing.rs
@@ -10,7 +10,7 @@
 
 /// Reports come at intervals of up to this many times the usual one.
 pub(super) const HEARTBEAT_JITTER: f64 = 1.25;
-const MOVE_EVERY_S: f64 = 1.0;
+const EVICTION_INTERVAL_S: f64 = 1.0;
 /// The base is counted with room for this many more service tasks.
 const SPARE_TASKS: f64 = 2.0;
 /// And with this share more: so many more start at a time where there are more of them.
@@ -20,7 +20,7 @@
     pub(super) fn share(&self, r: &crate::wire::JobRequest, ty: TypeIndex) -> f64 {
         let t = self.types.get(ty);
         let part = |need: f64, has: f64| if need > 0.0 { need / has.max(EPSILON) } else { 0.0 };
-        part(r.cpus, t.cpus).max(part(r.memory_gb, t.memory_gb)).max(part(r.cards, t.cards))
+        part(r.cpus, t.cpus).max(part(r.memory_gb, t.memory_gb)).max(part(r.accelerators, t.accelerators))
     }
 
     /// The cheapest type on which a job's tasks fit.
@@ -60,7 +60,7 @@
             let Some(ty) = self.cheapest_pool(&job.spec) else { continue };
             // Beyond its smallest size a job grows into what is there, and nothing is rented for it.
             let smallest = self.elastic_sizes(j).map_or(u32::MAX, |s| s.smallest);
-            let mut n = f64::from(job.wants().min(smallest));
+            let mut n = f64::from(job.wanted_tasks().min(smallest));
             let left = &mut room[job.team.ix()];
             if job.spec.cpus > 0.0 {
                 n = n.min((*left / job.spec.cpus).max(0.0));
@@ -104,15 +104,15 @@
             let base = pool.base.update(now, base_demand, 1.0, hold);
             pool.mix = mixture(target, extra, spot_up, base);
             let mix = pool.mix;
-            self.choose_base(ty, mix.base, now);
+            self.choose_on_demand_base(ty, mix.base, now);
             let spot_pending = self.launches.pending_count(true);
-            self.adjust((ty, true), mix.spot, spot_now, spot_pending, &bound, now);
+            self.adjust_pool((ty, true), mix.spot, spot_now, spot_pending, &bound, now);
             let pending = self.launches.pending_count(false);
-            self.adjust((ty, false), mix.base + mix.fallback, ordinary_now, pending, &bound, now);
+            self.adjust_pool((ty, false), mix.base + mix.on_demand_fallback, ordinary_now, pending, &bound, now);
         }
         // A replica stopped while nothing can be written would stay down: its start
         // elsewhere needs the machine's record first.
-        if self.state_service_writable && now - self.evicted_at >= MOVE_EVERY_S {
+        if self.state_service_writable && now - self.evicted_at >= EVICTION_INTERVAL_S {
             self.evicted_at = now;
             self.evict_services(now);
             self.evict_checkpointed_tasks(now);
@@ -122,7 +122,7 @@
     /// The base are the on-demand machines with the most services: they have the
     /// images, and so the next service starts there at once. It takes from each zone
     /// in turn: replicas that must be spread could never leave the others otherwise.
-    fn choose_base(&mut self, ty: TypeIndex, count: usize, now: f64) {
+    fn choose_on_demand_base(&mut self, ty: TypeIndex, count: usize, now: f64) {
         let mut up: Vec<(ZoneIndex, usize, MachineIndex)> = self
             .machines
             .iter()
@@ -145,7 +145,7 @@
     }
 
     /// Works out the difference between wanted and present machines of one kind.
-    fn adjust(
+    fn adjust_pool(
         &mut self,
         (ty, spot): (TypeIndex, bool),
         wanted: usize,
@@ -174,7 +174,7 @@
                         && m.spot == spot
                         && counts_as_fleet(m, now)
                         && !m.in_on_demand_base
-                        && !self.grown_on(m)
+                        && !self.holds_elastic_surplus(m)
                 })
                 .filter(|(_, m)| !bound.at(ty, m.zone))
                 .map(|(i, m)| {
@@ -191,8 +191,9 @@
 
     /// Machines that were to be returned, and can be used still.
     pub(super) fn cordoned(&self, of_sort: impl Fn(&Machine) -> bool) -> Vec<MachineIndex> {
-        let usable =
-            |m: &Machine| m.cordoned && present(m) && m.reclaimed_at.is_none() && !m.lost_start_before(f64::INFINITY);
+        let usable = |m: &Machine| {
+            m.cordoned && is_present(m) && m.reclaimed_at.is_none() && !m.lost_start_before(f64::INFINITY)
+        };
         self.machines.iter().filter(|(_, m)| usable(m) && of_sort(m)).map(|(i, _)| i).collect()
     }
 
@@ -217,7 +218,7 @@
                 preemptive: p.zones.preemptive.iter().map(|z| self.types.zones.name(*z).to_string()).collect(),
                 target: p.mix.target,
                 spot: p.mix.spot,
-                on_demand: p.mix.base + p.mix.fallback,
+                on_demand: p.mix.base + p.mix.on_demand_fallback,
             })
             .collect();
         pools.sort_by(|a, b| a.type_name.cmp(&b.type_name));
@@ -225,11 +226,15 @@
     }
 }
 
-pub(super) fn present(m: &Machine) -> bool {
+pub(super) fn is_present(m: &Machine) -> bool {
     matches!(m.phase, MachinePhase::Up | MachinePhase::Booting)
 }
 
 /// Does this machine count as part of the fleet?
 pub(super) fn counts_as_fleet(m: &Machine, now: f64) -> bool {
-    present(m) && !m.heard_only_before_failover && !m.cordoned && m.reclaimed_at.is_none() && now >= m.quarantined_until
+    is_present(m)
+        && !m.heard_only_before_failover
+        && !m.cordoned
+        && m.reclaimed_at.is_none()
+        && now >= m.quarantined_until
 }
--- a/crates/scheduler/src/shard/starts.rs
+++ b/crates/scheduler/src/shard/starts.rs
@@ -151,11 +151,11 @@
         let machine = &mut self.machines[m];
         let job = &self.jobs[j];
         machine.cpus_used += sign * job.spec.cpus;
-        machine.cards_used += sign * job.spec.cards;
+        machine.accelerators_used += sign * job.spec.accelerators;
         machine.memory_used += sign * job.spec.memory_gb;
         let team = &mut self.teams[job.team.ix()];
         team.cpus_used += sign * job.spec.cpus;
-        team.cards_used += sign * job.spec.cards;
+        team.accelerators_used += sign * job.spec.accelerators;
         self.count_quota(j, sign);
     }
 
@@ -170,7 +170,7 @@
         // Sums of fractions must not drift for ever.
         if machine.assignments.is_empty() && machine.unassigned.is_empty() {
             machine.cpus_used = 0.0;
-            machine.cards_used = 0.0;
+            machine.accelerators_used = 0.0;
             machine.memory_used = 0.0;
         }
         if job.tasks.get(key.1 as usize) == Some(&TaskSlot::Assigned(m)) {
@@ -185,9 +185,9 @@
             *c -= 1;
         }
         if held.state.has_started() {
-            self.account_runs(key.0, self.ticked_at);
+            self.track_progress(key.0, self.ticked_at);
         }
-        self.elastic_gone(key);
+        self.on_elastic_task_gone(key);
         self.placement_due = true;
         Some(held)
     }
@@ -209,7 +209,7 @@
             return;
         }
         if self.jobs.mark_task_done(key.0, key.1, false) {
-            self.account_runs(key.0, self.ticked_at);
+            self.track_progress(key.0, self.ticked_at);
             self.progress_due.insert(key.0);
             if self.jobs[key.0].desired_phase != Phase::Open {
                 self.pending_ends.insert(key.0);
