--- a/crates/elastic/src/bound.rs
+++ b/crates/elastic/src/bound.rs
@@ -1,6 +1,6 @@
 //! The longest that a shrink takes, from the settings alone.
 //!
-//! A shrink is *asked* when room for a service is decided, and over when the owner knows that
+//! A shrink is *asked* when room for a service is decided, and over when the leader knows that
 //! the task is gone, so that its room is free and counts for nobody. Times are in seconds.
 
 use serde::{Deserialize, Serialize};
@@ -10,7 +10,7 @@
 pub struct Timing {
     /// Between two reports of a worker, at the most.
     pub report_s: f64,
-    /// A worker's lease, as the owner counts it: with drift and margin.
+    /// A worker's lease, as the leader counts it: with drift and margin.
     pub lease_s: f64,
     /// A reply to a report, or a direct command, is given up after this.
     pub answer_s: f64,
@@ -31,7 +31,7 @@
     pub reachable_s: f64,
     /// It answers to nothing: it is counted until its lease is surely over.
     pub deaf_s: f64,
-    /// The owner ends in between; its successor knows of no shrink, and asks anew.
+    /// The leader ends in between; its successor knows of no shrink, and asks anew.
     pub takeover_s: f64,
 }
 
--- a/crates/elastic/tests/model.rs
+++ b/crates/elastic/tests/model.rs
@@ -1,4 +1,4 @@
-//! A model of jobs, machines and an owner that may end: commands are lost and late, machines hang
+//! A model of jobs, machines and a leader that may end: commands are lost and late, machines hang
 //! and are deaf, services come and go. Whatever happens: never over the largest, never under the
 //! smallest by choice, capacity given back within the bound, and no endless swing.
 
@@ -14,7 +14,7 @@
     Plan::parse("settle_s = 2.0\nrest_s = 10.0\ngrace_s = 6.0\nstep = 0.5\n").expect("a plan")
 }
 
-/// A task on a machine, as it is and as the owner knows it.
+/// A task on a machine, as it is and as the leader knows it.
 #[derive(Debug, Clone)]
 struct Task {
     job: usize,
@@ -24,7 +24,7 @@
     ends_at: Option<f64>,
     told: bool,
     deaf: bool,
-    /// When the owner's last answer to it was sent.
+    /// When the leader's last answer to it was sent.
     renewed: f64,
     asked: Option<f64>,
 }
@@ -38,7 +38,7 @@
     services: u32,
     sizes: Vec<Sizes>,
     took: Vec<(f64, bool)>,
-    /// The last takeover: what was asked before it is asked anew.
+    /// The last failover: what was asked before it is asked anew.
     took_over: f64,
 }
 
--- a/crates/model/src/coincidences.rs
+++ b/crates/model/src/coincidences.rs
@@ -2,19 +2,19 @@
 
 use serde::Serialize;
 
-/// How often each coincidence was seen in a run. A takeover is the beginning of a leader of a cell that another process,
+/// How often each coincidence was seen in a run. A failover is the beginning of a leader of a shard that another process,
 /// or an earlier life of the same one, led before.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Coincidences {
     pub takeovers: u64,
-    /// Takeovers from a controller that is still running.
+    /// Failovers from a controller that is still running.
     pub takeovers_from_live_leader: u64,
-    /// Takeovers by a controller that had led the cell before its predecessor.
+    /// Failovers by a controller that had led the shard before its predecessor.
     pub takeovers_by_former_leader: u64,
-    /// The longest time for which a cell had no leader between two.
+    /// The longest time for which a shard had no leader between two.
     pub longest_without_leader_s: f64,
 
-    /// Cancellations confirmed within a second of a takeover.
+    /// Cancellations confirmed within a second of a failover.
     pub cancellations_at_takeover: u64,
     /// Cancellations confirmed while a former leader is running without the state service.
     pub cancellations_beside_isolated_leader: u64,
@@ -30,14 +30,14 @@
     /// Cancellations asked for within a second of the end of the job's last task.
     pub cancellations_at_last_end: u64,
 
-    /// Teams at their limits, machines with tasks that could not be reached, jobs that waited, each at a takeover.
+    /// Teams at their limits, machines with tasks that could not be reached, jobs that waited, each at a failover.
     pub teams_at_limit_at_takeover: u64,
     pub unreachable_machines_at_takeover: u64,
     pub waiting_jobs_at_takeover: u64,
-    /// Needs whose records a new leader had not read, and tasks of the jobs behind them that ran, each at a takeover.
+    /// Needs whose records a new leader had not read, and tasks of the jobs behind them that ran, each at a failover.
     pub unread_needs_at_takeover: u64,
     pub tasks_behind_unread_needs_at_takeover: u64,
-    /// Jobs of which some tasks ended before a takeover and others afterwards.
+    /// Jobs of which some tasks ended before a failover and others afterwards.
     pub jobs_ending_across_takeover: u64,
 
     /// Transactions executed after a newer one of the same controller, and those of them that were applied.
@@ -52,7 +52,7 @@
     pub claim_answers_during_pause: u64,
 
     /// Direct commands that came late, after their sender gave them up: executed; refused, since the machine had seen a
-    /// newer token; after a takeover of their cell; about a job whose cancellation was confirmed meanwhile.
+    /// newer token; after a failover of their shard; about a job whose cancellation was confirmed meanwhile.
     pub late_commands_executed: u64,
     pub late_commands_refused: u64,
     pub late_commands_of_former_leader: u64,
@@ -62,9 +62,9 @@
     /// Answers to reports that a machine did not get.
     pub answers_lost: u64,
 
-    /// Copies of reports delivered to a leader within two seconds of its takeover.
+    /// Copies of reports delivered to a leader within two seconds of its failover.
     pub copies_to_new_leader: u64,
-    /// Copies delivered to a leader after newer reports of the same machine, and those of an earlier session.
+    /// Copies delivered to a leader after newer reports of the same machine, and those of an earlier incarnation.
     pub overtaken_reports: u64,
     pub reports_of_earlier_session: u64,
     /// Reports answered by a leader without the state service, and inside a zone that is cut off.
--- a/crates/model/src/controllers.rs
+++ b/crates/model/src/controllers.rs
@@ -1,4 +1,4 @@
-//! Controllers: their claims, and the shell's part around each owner's decisions.
+//! Controllers: their claims, and the shell's part around each leader's decisions.
 
 use crate::elections::ClaimState;
 use crate::machines::Machine;
@@ -9,11 +9,11 @@
 use crate::world::{World, ZONES};
 use crate::wrong_decisions;
 use crate::{CLAIM_S, STEP};
-use lupinspur_cells::rebalance::Rebalancer;
 use lupinspur_scheduler::election::{LeaderElection, LeadershipRecord};
-use lupinspur_scheduler::intern::Index;
+use lupinspur_scheduler::intern::DenseIndex;
 use lupinspur_scheduler::jobs::{JOB_PREFIX, JobRecord};
 use lupinspur_scheduler::shard::{CloudCall, PushOutcome, PushRequest, Shard};
+use lupinspur_sharding::rebalance::Rebalancer;
 use lupinspur_wire::ListedMachine;
 use serde_json::json;
 use std::collections::HashMap;
@@ -32,11 +32,11 @@
     /// Which of its lives this is.
     pub(crate) life: u64,
     pub(crate) cells: Vec<Held>,
-    /// What it last saw of what passes between cells, and where it met jobs and machines.
+    /// What it last saw of what passes between shards, and where it met jobs and machines.
     pub(crate) seen: Seen,
     pub(crate) seen_at: f64,
-    pub(crate) job_cells: HashMap<String, usize>,
-    pub(crate) machine_cells: HashMap<String, usize>,
+    pub(crate) shard_by_job: HashMap<String, usize>,
+    pub(crate) shard_by_machine: HashMap<String, usize>,
 }
 
 /// Machines that were rented under one name.
@@ -47,7 +47,7 @@
     pub(crate) answered_at: f64,
 }
 
-/// One cell's place in a controller.
+/// One shard's place in a controller.
 pub(crate) struct Held {
     pub(crate) own: LeaderElection,
     pub(crate) shard: Option<Shard>,
@@ -64,7 +64,7 @@
 }
 
 impl Held {
-    /// The token, while this controller surely owns the cell.
+    /// The token, while this controller surely owns the shard.
     pub(crate) fn valid_token(&self, now: f64) -> Option<u64> {
         self.own.valid_token(now - self.acts_past_lease_s)
     }
@@ -90,8 +90,8 @@
         };
         self.cells = (0..cells).map(held).collect();
         (self.seen, self.seen_at) = (Seen::default(), -10.0);
-        self.job_cells.clear();
-        self.machine_cells.clear();
+        self.shard_by_job.clear();
+        self.shard_by_machine.clear();
     }
 
     /// The shard that acts by this token.
@@ -99,7 +99,7 @@
         self.cells.iter_mut().filter_map(|h| h.shard.as_mut()).find(|s| s.token == token)
     }
 
-    /// The shard of a cell, while this controller surely owns it.
+    /// The shard of a shard, while this controller surely owns it.
     pub(crate) fn acting(&mut self, c: usize, now: f64) -> Option<&mut Shard> {
         let h = &mut self.cells[c];
         let token = h.valid_token(now)?;
@@ -119,10 +119,10 @@
         if self.cells > 1 && self.reaches(i) && self.now - self.nodes[i].seen_at > 0.6 {
             self.see(i);
         }
-        (0..self.cells).for_each(|c| self.step_cell(i, c));
+        (0..self.cells).for_each(|c| self.step_shard(i, c));
     }
 
-    pub(crate) fn step_cell(&mut self, i: usize, c: usize) {
+    pub(crate) fn step_shard(&mut self, i: usize, c: usize) {
         let now = self.now;
         let reaches = self.reaches(i);
         if reaches {
@@ -264,7 +264,7 @@
                             10..40 => 0.5,
                             _ => 5.0 + self.rng.f64() * 10.0,
                         };
-                        self.add_machine(l.zone.ix(), l.spot, now + boots)
+                        self.add_machine(l.zone.as_usize(), l.spot, now + boots)
                     })
                     .collect();
                 let rental = Rental { names, answered_at: self.rental_answered_at() };
--- a/crates/model/src/elections.rs
+++ b/crates/model/src/elections.rs
@@ -1,23 +1,23 @@
-//! A controller's lease and claim of a cell: requests that take time, answers that are late or lost, and a
+//! A controller's lease and claim of a shard: requests that take time, answers that are late or lost, and a
 //! watch that tells of the claim a moment after it has changed.
 
 use crate::CLAIM_S;
 use crate::messages::Message;
 use crate::transactions::{COMMIT_LIMIT_S, GRANT_LIMIT_S, RENEWAL_LIMIT_S};
 use crate::world::World;
-use lupinspur_cells::ShardId;
-use lupinspur_cells::activation::campaign_delay_s;
 use lupinspur_scheduler::election::{ElectionStep, LeadershipRecord, ObservedRecord};
+use lupinspur_sharding::ShardId;
+use lupinspur_sharding::activation::campaign_delay_s;
 use lupinspur_wire::Mutation;
 
-/// How often an owner renews its lease, and how often whoever may not act tries.
+/// How often a leader renews its lease, and how often whoever may not act tries.
 const RENEW_INTERVAL_S: f64 = 0.8;
 const RETRY_INTERVAL_S: f64 = 0.15;
 
 /// A process that goes on after a pause reads what came meanwhile in any order, within this.
 const AFTER_PAUSE_S: f64 = 0.4;
 
-/// What a controller has under way about one cell's claim.
+/// What a controller has under way about one shard's claim.
 #[derive(Debug)]
 pub(crate) struct ClaimState {
     renewed_at: f64,
@@ -58,7 +58,7 @@
         lease: u64,
     },
     Grant,
-    /// `raises`: the owner takes its own claim anew.
+    /// `raises`: the leader takes its own claim anew.
     Claim {
         lease: u64,
         over: u64,
@@ -190,7 +190,7 @@
         }
     }
 
-    /// An owner takes its own claim anew.
+    /// A leader takes its own claim anew.
     pub(crate) fn raise(&mut self, i: usize, c: usize, token: u64) {
         let day_ms = (self.now * 1000.0) as u64;
         let held = &mut self.nodes[i].cells[c];
@@ -329,7 +329,7 @@
         }
     }
 
-    /// The owner gives its claim up, so that others go first.
+    /// The leader gives its claim up, so that others go first.
     pub(crate) fn step_down(&mut self, i: usize, c: usize) {
         let (now, reaches) = (self.now, self.reaches(i));
         let held = &mut self.nodes[i].cells[c];
--- a/crates/model/src/failover.rs
+++ b/crates/model/src/failover.rs
@@ -1,19 +1,19 @@
-//! How a new owner reads what is stored, and begins.
+//! How a new leader reads what is stored, and begins.
 
 use crate::shard_exchange::{LEDGER_KEY, concerns, inner};
 use crate::stored::{self, types};
 use crate::trouble::Wrong;
 use crate::world::World;
 use crate::{CLAIM_S, STEP};
-use lupinspur_cells::ShardId;
-use lupinspur_cells::escrow::Ledger;
-use lupinspur_cells::machine_transfer::{self, MachineTransfer};
 use lupinspur_scheduler::params::Tuning;
 use lupinspur_scheduler::shard::{LoadedState, Shard};
+use lupinspur_sharding::ShardId;
+use lupinspur_sharding::escrow::Ledger;
+use lupinspur_sharding::machine_transfer::{self, MachineTransfer};
 use std::collections::BTreeSet;
 
 impl World {
-    /// A new owner reads what is stored, which takes a while where the state service is slow.
+    /// A new leader reads what is stored, which takes a while where the state service is slow.
     pub(crate) fn take_over(&mut self, i: usize, c: usize) {
         let now = self.now;
         let held = &self.nodes[i].cells[c];
@@ -52,7 +52,7 @@
         self.observe_unread_needs(i, c);
     }
 
-    /// What the state service holds of a cell.
+    /// What the state service holds of a shard.
     fn read_for(&self, c: usize) -> LoadedState {
         let (mut loaded, _) = stored::loaded(&inner(c, &self.store.keys), self.store.revision);
         if self.cells == 1 {
@@ -64,7 +64,7 @@
         let known: BTreeSet<&str> = loaded.jobs.iter().map(|(r, _)| r.job.id.as_str()).collect();
         loaded.progress.retain(|p| p.0.split('/').nth(1).is_some_and(|id| known.contains(id)));
         let hands = stored::readable::<MachineTransfer>(&self.store.keys, machine_transfer::PREFIX);
-        let from_here = hands.iter().filter(|h| h.1.from.ix() == c);
+        let from_here = hands.iter().filter(|h| h.1.from.as_usize() == c);
         loaded.transferred_away = from_here.flat_map(|h| &h.1.machines).map(|m| m.machine.clone()).collect();
         loaded
     }
--- a/crates/model/src/late_reports.rs
+++ b/crates/model/src/late_reports.rs
@@ -12,7 +12,7 @@
 #[derive(Default)]
 pub(crate) struct LateReports {
     kept: Vec<Heartbeat>,
-    /// The newest token of a leader, by cell.
+    /// The newest token of a leader, by shard.
     leaders: Vec<u64>,
 }
 
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Delivers the copies once a cell has a new leader.
+    /// Delivers the copies once a shard has a new leader.
     pub(crate) fn step_late_reports(&mut self) {
         let tokens = |c: usize| self.nodes.iter().filter_map(|n| Some(n.cells[c].shard.as_ref()?.token)).max();
         let newest: Vec<u64> = (0..self.cells).map(|c| tokens(c).unwrap_or(0)).collect();
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -7,9 +7,9 @@
 //!
 //! - [`scenario`]: what is played, and the file that says it
 //! - [`trouble`]: what goes wrong
-//! - `controllers`, `between`: the shell's part around the decisions, of one cell and between several
+//! - `controllers`, `between`: the shell's part around the decisions, of one shard and between several
 //! - `claims`, `transactions`: leases, claims and writes on their way to the state service and back
-//! - `takeover`: how a new owner begins
+//! - `takeover`: how a new leader begins
 //! - `machines`, `store`, `users`, `messages`: the stand-ins
 //! - `questions`, `odd_requests`, `late_reports`, `spells`: troubles that users, machines and reports bring
 //! - `pipelines`: jobs that wait for others
@@ -64,7 +64,7 @@
 /// Seconds within which nothing of a cancelled job runs any more.
 const CANCEL_S: f64 = 45.0;
 const CLAIM_S: f64 = 4.0;
-/// How long an owner acts past its lease where that is the decision that is wrong on purpose.
+/// How long a leader acts past its lease where that is the decision that is wrong on purpose.
 const ACTS_PAST_LEASE_S: f64 = 30.0;
 /// How long after all troubles a question about any job may be without an answer.
 const ANSWERED_WITHIN_S: f64 = 30.0;
--- a/crates/model/src/messages.rs
+++ b/crates/model/src/messages.rs
@@ -50,7 +50,7 @@
         commit: LeaderCommit,
         answered: Option<f64>,
     },
-    /// A write of what passes between cells that comes once more, late.
+    /// A write of what passes between shards that comes once more, late.
     Again {
         conditions: Vec<(String, u64)>,
         changes: Vec<Mutation>,
@@ -85,7 +85,7 @@
                 }
                 let incarnation = report.incarnation;
                 let report = self.misread(node, report, machine == usize::MAX);
-                let cell = self.cell_of_machine(node, &report.machine, report.token);
+                let cell = self.shard_of_machine(node, &report.machine, report.token);
                 let began = Instant::now();
                 let heard = cell.and_then(|c| Some(self.nodes[node].acting(c, now)?.on_heartbeat(&report, now)));
                 if let Some(c) = cell {
--- a/crates/model/src/observer.rs
+++ b/crates/model/src/observer.rs
@@ -8,7 +8,7 @@
 use lupinspur_wire::{Heartbeat, JobState};
 use std::collections::{BTreeSet, HashMap};
 
-/// What happens within this of a takeover happens at it.
+/// What happens within this of a failover happens at it.
 const AT_TAKEOVER_S: f64 = 1.0;
 const NEW_LEADER_S: f64 = 2.0;
 const BEFORE_OUTAGE_S: f64 = 8.0;
@@ -20,7 +20,7 @@
 /// A process: a controller in one of its lives.
 type Process = (usize, u64);
 
-/// Who leads a cell.
+/// Who leads a shard.
 #[derive(Default)]
 struct Leadership {
     token: u64,
@@ -54,7 +54,7 @@
 }
 
 impl World {
-    /// Looks for takeovers and outages.
+    /// Looks for failovers and outages.
     pub(crate) fn observe(&mut self) {
         self.observer.cells.resize_with(self.cells, Leadership::default);
         (0..self.cells).for_each(|cell| self.observe_leader(cell));
@@ -141,8 +141,10 @@
         limit > 0.0 && least.min_by(f64::total_cmp).is_some_and(|least| used + least > limit)
     }
 
-    fn unreachable(&self, m: &Machine) -> bool {
-        [m.hangs, m.cut, m.mute, m.deaf_answers, m.deaf_commands].iter().any(|until| self.now < *until)
+    fn unreachable(&self, machine: &Machine) -> bool {
+        [machine.hangs, machine.cut, machine.mute, machine.deaf_answers, machine.deaf_commands]
+            .iter()
+            .any(|until| self.now < *until)
     }
 
     /// A user has heard for the first time that a job is cancelled.
@@ -235,7 +237,7 @@
         seen.late_commands_after_cancellation += u64::from(late && after_cancellation);
     }
 
-    /// A report, or a late copy of one, has come to a controller that leads the machine's cell.
+    /// A report, or a late copy of one, has come to a controller that leads the machine's shard.
     pub(crate) fn observe_report(&mut self, node: usize, cell: usize, report: &Heartbeat, copy: bool, answered: bool) {
         let age = (report.incarnation, report.sequence);
         let newest = self.observer.newest_reports.entry((node, report.machine.clone())).or_default();
--- a/crates/model/src/pipelines.rs
+++ b/crates/model/src/pipelines.rs
@@ -1,4 +1,4 @@
-//! Pipelines: jobs that wait for earlier ones. Users submit them, a new owner reads the records of needs that ended
+//! Pipelines: jobs that wait for earlier ones. Users submit them, a new leader reads the records of needs that ended
 //! before its checkpoint, and no task may start before all that its job needs is done.
 
 use crate::shard_exchange::concerns;
@@ -7,7 +7,7 @@
 use lupinspur_scheduler::jobs::{JobRecord, job_key};
 use std::collections::BTreeSet;
 
-/// How often an owner looks up needs that nobody has told of, and how long after its takeover it has read those that
+/// How often a leader looks up needs that nobody has told of, and how long after its failover it has read those that
 /// the checkpoint does not have.
 const LOOKUP_INTERVAL_S: f64 = 1.0;
 const NEEDS_READ_AFTER_S: f64 = 0.6;
@@ -56,7 +56,7 @@
         }
     }
 
-    /// An owner reads records of needs that it does not know.
+    /// A leader reads records of needs that it does not know.
     pub(crate) fn look_up_dependencies(&mut self, node: usize, cell: usize) {
         let now = self.now;
         let held = &mut self.nodes[node].cells[cell];
@@ -79,7 +79,7 @@
         }
     }
 
-    /// What a takeover meets: needs that it has not read, and tasks that run behind them.
+    /// What a failover meets: needs that it has not read, and tasks that run behind them.
     pub(crate) fn observe_unread_needs(&mut self, node: usize, cell: usize) {
         let Some(shard) = self.nodes[node].cells[cell].shard.as_ref() else { return };
         let unread: BTreeSet<String> = shard.unread_dependencies().into_iter().collect();
--- a/crates/model/src/report.rs
+++ b/crates/model/src/report.rs
@@ -33,21 +33,21 @@
     pub unanswered: f64,
     /// Answers that told a job's state, by controller.
     pub answers: Vec<u64>,
-    /// Claims that were made, and those that were taken anew by their owners.
+    /// Claims that were made, and those that were taken anew by their leaders.
     pub claims: u64,
     pub raised: u64,
     pub starts: u64,
     /// Tasks that ran after their job's cancellation was confirmed, by commands that were still on their way.
     pub starts_after_cancellation: u64,
-    /// Keys that owners wrote, by cell.
+    /// Keys that leaders wrote, by shard.
     pub writes: Vec<u64>,
-    /// Jobs, machines and teams' homes that changed cells.
+    /// Jobs, machines and teams' homes that changed shards.
     pub spilled: u64,
     pub handed: u64,
     pub homes: u64,
     #[serde(flatten)]
     pub coincidences: Coincidences,
-    /// Real seconds that the decisions took, by cell; the only thing here that differs from run to run.
+    /// Real seconds that the decisions took, by shard; the only thing here that differs from run to run.
     pub processor: Vec<f64>,
 }
 
--- a/crates/model/src/rules.rs
+++ b/crates/model/src/rules.rs
@@ -4,9 +4,9 @@
 use crate::shard_exchange::LEDGER_KEY;
 use crate::world::{World, ZONES};
 use crate::{ANSWERED_WITHIN_S, BEGUN_WITHIN_S};
-use lupinspur_cells::escrow::Ledger;
-use lupinspur_scheduler::intern::Index;
+use lupinspur_scheduler::intern::DenseIndex;
 use lupinspur_scheduler::shard::Shard;
+use lupinspur_sharding::escrow::Ledger;
 use lupinspur_wire::JobState;
 
 impl World {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// What the owner makes of a job, for whoever reads a failure.
+    /// What the leader makes of a job, for whoever reads a failure.
     pub(crate) fn leader_assumes(&self, id: &str) -> String {
         let held = self.nodes.iter().flat_map(|n| &n.cells);
         let mut shards = held.filter(|h| h.own.valid_token(self.now).is_some()).filter_map(|h| h.shard.as_ref());
@@ -81,12 +81,12 @@
         let held: Vec<String> = s
             .machines
             .iter()
-            .flat_map(|(_, m)| m.assignments.iter().filter(|(k, _)| k.0 == j).map(move |(k, h)| (m, k, h)))
+            .flat_map(|(_, m)| m.assignments.iter().filter(|(k, _)| k.job == j).map(move |(k, h)| (m, k, h)))
             .map(|(m, k, h)| {
-                format!("{}: {:?} of session {} (suspect {}) {h:?}", k.1, m.name, m.incarnation, m.suspected)
+                format!("{}: {:?} of session {} (suspect {}) {h:?}", k.task, m.name, m.incarnation, m.suspected)
             })
             .collect();
-        let team = &s.teams[job.team.ix()];
+        let team = &s.teams[job.team.as_usize()];
         format!(
             "shares {shares:?}, {} of {} held, {} shadowed, not before {:.1}, failed on {}, team uses {} of {}, {} machines; {held:?}; {:?}",
             job.assigned,
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -13,7 +13,7 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Scenario {
     /// Owners that machines and teams are parted among.
-    #[garde(range(min = 1, max = lupinspur_cells::plan::MAX_SHARDS))]
+    #[garde(range(min = 1, max = lupinspur_sharding::plan::MAX_SHARDS))]
     pub cells: u32,
     #[garde(range(min = 1, max = 32))]
     pub controllers: usize,
--- a/crates/model/src/shard_exchange.rs
+++ b/crates/model/src/shard_exchange.rs
@@ -1,19 +1,19 @@
-//! Several cells: what the node does around the decisions of crates/cells.
+//! Several shards: what the node does around the decisions of crates/shards.
 
 use crate::controllers::Node;
 use crate::messages::Message;
 use crate::stored::{self, Keys};
 use crate::trouble::Wrong;
 use crate::world::World;
-use lupinspur_cells::ShardId;
-use lupinspur_cells::escrow::{Amount, Ledger, QuotaTransfer, QuotaUse, quota_transfers};
-use lupinspur_cells::load_snapshot::LoadSnapshot;
-use lupinspur_cells::machine_transfer::{
+use lupinspur_scheduler::jobs::{JobRecord, Phase, job_key};
+use lupinspur_sharding::ShardId;
+use lupinspur_sharding::escrow::{Amount, Ledger, QuotaTransfer, QuotaUse, quota_transfers};
+use lupinspur_sharding::load_snapshot::LoadSnapshot;
+use lupinspur_sharding::machine_transfer::{
     self, MachineTransfer, TransferredMachine, next_by_receiver, next_by_sender, next_receiver,
 };
-use lupinspur_cells::rebalance::{RebalancePlan, Rebalancer, must_reacquire};
-use lupinspur_cells::spill::plan_spills;
-use lupinspur_scheduler::jobs::{JobRecord, Phase, job_key};
+use lupinspur_sharding::rebalance::{RebalancePlan, Rebalancer, must_reacquire};
+use lupinspur_sharding::spill::plan_spills;
 use lupinspur_wire::Mutation;
 use serde::Serialize;
 use serde_json::Value;
@@ -35,16 +35,16 @@
     Mutation::Put { key: key.to_owned(), value: serde_json::to_value(value).expect("JSON"), lease: None }
 }
 
-/// Does a record concern this cell?
-pub(crate) fn concerns(c: usize, r: &JobRecord) -> bool {
-    r.phase != Phase::Open || r.shard.unwrap_or(0) as usize == c
+/// Does a record concern this shard?
+pub(crate) fn concerns(c: usize, record: &JobRecord) -> bool {
+    record.phase != Phase::Open || record.shard.unwrap_or(0) as usize == c
 }
 
 pub(crate) fn shared(key: &str) -> bool {
     ["job/", "prog/", "part/"].iter().any(|p| key.starts_with(p))
 }
 
-/// A cell's own key as the store has it.
+/// A shard's own key as the store has it.
 pub(crate) fn outer(c: usize, key: &str) -> String {
     if c == 0 || shared(key) { key.to_owned() } else { format!("c{c}/{key}") }
 }
@@ -56,7 +56,7 @@
     }
 }
 
-/// What of the store is a cell's to read, by its own names.
+/// What of the store is a shard's to read, by its own names.
 pub(crate) fn inner(c: usize, keys: &Keys) -> Keys {
     let mine = |(k, v): (&String, &(Value, u64))| {
         let own = if c == 0 { Some(k.as_str()) } else { k.strip_prefix(&format!("c{c}/")) };
@@ -66,15 +66,15 @@
 }
 
 impl World {
-    /// The cell in which a controller looks for a job.
-    pub(crate) fn cell_of_job(&mut self, node: usize, id: &str) -> Option<usize> {
+    /// The shard in which a controller looks for a job.
+    pub(crate) fn shard_of_job(&mut self, node: usize, id: &str) -> Option<usize> {
         let (now, cells) = (self.now, self.cells);
         if cells == 1 {
             return Some(0);
         }
         let n = &mut self.nodes[node];
         let here = (0..cells).find(|c| n.acting(*c, now).is_some_and(|s| s.jobs.find(id).is_some()));
-        if let Some(c) = here.or_else(|| n.job_cells.get(id).copied().filter(|_| self.rng.u8(..) > 20)) {
+        if let Some(c) = here.or_else(|| n.shard_by_job.get(id).copied().filter(|_| self.rng.u8(..) > 20)) {
             return Some(c);
         }
         if !self.reaches(node) {
@@ -82,17 +82,17 @@
         }
         let r = self.store.job(id)?;
         let c = r.shard.unwrap_or(0) as usize;
-        self.nodes[node].job_cells.insert(id.to_owned(), c);
+        self.nodes[node].shard_by_job.insert(id.to_owned(), c);
         Some(c)
     }
 
     pub(crate) fn on_its_way(&self, node: usize, machine: &str) -> Option<usize> {
         let mut all = self.nodes[node].seen.hands.values().map(|h| &h.0);
-        all.find(|h| h.machines.iter().any(|m| m.machine == machine)).map(|h| h.to.ix())
+        all.find(|h| h.machines.iter().any(|m| m.machine == machine)).map(|h| h.to.as_usize())
     }
 
-    /// The cell of a machine that reports to a controller; none before all owners were asked.
-    pub(crate) fn cell_of_machine(&mut self, node: usize, machine: &str, token: u64) -> Option<usize> {
+    /// The shard of a machine that reports to a controller; none before all leaders were asked.
+    pub(crate) fn shard_of_machine(&mut self, node: usize, machine: &str, token: u64) -> Option<usize> {
         let (now, cells) = (self.now, self.cells);
         if cells == 1 {
             return Some(0);
@@ -100,7 +100,7 @@
         let knows = |n: &mut Node, c: usize| n.acting(c, now).is_some_and(|s| s.machines.find(machine).is_some());
         let n = &mut self.nodes[node];
         let here = (0..cells).find(|c| knows(n, *c));
-        let noted = n.machine_cells.get(machine).copied();
+        let noted = n.shard_by_machine.get(machine).copied();
         if let Some(c) = self.on_its_way(node, machine).or(here).or(noted) {
             return Some(c);
         }
@@ -113,22 +113,22 @@
             let there = (0..cells).find(|c| knows(n, *c));
             (0..cells).for_each(|c| looked[c] |= n.acting(c, now).is_some());
             if let Some(c) = self.on_its_way(o, machine).or(there) {
-                self.nodes[node].machine_cells.insert(machine.to_owned(), c);
+                self.nodes[node].shard_by_machine.insert(machine.to_owned(), c);
                 return Some(c);
             }
         }
         if !looked.iter().all(|l| *l) {
             return None;
         }
-        let first = self.plan.shard_of_unknown(machine).ix();
+        let first = self.plan.shard_of_unknown(machine).as_usize();
         let n = &mut self.nodes[node];
         let obeyed = |c: &usize| n.cells[*c].own.observed_version().is_some_and(|v| v >= token);
         let c = Some(first).filter(&obeyed).or_else(|| (0..cells).find(&obeyed))?;
-        n.machine_cells.insert(machine.to_owned(), c);
+        n.shard_by_machine.insert(machine.to_owned(), c);
         Some(c)
     }
 
-    /// What a controller's watch shows of what passes between cells.
+    /// What a controller's watch shows of what passes between shards.
     pub(crate) fn see(&mut self, i: usize) {
         let keys = &self.store.keys;
         let pictures = stored::readable::<LoadSnapshot>(keys, PICTURES);
@@ -137,12 +137,12 @@
         n.seen_at = self.now;
         n.seen = Seen {
             ledger: self.store.read(LEDGER_KEY),
-            pictures: pictures.into_iter().map(|(_, p, _)| (p.shard.ix(), p)).collect(),
+            pictures: pictures.into_iter().map(|(_, p, _)| (p.shard.as_usize(), p)).collect(),
             orders: self.store.read(ORDERS_KEY).unwrap_or_default(),
             hands: hands.into_iter().map(|(k, h, v)| (k, (h, v))).collect(),
         };
         for (h, _) in n.seen.hands.values() {
-            h.machines.iter().for_each(|m| _ = n.machine_cells.insert(m.machine.clone(), h.to.ix()));
+            h.machines.iter().for_each(|m| _ = n.shard_by_machine.insert(m.machine.clone(), h.to.as_usize()));
         }
         self.go_by_shares(i);
     }
@@ -198,7 +198,7 @@
             let mut all = Vec::new();
             for team in ledger.teams.keys() {
                 let of = |x: usize| -> Option<QuotaUse> {
-                    let p = if x == c { &mine } else { others.iter().find(|p| p.shard.ix() == x)? };
+                    let p = if x == c { &mine } else { others.iter().find(|p| p.shard.as_usize() == x)? };
                     Some(p.teams.get(team).copied().unwrap_or_default())
                 };
                 let uses: Vec<Option<QuotaUse>> = (0..self.cells).map(of).collect();
@@ -227,7 +227,7 @@
             let key = job_key(&id);
             self.part_with(i, c, token, &given, vec![(key.clone(), version)], vec![put(&key, &record)]);
             let theirs = self.store.job(&id).is_some_and(|r| !concerns(c, &r));
-            self.nodes[i].job_cells.remove(&id);
+            self.nodes[i].shard_by_job.remove(&id);
             let Some(s) = self.nodes[i].acting(c, now) else { return };
             if theirs {
                 s.on_job_moved(&id, now)
@@ -287,7 +287,7 @@
         let seen = self.nodes[i].seen.clone();
         let fresh = seen.orders.0.is_fresh(&self.plan, now_ms, 0.0);
         let moves = if fresh { seen.orders.0.moves.clone() } else { Vec::new() };
-        let token_of = |c: ShardId| seen.pictures.get(&c.ix()).map(|p| p.token);
+        let token_of = |c: ShardId| seen.pictures.get(&c.as_usize()).map(|p| p.token);
         if must_reacquire(cell, token, &moves, token_of) {
             return self.raise(i, c, token);
         }
@@ -333,7 +333,7 @@
         let conditions = vec![(self.leadership_key(c), token), (key.to_owned(), version)];
         let stored = self.surely(conditions, vec![put(key, &h)]);
         let stands = self.store.read::<MachineTransfer>(key);
-        let begins = h.from.ix() == c && !h.released_by_sender;
+        let begins = h.from.as_usize() == c && !h.released_by_sender;
         self.counts.handed += if begins && stored == Some(true) { h.machines.len() as u64 } else { 0 };
         if begins && stored == Some(false) {
             let stands = stands.as_ref().map(|s| s.0.machines.clone()).unwrap_or_default();
--- a/crates/model/src/spells.rs
+++ b/crates/model/src/spells.rs
@@ -9,7 +9,7 @@
 const MAX_HANGING: usize = 8;
 /// Users who cancel together do it within so many seconds.
 const CANCEL_WITHIN_S: f64 = 0.2;
-/// A job that ends is cancelled within so many seconds: before its owner hears of the end, while that is stored, and
+/// A job that ends is cancelled within so many seconds: before its leader hears of the end, while that is stored, and
 /// afterwards.
 const CANCEL_AFTER_END_S: f64 = 1.0;
 /// A machine that boots fast is up within so many seconds.
--- a/crates/model/src/stored.rs
+++ b/crates/model/src/stored.rs
@@ -2,7 +2,7 @@
 //! A value that the decisions wrote and cannot read is a fault of theirs: it ends the test.
 
 use lupinspur_scheduler::fleet::machine_groups::MACHINE_GROUP_PREFIX;
-use lupinspur_scheduler::intern::{Index, MachineGroupIndex};
+use lupinspur_scheduler::intern::{DenseIndex, MachineGroupIndex};
 use lupinspur_scheduler::jobs::{JOB_PREFIX, JobRecord, PART_PREFIX, PROGRESS_PREFIX, Phase, job_key};
 use lupinspur_scheduler::shard::{LoadedCheckpoint, LoadedState, parse_job_record};
 use lupinspur_wire::MachineType;
--- a/crates/model/src/transactions.rs
+++ b/crates/model/src/transactions.rs
@@ -1,5 +1,5 @@
 //! Requests to the state service on their way: how long they take, whose answers are lost, which are
-//! executed late, and what an owner does about a write whose outcome it does not know.
+//! executed late, and what a leader does about a write whose outcome it does not know.
 
 use crate::messages::Message;
 use crate::observer::SLOW_ANSWER_S;
@@ -46,7 +46,7 @@
     Known,
 }
 
-/// One transaction of an owner.
+/// One transaction of a leader.
 pub(crate) struct LeaderCommit {
     pub(crate) node: usize,
     pub(crate) life: u64,
@@ -108,7 +108,7 @@
         Delivery { executed, answered }
     }
 
-    /// Sends an owner's writes.
+    /// Sends a leader's writes.
     pub(crate) fn send_commit(&mut self, commit: LeaderCommit) {
         let Delivery { executed, answered } = self.delivery(COMMIT_LIMIT_S);
         if answered.is_some() {
@@ -147,7 +147,7 @@
         }
     }
 
-    /// The owner learns what became of its transaction, or that it will not learn it.
+    /// The leader learns what became of its transaction, or that it will not learn it.
     pub(crate) fn on_commit_answer(&mut self, commit: LeaderCommit, outcome: CommitOutcome) {
         let now = self.now;
         let LeaderCommit { node, life, cell, token, .. } = commit;
--- a/crates/model/src/users.rs
+++ b/crates/model/src/users.rs
@@ -58,7 +58,7 @@
 }
 
 impl World {
-    /// What this controller's owner side says: None, it cannot say anything.
+    /// What this controller's leader side says: None, it cannot say anything.
     pub(crate) fn leader_status(&mut self, node: usize, c: usize, id: &str, cancel: bool) -> Option<Answer> {
         let now = self.now;
         let reaches = self.reaches(node);
@@ -157,8 +157,8 @@
         if self.wrong == Some(Wrong::Invents) && !self.jobs.contains_key(id) {
             return Some(Answer::known(JobState::Queued));
         }
-        let Some(c) = self.cell_of_job(node, id) else {
-            // Without a record there is no cell: that is the answer, where the state service says so.
+        let Some(c) = self.shard_of_job(node, id) else {
+            // Without a record there is no shard: that is the answer, where the state service says so.
             let absent = self.reaches(node) && self.store.job(id).is_none();
             return if absent { self.record_says(id, cancel) } else { None };
         };
--- a/crates/model/src/waiting.rs
+++ b/crates/model/src/waiting.rs
@@ -85,13 +85,14 @@
     }
 
     /// Is the machine up, without any trouble of its own?
-    fn serves(&self, m: &Machine) -> bool {
-        let troubled = [m.hangs, m.cut, m.mute, m.deaf_answers, m.deaf_commands, m.faulty];
-        m.there(self.now) && troubled.iter().all(|until| self.now >= *until)
+    fn serves(&self, machine: &Machine) -> bool {
+        let troubled =
+            [machine.hangs, machine.cut, machine.mute, machine.deaf_answers, machine.deaf_commands, machine.faulty];
+        machine.there(self.now) && troubled.iter().all(|until| self.now >= *until)
     }
 }
 
-fn allows(job: &Job, m: &Machine) -> bool {
-    let zone = job.spec.zone.as_ref().is_none_or(|z| z == ZONES[m.zone]);
-    zone && (job.spec.spot || !m.spot)
+fn allows(job: &Job, machine: &Machine) -> bool {
+    let zone = job.spec.zone.as_ref().is_none_or(|z| z == ZONES[machine.zone]);
+    zone && (job.spec.spot || !machine.spot)
 }
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -17,13 +17,13 @@
 use crate::work::spec;
 use crate::{ACTS_PAST_LEASE_S, CANCEL_S, LEASE_S, REPORT_S, STEP};
 use fastrand::Rng;
-use lupinspur_accounts::{CompletionObjective, ServiceLevelObjectives};
-use lupinspur_cells::escrow::Ledger;
-use lupinspur_cells::plan::TeamHome;
-use lupinspur_cells::{ShardId, ShardingPlan};
 use lupinspur_histories::History;
 use lupinspur_scheduler::params::{Params, Team};
 use lupinspur_scheduler::shard::team_limits_by_name;
+use lupinspur_service_levels::{CompletionObjective, ServiceLevelObjectives};
+use lupinspur_sharding::escrow::Ledger;
+use lupinspur_sharding::plan::TeamHome;
+use lupinspur_sharding::{ShardId, ShardingPlan};
 use lupinspur_wire::JobState;
 use std::collections::{BTreeMap, HashMap};
 
@@ -82,7 +82,7 @@
     pub(crate) late_commands: f64,
     pub(crate) copies: f64,
     pub(crate) state_troubles: StateTroubles,
-    /// The controller that a trouble of the owner struck last.
+    /// The controller that a trouble of the leader struck last.
     pub(crate) struck_leader: usize,
     /// Rentals by their names.
     pub(crate) rented: HashMap<String, Rental>,
@@ -97,7 +97,7 @@
     pub(crate) spells: Spells,
     pub(crate) late_reports: LateReports,
     pub(crate) observer: Observer,
-    /// Transactions that owners have sent so far.
+    /// Transactions that leaders have sent so far.
     pub(crate) transactions: u64,
     /// Questions that users will ask at every controller.
     pub(crate) questions: Vec<Question>,
@@ -165,8 +165,8 @@
                 cells: Vec::new(),
                 seen: Seen::default(),
                 seen_at: -10.0,
-                job_cells: HashMap::new(),
-                machine_cells: HashMap::new(),
+                shard_by_job: HashMap::new(),
+                shard_by_machine: HashMap::new(),
             });
             w.nodes[i].begin(cells);
         }
--- a/crates/model/src/wrong_decisions.rs
+++ b/crates/model/src/wrong_decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions of owners and machines that are wrong on purpose, by which the checks show that they see them.
+//! Decisions of leaders and machines that are wrong on purpose, by which the checks show that they see them.
 
 use crate::machines::Machine;
 use crate::trouble::Wrong;
@@ -6,13 +6,13 @@
 use lupinspur_scheduler::shard::{PushOutcome, PushRequest, Shard};
 use lupinspur_wire::{Command, CommandKind, ExitReason, Heartbeat, TaskReport, TaskState};
 
-/// Part of every attempt that an owner makes up, so that none was used before.
+/// Part of every attempt that a leader makes up, so that none was used before.
 const MADE_UP_ATTEMPT: u64 = 1 << 50;
 
 /// After this a machine passes for silent.
 const SILENT_S: f64 = 8.0;
 
-/// Changes an owner's state as the wrong decision does.
+/// Changes a leader's state as the wrong decision does.
 pub(crate) fn apply(wrong: Option<Wrong>, shard: &mut Shard, now: f64) {
     match wrong {
         Some(Wrong::LeavesWaiting) => {
@@ -40,7 +40,7 @@
     }
 }
 
-/// As if the machine's session was over.
+/// As if the machine's incarnation was over.
 fn empty_session_after(machine: &Machine) -> Heartbeat {
     let mut end = machine.clone().report(None);
     (end.incarnation, end.tasks) = (end.incarnation + 1, Vec::new());
@@ -48,7 +48,7 @@
 }
 
 impl World {
-    /// A report, or a late copy of one, as the owner takes it.
+    /// A report, or a late copy of one, as the leader takes it.
     pub(crate) fn misread(&self, node: usize, mut report: Heartbeat, copy: bool) -> Heartbeat {
         let Some(machine) = self.by_name.get(&report.machine).map(|i| &self.machines[*i]) else { return report };
         match self.wrong {
@@ -71,14 +71,14 @@
         report
     }
 
-    /// Leaves out what runs of jobs that wait, as the owner knows it.
+    /// Leaves out what runs of jobs that wait, as the leader knows it.
     fn drop_what_waits(&self, node: usize, report: &mut Heartbeat) {
         let shards = || self.nodes[node].cells.iter().filter_map(|held| held.shard.as_ref());
         let waits = |id: &str| shards().any(|s| s.jobs.find(id).is_some_and(|j| s.dependencies.is_waiting(j)));
         report.tasks.retain(|t| t.state == TaskState::Exited || !t.task.split('/').next().is_some_and(waits));
     }
 
-    /// Names the session that the owner knows, and what ran in it.
+    /// Names the incarnation that the leader knows, and what ran in it.
     fn miss_restart(&self, node: usize, report: &mut Heartbeat) {
         let shards = || self.nodes[node].cells.iter().filter_map(|held| held.shard.as_ref());
         let known = |s: &'_ Shard| s.machines.find(&report.machine);
@@ -89,7 +89,7 @@
         report.incarnation = machine.incarnation;
         let begun = machine.assignments.iter().filter(|(_, held)| held.state.has_started());
         for (key, held) in begun {
-            let task = format!("{}/{}", shard.jobs[key.0].id, key.1);
+            let task = format!("{}/{}", shard.jobs[key.job].id, key.task);
             let (attempt, state, why) = (held.attempt, TaskState::Running, None);
             if report.tasks.iter().all(|t| t.task != task) {
                 report.tasks.push(TaskReport { task, attempt, state, exit_reason: why, saved: None });
@@ -112,7 +112,7 @@
         let Some(i) = self.by_name.get(&*shard.machines[send.machine].name) else { return outcome };
         let mut report = self.machines[*i].report(None);
         for (key, attempt) in send.starts.iter().copied() {
-            let task = format!("{}/{}", shard.jobs[key.0].id, key.1);
+            let task = format!("{}/{}", shard.jobs[key.job].id, key.task);
             report.tasks.retain(|t| t.task != task);
             let (state, why) = (TaskState::Exited, Some(ExitReason::Stopped));
             report.tasks.push(TaskReport { task, attempt, state, exit_reason: why, saved: None });
@@ -120,7 +120,7 @@
         PushOutcome::Answered { executed: true, report: Some(report) }
     }
 
-    /// What an owner makes up of machines whose rental has been answered.
+    /// What a leader makes up of machines whose rental has been answered.
     pub(crate) fn misjudge_rented(&mut self, node: usize, token: u64, names: &[String]) {
         if self.wrong != Some(Wrong::RentedAreEmpty) {
             return;
@@ -135,7 +135,7 @@
         }
     }
 
-    /// What an owner makes up of machines that it does not hear of.
+    /// What a leader makes up of machines that it does not hear of.
     pub(crate) fn misjudge_silence(&mut self, node: usize, cell: usize) {
         if self.wrong != Some(Wrong::TakesSilenceForEnd) {
             return;
--- a/crates/model/tests/all_machines_die.rs
+++ b/crates/model/tests/all_machines_die.rs
@@ -1,9 +1,9 @@
-//! All machines die at once, and for a while no worker is there to be heard. An owner that took itself for the one
+//! All machines die at once, and for a while no worker is there to be heard. A leader that took itself for the one
 //! that is cut off stepped down, and so did each after it: none stayed for long enough to rent others.
 
 use lupinspur_model::{Kind, LEADER, Run, Scenario, Trouble, play};
 
-/// In one of four or five of them nothing else than the owner's own machines would tell that it is not cut off.
+/// In one of four or five of them nothing else than the leader's own machines would tell that it is not cut off.
 const SEEDS: u64 = 24;
 const SEEDS_OVER_CELLS: u64 = 4;
 /// Jobs go on coming in after the machines have died.
--- a/crates/model/tests/close_looks.rs
+++ b/crates/model/tests/close_looks.rs
@@ -4,7 +4,7 @@
 
 use lupinspur_model::{Kind, LEADER, Run, SAME_LEADER, Scenario, Trouble, Work, Wrong, play};
 
-/// Seeds of each over one cell and over several; `MEETING_SEEDS` plays more.
+/// Seeds of each over one shard and over several; `MEETING_SEEDS` plays more.
 const SEEDS: u64 = 2;
 const SEEDS_OVER_CELLS: u64 = 1;
 /// A wrong decision is seen within so many.
@@ -59,7 +59,7 @@
     (0..seeds(cells)).map(|seed| play(&busy(cells), seed, troubles, wrong)).collect()
 }
 
-/// `claims`: as many more than one for each cell are made at least.
+/// `claims`: as many more than one for each shard are made at least.
 fn no_rule_is_broken(troubles: &[Trouble], claims: u64) {
     for cells in CELLS {
         for run in runs(cells, troubles, None) {
@@ -102,7 +102,7 @@
     no_rule_is_broken(&[looks(), cut, ends], 1);
 }
 
-/// An owner that acts past its lease tells what was before: seen through answers alone.
+/// A leader that acts past its lease tells what was before: seen through answers alone.
 #[test]
 fn a_leader_that_answers_past_its_lease_is_seen() {
     let still = trouble(CHANGE_AT_S, Kind::StandsStill, LEADER, 8.0);
--- a/crates/model/tests/fault_combinations.rs
+++ b/crates/model/tests/fault_combinations.rs
@@ -1,5 +1,5 @@
 //! Fault combinations around a change of leader, by name, their faults placed at exact times, over several seeds, with
-//! one cell and with three. Each test asserts that its runs show the combination. `MEETING_SEEDS` plays more seeds.
+//! one shard and with three. Each test asserts that its runs show the combination. `MEETING_SEEDS` plays more seeds.
 
 mod evidence;
 mod takeover;
--- a/crates/model/tests/fault_combinations_machines.rs
+++ b/crates/model/tests/fault_combinations_machines.rs
@@ -1,4 +1,4 @@
-//! Two troubles at once, where machines, their reports and users take part: each with several seeds, with one cell
+//! Two troubles at once, where machines, their reports and users take part: each with several seeds, with one shard
 //! and with three. Each test asserts that its runs show the combination. `MEETING_SEEDS=200 cargo test -p lupinspur-model --test meetings_machines` plays more of each.
 
 mod evidence;
@@ -53,12 +53,12 @@
     Scenario { teams, job_every_s: 0.8, services_cpus: 16.0, room: false, work: Work::Long, ..small(cells) }
 }
 
-/// Plays the meeting with one cell and with three, and tells what happened in all runs.
+/// Plays the meeting with one shard and with three, and tells what happened in all runs.
 fn meets(scenario: fn(u32) -> Scenario, evidence: Evidence, troubles: fn(&mut Rng) -> Vec<Trouble>) -> Vec<Run> {
     meets_over(&[1, 3], scenario, evidence, troubles)
 }
 
-/// Plays the meeting with each of these numbers of cells.
+/// Plays the meeting with each of these numbers of shards.
 fn meets_over(
     cells: &[u32],
     scenario: fn(u32) -> Scenario,
@@ -117,7 +117,7 @@
     });
 }
 
-/// Copies of reports reach every controller just as a new leader begins, also from an earlier session or attempt.
+/// Copies of reports reach every controller just as a new leader begins, also from an earlier incarnation or attempt.
 #[test]
 fn copies_of_heartbeats_for_the_next_leader() {
     let evidence = mostly(signs![
@@ -137,7 +137,7 @@
     });
 }
 
-/// Old reports, of an earlier session or attempt, come seconds to more than a lease late; machines are lost and
+/// Old reports, of an earlier incarnation or attempt, come seconds to more than a lease late; machines are lost and
 /// return in the meantime.
 #[test]
 fn old_heartbeats_after_newer_ones() {
@@ -362,7 +362,7 @@
 /// Machines with long tasks cannot be reached, or do not hear the new leader's answer, when the leader ends.
 #[test]
 fn long_tasks_on_machines_that_the_new_leader_does_not_reach() {
-    // With one cell there is room for all jobs at once. Parted among three, twelve machines have none for so many tasks
+    // With one shard there is room for all jobs at once. Parted among three, twelve machines have none for so many tasks
     // of a minute: jobs may have to wait for others, and none is to wait beside room.
     let scenario = |cells| {
         let teams = vec![
--- a/crates/model/tests/machine_transfers.rs
+++ b/crates/model/tests/machine_transfers.rs
@@ -1,9 +1,9 @@
-//! One cell's shard alone: which of its machines it sets aside for another cell.
+//! One shard's shard alone: which of its machines it sets aside for another shard.
 
-use lupinspur_cells::ShardId;
 use lupinspur_model::stored::types;
 use lupinspur_scheduler::params::{Params, Team, Tuning};
 use lupinspur_scheduler::shard::{LoadedState, Shard};
+use lupinspur_sharding::ShardId;
 use lupinspur_wire::{Heartbeat, ListedMachine};
 use serde_json::json;
 use std::collections::HashMap;
@@ -60,12 +60,12 @@
     .expect("a machine")
 }
 
-/// Plays a cell of idle machines to which the leader has ordered so many cpus for another cell; how many
+/// Plays a shard of idle machines to which the leader has ordered so many cpus for another shard; how many
 /// machines it has set aside by then.
 fn set_aside(ordered_cpus: f64) -> usize {
     let tuning = Tuning { leader_lease_s: 4.0, ..Tuning::default() };
     let mut shard = Shard::new(&params(), tuning, TOKEN, types(), LoadedState::default(), 0.0);
-    let other_cell = ShardId(1);
+    let other_shard = ShardId(1);
     let mut revision = 100;
     let reports_every = (REPORT_S / STEP_S) as u64;
     for step in 0..(PLAYED_S / STEP_S) as u64 {
@@ -77,7 +77,7 @@
             shard.on_list(&list, false, now);
         }
         if shard.pending_transfers().is_empty() {
-            shard.set_rebalance_order(Some((other_cell, ordered_cpus)), 6.0);
+            shard.set_rebalance_order(Some((other_shard, ordered_cpus)), 6.0);
         }
         shard.tick(now);
         let writes = shard.next_writes(8, 50_000, 8, now);
@@ -88,7 +88,7 @@
     shard.pending_transfers().len()
 }
 
-/// A cell that was short by less than a machine got none, and its job waited for ever.
+/// A shard that was short by less than a machine got none, and its job waited for ever.
 #[test]
 fn a_whole_machine_is_set_aside_for_a_part_of_one() {
     assert_eq!(set_aside(3.0), 1);
--- a/crates/model/tests/refused_leader.rs
+++ b/crates/model/tests/refused_leader.rs
@@ -70,8 +70,8 @@
     no_rule_is_broken(&with(refused_then_down(), only_commands), evidence);
 }
 
-/// An owner that acts past its lease keeps the tasks of cancelled jobs in its zone alive, and tells users
-/// who reach it that they run; over one cell as over three.
+/// A leader that acts past its lease keeps the tasks of cancelled jobs in its zone alive, and tells users
+/// who reach it that they run; over one shard as over three.
 #[test]
 fn a_leader_that_acts_past_its_lease_is_seen() {
     let cut = at(30.0, Kind::CutZoneWithController, SAME_LEADER, LONG_OUTAGE_S);
--- a/crates/model/tests/shares_of_limits.rs
+++ b/crates/model/tests/shares_of_limits.rs
@@ -1,14 +1,14 @@
-//! Teams' limits that are shared out among cells.
+//! Teams' limits that are shared out among shards.
 
 use lupinspur_model::scenario::Team;
 use lupinspur_model::{Scenario, play};
 
-/// Each of these left a job waiting before a job took its wait along from cell to cell, and a cell told of room
+/// Each of these left a job waiting before a job took its wait along from shard to shard, and a shard told of room
 /// that none of its own work may use.
 const SEEDS: [u64; 5] = [6, 13, 15, 19, 21];
 
 /// More work comes than the teams' limits let run, and nothing goes wrong. What is left of a limit may stand in
-/// the shares of several cells, in none of them enough for a task: no job may wait for that while its team is
+/// the shares of several shards, in none of them enough for a task: no job may wait for that while its team is
 /// below its limit and a machine has room.
 #[test]
 fn a_limit_in_shares_leaves_no_job_waiting() {
--- a/crates/model/tests/storms.rs
+++ b/crates/model/tests/storms.rs
@@ -1,6 +1,6 @@
 //! Random troubles over the decisions as they are. A storm is a list of troubles and a seed; proptest
 //! shortens the list of one that breaks a rule. `STORMS=200 cargo test -p lupinspur-model --test storms`
-//! plays more of them, `STORM_MACHINES=300` larger ones, `STORM_CELLS=5` over more cells.
+//! plays more of them, `STORM_MACHINES=300` larger ones, `STORM_CELLS=5` over more shards.
 
 use lupinspur_model::{Counts, KINDS, Kind, Run, Scenario, Trouble, Wrong, play};
 use proptest::prelude::*;
@@ -27,7 +27,7 @@
     storms(1, from_env("STORMS", 24));
 }
 
-/// The same with three cells, between which jobs, shares, machines and homes move: they are short of
+/// The same with three shards, between which jobs, shares, machines and homes move: they are short of
 /// machines.
 #[test]
 fn no_storm_over_cells_breaks_a_rule_or_loses_a_job() {
@@ -93,7 +93,7 @@
     assert!(first.iter().all(|r| r.begun > 10 && r.waits.is_some()), "{first:?}");
 }
 
-/// A cell was short by a part of a machine, and another had one idle: it was never handed over, since it is
+/// A shard was short by a part of a machine, and another had one idle: it was never handed over, since it is
 /// larger than what was ordered, and the job waited for ever.
 #[test]
 fn a_cell_that_is_short_by_a_part_of_a_machine_gets_one() {
--- a/crates/model/tests/takeover/mod.rs
+++ b/crates/model/tests/takeover/mod.rs
@@ -3,7 +3,7 @@
 use crate::evidence::Evidence;
 use lupinspur_model::{Kind, Run, Scenario, Trouble, Wrong, play};
 
-/// Seeds of each combination over one cell and over several; `MEETING_SEEDS` plays more.
+/// Seeds of each combination over one shard and over several; `MEETING_SEEDS` plays more.
 pub const SEEDS: u64 = 4;
 pub const SEEDS_OVER_CELLS: u64 = 2;
 
@@ -12,7 +12,7 @@
     std::env::var("MEETING_SEEDS").ok().and_then(|v| v.parse().ok()).unwrap_or(usual)
 }
 
-/// Nine machines, with more of them to be had where the cells part them.
+/// Nine machines, with more of them to be had where the shards part them.
 pub fn deployment(cells: u32) -> Scenario {
     Scenario { cells, most_machines: if cells > 1 { 24 } else { 80 }, ..Scenario::default() }
 }
--- a/crates/model/tests/wrong_decisions.rs
+++ b/crates/model/tests/wrong_decisions.rs
@@ -1,4 +1,4 @@
-//! Each count of what machines, reports and users see is met by a decision that is wrong on purpose, with one cell
+//! Each count of what machines, reports and users see is met by a decision that is wrong on purpose, with one shard
 //! and with three.
 
 use lupinspur_model::{Kind, Scenario, Trouble, Work, Wrong, play};
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -22,7 +22,7 @@
 pub use plan::{Plan, TeamLimits};
 pub use tree::{Level, LevelIndex, TeamIndex, Tree};
 
-/// Cpus and accelerator cards.
+/// Cpus and accelerator accelerators.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Amount {
     pub cpus: f64,
--- a/crates/recovery/src/index.rs
+++ b/crates/recovery/src/index.rs
@@ -31,7 +31,7 @@
     pub open: u64,
 }
 
-/// To be raised with every field that is added to a job's record: an owner packs what it
+/// To be raised with every field that is added to a job's record: a leader packs what it
 /// understands of a record, and whoever understands more must not take that for all of it.
 pub const FORM: u32 = 1;
 
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,6 +1,6 @@
 //! A checkpoint of the jobs that are open, and the changes since.
 //!
-//! Records of jobs are kept for ever under one prefix, whatever became of them. An owner
+//! Records of jobs are kept for ever under one prefix, whatever became of them. A leader
 //! writes, every so often, what is open *as of a revision* of the state service; a successor
 //! reads that and asks for the changes after that revision. What is over costs it nothing.
 //! Everything here decides and nothing waits: no sockets, no clock.
--- a/crates/recovery/src/safe_revision.rs
+++ b/crates/recovery/src/safe_revision.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-/// What a checkpoint may claim. An owner hears of others' acceptances by a watch; of its own
+/// What a checkpoint may claim. A leader hears of others' acceptances by a watch; of its own
 /// ends it knows when they are answered. An end that is under way may be stored at a revision
 /// that the watch has passed already: until it is settled, nothing after the moment when it
 /// was sent is claimed. Otherwise a successor would not be told of that end, and would take
--- a/crates/recovery/tests/histories.rs
+++ b/crates/recovery/tests/histories.rs
@@ -1,5 +1,5 @@
-//! Random histories of jobs and owners: a checkpoint and the changes since tell exactly what a
-//! full read of the records tells, whichever two writes the owner died between.
+//! Random histories of jobs and leaders: a checkpoint and the changes since tell exactly what a
+//! full read of the records tells, whichever two writes the leader died between.
 
 use lupinspur_recovery::writer::Writer;
 use lupinspur_recovery::{Checkpoint, CheckpointError, SafeRevision, read};
@@ -61,7 +61,7 @@
     json!({"job": job, "at_ms": 1_700_000_000_000u64 + n * 13, "phase": phase})
 }
 
-/// An owner as far as its checkpoints go: what it has heard of, and ends under way.
+/// A leader as far as its checkpoints go: what it has heard of, and ends under way.
 struct Owner {
     writer: Writer,
     known: SafeRevision,
@@ -122,7 +122,7 @@
 #[derive(Debug, Clone)]
 enum Step {
     Accept,
-    /// The owner ends a job: the end is stored; `answered`: and it learns of that at once.
+    /// The leader ends a job: the end is stored; `answered`: and it learns of that at once.
     End {
         which: prop::sample::Index,
         answered: bool,
--- a/crates/scheduler/src/dependency_graph.rs
+++ b/crates/scheduler/src/dependency_graph.rs
@@ -1,4 +1,4 @@
-//! Which jobs wait for which: one graph, rebuilt by every owner from stored records.
+//! Which jobs wait for which: one graph, rebuilt by every leader from stored records.
 //!
 //! Only what is *stored* counts here: a need is done, or cancelled, once the state
 //! service holds that. What one end changes costs as much as there are jobs after it,
@@ -42,7 +42,7 @@
     /// and of this one where it is doomed at once.
     pub fn add(
         &mut self,
-        j: JobIndex,
+        job_index: JobIndex,
         id: &str,
         phase: Phase,
         dependencies: &[String],
@@ -55,15 +55,15 @@
                 self.pairs_examined += 1;
                 match look(dependency) {
                     None => {
-                        self.unknown_dependencies.entry(dependency.clone()).or_default().push(j);
-                        self.nodes.entry(j).or_default().unmet += 1;
+                        self.unknown_dependencies.entry(dependency.clone()).or_default().push(job_index);
+                        self.nodes.entry(job_index).or_default().unmet += 1;
                     }
-                    Some((n, phase)) => doomed |= self.link(n, phase, j),
+                    Some((n, phase)) => doomed |= self.link(n, phase, job_index),
                 }
             }
         }
         if doomed {
-            news.cancelled.push(j);
+            news.cancelled.push(job_index);
         }
         for k in self.unknown_dependencies.remove(id).unwrap_or_default() {
             self.pairs_examined += 1;
@@ -72,7 +72,7 @@
             let Some(node) = self.nodes.get_mut(&k) else { continue };
             node.unmet -= 1;
             let last = node.unmet == 0;
-            if self.link(j, phase, k) {
+            if self.link(job_index, phase, k) {
                 news.cancelled.push(k);
             } else if last && phase == Phase::Done {
                 news.ready.push(k);
@@ -83,11 +83,11 @@
     }
 
     /// `j` needs `n`. True if that dooms it.
-    fn link(&mut self, n: JobIndex, phase: Phase, j: JobIndex) -> bool {
+    fn link(&mut self, n: JobIndex, phase: Phase, job_index: JobIndex) -> bool {
         if phase == Phase::Open {
-            self.nodes.entry(n).or_default().dependents.push(j);
+            self.nodes.entry(n).or_default().dependents.push(job_index);
         }
-        let node = self.nodes.entry(j).or_default();
+        let node = self.nodes.entry(job_index).or_default();
         if phase != Phase::Done {
             node.unmet += 1;
         }
@@ -113,18 +113,18 @@
     }
 
     /// This end is stored.
-    pub fn on_job_ended(&mut self, j: JobIndex, phase: Phase) -> DependencyUpdate {
+    pub fn on_job_ended(&mut self, job_index: JobIndex, phase: Phase) -> DependencyUpdate {
         let mut news = DependencyUpdate::default();
-        let Some(node) = self.nodes.remove(&j) else { return news };
+        let Some(node) = self.nodes.remove(&job_index) else { return news };
         for n in &node.dependencies {
             if let Some(n) = self.nodes.get_mut(n) {
-                n.dependents.retain(|k| *k != j);
+                n.dependents.retain(|k| *k != job_index);
             }
         }
         for k in node.dependents {
             self.pairs_examined += 1;
             let Some(after) = self.nodes.get_mut(&k) else { continue };
-            after.dependencies.retain(|n| *n != j);
+            after.dependencies.retain(|n| *n != job_index);
             if phase == Phase::Cancelled {
                 news.cancelled.push(k);
                 continue;
@@ -138,18 +138,18 @@
         news
     }
 
-    pub fn is_waiting(&self, j: JobIndex) -> bool {
-        self.nodes.get(&j).is_some_and(|n| n.unmet > 0)
+    pub fn is_waiting(&self, job_index: JobIndex) -> bool {
+        self.nodes.get(&job_index).is_some_and(|n| n.unmet > 0)
     }
 
     /// Open jobs that need this one directly.
-    pub fn dependents(&self, j: JobIndex) -> &[JobIndex] {
-        self.nodes.get(&j).map_or(&[], |n| &n.dependents)
+    pub fn dependents(&self, job_index: JobIndex) -> &[JobIndex] {
+        self.nodes.get(&job_index).map_or(&[], |n| &n.dependents)
     }
 
     /// Open jobs that this one needs directly.
-    pub fn dependencies(&self, j: JobIndex) -> &[JobIndex] {
-        self.nodes.get(&j).map_or(&[], |n| &n.dependencies)
+    pub fn dependencies(&self, job_index: JobIndex) -> &[JobIndex] {
+        self.nodes.get(&job_index).map_or(&[], |n| &n.dependencies)
     }
 
     /// Needs that were not heard of here yet, in the order of their ids.
@@ -175,9 +175,9 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::intern::Index;
+    use crate::intern::DenseIndex;
 
-    fn ix(i: usize) -> JobIndex {
+    fn job_index(i: usize) -> JobIndex {
         JobIndex::new(i)
     }
 
@@ -193,9 +193,9 @@
         phase: impl Fn(usize) -> Option<Phase>,
     ) -> DependencyUpdate {
         let dependencies: Vec<String> = dependencies.iter().map(|n| name(*n)).collect();
-        g.add(ix(i), &name(i), phase(i).unwrap_or(Phase::Open), &dependencies, |id| {
+        g.add(job_index(i), &name(i), phase(i).unwrap_or(Phase::Open), &dependencies, |id| {
             let n: usize = id.strip_prefix("req-")?.parse().ok()?;
-            Some((ix(n), phase(n)?))
+            Some((job_index(n), phase(n)?))
         })
     }
 
@@ -215,11 +215,11 @@
                 freed.extend(add(&mut g, i, dependencies, phase).ready);
                 seen.push(i);
             }
-            assert!(!g.is_waiting(ix(1)), "what it needs is done: {order:?}");
-            assert!(g.is_waiting(ix(2)), "what it needs runs: {order:?}");
+            assert!(!g.is_waiting(job_index(1)), "what it needs is done: {order:?}");
+            assert!(g.is_waiting(job_index(2)), "what it needs runs: {order:?}");
             assert_eq!(
-                g.on_job_ended(ix(1), Phase::Done),
-                DependencyUpdate { ready: vec![ix(2)], cancelled: vec![] },
+                g.on_job_ended(job_index(1), Phase::Done),
+                DependencyUpdate { ready: vec![job_index(2)], cancelled: vec![] },
                 "{order:?}"
             );
         }
@@ -234,8 +234,8 @@
         assert_eq!(add(&mut g, 2, &[1], open), DependencyUpdate::default(), "1 is not known here yet");
         assert_eq!(add(&mut g, 3, &[2], open), DependencyUpdate::default());
         let cancelled = |n: usize| Some(if n == 1 { Phase::Cancelled } else { Phase::Open });
-        assert_eq!(add(&mut g, 1, &[0], cancelled).cancelled, vec![ix(2), ix(3)]);
-        assert_eq!(add(&mut g, 4, &[1], cancelled).cancelled, vec![ix(4)], "submitted afterwards");
+        assert_eq!(add(&mut g, 1, &[0], cancelled).cancelled, vec![job_index(2), job_index(3)]);
+        assert_eq!(add(&mut g, 4, &[1], cancelled).cancelled, vec![job_index(4)], "submitted afterwards");
     }
 
     /// Guards against work that follows the number of jobs that wait: one end touches
@@ -253,7 +253,7 @@
                 add(&mut g, i, &[0], known);
             }
             let before = g.pairs_examined;
-            assert_eq!(g.on_job_ended(ix(0), Phase::Done).ready.len(), 3);
+            assert_eq!(g.on_job_ended(job_index(0), Phase::Done).ready.len(), 3);
             g.pairs_examined - before
         };
         assert_eq!(cost(0), 3);
--- a/crates/scheduler/src/election.rs
+++ b/crates/scheduler/src/election.rs
@@ -6,16 +6,16 @@
 
 use serde::{Deserialize, Serialize};
 
-/// The key of the one claim, tied to the owner's lease.
+/// The key of the one claim, tied to the leader's lease.
 pub const LEADERSHIP_KEY: &str = "own/0";
 pub const LEADERSHIP_PREFIX: &str = "own/";
 
-/// The claim of one cell, where there are several.
-pub fn shard_leadership_key(cell: u32) -> String {
-    format!("{LEADERSHIP_PREFIX}c/{cell}")
+/// The claim of one shard, where there are several.
+pub fn shard_leadership_key(shard_id: u32) -> String {
+    format!("{LEADERSHIP_PREFIX}c/{shard_id}")
 }
 
-/// The machine types as an owner learnt them, so that a process that was started again need not
+/// The machine types as a leader learnt them, so that a process that was started again need not
 /// wait for the cloud before it can act.
 pub const MACHINE_TYPES_KEY: &str = "own/types";
 
@@ -156,7 +156,7 @@
     }
 
     /// The lease that is to be renewed now; `due`: the usual interval since the last renewal is over. One
-    /// with a claim is renewed sooner, since its owner waits for it. One without only saves a request when
+    /// with a claim is renewed sooner, since its leader waits for it. One without only saves a request when
     /// the claim is free.
     pub fn lease_to_renew(&self, due: bool) -> Option<u64> {
         self.lease().filter(|_| due || self.token.is_some())
@@ -188,7 +188,7 @@
         self.token
     }
 
-    /// The owner's name as far as this controller knows, itself excluded.
+    /// The leader's name as far as this controller knows, itself excluded.
     pub fn other_leader(&self) -> Option<&str> {
         self.observed.as_ref().map(|s| s.record.node.as_str()).filter(|n| *n != self.own_record.node)
     }
--- a/crates/scheduler/src/election/tests.rs
+++ b/crates/scheduler/src/election/tests.rs
@@ -80,7 +80,7 @@
     assert_eq!(o.valid_token(0.2), Some(6));
 }
 
-/// Several cells without owners are not all claimed by one controller.
+/// Several shards without leaders are not all claimed by one controller.
 #[test]
 fn a_claim_that_nobody_holds_has_its_turn() {
     let mut o = LeaderElection::new(claim("a", "1"), 6.0);
@@ -100,7 +100,7 @@
     assert_eq!(o.valid_token(1.0), None);
 }
 
-/// Guards against a controller that believes in an owner that is gone, and never claims: a slow answer
+/// Guards against a controller that believes in a leader that is gone, and never claims: a slow answer
 /// to its look at the claim came after the watch had told the claim's end. Where it is the last that is
 /// left, nobody would own any more.
 #[test]
--- a/crates/scheduler/src/fleet/machine.rs
+++ b/crates/scheduler/src/fleet/machine.rs
@@ -14,7 +14,7 @@
 pub enum Phase {
     Booting,
     Up,
-    /// Empty, and set aside for another cell: it gets nothing, and is not returned.
+    /// Empty, and set aside for another shard: it gets nothing, and is not returned.
     Draining,
     /// To be deleted: marked in the state service first, then returned.
     Terminating,
@@ -94,19 +94,19 @@
 pub struct Machine {
     pub name: std::sync::Arc<str>,
     pub addr: Option<SocketAddr>,
-    pub machine_type: TypeIndex,
+    pub type_index: TypeIndex,
     pub zone: ZoneIndex,
     pub spot: bool,
     pub phase: Phase,
     pub first_seen_at: f64,
     pub incarnation: u64,
     pub sequence: u64,
-    /// Sessions up to this one are over for certain.
+    /// Incarnations up to this one are over for certain.
     pub expired_incarnation: u64,
     pub reported_token: bool,
-    /// The time until which an earlier owner's tasks may be on it, if unresolved.
+    /// The time until which an earlier leader's tasks may be on it, if unresolved.
     pub reconcile_deadline: Option<f64>,
-    /// When the last renewal of its lease was sent by this owner.
+    /// When the last renewal of its lease was sent by this leader.
     pub lease_renewed_at: Option<f64>,
     pub last_heartbeat_at: f64,
     pub assignments: TaskMap<Assignment>,
@@ -119,10 +119,10 @@
     /// Jobs that the stored record names.
     pub stored_jobs: BTreeSet<JobIndex>,
     pub record_stored: bool,
-    /// The rack whose value holds its record.
+    /// The machine group whose value holds its record.
     pub machine_group: Option<MachineGroupIndex>,
-    /// Values besides its rack's that name it: written by earlier owners, or by a rack that
-    /// was split. They go when its rack's value is stored.
+    /// Values besides its machine group's that name it: written by earlier leaders, or by a machine group that
+    /// was split. They go when its machine group's value is stored.
     pub superseded_values: Vec<Arc<str>>,
     pub images: Vec<CachedImage>,
     pub reclaimed_at: Option<f64>,
@@ -146,20 +146,20 @@
     pub unanswered_pushes: u32,
     /// A report is overdue: it is asked directly whether it is there.
     pub suspected: bool,
-    /// Known by reports of an earlier owner's time alone: it counts for nothing before it shows that it
+    /// Known by reports of an earlier leader's time alone: it counts for nothing before it shows that it
     /// hears us. A late copy of what a machine said that is long gone looks like this.
     pub heard_only_before_failover: bool,
-    /// When this owner last answered a report of its present session.
+    /// When this leader last answered a report of its present incarnation.
     pub heartbeat_answered_at: Option<f64>,
-    /// When its present session was first heard of.
+    /// When its present incarnation was first heard of.
     pub incarnation_since: f64,
-    /// Sessions in a row that ended though their reports were answered: the answers were lost.
+    /// Incarnations in a row that ended though their reports were answered: the answers were lost.
     pub unacknowledged_incarnations: u32,
     /// Reports of its own in a row that showed nothing of what the answers before had told it.
     pub missed_acknowledgements: u32,
     /// It gets nothing new until then: by then it has shown whether answers reach it.
     pub commandable_from: f64,
-    /// When this owner last answered a report of its own, or first heard of it.
+    /// When this leader last answered a report of its own, or first heard of it.
     pub own_heartbeat_at: f64,
     /// It answers direct questions, and its own reports stay away: whoever waits for answers in vain
     /// asks one controller after the other. Until two of them come in time again.
@@ -174,7 +174,7 @@
         Machine {
             name,
             addr: None,
-            machine_type: ty,
+            type_index: ty,
             zone,
             spot,
             phase: Phase::Booting,
@@ -226,16 +226,16 @@
 
     /// Was this task told to stop, and will it be gone soon? One whose start had no answer and may still be on
     /// its way has no end that can be waited for.
-    pub fn is_stopping(&self, key: &TaskKey, held: &Assignment) -> bool {
+    pub fn is_stopping(&self, key: &TaskKey, assignment: &Assignment) -> bool {
         let may_come_late = !self.push_in_flight && self.unacknowledged_starts.contains_key(key);
-        held.stop_grace_s.is_some() && (held.state.has_started() || !may_come_late)
+        assignment.stop_grace_s.is_some() && (assignment.state.has_started() || !may_come_late)
     }
 
-    /// Was this start withdrawn before it got an answer? It may be carried out until the session ends, or the
+    /// Was this start withdrawn before it got an answer? It may be carried out until the incarnation ends, or the
     /// machine is deleted.
-    pub fn is_lost_start(&self, key: &TaskKey, held: &Assignment) -> bool {
+    pub fn is_lost_start(&self, key: &TaskKey, assignment: &Assignment) -> bool {
         let unanswered = !self.push_in_flight && self.unacknowledged_starts.contains_key(key);
-        held.stop_grace_s.is_some() && held.state == AssignmentState::Commanded && unanswered
+        assignment.stop_grace_s.is_some() && assignment.state == AssignmentState::Commanded && unanswered
     }
 
     /// Was a start withdrawn and lost before this time?
--- a/crates/scheduler/src/fleet/machine_groups.rs
+++ b/crates/scheduler/src/fleet/machine_groups.rs
@@ -1,24 +1,24 @@
-//! Racks: machines of one type, zone and kind that share one value at the state
+//! Machine groups: machines of one type, zone and kind that share one value at the state
 //! service.
 //!
 //! A machine's record has to be stored before the first start of a job on it. With a
 //! value for each machine, hundreds of machines want more writes a second than the
-//! state service takes; a rack's value is written once for all starts on it that wait.
+//! state service takes; a machine group's value is written once for all starts on it that wait.
 
 use super::MachineRecord;
-use crate::intern::{Index, JobIndex, MachineGroupIndex, MachineIndex, TypeIndex, ZoneIndex};
+use crate::intern::{DenseIndex, JobIndex, MachineGroupIndex, MachineIndex, TypeIndex, ZoneIndex};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
 pub const MACHINE_GROUP_PREFIX: &str = "rack/";
 
-pub fn machine_group_key(r: MachineGroupIndex) -> String {
-    format!("{MACHINE_GROUP_PREFIX}{}", r.ix())
+pub fn machine_group_key(group_index: MachineGroupIndex) -> String {
+    format!("{MACHINE_GROUP_PREFIX}{}", group_index.as_usize())
 }
 
-/// A rack as it is kept at the state service. Machines name jobs and images by their
-/// place in the rack's own lists, since neighbours mostly share them.
+/// A machine group as it is kept at the state service. Machines name jobs and images by their
+/// place in the machine group's own lists, since neighbours mostly share them.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq, Default)]
 pub struct MachineGroupRecord {
     pub shard: u32,
@@ -80,7 +80,7 @@
 
 #[derive(Debug)]
 pub struct MachineGroup {
-    pub ty: TypeIndex,
+    pub type_index: TypeIndex,
     pub zone: ZoneIndex,
     pub spot: bool,
     pub members: BTreeSet<MachineIndex>,
@@ -104,9 +104,9 @@
 const MAX_BYTES_PER_MACHINE: usize = 160;
 /// An entry without any job, at the most.
 const BYTES_PER_MEMBER: usize = 100;
-/// A rack counts as having waited for this at least, so that many starts weigh at once.
+/// A machine group counts as having waited for this at least, so that many starts weigh at once.
 const MIN_WAIT_S: f64 = 0.1;
-/// A job's place in the rack's list, with its comma.
+/// A job's place in the machine group's list, with its comma.
 const BYTES_PER_JOB_REFERENCE: usize = 6;
 
 impl MachineGroup {
@@ -115,7 +115,7 @@
     }
 
     /// Can one more machine of it name this job? A value over the limit could never be
-    /// stored, and nothing would start on the whole rack any more.
+    /// stored, and nothing would start on the whole machine group any more.
     pub fn has_space_for(&self, job: JobIndex, id: &str, value_bytes: usize) -> bool {
         self.bytes + self.bytes_for(job, id) <= value_bytes
     }
@@ -141,7 +141,7 @@
         (self.dirty_since, self.waiting_starts, self.service_waiting) = (None, 0, false);
     }
 
-    /// Which rack is written first: one for whose record a service waits, then the one for
+    /// Which machine group is written first: one for whose record a service waits, then the one for
     /// which most starts have waited longest, so that one put serves many and none is
     /// passed over for ever.
     pub fn write_priority(&self, now: f64) -> (bool, f64) {
@@ -150,7 +150,7 @@
     }
 
     /// Has its value no room left for more names? Machines stood half empty beside services
-    /// that waited for room, because the racks of those with many services were full.
+    /// that waited for room, because the machine groups of those with many services were full.
     pub fn is_nearly_full(&self, value_bytes: usize) -> bool {
         self.members.len() > 1
             && self.bytes <= value_bytes
@@ -181,7 +181,7 @@
 #[derive(Debug, Default)]
 pub struct MachineGroups {
     pub list: BTreeMap<MachineGroupIndex, MachineGroup>,
-    /// The first number that was never used, here or by an earlier owner.
+    /// The first number that was never used, here or by an earlier leader.
     pub next: usize,
     /// Values that are to go, with the machines that are not recorded elsewhere yet.
     pub superseded_values: HashMap<Arc<str>, BTreeSet<MachineIndex>>,
@@ -195,9 +195,9 @@
 
     /// One of the machines that an old value names is recorded elsewhere, or gone. True if
     /// it was the last.
-    pub fn remove_superseded(&mut self, key: &str, m: MachineIndex) -> bool {
+    pub fn remove_superseded(&mut self, key: &str, machine_index: MachineIndex) -> bool {
         let Some(members) = self.superseded_values.get_mut(key) else { return false };
-        members.remove(&m);
+        members.remove(&machine_index);
         let empty = members.is_empty();
         if empty {
             self.superseded_values.remove(key);
@@ -205,28 +205,28 @@
         empty
     }
 
-    /// The rack that takes one more machine of this sort: the first with room, else a new one.
+    /// The machine group that takes one more machine of this sort: the first with room, else a new one.
     pub fn join(
         &mut self,
-        m: MachineIndex,
+        machine_index: MachineIndex,
         (ty, zone, spot): (TypeIndex, ZoneIndex, bool),
         value_bytes: usize,
     ) -> MachineGroupIndex {
         let size = MachineGroups::members_per_value(value_bytes);
         let fits = |r: &MachineGroup| {
-            (r.ty, r.zone, r.spot) == (ty, zone, spot)
+            (r.type_index, r.zone, r.spot) == (ty, zone, spot)
                 && r.members.len() < size
                 && r.bytes + MAX_BYTES_PER_MACHINE <= value_bytes
         };
         let found = self.list.iter().find(|(_, r)| fits(r)).map(|(i, _)| *i);
         let i = found.unwrap_or_else(|| MachineGroupIndex::new(self.next));
         let machine_group = self.open(i, ty, zone, spot);
-        machine_group.members.insert(m);
+        machine_group.members.insert(machine_index);
         machine_group.bytes += BYTES_PER_MEMBER;
         i
     }
 
-    /// A new rack of just these machines, which no other joins.
+    /// A new machine group of just these machines, which no other joins.
     pub fn new_closed_group(
         &mut self,
         (ty, zone, spot): (TypeIndex, ZoneIndex, bool),
@@ -239,10 +239,16 @@
         i
     }
 
-    pub fn open(&mut self, i: MachineGroupIndex, ty: TypeIndex, zone: ZoneIndex, spot: bool) -> &mut MachineGroup {
-        self.next = self.next.max(i.ix() + 1);
+    pub fn open(
+        &mut self,
+        group_index: MachineGroupIndex,
+        ty: TypeIndex,
+        zone: ZoneIndex,
+        spot: bool,
+    ) -> &mut MachineGroup {
+        self.next = self.next.max(group_index.as_usize() + 1);
         let new = || MachineGroup {
-            ty,
+            type_index: ty,
             zone,
             spot,
             members: BTreeSet::new(),
@@ -253,6 +259,6 @@
             service_waiting: false,
             compacted: false,
         };
-        self.list.entry(i).or_insert_with(new)
+        self.list.entry(group_index).or_insert_with(new)
     }
 }
--- a/crates/scheduler/src/fleet/machines.rs
+++ b/crates/scheduler/src/fleet/machines.rs
@@ -1,7 +1,7 @@
-//! All machines, and which of them should hear from this owner first.
+//! All machines, and which of them should hear from this leader first.
 
 use super::Machine;
-use crate::intern::{Index, MachineIndex, Pages, TypeIndex, ZoneIndex};
+use crate::intern::{DenseIndex, MachineIndex, Pages, TypeIndex, ZoneIndex};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -30,14 +30,14 @@
 impl std::ops::Index<MachineIndex> for Machines {
     type Output = Machine;
 
-    fn index(&self, m: MachineIndex) -> &Machine {
-        &self.list[m.ix()]
+    fn index(&self, machine_index: MachineIndex) -> &Machine {
+        &self.list[machine_index.as_usize()]
     }
 }
 
 impl std::ops::IndexMut<MachineIndex> for Machines {
-    fn index_mut(&mut self, m: MachineIndex) -> &mut Machine {
-        &mut self.list[m.ix()]
+    fn index_mut(&mut self, machine_index: MachineIndex) -> &mut Machine {
+        &mut self.list[machine_index.as_usize()]
     }
 }
 
@@ -47,17 +47,17 @@
     }
 
     /// A machine that may have been given back.
-    pub fn get_mut(&mut self, m: MachineIndex) -> Option<&mut Machine> {
-        self.list.get_mut(m)
+    pub fn get_mut(&mut self, machine_index: MachineIndex) -> Option<&mut Machine> {
+        self.list.get_mut(machine_index)
     }
 
     /// This machine should hear from us directly, before others do. A cancellation has
-    /// its time from when its user was told, whoever owns meanwhile: owners that ended within a
+    /// its time from when its user was told, whoever owns meanwhile: leaders that ended within a
     /// second, sixty in a row, each began with the same machines and never came to the one where
     /// a cancelled task ran on.
-    pub fn push_first(&mut self, m: MachineIndex, why: PushUrgency) {
-        self.push_due.insert(m);
-        self.push_first.insert((why, m));
+    pub fn push_first(&mut self, machine_index: MachineIndex, why: PushUrgency) {
+        self.push_due.insert(machine_index);
+        self.push_first.insert((why, machine_index));
     }
 
     /// The next machine that should hear from us directly, of those that may.
@@ -73,28 +73,28 @@
     }
 
     /// A machine that is long gone leaves, with its name.
-    pub fn remove(&mut self, m: MachineIndex) {
-        self.push_due.remove(&m);
-        self.push_first.retain(|f| f.1 != m);
-        self.forget_name(m);
-        self.list.remove(m);
+    pub fn remove(&mut self, machine_index: MachineIndex) {
+        self.push_due.remove(&machine_index);
+        self.push_first.retain(|f| f.1 != machine_index);
+        self.forget_name(machine_index);
+        self.list.remove(machine_index);
     }
 
     /// Whoever asks for this name finds it no more, unless it is another machine's by now.
-    pub fn forget_name(&mut self, m: MachineIndex) {
-        if let Some(machine) = self.list.get(m)
-            && self.by_name.get(&machine.name) == Some(&m)
+    pub fn forget_name(&mut self, machine_index: MachineIndex) {
+        if let Some(machine) = self.list.get(machine_index)
+            && self.by_name.get(&machine.name) == Some(&machine_index)
         {
             self.by_name.remove(&machine.name);
         }
     }
 
-    pub fn add(&mut self, name: &str, ty: TypeIndex, zone: ZoneIndex, spot: bool, now: f64) -> MachineIndex {
+    pub fn add(&mut self, name: &str, type_index: TypeIndex, zone: ZoneIndex, spot: bool, now: f64) -> MachineIndex {
         if let Some(m) = self.find(name) {
             return m;
         }
         let shared: Arc<str> = name.into();
-        let m = self.list.push(Machine::new(shared.clone(), ty, zone, spot, now));
+        let m = self.list.push(Machine::new(shared.clone(), type_index, zone, spot, now));
         self.by_name.insert(shared, m);
         self.present.insert(m);
         m
--- a/crates/scheduler/src/fleet/mod.rs
+++ b/crates/scheduler/src/fleet/mod.rs
@@ -29,7 +29,7 @@
 }
 
 /// What is stored of a machine before the first start of a job on it, so that a
-/// successor knows what it may hold. It stands in its rack's value; a value of its own
+/// successor knows what it may hold. It stands in its machine group's value; a value of its own
 /// is what earlier versions wrote, and is read still.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct MachineRecord {
--- a/crates/scheduler/src/fleet/types.rs
+++ b/crates/scheduler/src/fleet/types.rs
@@ -1,6 +1,6 @@
 //! The machine types and zones.
 
-use crate::intern::{Index, Names, TypeIndex, ZoneIndex};
+use crate::intern::{DenseIndex, Names, TypeIndex, ZoneIndex};
 use crate::wire::MachineType;
 
 /// The machine types and zones, interned.
@@ -18,16 +18,16 @@
                 self.zones.intern(z);
             }
             let i = self.names.intern(&t.name);
-            if i.ix() < self.list.len() {
-                self.list[i.ix()] = t;
+            if i.as_usize() < self.list.len() {
+                self.list[i.as_usize()] = t;
             } else {
                 self.list.push(t);
             }
         }
     }
 
-    pub fn get(&self, t: TypeIndex) -> &MachineType {
-        &self.list[t.ix()]
+    pub fn get(&self, type_index: TypeIndex) -> &MachineType {
+        &self.list[type_index.as_usize()]
     }
 
     pub fn known(&self) -> bool {
--- a/crates/scheduler/src/fleet/zones.rs
+++ b/crates/scheduler/src/fleet/zones.rs
@@ -4,7 +4,7 @@
 //! up, becomes preemptive; a spot machine that reports ready brings its zone
 //! back. With fewer than two active zones, all return.
 
-use crate::intern::{Index, ZoneIndex};
+use crate::intern::{DenseIndex, ZoneIndex};
 use std::collections::BTreeSet;
 
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -19,9 +19,9 @@
     }
 
     /// A launch in this zone was refused, or its machine never came up.
-    pub fn failed(&mut self, z: ZoneIndex) {
-        if self.active.remove(&z) {
-            self.preemptive.insert(z);
+    pub fn failed(&mut self, zone: ZoneIndex) {
+        if self.active.remove(&zone) {
+            self.preemptive.insert(zone);
         }
         if self.active.len() < 2 {
             self.active.append(&mut self.preemptive);
@@ -29,9 +29,9 @@
     }
 
     /// A spot machine of this zone reported ready.
-    pub fn ready(&mut self, z: ZoneIndex) {
-        if self.preemptive.remove(&z) {
-            self.active.insert(z);
+    pub fn ready(&mut self, zone: ZoneIndex) {
+        if self.preemptive.remove(&zone) {
+            self.active.insert(zone);
         }
     }
 
@@ -45,7 +45,7 @@
         current: &[usize],
         usable: impl Fn(ZoneIndex) -> bool,
     ) -> Option<ZoneIndex> {
-        let count = |z: ZoneIndex| current.get(z.ix()).copied().unwrap_or(0);
+        let count = |z: ZoneIndex| current.get(z.as_usize()).copied().unwrap_or(0);
         let pick = |empty_only: bool| {
             self.active
                 .iter()
--- a/crates/scheduler/src/intern.rs
+++ b/crates/scheduler/src/intern.rs
@@ -5,9 +5,9 @@
 use std::sync::Arc;
 
 /// An index type made by [`index!`].
-pub trait Index: Copy {
+pub trait DenseIndex: Copy {
     fn new(i: usize) -> Self;
-    fn ix(self) -> usize;
+    fn as_usize(self) -> usize;
 }
 
 macro_rules! index {
@@ -15,9 +15,9 @@
         $(#[$m])*
         #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Debug)]
         pub struct $name(u32);
-        impl Index for $name {
+        impl DenseIndex for $name {
             fn new(i: usize) -> Self { $name(u32::try_from(i).unwrap_or(u32::MAX)) }
-            fn ix(self) -> usize { self.0 as usize }
+            fn as_usize(self) -> usize { self.0 as usize }
         }
     )*};
 }
@@ -51,7 +51,7 @@
     }
 }
 
-impl<I: Index, T> Pages<I, T> {
+impl<I: DenseIndex, T> Pages<I, T> {
     /// The index that the next value gets.
     pub fn next(&self) -> I {
         I::new(self.next)
@@ -71,19 +71,19 @@
     }
 
     pub fn get(&self, i: I) -> Option<&T> {
-        self.pages.get(i.ix() / PAGE)?.as_ref()?[i.ix() % PAGE].as_ref()
+        self.pages.get(i.as_usize() / PAGE)?.as_ref()?[i.as_usize() % PAGE].as_ref()
     }
 
     pub fn get_mut(&mut self, i: I) -> Option<&mut T> {
-        self.pages.get_mut(i.ix() / PAGE)?.as_mut()?[i.ix() % PAGE].as_mut()
+        self.pages.get_mut(i.as_usize() / PAGE)?.as_mut()?[i.as_usize() % PAGE].as_mut()
     }
 
     pub fn remove(&mut self, i: I) -> Option<T> {
-        let page = self.pages.get_mut(i.ix() / PAGE)?;
-        let v = page.as_mut()?[i.ix() % PAGE].take()?;
+        let page = self.pages.get_mut(i.as_usize() / PAGE)?;
+        let v = page.as_mut()?[i.as_usize() % PAGE].take()?;
         self.held -= 1;
         // The last page is still being filled.
-        let full = (i.ix() / PAGE + 1) * PAGE <= self.next;
+        let full = (i.as_usize() / PAGE + 1) * PAGE <= self.next;
         if full && page.as_ref().is_some_and(|p| p.iter().all(Option::is_none)) {
             *page = None;
         }
@@ -109,7 +109,7 @@
 }
 
 /// Whoever holds an index of a value that is held.
-impl<I: Index, T> std::ops::Index<usize> for Pages<I, T> {
+impl<I: DenseIndex, T> std::ops::Index<usize> for Pages<I, T> {
     type Output = T;
     fn index(&self, i: usize) -> &T {
         match self.get(I::new(i)) {
@@ -119,7 +119,7 @@
     }
 }
 
-impl<I: Index, T> std::ops::IndexMut<usize> for Pages<I, T> {
+impl<I: DenseIndex, T> std::ops::IndexMut<usize> for Pages<I, T> {
     fn index_mut(&mut self, i: usize) -> &mut T {
         match self.get_mut(I::new(i)) {
             Some(v) => v,
@@ -141,7 +141,7 @@
     }
 }
 
-impl<I: Index> Names<I> {
+impl<I: DenseIndex> Names<I> {
     pub fn find(&self, name: &str) -> Option<I> {
         self.by_name.get(name).copied()
     }
@@ -157,7 +157,7 @@
     }
 
     pub fn name(&self, i: I) -> &Arc<str> {
-        &self.names[i.ix()]
+        &self.names[i.as_usize()]
     }
 
     /// Nobody holds this index any more.
@@ -193,13 +193,13 @@
         let kept = names.intern("kept");
         for i in 0..10 * PAGE {
             let ix = names.intern(&format!("image-{i}"));
-            assert_eq!(ix.ix(), i + 1);
+            assert_eq!(ix.as_usize(), i + 1);
             names.release(ix);
         }
         assert_eq!((names.len(), names.find("kept")), (1, Some(kept)));
         let pages = names.names.pages.iter().filter(|p| p.is_some()).count();
         assert!(pages <= 2, "{pages} pages are held for one name");
-        assert!(names.intern("image-0").ix() > 10 * PAGE);
+        assert!(names.intern("image-0").as_usize() > 10 * PAGE);
         assert_eq!(names.names.get(ImageIndex::new(5)), None);
     }
 }
--- a/crates/scheduler/src/jobs/job.rs
+++ b/crates/scheduler/src/jobs/job.rs
@@ -1,10 +1,10 @@
-//! One job and its tasks, as this owner knows them.
+//! One job and its tasks, as this leader knows them.
 
 use super::Phase;
-use crate::intern::{ImageIndex, Index, JobIndex, MachineIndex, TeamIndex, ZoneIndex};
+use crate::intern::{DenseIndex, ImageIndex, JobIndex, MachineIndex, TeamIndex, ZoneIndex};
 use crate::wire::{JobRequest, JobState, Kind, Priority};
-use lupinspur_accounts::TrackedJobIndex;
-use lupinspur_accounts::tracker::{IndicatorIndex, Tasks};
+use lupinspur_service_levels::TrackedJobIndex;
+use lupinspur_service_levels::tracker::{IndicatorIndex, Tasks};
 use std::collections::{BTreeSet, VecDeque};
 
 /// What is assumed for a job whose user states no deadline.
@@ -33,10 +33,10 @@
     pub team: TeamIndex,
     pub image: Option<ImageIndex>,
     pub accepted_at_ms: u64,
-    /// The cell that its record names, and how often it has gone from one to another.
+    /// The shard that its record names, and how often it has gone from one to another.
     pub shard: Option<u32>,
     pub moves: u8,
-    /// It is going to another cell: nothing of it is started here.
+    /// It is going to another shard: nothing of it is started here.
     pub moving_away: bool,
     /// As stored.
     pub phase: Phase,
@@ -64,7 +64,7 @@
     pub dirty_chunks: BTreeSet<u32>,
     /// Unresolved machines that may hold tasks of this job.
     pub unreconciled_machines: u32,
-    /// An earlier owner's record of a machine names it.
+    /// An earlier leader's record of a machine names it.
     pub recorded_before_failover: bool,
     /// Machines on which it failed lately.
     pub failed_on: Vec<MachineIndex>,
@@ -78,7 +78,7 @@
     pub attempts_since_fault: u32,
     /// A machine that one of its replicas is leaving, and until when it is avoided.
     pub avoided_machine: Option<(MachineIndex, f64)>,
-    /// When this owner learnt of it.
+    /// When this leader learnt of it.
     pub known_since: f64,
     pub zone_counts: Vec<u32>,
     /// Its place in the accounts, from when its time begins until its end is stored.
@@ -120,8 +120,8 @@
     }
 
     /// Its tasks held in this zone.
-    pub fn assigned_in_zone(&self, z: ZoneIndex) -> u32 {
-        self.zone_counts.get(z.ix()).copied().unwrap_or(0)
+    pub fn assigned_in_zone(&self, zone: ZoneIndex) -> u32 {
+        self.zone_counts.get(zone.as_usize()).copied().unwrap_or(0)
     }
 
     pub fn is_service(&self) -> bool {
--- a/crates/scheduler/src/jobs/mod.rs
+++ b/crates/scheduler/src/jobs/mod.rs
@@ -9,10 +9,10 @@
     part_key, progress_key,
 };
 
-use crate::intern::{ImageIndex, Index, JobIndex, Names, Pages, TeamIndex};
+use crate::intern::{DenseIndex, ImageIndex, JobIndex, Names, Pages, TeamIndex};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// All jobs that this owner knows.
+/// All jobs that this leader knows.
 #[derive(Debug, Default)]
 pub struct Jobs {
     pub list: Pages<JobIndex, Job>,
@@ -37,14 +37,14 @@
 impl std::ops::Index<JobIndex> for Jobs {
     type Output = Job;
 
-    fn index(&self, j: JobIndex) -> &Job {
-        &self.list[j.ix()]
+    fn index(&self, job_index: JobIndex) -> &Job {
+        &self.list[job_index.as_usize()]
     }
 }
 
 impl std::ops::IndexMut<JobIndex> for Jobs {
-    fn index_mut(&mut self, j: JobIndex) -> &mut Job {
-        &mut self.list[j.ix()]
+    fn index_mut(&mut self, job_index: JobIndex) -> &mut Job {
+        &mut self.list[job_index.as_usize()]
     }
 }
 
@@ -58,48 +58,48 @@
     }
 
     /// A job that may have been given back.
-    pub fn get(&self, j: JobIndex) -> Option<&Job> {
-        self.list.get(j)
+    pub fn get(&self, job_index: JobIndex) -> Option<&Job> {
+        self.list.get(job_index)
     }
 
     /// A job that is over leaves, with its name.
-    pub fn remove(&mut self, j: JobIndex) {
-        if let Some(job) = self.list.remove(j) {
+    pub fn remove(&mut self, job_index: JobIndex) {
+        if let Some(job) = self.list.remove(job_index) {
             self.by_id.remove(&job.id);
         }
     }
 
     /// Takes in a stored job. A job that is known already is left as it is.
-    pub fn add(&mut self, r: JobRecord, team: TeamIndex, now: f64) -> JobIndex {
-        if let Some(j) = self.find(&r.job.id) {
+    pub fn add(&mut self, record: JobRecord, team: TeamIndex, now: f64) -> JobIndex {
+        if let Some(j) = self.find(&record.job.id) {
             return j;
         }
         let j = self.list.next();
-        let id: std::sync::Arc<str> = r.job.id.as_str().into();
+        let id: std::sync::Arc<str> = record.job.id.as_str().into();
         self.by_id.insert(id.clone(), j);
-        let open = r.phase == Phase::Open;
-        let n = if open { r.job.tasks } else { 0 };
-        let image = r.job.image.as_deref().map(|i| self.images.intern(i));
+        let open = record.phase == Phase::Open;
+        let n = if open { record.job.tasks } else { 0 };
+        let image = record.job.image.as_deref().map(|i| self.images.intern(i));
         self.list.push(Job {
             index: j,
             id,
             team,
             image,
-            accepted_at_ms: r.accepted_at_ms,
-            shard: r.shard,
-            moves: r.moves,
+            accepted_at_ms: record.accepted_at_ms,
+            shard: record.shard,
+            moves: record.moves,
             moving_away: false,
-            phase: r.phase,
-            desired_phase: r.phase,
+            phase: record.phase,
+            desired_phase: record.phase,
             end_write_sent: false,
             cascade_cancelled_at: None,
-            ended_ms: r.ended_ms.unwrap_or(0),
-            ready_at_ms: r.accepted_at_ms,
-            priority: r.job.priority,
+            ended_ms: record.ended_ms.unwrap_or(0),
+            ready_at_ms: record.accepted_at_ms,
+            priority: record.job.priority,
             inherited_deadline_ms: None,
             tasks: vec![TaskSlot::Queued; n as usize],
             queued_tasks: (0..n).collect(),
-            done: if r.phase == Phase::Done { r.job.tasks } else { 0 },
+            done: if record.phase == Phase::Done { record.job.tasks } else { 0 },
             assigned: 0,
             running: 0,
             started: 0,
@@ -118,7 +118,7 @@
             indicators: None,
             serves_until: None,
             useful_until: None,
-            spec: r.job,
+            spec: record.job,
         });
         if open {
             self.live.insert(j);
@@ -127,17 +127,17 @@
     }
 
     /// Marks a task done, wherever it was. True if it was not done before.
-    pub fn mark_task_done(&mut self, j: JobIndex, t: u32, stored: bool) -> bool {
+    pub fn mark_task_done(&mut self, job_index: JobIndex, task: u32, stored: bool) -> bool {
         let chunk = self.chunk_tasks;
-        let job = &mut self[j];
-        let Some(slot) = job.tasks.get_mut(t as usize) else { return false };
+        let job = &mut self[job_index];
+        let Some(slot) = job.tasks.get_mut(task as usize) else { return false };
         if let TaskSlot::Done { .. } = slot {
             return false;
         }
         *slot = TaskSlot::Done { stored };
         job.done += 1;
         if !stored {
-            job.dirty_chunks.insert(t / chunk);
+            job.dirty_chunks.insert(task / chunk);
         }
         if job.done == job.spec.tasks && job.desired_phase == Phase::Open && !job.is_service() {
             job.desired_phase = Phase::Done;
@@ -147,8 +147,8 @@
 
     /// The key of a chunk's progress. A job of one chunk has the same key and value in
     /// every version.
-    pub fn progress_key(&self, j: JobIndex, chunk: u32) -> String {
-        let job = &self[j];
+    pub fn progress_key(&self, job_index: JobIndex, chunk: u32) -> String {
+        let job = &self[job_index];
         if job.spec.tasks <= self.chunk_tasks {
             progress_key(&job.id, 0)
         } else {
@@ -157,15 +157,16 @@
     }
 
     /// Every key under which progress of this job may stand.
-    pub fn progress_keys(&self, j: JobIndex) -> impl Iterator<Item = String> {
-        let tasks = self[j].spec.tasks;
-        let earlier = (0..tasks.div_ceil(self.legacy_chunk_tasks)).map(move |c| progress_key(&self[j].id, c));
-        let parts = (0..tasks.div_ceil(self.chunk_tasks)).map(move |c| part_key(&self[j].id, c * self.chunk_tasks));
+    pub fn progress_keys(&self, job_index: JobIndex) -> impl Iterator<Item = String> {
+        let tasks = self[job_index].spec.tasks;
+        let earlier = (0..tasks.div_ceil(self.legacy_chunk_tasks)).map(move |c| progress_key(&self[job_index].id, c));
+        let parts =
+            (0..tasks.div_ceil(self.chunk_tasks)).map(move |c| part_key(&self[job_index].id, c * self.chunk_tasks));
         earlier.chain(parts)
     }
 
-    pub fn progress(&self, j: JobIndex, chunk: u32) -> ProgressRecord {
-        let job = &self[j];
+    pub fn progress(&self, job_index: JobIndex, chunk: u32) -> ProgressRecord {
+        let job = &self[job_index];
         let from = (chunk * self.chunk_tasks) as usize;
         let to = (from + self.chunk_tasks as usize).min(job.tasks.len());
         let mut done = String::with_capacity((to - from).div_ceil(4));
@@ -182,22 +183,22 @@
     }
 
     /// Tasks from this one on that a stored value calls done.
-    pub fn load_progress(&mut self, j: JobIndex, from: u32, r: &ProgressRecord) {
-        for (i, c) in r.done.chars().enumerate() {
+    pub fn load_progress(&mut self, job_index: JobIndex, from: u32, record: &ProgressRecord) {
+        for (i, c) in record.done.chars().enumerate() {
             let Some(d) = c.to_digit(16) else { continue };
             for b in 0..4 {
                 if d & (1 << b) != 0 {
-                    self.mark_task_done(j, from.saturating_add((i as u32) * 4 + b), true);
+                    self.mark_task_done(job_index, from.saturating_add((i as u32) * 4 + b), true);
                 }
             }
         }
     }
 
     /// The tasks of a chunk that a stored record calls done are stored now.
-    pub fn on_progress_stored(&mut self, j: JobIndex, chunk: u32, r: &ProgressRecord) {
+    pub fn on_progress_stored(&mut self, job_index: JobIndex, chunk: u32, record: &ProgressRecord) {
         let from = (chunk * self.chunk_tasks) as usize;
-        let job = &mut self[j];
-        for (i, c) in r.done.chars().enumerate() {
+        let job = &mut self[job_index];
+        for (i, c) in record.done.chars().enumerate() {
             let Some(d) = c.to_digit(16) else { continue };
             for b in 0..4 {
                 if let (true, Some(s @ TaskSlot::Done { .. })) =
@@ -210,9 +211,9 @@
     }
 
     /// A final phase is stored: from now on it may be told, and the tasks are of no more use.
-    pub fn on_end_committed(&mut self, j: JobIndex, phase: Phase) {
-        self.live.remove(&j);
-        let job = &mut self[j];
+    pub fn on_end_committed(&mut self, job_index: JobIndex, phase: Phase) {
+        self.live.remove(&job_index);
+        let job = &mut self[job_index];
         job.phase = phase;
         job.desired_phase = phase;
         job.dirty_chunks.clear();
@@ -225,7 +226,24 @@
 }
 
 /// One task of one job; maps of them are ordered, so that every run decides alike.
-pub type TaskKey = (JobIndex, u32);
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct TaskKey {
+    pub job: JobIndex,
+    /// The task's number within its job, from 0.
+    pub task: u32,
+}
+
+impl TaskKey {
+    pub fn new(job: JobIndex, task: u32) -> TaskKey {
+        TaskKey { job, task }
+    }
+
+    /// All keys that tasks of this job may have.
+    pub fn all_of(job: JobIndex) -> std::ops::RangeInclusive<TaskKey> {
+        TaskKey::new(job, 0)..=TaskKey::new(job, u32::MAX)
+    }
+}
+
 pub type TaskMap<V> = BTreeMap<TaskKey, V>;
 
 #[cfg(test)]
--- a/crates/scheduler/src/jobs/records.rs
+++ b/crates/scheduler/src/jobs/records.rs
@@ -42,10 +42,10 @@
     /// Time of day of its end. Missing in what 0.1.0 wrote, and while it is open.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub ended_ms: Option<u64>,
-    /// The cell that it belongs to; missing: cell 0.
+    /// The shard that it belongs to; missing: shard 0.
     #[serde(rename = "cell", default, skip_serializing_if = "Option::is_none")]
     pub shard: Option<u32>,
-    /// How often it has gone from one cell to another.
+    /// How often it has gone from one shard to another.
     #[serde(default, skip_serializing_if = "crate::election::is_default")]
     pub moves: u8,
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -6,7 +6,7 @@
 //! - [`election`]: when a controller may act
 //! - [`jobs`], [`dependency_graph`]: what was submitted, and who waits for whom
 //! - [`fleet`]: machines, zone lists, the mixture
-//! - [`shard`]: one owner's jobs and machines; a process may hold several
+//! - [`shard`]: one leader's jobs and machines; a process may hold several
 //! - [`times`]: how far clocks may be trusted
 
 // What is decided must not follow the order of a hash.
--- a/crates/scheduler/src/params.rs
+++ b/crates/scheduler/src/params.rs
@@ -1,9 +1,9 @@
 //! What a shard needs to know of the platform's settings and of the operators' own.
 
-use lupinspur_accounts::ServiceLevelObjectives;
+use lupinspur_service_levels::ServiceLevelObjectives;
 use std::collections::HashMap;
 
-/// A team; amounts in cpus and cards, 0 for a limit: none.
+/// A team; amounts in cpus and accelerators, 0 for a limit: none.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Team {
     pub name: String,
--- a/crates/scheduler/src/shard/admission.rs
+++ b/crates/scheduler/src/shard/admission.rs
@@ -12,17 +12,17 @@
 }
 
 /// Judges a submission by the teams and machine types, as any node can.
-pub fn check_admission(r: &JobRequest, teams: &[Team], types: &[MachineType]) -> Result<(), AdmissionError> {
+pub fn check_admission(request: &JobRequest, teams: &[Team], types: &[MachineType]) -> Result<(), AdmissionError> {
     let never = |s: String| Err(AdmissionError::Rejected(s));
-    let Some(team) = teams.iter().find(|t| t.name == r.team) else {
-        return never(format!("unknown team {}", r.team));
+    let Some(team) = teams.iter().find(|t| t.name == request.team) else {
+        return never(format!("unknown team {}", request.team));
     };
-    let n = match r.kind {
-        Kind::Service => f64::from(r.tasks),
-        Kind::Array => r.elastic.map_or(1.0, |s| f64::from(s.smallest)),
+    let n = match request.kind {
+        Kind::Service => f64::from(request.tasks),
+        Kind::Array => request.elastic.map_or(1.0, |s| f64::from(s.smallest)),
     };
     for (what, need, most) in
-        [("cpus", r.cpus * n, team.cpus_max), ("cards", r.accelerators * n, team.accelerators_max)]
+        [("cpus", request.cpus * n, team.cpus_max), ("cards", request.accelerators * n, team.accelerators_max)]
     {
         if most > 0.0 && need > most + EPSILON {
             return never(format!("needs {need} {what}, the team's limit is {most}"));
@@ -31,19 +31,18 @@
     if types.is_empty() {
         return Err(AdmissionError::Undecided);
     }
-    if types
-        .iter()
-        .any(|t| type_fits(r, t) && r.zone.as_ref().is_none_or(|z| t.zones.is_empty() || t.zones.contains(z)))
-    {
+    if types.iter().any(|t| {
+        type_fits(request, t) && request.zone.as_ref().is_none_or(|z| t.zones.is_empty() || t.zones.contains(z))
+    }) {
         Ok(())
     } else {
         never("a task fits no allowed machine type".into())
     }
 }
 
-pub fn type_fits(r: &JobRequest, t: &MachineType) -> bool {
-    r.types.as_ref().is_none_or(|l| l.contains(&t.name))
-        && r.cpus <= t.cpus + EPSILON
-        && r.accelerators <= t.accelerators + EPSILON
-        && r.memory_gb <= t.memory_gb + EPSILON
+pub fn type_fits(request: &JobRequest, t: &MachineType) -> bool {
+    request.types.as_ref().is_none_or(|l| l.contains(&t.name))
+        && request.cpus <= t.cpus + EPSILON
+        && request.accelerators <= t.accelerators + EPSILON
+        && request.memory_gb <= t.memory_gb + EPSILON
 }
--- a/crates/scheduler/src/shard/checkpointing.rs
+++ b/crates/scheduler/src/shard/checkpointing.rs
@@ -24,10 +24,10 @@
 const OVERDUE_CHECKPOINT_INTERVAL_S: f64 = 1.0;
 /// A need that nobody has told of is looked up, so many at a time.
 const MAX_LOOKED_UP: usize = 10;
-/// Nothing is told of jobs whose needs a takeover has not met: those are looked up faster.
+/// Nothing is told of jobs whose needs a failover has not met: those are looked up faster.
 const MAX_DEPENDENCIES_READ_AT_ONCE: usize = 40;
 
-/// What a takeover found of a checkpoint.
+/// What a failover found of a checkpoint.
 #[derive(Debug, Default)]
 pub struct LoadedCheckpoint {
     pub read: Option<Checkpoint>,
@@ -35,7 +35,7 @@
     pub keys: Vec<(String, u64)>,
     /// A revision up to which all changes of jobs were taken in.
     pub revision: u64,
-    /// Jobs that the checkpoint may call open, and that have become another cell's since.
+    /// Jobs that the checkpoint may call open, and that have become another shard's since.
     pub gone: Vec<String>,
     /// Some record could not be read or taken in: a checkpoint would leave it out.
     pub incomplete: bool,
@@ -53,7 +53,7 @@
     swept_at: f64,
     over: VecDeque<(f64, JobIndex)>,
     gone: VecDeque<(f64, MachineIndex)>,
-    /// Needs that ended before the checkpoint, or are another cell's, and whose records were not read yet.
+    /// Needs that ended before the checkpoint, or are another shard's, and whose records were not read yet.
     unread_dependencies: BTreeSet<String>,
 }
 
@@ -68,8 +68,8 @@
             ..Checkpointer::default()
         };
         // Whoever goes on with a checkpoint has to know all that is not open any more: one that had
-        // gone to another cell once stood in it for ever, and was started here again by the second
-        // owner after, long after it was done there.
+        // gone to another shard once stood in it for ever, and was started here again by the second
+        // leader after, long after it was done there.
         found.gone.iter().for_each(|id| g.writer.on_ended(id));
         g.known.watched(found.revision);
         g
@@ -78,19 +78,19 @@
 
 impl Shard {
     /// A job that was taken in: it belongs into the checkpoint, or is over already.
-    pub(super) fn checkpoint_job(&mut self, j: JobIndex, now: f64) {
-        let id = self.jobs[j].id.clone();
+    pub(super) fn checkpoint_job(&mut self, job_index: JobIndex, now: f64) {
+        let id = self.jobs[job_index].id.clone();
         self.on_dependency_read(&id, now);
-        let job = &self.jobs[j];
+        let job = &self.jobs[job_index];
         if job.phase == Phase::Open {
             self.checkpointer.writer.on_opened(&job.id);
         } else {
             self.checkpointer.writer.on_ended(&job.id);
-            self.checkpointer.over.push_back((now, j));
+            self.checkpointer.over.push_back((now, job_index));
         }
     }
 
-    /// A record that no owner can take in as it is: until it can, successors read everything.
+    /// A record that no leader can take in as it is: until it can, successors read everything.
     pub fn mark_unreadable_record(&mut self, key: &str) {
         if !std::mem::replace(&mut self.checkpointer.incomplete, true) {
             log::error!("{key} cannot be taken in: no checkpoint is written beside it");
@@ -108,18 +108,18 @@
     }
 
     /// The write of its end goes out.
-    pub(super) fn on_end_sent(&mut self, j: JobIndex) {
-        let id = self.jobs[j].id.clone();
+    pub(super) fn on_end_sent(&mut self, job_index: JobIndex) {
+        let id = self.jobs[job_index].id.clone();
         self.checkpointer.known.on_end_sent(&id);
     }
 
     /// Its end is stored.
-    pub(super) fn on_end_stored(&mut self, j: JobIndex, now: f64) {
-        let id = self.jobs[j].id.clone();
+    pub(super) fn on_end_stored(&mut self, job_index: JobIndex, now: f64) {
+        let id = self.jobs[job_index].id.clone();
         self.checkpointer.known.on_end_settled(&id);
-        self.elastic_forget(j);
+        self.elastic_forget(job_index);
         self.checkpointer.writer.on_ended(&id);
-        self.checkpointer.over.push_back((now, j));
+        self.checkpointer.over.push_back((now, job_index));
     }
 
     pub(super) fn on_revision(&mut self, revision: u64) {
@@ -141,8 +141,8 @@
         writes.iter().filter_map(end).collect()
     }
 
-    pub(super) fn on_machine_gone(&mut self, m: MachineIndex) {
-        self.checkpointer.gone.push_back((self.ticked_at, m));
+    pub(super) fn on_machine_gone(&mut self, machine_index: MachineIndex) {
+        self.checkpointer.gone.push_back((self.ticked_at, machine_index));
     }
 
     /// May the checkpoint take a write that others could use?
@@ -201,7 +201,7 @@
         self.dependencies.unknown_dependencies().take(MAX_LOOKED_UP).map(str::to_owned).collect()
     }
 
-    /// The takeover is through: needs that it has not met have to be read before anything is told of the
+    /// The failover is through: needs that it has not met have to be read before anything is told of the
     /// jobs that wait for them.
     pub(super) fn note_unread_dependencies(&mut self) {
         self.checkpointer.unread_dependencies = self.dependencies.unknown_dependencies().map(str::to_owned).collect();
@@ -243,34 +243,34 @@
     }
 
     /// Does this job wait, at any remove, for one whose record was not read yet? That one may have been
-    /// cancelled, and its user told, before this owner began.
-    pub(super) fn waits_for_unread_dependency(&self, j: JobIndex) -> bool {
+    /// cancelled, and its user told, before this leader began.
+    pub(super) fn waits_for_unread_dependency(&self, job_index: JobIndex) -> bool {
         let unread = &self.checkpointer.unread_dependencies;
         if unread.is_empty() {
             return false;
         }
-        let (mut due, mut seen) = (vec![j], HashSet::from([j]));
-        while let Some(j) = due.pop() {
-            if self.jobs[j].spec.dependencies().iter().any(|dependency| unread.contains(dependency)) {
+        let (mut due, mut seen) = (vec![job_index], HashSet::from([job_index]));
+        while let Some(job_index) = due.pop() {
+            if self.jobs[job_index].spec.dependencies().iter().any(|dependency| unread.contains(dependency)) {
                 return true;
             }
-            due.extend(self.dependencies.dependencies(j).iter().filter(|n| seen.insert(**n)));
+            due.extend(self.dependencies.dependencies(job_index).iter().filter(|n| seen.insert(**n)));
         }
         false
     }
 
     /// A job that is no longer this shard's leaves its memory at once.
-    pub(super) fn forget_job(&mut self, j: JobIndex) {
-        let id = self.jobs[j].id.clone();
+    pub(super) fn forget_job(&mut self, job_index: JobIndex) {
+        let id = self.jobs[job_index].id.clone();
         self.checkpointer.writer.on_ended(&id);
-        self.jobs.on_end_committed(j, Phase::Cancelled);
-        self.dependencies.on_job_ended(j, Phase::Cancelled);
-        self.pending_ends.remove(&j);
-        self.progress_due.remove(&j);
-        self.forget_untracked(j);
-        self.drop_references(&BTreeSet::from([j]));
+        self.jobs.on_end_committed(job_index, Phase::Cancelled);
+        self.dependencies.on_job_ended(job_index, Phase::Cancelled);
+        self.pending_ends.remove(&job_index);
+        self.progress_due.remove(&job_index);
+        self.forget_untracked(job_index);
+        self.drop_references(&BTreeSet::from([job_index]));
         self.versions.remove(&job_key(&id));
-        self.jobs.remove(j);
+        self.jobs.remove(job_index);
     }
 
     /// These jobs leave, and nothing here may lead to them any more.
@@ -304,8 +304,8 @@
 
     /// May the watch still bring a record of this job from before its end? Whoever has forgotten the job would take
     /// that for a new one.
-    fn may_be_reopened_by_watch(&self, j: JobIndex) -> bool {
-        let Some(job) = self.jobs.get(j) else { return false };
+    fn may_be_reopened_by_watch(&self, job_index: JobIndex) -> bool {
+        let Some(job) = self.jobs.get(job_index) else { return false };
         let ended_at = self.versions.get(&job_key(&job.id)).copied().unwrap_or(0);
         ended_at > self.checkpointer.known.watched_revision()
     }
@@ -322,7 +322,7 @@
         let mut kept: BTreeSet<JobIndex> = BTreeSet::new();
         for (_, m) in self.machines.iter() {
             let keys = m.assignments.keys().chain(m.unassigned.keys()).chain(m.unacknowledged_starts.keys());
-            kept.extend(keys.map(|k| k.0).filter(|j| over.contains(j)));
+            kept.extend(keys.map(|k| k.job).filter(|j| over.contains(j)));
         }
         kept.extend(self.pending_ends.iter().chain(&self.progress_due).filter(|j| over.contains(j)));
         kept.extend(over.iter().filter(|j| self.may_be_reopened_by_watch(**j)));
@@ -341,7 +341,7 @@
         unused.into_iter().for_each(|i| self.jobs.images.release(i));
     }
 
-    /// How much this owner holds, for tests and the log: jobs, machines, images, versions.
+    /// How much this leader holds, for tests and the log: jobs, machines, images, versions.
     pub fn memory_footprint(&self) -> [usize; 4] {
         [self.jobs.list.len(), self.machines.list.len(), self.jobs.images.len(), self.versions.len()]
     }
--- a/crates/scheduler/src/shard/commands.rs
+++ b/crates/scheduler/src/shard/commands.rs
@@ -39,35 +39,35 @@
 /// A task that was told to stop is seen to have ended, or to save, within this.
 const STOP_ACKNOWLEDGED_WITHIN_S: f64 = 3.0;
 const MAX_COMMANDS: usize = 200;
-/// Starts that a machine may owe an answer to. Each may be carried out late for as long as the session lasts, and
+/// Starts that a machine may owe an answer to. Each may be carried out late for as long as the incarnation lasts, and
 /// its ended attempt cannot be forgotten before: it stays in the machine's reports, which hold 64 KiB. Further
 /// starts go only in answers to its reports, which are never carried out late.
 const MAX_UNACKNOWLEDGED_STARTS: usize = 64;
 
 impl Shard {
-    fn command(&self, op: CommandKind, k: TaskKey, attempt: u64, grace_s: Option<f64>) -> Command {
-        Command { kind: op, task: format!("{}/{}", self.jobs[k.0].id, k.1), attempt, grace_s }
+    fn command(&self, op: CommandKind, key: TaskKey, attempt: u64, grace_s: Option<f64>) -> Command {
+        Command { kind: op, task: format!("{}/{}", self.jobs[key.job].id, key.task), attempt, grace_s }
     }
 
     /// May an ended attempt be forgotten? Not while its result is only there, and
     /// not while a start of it may still arrive and run it again.
-    fn may_forget(&self, m: MachineIndex, k: TaskKey, attempt: u64) -> bool {
-        let machine = &self.machines[m];
-        if machine.unacknowledged_starts.get(&k) == Some(&attempt)
-            || machine.push_in_flight && machine.unacknowledged_starts.contains_key(&k)
+    fn may_forget(&self, machine_index: MachineIndex, key: TaskKey, attempt: u64) -> bool {
+        let machine = &self.machines[machine_index];
+        if machine.unacknowledged_starts.get(&key) == Some(&attempt)
+            || machine.push_in_flight && machine.unacknowledged_starts.contains_key(&key)
         {
             return false;
         }
-        let job = &self.jobs[k.0];
-        job.phase != Phase::Open || !matches!(job.tasks.get(k.1 as usize), Some(TaskSlot::Done { stored: false }))
+        let job = &self.jobs[key.job];
+        job.phase != Phase::Open || !matches!(job.tasks.get(key.task as usize), Some(TaskSlot::Done { stored: false }))
     }
 
-    /// What no owner can want to run: tasks of cancelled jobs, and of jobs that nobody knows any more.
-    /// The first answer after a takeover renews the machine's lease like any other, and may be the last
+    /// What no leader can want to run: tasks of cancelled jobs, and of jobs that nobody knows any more.
+    /// The first answer after a failover renews the machine's lease like any other, and may be the last
     /// that reaches it for as long as that lasts: it cannot wait until the machine has shown our token.
-    fn stop_commands_for_cancelled(&self, r: &Heartbeat) -> Vec<Command> {
+    fn stop_commands_for_cancelled(&self, heartbeat: &Heartbeat) -> Vec<Command> {
         let cancelled = |t: &&TaskReport| {
-            let job = self.key_of(&t.task).map(|k| &self.jobs[k.0]);
+            let job = self.key_of(&t.task).map(|k| &self.jobs[k.job]);
             job.is_none_or(|j| j.desired_phase == Phase::Cancelled)
         };
         let stop = |t: &TaskReport| Command {
@@ -76,18 +76,23 @@
             attempt: t.attempt,
             grace_s: Some(0.0),
         };
-        let running = r.tasks.iter().filter(|t| t.state != TaskState::Exited);
+        let running = heartbeat.tasks.iter().filter(|t| t.state != TaskState::Exited);
         running.filter(cancelled).take(MAX_COMMANDS).map(stop).collect()
     }
 
     /// Everything that the machine should be told, in the reply to its report.
-    pub(super) fn heartbeat_commands(&mut self, m: MachineIndex, r: &Heartbeat, now: f64) -> Vec<Command> {
-        let machine = &self.machines[m];
+    pub(super) fn heartbeat_commands(
+        &mut self,
+        machine_index: MachineIndex,
+        heartbeat: &Heartbeat,
+        now: f64,
+    ) -> Vec<Command> {
+        let machine = &self.machines[machine_index];
         if !machine.reported_token {
-            return self.stop_commands_for_cancelled(r);
+            return self.stop_commands_for_cancelled(heartbeat);
         }
         let mut out = Vec::new();
-        for t in &r.tasks {
+        for t in &heartbeat.tasks {
             if self.key_of(&t.task).is_none() {
                 let op = if t.state == TaskState::Exited { CommandKind::Forget } else { CommandKind::Stop };
                 let grace_s = (op == CommandKind::Stop).then_some(0.0);
@@ -97,7 +102,7 @@
         for (k, (attempt, what)) in &machine.unassigned {
             match what {
                 UnassignedAttempt::Orphaned(_) => out.push(self.command(CommandKind::Stop, *k, *attempt, Some(0.0))),
-                UnassignedAttempt::Ended if self.may_forget(m, *k, *attempt) => {
+                UnassignedAttempt::Ended if self.may_forget(machine_index, *k, *attempt) => {
                     out.push(self.command(CommandKind::Forget, *k, *attempt, None))
                 }
                 UnassignedAttempt::Ended => {}
@@ -111,7 +116,7 @@
                     // Its start may still be on its way: an attempt that the machine has seen
                     // end cannot start any more, so it is made to see it. Not long after a cancellation
                     // was confirmed: nothing of that job may start any more.
-                    if self.jobs[k.0].phase != Phase::Cancelled || now - h.assigned_at < self.lease_s / 2.0 {
+                    if self.jobs[k.job].phase != Phase::Cancelled || now - h.assigned_at < self.lease_s / 2.0 {
                         out.push(self.command(CommandKind::Start, *k, h.attempt, None));
                     }
                     out.push(self.command(CommandKind::Stop, *k, h.attempt, Some(0.0)));
@@ -122,7 +127,7 @@
             }
         }
         out.truncate(MAX_COMMANDS);
-        let machine = &mut self.machines[m];
+        let machine = &mut self.machines[machine_index];
         let heeds = machine.missed_acknowledgements == 0;
         for h in machine.assignments.values_mut() {
             if h.state == AssignmentState::Commanded {
@@ -150,8 +155,8 @@
         None
     }
 
-    fn push_for(&mut self, m: MachineIndex, now: f64) -> Option<PushRequest> {
-        let machine = &self.machines[m];
+    fn push_for(&mut self, machine_index: MachineIndex, now: f64) -> Option<PushRequest> {
+        let machine = &self.machines[machine_index];
         let probing = !machine.reported_token;
         let addr = machine.addr;
         let fit = matches!(machine.phase, MachinePhase::Up) && (machine.incarnation > 0 || probing);
@@ -196,7 +201,7 @@
         }
         let incarnation = machine.incarnation;
         let token = self.token;
-        let machine = &mut self.machines[m];
+        let machine = &mut self.machines[machine_index];
         // With nothing to be told, a machine whose report is overdue shows whether it is there.
         if commands.is_empty() && !probing && !machine.suspected {
             return None;
@@ -216,7 +221,7 @@
         machine.push_in_flight = true;
         self.counts.directs += 1;
         Some(PushRequest {
-            machine: m,
+            machine: machine_index,
             addr,
             body: PushedCommands { token, incarnation, commands },
             made_at: now,
@@ -226,8 +231,8 @@
 
     /// The machine answers, and what it was told to stop a while ago runs still: the command was lost. Replies to
     /// its reports repeat it, and those may not come.
-    fn resend_lost_stops(&mut self, m: MachineIndex, now: f64) {
-        let machine = &mut self.machines[m];
+    fn resend_lost_stops(&mut self, machine_index: MachineIndex, now: f64) {
+        let machine = &mut self.machines[machine_index];
         let saves =
             |h: &Assignment| h.state == AssignmentState::Saving && h.stop_grace_s.is_some_and(|grace| grace > 0.0);
         let mut lost = false;
@@ -240,7 +245,7 @@
             }
         }
         if lost {
-            self.machines.push_due.insert(m);
+            self.machines.push_due.insert(machine_index);
         }
     }
 
@@ -299,7 +304,7 @@
             PushOutcome::Withheld => self.requeue_withheld(sent),
             PushOutcome::NotSent | PushOutcome::Unknown => {
                 machine.unanswered_pushes += 1;
-                // One that an earlier owner recorded is asked as one whose report is overdue.
+                // One that an earlier leader recorded is asked as one whose report is overdue.
                 machine.suspected |= machine.incarnation == 0;
                 machine.push_not_before =
                     now + if machine.suspected { PROBE_RETRY_INTERVAL_S } else { PUSH_RETRY_INTERVAL_S };
--- a/crates/scheduler/src/shard/consistency.rs
+++ b/crates/scheduler/src/shard/consistency.rs
@@ -38,13 +38,15 @@
         }
     }
 
-    fn check_job(&mut self, j: JobIndex) {
-        let job = &self.jobs[j];
+    fn check_job(&mut self, job_index: JobIndex) {
+        let job = &self.jobs[job_index];
         if !job.is_open() {
             return;
         }
         let nowhere = |t: u32, s: &TaskSlot| match s {
-            TaskSlot::Assigned(m) => self.machines.list.get(*m).is_none_or(|m| !m.assignments.contains_key(&(j, t))),
+            TaskSlot::Assigned(m) => {
+                self.machines.list.get(*m).is_none_or(|m| !m.assignments.contains_key(&TaskKey::new(job_index, t)))
+            }
             _ => false,
         };
         let lost: Vec<u32> = (0u32..).zip(&job.tasks).filter(|(t, s)| nowhere(*t, s)).map(|(t, _)| t).collect();
@@ -64,7 +66,7 @@
             lost.len()
         );
         self.consistency.repairs += 1;
-        let job = &mut self.jobs[j];
+        let job = &mut self.jobs[job_index];
         for t in &lost {
             job.tasks[*t as usize] = TaskSlot::Queued;
         }
@@ -72,7 +74,7 @@
         job.queued_tasks = (0u32..).zip(&job.tasks).filter(|(_, s)| **s == TaskSlot::Queued).map(|(t, _)| t).collect();
         if over {
             job.desired_phase = Phase::Done;
-            self.pending_ends.insert(j);
+            self.pending_ends.insert(job_index);
         }
         self.placement_due = true;
     }
--- a/crates/scheduler/src/shard/dependencies.rs
+++ b/crates/scheduler/src/shard/dependencies.rs
@@ -16,7 +16,7 @@
 pub(super) enum DependencyState {
     /// All are stored as done.
     Met,
-    /// None is known to be open, and the records of some were not read yet since the takeover: they may have been
+    /// None is known to be open, and the records of some were not read yet since the failover: they may have been
     /// done long ago. Nothing of the job starts, and what runs of it is left alone.
     Unread,
     /// Some need is open, or was cancelled.
@@ -24,16 +24,16 @@
 }
 
 impl Shard {
-    pub(super) fn dependency_state(&self, j: JobIndex) -> DependencyState {
-        if !self.dependencies.is_waiting(j) {
+    pub(super) fn dependency_state(&self, job_index: JobIndex) -> DependencyState {
+        if !self.dependencies.is_waiting(job_index) {
             return DependencyState::Met;
         }
-        let mut missing = self.jobs[j]
+        let mut missing = self.jobs[job_index]
             .spec
             .dependencies()
             .iter()
             .filter(|dependency| self.dependencies.is_unknown_dependency(dependency));
-        if self.dependencies.dependencies(j).is_empty()
+        if self.dependencies.dependencies(job_index).is_empty()
             && missing.all(|dependency| self.is_unread_dependency(dependency))
         {
             DependencyState::Unread
@@ -58,31 +58,31 @@
     }
 
     /// A job that was just taken in: does it wait, and do others wait for it?
-    pub(super) fn register_dependencies(&mut self, j: JobIndex, now: f64) {
-        let job = &self.jobs[j];
+    pub(super) fn register_dependencies(&mut self, job_index: JobIndex, now: f64) {
+        let job = &self.jobs[job_index];
         let (id, phase) = (job.id.clone(), job.phase);
         let dependencies = job.spec.dependencies.clone().unwrap_or_default();
         let known = |id: &str| self.jobs.find(id).map(|n| (n, self.jobs[n].phase));
-        let news = self.dependencies.add(j, &id, phase, &dependencies, known);
+        let news = self.dependencies.add(job_index, &id, phase, &dependencies, known);
         if phase == Phase::Open && !dependencies.is_empty() {
-            if self.dependencies.is_waiting(j) {
-                self.jobs.live.remove(&j);
+            if self.dependencies.is_waiting(job_index) {
+                self.jobs.live.remove(&job_index);
             } else {
-                self.set_ready_time(j);
+                self.set_ready_time(job_index);
             }
-            self.propagate_priority(self.dependencies.dependencies(j).to_vec());
+            self.propagate_priority(self.dependencies.dependencies(job_index).to_vec());
         }
-        if !self.dependencies.dependents(j).is_empty() {
-            self.propagate_priority(vec![j]);
-            self.stop_waiting_jobs(self.dependencies.dependents(j).to_vec());
+        if !self.dependencies.dependents(job_index).is_empty() {
+            self.propagate_priority(vec![job_index]);
+            self.stop_waiting_jobs(self.dependencies.dependents(job_index).to_vec());
         }
         self.apply_dependency_update(news, now);
     }
 
     /// A final phase of this job is stored.
-    pub(super) fn on_dependency_ended(&mut self, j: JobIndex, phase: Phase, now: f64) {
-        let before: Vec<JobIndex> = self.dependencies.dependencies(j).to_vec();
-        let news = self.dependencies.on_job_ended(j, phase);
+    pub(super) fn on_dependency_ended(&mut self, job_index: JobIndex, phase: Phase, now: f64) {
+        let before: Vec<JobIndex> = self.dependencies.dependencies(job_index).to_vec();
+        let news = self.dependencies.on_job_ended(job_index, phase);
         // What it needed inherits from it no more.
         self.propagate_priority(before);
         self.apply_dependency_update(news, now);
@@ -120,17 +120,19 @@
 
     /// A job's times, its deadline aside, count from the end of the last job that it needs.
     /// An end that 0.1.0 stored has no time: there the job's own acceptance stands for it.
-    fn set_ready_time(&mut self, j: JobIndex) {
-        let dependencies = self.jobs[j].spec.dependencies();
+    fn set_ready_time(&mut self, job_index: JobIndex) {
+        let dependencies = self.jobs[job_index].spec.dependencies();
         let ends = dependencies.iter().filter_map(|n| self.jobs.find(n)).map(|n| self.jobs[n].ended_ms);
         let last = ends.max().unwrap_or(0);
-        let job = &mut self.jobs[j];
+        let job = &mut self.jobs[job_index];
         job.ready_at_ms = job.ready_at_ms.max(last);
     }
 
     /// Cancellations that follow from others, and whether they may wait no longer.
-    pub(super) fn cascade_is_overdue(&self, j: JobIndex, now: f64) -> bool {
-        self.jobs[j].cascade_cancelled_at.is_some_and(|since| now - since > self.cancel_s * CASCADE_THROTTLED_SHARE)
+    pub(super) fn cascade_is_overdue(&self, job_index: JobIndex, now: f64) -> bool {
+        self.jobs[job_index]
+            .cascade_cancelled_at
+            .is_some_and(|since| now - since > self.cancel_s * CASCADE_THROTTLED_SHARE)
     }
 
     /// Seconds that a job takes once it may start, its image included.
--- a/crates/scheduler/src/shard/elastic.rs
+++ b/crates/scheduler/src/shard/elastic.rs
@@ -35,8 +35,8 @@
 }
 
 /// The bound of a shrink under these settings.
-pub fn bound(s: &Params, claim_s: f64, plan: &Plan) -> Bound {
-    timing(s.report_s, s.lease_s, claim_s, plan).bound()
+pub fn bound(params: &Params, claim_s: f64, plan: &Plan) -> Bound {
+    timing(params.report_s, params.lease_s, claim_s, plan).bound()
 }
 
 fn timing(report_s: f64, lease_s: f64, claim_s: f64, plan: &Plan) -> Timing {
@@ -53,9 +53,9 @@
 
 impl Shard {
     /// An open array that declares sizes, or whose class has some.
-    pub(super) fn elastic_track(&mut self, j: JobIndex) {
+    pub(super) fn elastic_track(&mut self, job_index: JobIndex) {
         let Some(pool) = &self.elastic else { return };
-        let job = &self.jobs[j];
+        let job = &self.jobs[job_index];
         if job.phase != Phase::Open || job.is_service() {
             return;
         }
@@ -63,18 +63,18 @@
         // A class's default may be more than a team may ever hold.
         let most = self.most_at_once(job);
         if let (Some(s), Some(pool)) = (sizes, &mut self.elastic) {
-            pool.enter(j, Sizes { smallest: s.smallest.min(most.max(1)), ..s });
+            pool.enter(job_index, Sizes { smallest: s.smallest.min(most.max(1)), ..s });
         }
     }
 
-    pub(super) fn elastic_forget(&mut self, j: JobIndex) {
+    pub(super) fn elastic_forget(&mut self, job_index: JobIndex) {
         if let Some(pool) = &mut self.elastic {
-            pool.leave(j);
+            pool.leave(job_index);
         }
     }
 
-    pub(crate) fn elastic_sizes(&self, j: JobIndex) -> Option<Sizes> {
-        self.elastic.as_ref()?.sizes(j)
+    pub(crate) fn elastic_sizes(&self, job_index: JobIndex) -> Option<Sizes> {
+        self.elastic.as_ref()?.sizes(job_index)
     }
 
     /// One elastic job as it stands. What was told to stop, by whomever, is leaving.
@@ -82,7 +82,7 @@
         let leaves = |(t, s): (u32, &TaskSlot)| match s {
             TaskSlot::Assigned(m) => self.machines[*m]
                 .assignments
-                .get(&(job.index, t))
+                .get(&TaskKey::new(job.index, t))
                 .is_some_and(|h| h.stop_grace_s.is_some() || h.state == AssignmentState::Saving),
             _ => false,
         };
@@ -109,27 +109,28 @@
     }
 
     /// A task makes room: one of a surplus in two steps, with a deadline; any other as it may.
-    pub(crate) fn preempt(&mut self, m: MachineIndex, k: TaskKey) {
-        let job = &self.jobs[k.0];
-        let planned = self.machines[m].assignments.get(&k).is_none_or(|h| h.state == AssignmentState::Planned);
+    pub(crate) fn preempt(&mut self, machine_index: MachineIndex, key: TaskKey) {
+        let job = &self.jobs[key.job];
+        let planned =
+            self.machines[machine_index].assignments.get(&key).is_none_or(|h| h.state == AssignmentState::Planned);
         let held = self.elastic_held(job);
-        let surplus = self.elastic.as_ref().is_some_and(|p| p.surplus(k.0, held) > 0);
+        let surplus = self.elastic.as_ref().is_some_and(|p| p.surplus(key.job, held) > 0);
         if !surplus || planned {
-            return self.stop_gently(m, k);
+            return self.stop_gently(machine_index, key);
         }
-        let (grace, now) = (self.grace(k.0), self.ticked_at);
+        let (grace, now) = (self.grace(key.job), self.ticked_at);
         let Some(pool) = &mut self.elastic else { return };
         let mercy = pool.mercy(grace);
-        pool.shrink(k.0, k, mercy, held.held - held.leaving - 1, now);
-        log::debug!("{}/{} gives room back, with {mercy:.1} s to save", self.jobs[k.0].id, k.1);
-        self.stop_task(m, k, mercy);
+        pool.shrink(key.job, key, mercy, held.held - held.leaving - 1, now);
+        log::debug!("{}/{} gives room back, with {mercy:.1} s to save", self.jobs[key.job].id, key.task);
+        self.stop_task(machine_index, key, mercy);
     }
 
     /// A task is gone for certain.
-    pub(super) fn on_elastic_task_gone(&mut self, k: TaskKey) {
+    pub(super) fn on_elastic_task_gone(&mut self, key: TaskKey) {
         let now = self.ticked_at;
-        if let Some(took) = self.elastic.as_mut().and_then(|p| p.gone(k, now)) {
-            log::debug!("{}/{} gave its room back after {took:.2} s", self.jobs[k.0].id, k.1);
+        if let Some(took) = self.elastic.as_mut().and_then(|p| p.gone(key, now)) {
+            log::debug!("{}/{} gave its room back after {took:.2} s", self.jobs[key.job].id, key.task);
         }
     }
 
@@ -137,11 +138,11 @@
     pub(super) fn resize_elastic_jobs(&mut self, now: f64) {
         let Some(pool) = &mut self.elastic else { return };
         for k in pool.due(now) {
-            let Some(TaskSlot::Assigned(m)) = self.jobs.get(k.0).and_then(|j| j.tasks.get(k.1 as usize)).copied()
+            let Some(TaskSlot::Assigned(m)) = self.jobs.get(k.job).and_then(|j| j.tasks.get(k.task as usize)).copied()
             else {
                 continue;
             };
-            log::info!("{}/{} did not save in time: stopped without", self.jobs[k.0].id, k.1);
+            log::info!("{}/{} did not save in time: stopped without", self.jobs[k.job].id, k.task);
             self.stop_task(m, k, 0.0);
         }
         if now - self.elastic_looked < RESIZE_INTERVAL_S {
@@ -163,9 +164,9 @@
             .iter()
             .filter(|(_, m)| m.is_usable(now, fresh))
             .map(|(_, m)| {
-                let t = self.types.get(m.machine_type);
+                let t = self.types.get(m.type_index);
                 (
-                    m.machine_type,
+                    m.type_index,
                     m.spot,
                     t.cpus - m.cpus_used,
                     t.memory_gb - m.memory_used,
@@ -191,8 +192,8 @@
 
     /// Has an elastic job grown here? Nothing is rented for growth, but what it uses is not
     /// returned under it: the work is the same, and only sooner done.
-    pub(super) fn holds_elastic_surplus(&self, m: &Machine) -> bool {
-        self.elastic.as_ref().is_some_and(|p| m.assignments.keys().any(|k| p.sizes(k.0).is_some()))
+    pub(super) fn holds_elastic_surplus(&self, machine: &Machine) -> bool {
+        self.elastic.as_ref().is_some_and(|p| machine.assignments.keys().any(|k| p.sizes(k.job).is_some()))
     }
 
     /// What people are told: every elastic job, and the shrinks.
@@ -210,7 +211,7 @@
             })
         };
         let bound = timing(self.report_s, self.lease_s, self.tuning.leader_lease_s, pool.plan()).bound();
-        let named = |(k, took): (TaskKey, f64)| Some((format!("{}/{}", self.jobs.get(k.0)?.id, k.1), took));
+        let named = |(k, took): (TaskKey, f64)| Some((format!("{}/{}", self.jobs.get(k.job)?.id, k.task), took));
         let recent = pool.recent().filter_map(named).collect();
         Some(ElasticReport {
             jobs: pool.jobs().filter_map(row).take(MAX_ROWS).collect(),
--- a/crates/scheduler/src/shard/failover.rs
+++ b/crates/scheduler/src/shard/failover.rs
@@ -1,8 +1,8 @@
-//! What a new owner finds and makes of it: records, racks, machines that may hold anything.
+//! What a new leader finds and makes of it: records, machine groups, machines that may hold anything.
 
 use super::*;
 
-/// What the owner is told of the world when it takes over.
+/// What the leader is told of the world when it takes over.
 #[derive(Debug, Default)]
 pub struct LoadedState {
     pub jobs: Vec<(JobRecord, u64)>,
@@ -10,7 +10,7 @@
     /// Machines with a value of their own, as earlier versions wrote them.
     pub machines: Vec<(String, MachineRecord, u64)>,
     pub machine_groups: Vec<(MachineGroupIndex, MachineGroupRecord, u64)>,
-    /// The first number that no stored rack has, readable or not.
+    /// The first number that no stored machine group has, readable or not.
     pub next_group_number: usize,
     pub fleet: Option<(FleetRecord, u64)>,
     /// Where quotas nest.
@@ -19,15 +19,15 @@
     pub checkpoint: LoadedCheckpoint,
     /// Where arrays may be elastic.
     pub elastic: Option<lupinspur_elastic::Plan>,
-    /// Racks of cells that this one takes in, by their keys: they are replaced by its own.
+    /// Machine groups of shards that this one takes in, by their keys: they are replaced by its own.
     pub merged_groups: Vec<(String, MachineGroupRecord, u64)>,
     /// What else they kept, which is of no use here.
     pub stale_keys: Vec<(String, u64)>,
-    /// Machines that went to other cells, whatever the records here still say.
+    /// Machines that went to other shards, whatever the records here still say.
     pub transferred_away: std::collections::BTreeSet<String>,
 }
 
-/// How long after its beginning an owner came so far. Operators read it in the log.
+/// How long after its beginning a leader came so far. Operators read it in the log.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct FailoverStages {
     pub(super) resolved: Option<f64>,
@@ -35,10 +35,10 @@
     pub(super) told: bool,
 }
 
-/// Lines that an owner writes at `info` of what it takes over, at the most; further ones are at `debug`.
+/// Lines that a leader writes at `info` of what it takes over, at the most; further ones are at `debug`.
 const MAX_FAILOVER_LOG_LINES: u32 = 300;
 
-/// How many lines of the takeover were written.
+/// How many lines of the failover were written.
 #[derive(Debug, Default)]
 pub(super) struct FailoverLog {
     lines: u32,
@@ -54,7 +54,7 @@
 
 impl Shard {
     pub fn new(
-        s: &Params,
+        params: &Params,
         tuning: Tuning,
         token: u64,
         types: Vec<MachineType>,
@@ -62,11 +62,11 @@
         now: f64,
     ) -> Shard {
         let mut team_names = Names::default();
-        for t in &s.teams {
+        for t in &params.teams {
             team_names.intern(&t.name);
         }
-        let value_bytes = s.value_bytes;
-        let earlier_chunk = crate::jobs::chunk_tasks((s.value_kb * 1024.0) as usize);
+        let value_bytes = params.value_bytes;
+        let earlier_chunk = crate::jobs::chunk_tasks((params.value_kb * 1024.0) as usize);
         let mut shard = Shard {
             token,
             began_at: now,
@@ -75,12 +75,12 @@
             loading_records: true,
             machines: Machines::default(),
             types: Types::default(),
-            teams: s
+            teams: params
                 .teams
                 .iter()
                 .map(|t| TeamState { spec: t.clone(), cpus_used: 0.0, accelerators_used: 0.0 })
                 .collect(),
-            service_level_tracker: ServiceLevelTracker::new(s.terms.clone()),
+            service_level_tracker: ServiceLevelTracker::new(params.terms.clone()),
             underserved: Underserved::default(),
             elastic: loaded.elastic.clone().map(elastic::ElasticPool::new),
             elastic_looked: now,
@@ -88,7 +88,7 @@
             service_levels: service_levels::ServiceLevelReporter::new(token, now),
             live_attempts: live_attempts::LiveAttemptIndex::default(),
             checkpointer: checkpointing::Checkpointer::new(value_bytes, &loaded.checkpoint, now),
-            quotas: loaded.quotas.as_ref().map(|q| Quotas::new(&s.teams, q, value_bytes)),
+            quotas: loaded.quotas.as_ref().map(|q| Quotas::new(&params.teams, q, value_bytes)),
             team_names,
             pools: BTreeMap::new(),
             launches: Launches::new(token),
@@ -104,11 +104,11 @@
             zones_probed_at: BTreeMap::new(),
             is_first_leader: loaded.machines.is_empty() && loaded.machine_groups.is_empty(),
             day_ms: 0.0,
-            report_s: s.report_s,
-            lease_s: s.lease_s,
-            cancel_s: s.cancel_s,
-            list_lag_s: s.list_lag_s,
-            time_bound_s: s.time_bound_s,
+            report_s: params.report_s,
+            lease_s: params.lease_s,
+            cancel_s: params.cancel_s,
+            list_lag_s: params.list_lag_s,
+            time_bound_s: params.time_bound_s,
             value_bytes,
             attempts: 0,
             versions: HashMap::new(),
@@ -147,7 +147,7 @@
             shard.versions.insert(key.clone(), version);
             shard.stale_keys.insert(key);
         }
-        for z in &s.zones {
+        for z in &params.zones {
             shard.types.zones.intern(z);
         }
         shard.jobs.zones = shard.types.zones.len().max(16);
@@ -242,7 +242,7 @@
                 self.note_superseding_value(&crate::fleet::machine_key(&name).into(), m);
             }
         }
-        // Old values say what they say until all their machines are recorded by racks. That
+        // Old values say what they say until all their machines are recorded by machine groups. That
         // has time: it comes out of the writes that can be spared.
         let elsewhere: BTreeSet<MachineIndex> =
             self.machine_groups.superseded_values.values().flatten().copied().collect();
@@ -253,47 +253,53 @@
         self.placement_due = true;
     }
 
-    pub(super) fn restore_group(&mut self, i: MachineGroupIndex, mut r: MachineGroupRecord, version: u64, now: f64) {
-        let Some(ty) = self.types.names.find(&r.type_name) else {
-            log::warn!("{} is of unknown type {}", machine_group_key(i), r.type_name);
-            self.defer_job(&r.jobs);
+    pub(super) fn restore_group(
+        &mut self,
+        group_index: MachineGroupIndex,
+        mut record: MachineGroupRecord,
+        version: u64,
+        now: f64,
+    ) {
+        let Some(ty) = self.types.names.find(&record.type_name) else {
+            log::warn!("{} is of unknown type {}", machine_group_key(group_index), record.type_name);
+            self.defer_job(&record.jobs);
             return;
         };
-        let zone = self.types.zones.intern(&r.zone);
-        let bytes = serde_json::to_string(&r).map_or(0, |t| t.len());
-        let key: Arc<str> = machine_group_key(i).into();
+        let zone = self.types.zones.intern(&record.zone);
+        let bytes = serde_json::to_string(&record).map_or(0, |t| t.len());
+        let key: Arc<str> = machine_group_key(group_index).into();
         self.versions.insert(key.to_string(), version);
-        let before = r.machines.len();
-        r.machines.retain(|x| !self.skip_if_transferred(x, i));
-        let names_others = r.machines.len() < before;
+        let before = record.machines.len();
+        record.machines.retain(|x| !self.skip_if_transferred(x, group_index));
+        let names_others = record.machines.len() < before;
         // A value that could not be written again, by the limits that hold or will hold, or
-        // that names a machine of another rack, is replaced: its machines go to other racks,
+        // that names a machine of another machine group, is replaced: its machines go to other machine groups,
         // and only when all of those are stored does it go.
         let names_another = |x: &MachineGroupMember| {
             self.machines.find(&x.machine).is_some_and(|m| self.machines[m].machine_group.is_some())
         };
-        let old = bytes > self.value_bytes || r.machines.iter().any(names_another);
+        let old = bytes > self.value_bytes || record.machines.iter().any(names_another);
         if !old {
-            let names: Vec<JobIndex> = r.jobs.iter().filter_map(|id| self.jobs.find(id)).collect();
+            let names: Vec<JobIndex> = record.jobs.iter().filter_map(|id| self.jobs.find(id)).collect();
             self.machine_groups
-                .open(i, ty, zone, r.spot)
-                .on_value_built(bytes.saturating_sub(r.image_bytes()), names.into_iter());
+                .open(group_index, ty, zone, record.spot)
+                .on_value_built(bytes.saturating_sub(record.image_bytes()), names.into_iter());
         }
-        if old && r.machines.is_empty() {
+        if old && record.machines.is_empty() {
             self.stale_keys.insert(key.to_string());
         }
-        for (name, own) in r.machine_records() {
+        for (name, own) in record.machine_records() {
             match self.restore_machine(&name, own, now) {
                 Some(m) if old => self.note_superseding_value(&key, m),
                 Some(m) => {
-                    self.machines[m].machine_group = Some(i);
-                    self.machine_groups.open(i, ty, zone, r.spot).members.insert(m);
+                    self.machines[m].machine_group = Some(group_index);
+                    self.machine_groups.open(group_index, ty, zone, record.spot).members.insert(m);
                 }
                 None => {}
             }
         }
-        if self.machine_groups.list.get(&i).is_some_and(|r| r.members.is_empty() || names_others) {
-            self.mark_group_dirty(i);
+        if self.machine_groups.list.get(&group_index).is_some_and(|record| record.members.is_empty() || names_others) {
+            self.mark_group_dirty(group_index);
         }
     }
 
@@ -310,27 +316,27 @@
         }
     }
 
-    /// This value names the machine besides its rack's.
-    pub(super) fn note_superseding_value(&mut self, key: &Arc<str>, m: MachineIndex) {
-        if self.machine_groups.superseded_values.entry(key.clone()).or_default().insert(m) {
-            self.machines[m].superseded_values.push(key.clone());
+    /// This value names the machine besides its machine group's.
+    pub(super) fn note_superseding_value(&mut self, key: &Arc<str>, machine_index: MachineIndex) {
+        if self.machine_groups.superseded_values.entry(key.clone()).or_default().insert(machine_index) {
+            self.machines[machine_index].superseded_values.push(key.clone());
         }
     }
 
-    /// A machine that an earlier owner recorded may hold what its record says,
+    /// A machine that an earlier leader recorded may hold what its record says,
     /// until it reports with our token or its lease is surely over. One that stands in
     /// two values, as it does while an earlier version's are being replaced, may hold both.
-    pub(super) fn restore_machine(&mut self, name: &str, r: MachineRecord, now: f64) -> Option<MachineIndex> {
-        let Some(ty) = self.types.names.find(&r.type_name) else {
-            log::warn!("machine {name} is of unknown type {}", r.type_name);
-            self.defer_job(&r.jobs);
+    pub(super) fn restore_machine(&mut self, name: &str, record: MachineRecord, now: f64) -> Option<MachineIndex> {
+        let Some(ty) = self.types.names.find(&record.type_name) else {
+            log::warn!("machine {name} is of unknown type {}", record.type_name);
+            self.defer_job(&record.jobs);
             return None;
         };
-        let zone = self.types.zones.intern(&r.zone);
-        let m = self.machines.add(name, ty, zone, r.spot, now);
+        let zone = self.types.zones.intern(&record.zone);
+        let m = self.machines.add(name, ty, zone, record.spot, now);
         let mut jobs = std::mem::take(&mut self.machines[m].stored_jobs);
         let mut first = None;
-        for id in &r.jobs {
+        for id in &record.jobs {
             match self.jobs.find(id) {
                 Some(j) if self.jobs[j].phase == Phase::Open => {
                     self.jobs[j].recorded_before_failover = true;
@@ -347,21 +353,21 @@
                 }
             }
         }
-        let images = r
+        let images = record
             .images
             .iter()
             .map(|(i, gb)| CachedImage { image: self.jobs.images.intern(i), gb: *gb, ready: true })
             .collect();
         let until = self.began_at + stretched(self.lease_s);
         let machine = &mut self.machines[m];
-        machine.addr = r.addr.parse().ok().or(machine.addr);
-        let retiring = r.terminating || machine.phase == MachinePhase::Terminating;
+        machine.addr = record.addr.parse().ok().or(machine.addr);
+        let retiring = record.terminating || machine.phase == MachinePhase::Terminating;
         machine.phase = if retiring { MachinePhase::Terminating } else { MachinePhase::Up };
         machine.reconcile_deadline = Some(until);
         machine.stored_jobs = jobs;
         machine.images = images;
         machine.record_stored = true;
-        if r.faulty {
+        if record.faulty {
             machine.quarantined_until = f64::INFINITY;
         }
         match first {
@@ -375,21 +381,21 @@
     }
 
     /// From now on it is known what this machine holds.
-    pub(crate) fn mark_reconciled(&mut self, m: MachineIndex) {
-        let machine = &mut self.machines[m];
+    pub(crate) fn mark_reconciled(&mut self, machine_index: MachineIndex) {
+        let machine = &mut self.machines[machine_index];
         if machine.reconcile_deadline.take().is_some() {
             for j in machine.stored_jobs.clone() {
                 let job = &mut self.jobs[j];
                 job.unreconciled_machines = job.unreconciled_machines.saturating_sub(1);
             }
-            for id in std::mem::take(&mut self.machines[m].unrecognized_jobs) {
-                self.live_attempts.clear_possible_holder(&id, m);
+            for id in std::mem::take(&mut self.machines[machine_index].unrecognized_jobs) {
+                self.live_attempts.clear_possible_holder(&id, machine_index);
             }
             self.placement_due = true;
         }
     }
 
-    /// Has every machine that an earlier owner recorded been heard or waited out?
+    /// Has every machine that an earlier leader recorded been heard or waited out?
     /// Where nothing was ever recorded, one round of first reports is enough.
     pub fn heartbeats_gathered(&self, now: f64) -> bool {
         let waited = now - self.began_at;
@@ -398,10 +404,10 @@
             || (waited > self.report_s * rounds && self.machines.iter().all(|(_, m)| m.is_reconciled()))
     }
 
-    /// Tells once how long each stage of the takeover took.
+    /// Tells once how long each stage of the failover took.
     pub(super) fn log_failover_stages(&mut self, now: f64) {
         let s = &mut self.failover_stages;
-        if s.told || !self.machines.present.iter().all(|m| self.machines.list[m.ix()].is_reconciled()) {
+        if s.told || !self.machines.present.iter().all(|m| self.machines.list[m.as_usize()].is_reconciled()) {
             return;
         }
         let resolved = *s.resolved.get_or_insert(now - self.began_at);
--- a/crates/scheduler/src/shard/graceful_eviction.rs
+++ b/crates/scheduler/src/shard/graceful_eviction.rs
@@ -25,7 +25,7 @@
     /// left at a time: a hundred waited for minutes otherwise, paid for a few replicas.
     pub(super) fn evict_services(&mut self, now: f64) {
         let moving = |s: &Self, k: &TaskKey, h: &Assignment| {
-            let job = &s.jobs[k.0];
+            let job = &s.jobs[k.job];
             job.is_service() && job.assigned == job.spec.tasks && h.state == AssignmentState::Running
         };
         let most = (self.leaving().count() / MACHINES_PER_EVICTION).max(1);
@@ -38,7 +38,7 @@
     /// longest task otherwise. Only such whose start has counted by now.
     pub(super) fn evict_checkpointed_tasks(&mut self, now: f64) {
         let moving = |s: &Self, k: &TaskKey, h: &Assignment| {
-            let spec = &s.jobs[k.0].spec;
+            let spec = &s.jobs[k.job].spec;
             spec.checkpoint_s > 0.0 && h.state == AssignmentState::Running && now - h.running_since > COUNTED_S
         };
         let most = (self.leaving().count() / MACHINES_PER_EVICTION).max(MAX_EVICTED);
@@ -64,7 +64,7 @@
         let mut promised = Promised::default();
         for i in leaving {
             for (k, h) in self.machines[i].assignments.iter().filter(|(_, h)| h.stop_grace_s.is_none()) {
-                let job = &self.jobs[k.0];
+                let job = &self.jobs[k.job];
                 if !moving(self, k, h) || !job.is_open() {
                     continue;
                 }
--- a/crates/scheduler/src/shard/heartbeats.rs
+++ b/crates/scheduler/src/shard/heartbeats.rs
@@ -7,7 +7,7 @@
 use crate::times::stretched;
 use crate::wire::{Heartbeat, HeartbeatReply, TaskReport, TaskState};
 
-/// How a report came to this owner, and so how old what it says may be.
+/// How a report came to this leader, and so how old what it says may be.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum HeartbeatSource {
     /// The worker sent it by itself: the reply to its report before is carried out or dropped by then.
@@ -49,11 +49,11 @@
     /// follows what is on this machine: what it frees is placed by the next tick, for
     /// all reports in between together. Placing in every report once took up the whole
     /// processor at a few hundred machines.
-    pub fn on_heartbeat(&mut self, r: &Heartbeat, now: f64) -> HeartbeatOutcome {
+    pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat, now: f64) -> HeartbeatOutcome {
         self.counts.reports += 1;
-        match self.reconcile_heartbeat(r, HeartbeatSource::Heartbeat, now) {
+        match self.reconcile_heartbeat(heartbeat, HeartbeatSource::Heartbeat, now) {
             Ok(m) => {
-                let commands = self.heartbeat_commands(m, r, now);
+                let commands = self.heartbeat_commands(m, heartbeat, now);
                 let in_time = self.own_heartbeat_age(&self.machines[m], now) <= self.heartbeat_timeout_s();
                 let machine = &mut self.machines[m];
                 if in_time && std::mem::take(&mut machine.heartbeat_path_lost) {
@@ -68,46 +68,46 @@
         }
     }
 
-    fn find_or_adopt_machine(&mut self, r: &Heartbeat, now: f64) -> Option<MachineIndex> {
-        if let Some(m) = self.machines.find(&r.machine) {
+    fn find_or_adopt_machine(&mut self, heartbeat: &Heartbeat, now: f64) -> Option<MachineIndex> {
+        if let Some(m) = self.machines.find(&heartbeat.machine) {
             return Some(m);
         }
-        // On its way to another cell: that one takes it in, and not whoever hears it first.
-        if self.is_transferred_away(&r.machine) {
+        // On its way to another shard: that one takes it in, and not whoever hears it first.
+        if self.is_transferred_away(&heartbeat.machine) {
             return None;
         }
-        let ty = self.types.names.find(&r.type_name)?;
-        let zone = self.types.zones.intern(&r.zone);
-        log::info!("machine {} was not expected: adopted", r.machine);
-        let m = self.machines.add(&r.machine, ty, zone, r.spot, now);
-        self.machines[m].heard_only_before_failover = r.token > 0 && r.token < self.token;
+        let ty = self.types.names.find(&heartbeat.type_name)?;
+        let zone = self.types.zones.intern(&heartbeat.zone);
+        log::info!("machine {} was not expected: adopted", heartbeat.machine);
+        let m = self.machines.add(&heartbeat.machine, ty, zone, heartbeat.spot, now);
+        self.machines[m].heard_only_before_failover = heartbeat.token > 0 && heartbeat.token < self.token;
         Some(m)
     }
 
     pub(super) fn reconcile_heartbeat(
         &mut self,
-        r: &Heartbeat,
+        heartbeat: &Heartbeat,
         origin: HeartbeatSource,
         now: f64,
     ) -> Result<MachineIndex, HeartbeatOutcome> {
         let token = self.token;
-        if r.token > token {
+        if heartbeat.token > token {
             return Err(HeartbeatOutcome::Superseded);
         }
-        let m = self.find_or_adopt_machine(r, now).ok_or(HeartbeatOutcome::Stale)?;
+        let m = self.find_or_adopt_machine(heartbeat, now).ok_or(HeartbeatOutcome::Stale)?;
         let machine = &mut self.machines[m];
-        // Reports order by (session, seq); whatever is older may have been held back for minutes.
+        // Reports order by (incarnation, seq); whatever is older may have been held back for minutes.
         if machine.phase == MachinePhase::Gone
-            || r.incarnation <= machine.expired_incarnation
-            || (r.incarnation, r.sequence) <= (machine.incarnation, machine.sequence)
+            || heartbeat.incarnation <= machine.expired_incarnation
+            || (heartbeat.incarnation, heartbeat.sequence) <= (machine.incarnation, machine.sequence)
         {
             return Err(HeartbeatOutcome::Stale);
         }
-        if let Ok(a) = r.addr.parse() {
+        if let Ok(a) = heartbeat.addr.parse() {
             machine.addr = Some(a);
         }
-        let is_new_incarnation = machine.incarnation != 0 && r.incarnation > machine.incarnation;
-        // A session that lasts for longer than a lease has been answered. One that is over may have been
+        let is_new_incarnation = machine.incarnation != 0 && heartbeat.incarnation > machine.incarnation;
+        // An incarnation that lasts for longer than a lease has been answered. One that is over may have been
         // over for a while before that is heard.
         let lasts = if is_new_incarnation { self.lease_s * 2.0 } else { stretched(self.lease_s) + self.report_s };
         if machine.incarnation != 0 && now - machine.incarnation_since > lasts {
@@ -119,7 +119,7 @@
         let lost = is_new_incarnation
             && (machine.heartbeat_path_lost
                 || machine.heartbeat_answered_at.is_some_and(|t| now - t < self.lease_s / 2.0));
-        // Of two sessions in a row the later was heard for as long as a session lasts, nearly: late copies of
+        // Of two incarnations in a row the later was heard for as long as an incarnation lasts, nearly: late copies of
         // earlier ones, which come one after the other, prove nothing.
         let proves_loss =
             machine.unacknowledged_incarnations == 0 || now - machine.incarnation_since >= self.lease_s / 2.0;
@@ -137,19 +137,19 @@
         if machine.incarnation == 0 {
             machine.own_heartbeat_at = now;
         }
-        if r.incarnation > machine.incarnation {
+        if heartbeat.incarnation > machine.incarnation {
             (machine.incarnation_since, machine.heartbeat_answered_at) = (now, None);
-            // A session's lease runs from its beginning, which was before this.
+            // An incarnation's lease runs from its beginning, which was before this.
             machine.lease_renewed_at = Some(machine.lease_renewed_at.map_or(now, |t| t.max(now)));
         }
-        machine.incarnation = r.incarnation;
-        machine.sequence = r.sequence;
+        machine.incarnation = heartbeat.incarnation;
+        machine.sequence = heartbeat.sequence;
         machine.last_heartbeat_at = now;
         let proves = !(origin.is_heartbeat() && machine.command_path_in_doubt());
         if proves {
             (machine.suspected, machine.unanswered_pushes) = (false, 0);
         }
-        match r.notice_s {
+        match heartbeat.notice_s {
             Some(s) if machine.reclaimed_at.is_none() => {
                 log::info!("machine {} has notice of {s} s", machine.name);
                 machine.reclaimed_at = Some(now + s);
@@ -159,7 +159,7 @@
         let became_ready = machine.phase == MachinePhase::Booting;
         if became_ready {
             machine.phase = MachinePhase::Up;
-            let (ty, zone, spot) = (machine.machine_type, machine.zone, machine.spot);
+            let (ty, zone, spot) = (machine.type_index, machine.zone, machine.spot);
             if spot
                 && !machine.heard_only_before_failover
                 && let Some(p) = self.pools.get_mut(&ty)
@@ -168,15 +168,15 @@
             }
         }
         if is_new_incarnation {
-            // The worker killed everything of its earlier session.
+            // The worker killed everything of its earlier incarnation.
             self.on_incarnation_expired(m);
         }
         // Once may be our own lateness: an answer that waited here for its turn comes too late there.
         if lost && self.machines[m].command_path_in_doubt() {
             self.probe(m);
         }
-        if r.token < token {
-            // It may still obey an earlier owner: ask for a report with our token.
+        if heartbeat.token < token {
+            // It may still obey an earlier leader: ask for a report with our token.
             let machine = &mut self.machines[m];
             machine.reported_token = false;
             machine.missed_acknowledgements +=
@@ -188,17 +188,17 @@
         let machine = &mut self.machines[m];
         let first = !std::mem::replace(&mut machine.reported_token, true);
         if first {
-            // It has taken up our token. Reports that it had sent before showed the one of an earlier owner.
+            // It has taken up our token. Reports that it had sent before showed the one of an earlier leader.
             if origin.is_heartbeat() {
                 machine.missed_acknowledgements = 0;
             }
             self.placement_due = true;
         }
-        self.reconcile_tasks(m, r, origin, now);
-        // What runs here and is no job known here is one that ended before this owner began:
+        self.reconcile_tasks(m, heartbeat, origin, now);
+        // What runs here and is no job known here is one that ended before this leader began:
         // nobody knows its team, so that the machine counts in full until it is gone.
         let unknown = |t: &TaskReport| t.state != TaskState::Exited && self.key_of(&t.task).is_none();
-        if !r.tasks.iter().any(unknown) {
+        if !heartbeat.tasks.iter().any(unknown) {
             self.mark_reconciled(m);
         }
         self.drain_on_notice(m);
@@ -206,34 +206,34 @@
     }
 
     /// Planned starts stay, since they were never sent; the rest is gone.
-    fn on_incarnation_expired(&mut self, m: MachineIndex) {
-        let keys: Vec<TaskKey> = self.machines[m]
+    fn on_incarnation_expired(&mut self, machine_index: MachineIndex) {
+        let keys: Vec<TaskKey> = self.machines[machine_index]
             .assignments
             .iter()
             .filter(|(_, h)| h.state != AssignmentState::Planned)
             .map(|(k, _)| *k)
             .collect();
-        // First, so that nothing of this session occupies a task any more.
-        self.clear_listed_attempts(m);
+        // First, so that nothing of this incarnation occupies a task any more.
+        self.clear_listed_attempts(machine_index);
         for k in keys {
-            self.release_resources(m, k);
+            self.release_resources(machine_index, k);
             self.requeue(k);
         }
-        self.machines[m].unacknowledged_starts.clear();
+        self.machines[machine_index].unacknowledged_starts.clear();
         // What waited for those may start here again.
         self.placement_due = true;
     }
 
     /// A machine under notice: what can save does so now, services move, the rest may yet finish.
-    pub(super) fn drain_on_notice(&mut self, m: MachineIndex) {
-        if self.machines[m].reclaimed_at.is_none() {
+    pub(super) fn drain_on_notice(&mut self, machine_index: MachineIndex) {
+        if self.machines[machine_index].reclaimed_at.is_none() {
             return;
         }
-        let keys: Vec<TaskKey> = self.machines[m].assignments.keys().copied().collect();
+        let keys: Vec<TaskKey> = self.machines[machine_index].assignments.keys().copied().collect();
         for k in keys {
-            let job = &self.jobs[k.0];
+            let job = &self.jobs[k.job];
             if job.spec.checkpoint_s > 0.0 || job.is_service() {
-                self.stop_gently(m, k);
+                self.stop_gently(machine_index, k);
             }
         }
     }
@@ -241,6 +241,6 @@
     pub(super) fn key_of(&self, name: &str) -> Option<TaskKey> {
         let (job, task) = split_task(name)?;
         let j = self.jobs.find(job)?;
-        (task < self.jobs[j].spec.tasks).then_some((j, task))
+        (task < self.jobs[j].spec.tasks).then_some(TaskKey::new(j, task))
     }
 }
--- a/crates/scheduler/src/shard/large_jobs.rs
+++ b/crates/scheduler/src/shard/large_jobs.rs
@@ -7,15 +7,15 @@
 //! and where none of its tasks fits anywhere, a machine is kept for it until one does.
 //!
 //! The largest are a class's top tenth, at least one job, by tasks times cpus and by tasks, of those
-//! that this owner knows to have come last.
+//! that this leader knows to have come last.
 
 use super::placement::may_run_beside;
 use super::*;
 use crate::wire::Priority;
-use lupinspur_accounts::Reading;
+use lupinspur_service_levels::Reading;
 
 /// A job waits for so long, in seconds, before its first part goes ahead. Users are promised four
-/// minutes; boots, a takeover and the end of what runs there come out of the rest.
+/// minutes; boots, a failover and the end of what runs there come out of the rest.
 const LARGE_JOB_WAIT_S: u64 = 60;
 /// Where a class's jobs are all alike nothing holds back its largest but its turn: later, and later
 /// still where they have one task each.
@@ -100,8 +100,8 @@
     }
 }
 
-fn size(r: &crate::wire::JobRequest) -> (f64, u32) {
-    (f64::from(r.tasks) * r.cpus, r.tasks)
+fn size(request: &crate::wire::JobRequest) -> (f64, u32) {
+    (f64::from(request.tasks) * request.cpus, request.tasks)
 }
 
 impl LargeJobReservations {
@@ -109,15 +109,15 @@
         LargeJobReservations { credit: MAX_CREDIT / 2.0, ..LargeJobReservations::default() }
     }
 
-    fn record_size(&mut self, r: &crate::wire::JobRequest) {
-        if !self.classes.contains_key(&r.class) && self.classes.len() >= MAX_CLASSES {
+    fn record_size(&mut self, request: &crate::wire::JobRequest) {
+        if !self.classes.contains_key(&request.class) && self.classes.len() >= MAX_CLASSES {
             return;
         }
-        let sizes = self.classes.entry(r.class.clone()).or_default();
+        let sizes = self.classes.entry(request.class.clone()).or_default();
         if sizes.last.len() >= SIZES_KEPT {
             sizes.last.pop_front();
         }
-        sizes.last.push_back(size(r));
+        sizes.last.push_back(size(request));
         let at = |n: usize| n - n.div_ceil(TENTH);
         let (mut cpus, mut tasks): (Vec<f64>, Vec<u32>) = sizes.last.iter().copied().unzip();
         cpus.sort_by(f64::total_cmp);
@@ -127,9 +127,9 @@
     }
 
     /// After how long a job goes ahead, in seconds, if it is among the largest of its class.
-    fn initial_wait_s(&self, r: &crate::wire::JobRequest) -> Option<u64> {
-        let (cpus, tasks) = size(r);
-        let s = self.classes.get(&r.class)?;
+    fn initial_wait_s(&self, request: &crate::wire::JobRequest) -> Option<u64> {
+        let (cpus, tasks) = size(request);
+        let s = self.classes.get(&request.class)?;
         let one = cpus + EPSILON >= s.least.0 || tasks >= s.least.1;
         let alike = s.last.len() > 1 && cpus <= s.median.0 + EPSILON && tasks <= s.median.1;
         one.then_some(match alike {
@@ -141,9 +141,9 @@
 }
 
 impl Shard {
-    pub(super) fn record_job_size(&mut self, j: JobIndex) {
-        if self.jobs[j].phase == Phase::Open {
-            self.large_jobs.record_size(&self.jobs[j].spec);
+    pub(super) fn record_job_size(&mut self, job_index: JobIndex) {
+        if self.jobs[job_index].phase == Phase::Open {
+            self.large_jobs.record_size(&self.jobs[job_index].spec);
         }
     }
 
@@ -162,7 +162,7 @@
             if !begun && waited_s <= PROMISED_S {
                 continue;
             }
-            // What an earlier owner saw begin, or wait for too long, it has told.
+            // What an earlier leader saw begin, or wait for too long, it has told.
             let earlier = job.known_since <= self.began_at
                 && (waited_s.saturating_sub((now - self.began_at) as u64) > PROMISED_S || begun);
             let one = self.large_jobs.initial_wait_s(&job.spec).is_some() && !earlier;
@@ -182,8 +182,8 @@
     }
 
     /// The first part of this job's tasks, if it is to go ahead of other batch work now.
-    pub(crate) fn initial_allocation(&self, j: JobIndex, now_ms: u64) -> Option<u32> {
-        let job = &self.jobs[j];
+    pub(crate) fn initial_allocation(&self, job_index: JobIndex, now_ms: u64) -> Option<u32> {
+        let job = &self.jobs[job_index];
         let waited_s = now_ms.saturating_sub(job.ready_at_ms) / 1000;
         if waited_s < LARGE_JOB_WAIT_S || job.spec.priority == Priority::Production || job.is_failing_everywhere() {
             return None;
@@ -211,9 +211,9 @@
 
     /// Will its team's limit let a task of this job run once the team's other batch work is over? Where
     /// services hold too much of the limit nothing must wait for it: it would wait for ever.
-    pub(crate) fn limit_will_suffice(&self, j: JobIndex) -> bool {
-        let job = &self.jobs[j];
-        let team = &self.teams[job.team.ix()].spec;
+    pub(crate) fn limit_will_suffice(&self, job_index: JobIndex) -> bool {
+        let job = &self.jobs[job_index];
+        let team = &self.teams[job.team.as_usize()].spec;
         let services = self.jobs.live.iter().map(|i| &self.jobs[*i]).filter(|o| o.team == job.team && o.is_service());
         let (cpus, accelerators) = services.fold((0.0, 0.0), |(c, g), o| {
             let n = f64::from(o.assigned);
@@ -225,9 +225,9 @@
 
     /// No machine has room for a task of this job: one is kept free of other batch work until it has.
     /// What may be stopped for it there is stopped.
-    pub(crate) fn reserve_machine(&mut self, j: JobIndex, now: f64) {
-        let job = &self.jobs[j];
-        let kept = self.large_jobs.reserved.iter().find(|(_, k)| k.0 == j).map(|(m, _)| *m);
+    pub(crate) fn reserve_machine(&mut self, job_index: JobIndex, now: f64) {
+        let job = &self.jobs[job_index];
+        let kept = self.large_jobs.reserved.iter().find(|(_, k)| k.0 == job_index).map(|(m, _)| *m);
         let most = (self.machines.present.len() / MACHINES_PER_RESERVATION).max(1);
         if self.large_jobs.spell.in_break(now) || kept.is_none() && self.large_jobs.reserved.len() >= most {
             return;
@@ -237,12 +237,12 @@
             !m.in_on_demand_base
                 && m.is_usable(now, heartbeat_timeout_s)
                 && may_run_beside(self, job, m, job.assigned, job.assigned_in_zone(m.zone))
-                && type_fits(&job.spec, self.types.get(m.machine_type))
+                && type_fits(&job.spec, self.types.get(m.type_index))
         };
         // Until what must be waited for there is over, in seconds, about.
         let clears = |m: &crate::fleet::Machine| {
-            let left = m.assignments.iter().filter(|(k, _)| self.jobs[k.0].spec.priority <= job.spec.priority);
-            left.map(|(k, h)| match self.jobs[k.0].spec.estimate_s {
+            let left = m.assignments.iter().filter(|(k, _)| self.jobs[k.job].spec.priority <= job.spec.priority);
+            left.map(|(k, h)| match self.jobs[k.job].spec.estimate_s {
                 0.0 => f64::INFINITY,
                 s => (s - (now - h.assigned_at)).max(1.0),
             })
@@ -257,12 +257,12 @@
         let Some(m) = m else { return };
         self.large_jobs.spell.on_reserved(now);
         if kept != Some(m) {
-            self.large_jobs.reserved.retain(|_, k| k.0 != j);
-            log::info!("machine {} is kept for {}", self.machines[m].name, self.jobs[j].id);
-            self.large_jobs.reserved.insert(m, (j, now));
+            self.large_jobs.reserved.retain(|_, k| k.0 != job_index);
+            log::info!("machine {} is kept for {}", self.machines[m].name, self.jobs[job_index].id);
+            self.large_jobs.reserved.insert(m, (job_index, now));
         }
-        let priority = self.jobs[j].spec.priority;
-        let gives = |k: &TaskKey, h: &Assignment| h.stop_grace_s.is_none() && self.jobs[k.0].spec.priority > priority;
+        let priority = self.jobs[job_index].spec.priority;
+        let gives = |k: &TaskKey, h: &Assignment| h.stop_grace_s.is_none() && self.jobs[k.job].spec.priority > priority;
         let gives: Vec<TaskKey> =
             self.machines[m].assignments.iter().filter(|(k, h)| gives(k, h)).map(|(k, _)| *k).collect();
         if self.state_service_writable {
@@ -271,8 +271,8 @@
     }
 
     /// Is this machine kept for another job than this one?
-    pub(crate) fn is_reserved_for_other(&self, m: MachineIndex, j: JobIndex) -> bool {
-        self.large_jobs.reserved.get(&m).is_some_and(|k| k.0 != j)
+    pub(crate) fn is_reserved_for_other(&self, machine_index: MachineIndex, job_index: JobIndex) -> bool {
+        self.large_jobs.reserved.get(&machine_index).is_some_and(|k| k.0 != job_index)
     }
 
     /// Its team's limit is kept for a large job, if there is no break.
--- a/crates/scheduler/src/shard/live_attempts.rs
+++ b/crates/scheduler/src/shard/live_attempts.rs
@@ -1,7 +1,7 @@
-//! Which tasks are occupied by attempts that this owner does not hold.
+//! Which tasks are occupied by attempts that this leader does not hold.
 //!
 //! What any machine's newest report lists as not ended occupies its task, whatever its attempt and whatever is
-//! thought of its job: until the attempt is seen to end, its session is over or its machine is deleted, the task
+//! thought of its job: until the attempt is seen to end, its incarnation is over or its machine is deleted, the task
 //! starts nowhere else. A held attempt occupies its slot ([`Slot::Held`]); this is the index of all others.
 
 use super::Shard;
@@ -22,13 +22,13 @@
 }
 
 impl LiveAttemptIndex {
-    pub(super) fn insert_orphan(&mut self, key: TaskKey, m: MachineIndex) {
-        self.orphaned.entry(key).or_default().insert(m);
+    pub(super) fn insert_orphan(&mut self, key: TaskKey, machine_index: MachineIndex) {
+        self.orphaned.entry(key).or_default().insert(machine_index);
     }
 
-    pub(super) fn remove_orphan(&mut self, key: TaskKey, m: MachineIndex) {
+    pub(super) fn remove_orphan(&mut self, key: TaskKey, machine_index: MachineIndex) {
         if let Some(machines) = self.orphaned.get_mut(&key) {
-            machines.remove(&m);
+            machines.remove(&machine_index);
             if machines.is_empty() {
                 self.orphaned.remove(&key);
             }
@@ -40,13 +40,13 @@
         self.orphaned.get(key).and_then(|machines| machines.first().copied())
     }
 
-    pub(super) fn note_possible_holder(&mut self, job: &str, m: MachineIndex) {
-        self.unrecognized_jobs.entry(job.to_owned()).or_default().insert(m);
+    pub(super) fn note_possible_holder(&mut self, job: &str, machine_index: MachineIndex) {
+        self.unrecognized_jobs.entry(job.to_owned()).or_default().insert(machine_index);
     }
 
-    pub(super) fn clear_possible_holder(&mut self, job: &str, m: MachineIndex) {
+    pub(super) fn clear_possible_holder(&mut self, job: &str, machine_index: MachineIndex) {
         if let Some(machines) = self.unrecognized_jobs.get_mut(job) {
-            machines.remove(&m);
+            machines.remove(&machine_index);
             if machines.is_empty() {
                 self.unrecognized_jobs.remove(job);
             }
@@ -61,41 +61,41 @@
 
 impl Shard {
     /// A job came to be known after machines were heard or restored that hold or may hold tasks of it.
-    pub(super) fn resolve_unrecognized_job(&mut self, j: JobIndex, now: f64) {
-        let id = self.jobs[j].id.clone();
+    pub(super) fn resolve_unrecognized_job(&mut self, job_index: JobIndex, now: f64) {
+        let id = self.jobs[job_index].id.clone();
         if let Some(until) = self.live_attempts.deferred_jobs.remove(&*id) {
-            let job = &mut self.jobs[j];
+            let job = &mut self.jobs[job_index];
             job.not_before = job.not_before.max(until);
         }
         for m in self.live_attempts.unrecognized_jobs.remove(&*id).unwrap_or_default() {
-            self.block_until_reconciled(m, j);
-            self.settle_unrecognized_attempts(m, j, now);
+            self.block_until_reconciled(m, job_index);
+            self.settle_unrecognized_attempts(m, job_index, now);
         }
     }
 
     /// The stored record of an unresolved machine names the job, which was not known when it was read.
-    fn block_until_reconciled(&mut self, m: MachineIndex, j: JobIndex) {
-        let job = &mut self.jobs[j];
-        let Some(machine) = self.machines.list.get_mut(m) else { return };
+    fn block_until_reconciled(&mut self, machine_index: MachineIndex, job_index: JobIndex) {
+        let job = &mut self.jobs[job_index];
+        let Some(machine) = self.machines.list.get_mut(machine_index) else { return };
         let before = machine.unrecognized_jobs.len();
         machine.unrecognized_jobs.retain(|id| *id != job.id);
         let named = machine.unrecognized_jobs.len() < before;
-        if named && job.is_open() && !machine.is_reconciled() && machine.stored_jobs.insert(j) {
+        if named && job.is_open() && !machine.is_reconciled() && machine.stored_jobs.insert(job_index) {
             job.unreconciled_machines += 1;
             job.recorded_before_failover = true;
         }
     }
 
     /// Attempts of the job that the machine lists, and that were of no known task until now.
-    fn settle_unrecognized_attempts(&mut self, m: MachineIndex, j: JobIndex, now: f64) {
-        let Some(machine) = self.machines.list.get_mut(m) else { return };
-        let id = self.jobs[j].id.clone();
+    fn settle_unrecognized_attempts(&mut self, machine_index: MachineIndex, job_index: JobIndex, now: f64) {
+        let Some(machine) = self.machines.list.get_mut(machine_index) else { return };
+        let id = self.jobs[job_index].id.clone();
         let of_job = |unknown: &UnrecognizedAttempt| unknown.job().is_some_and(|(job, _)| *job == *id);
         let listed: Vec<_> = machine.unrecognized_attempts.extract_if(.., |unknown| of_job(unknown)).collect();
         for unknown in listed {
             match self.key_of(&unknown.task) {
-                Some(key) => self.settle_unassigned_attempt(m, key, unknown.attempt, unknown.state, now),
-                None => self.machines[m].unrecognized_attempts.push(unknown),
+                Some(key) => self.settle_unassigned_attempt(machine_index, key, unknown.attempt, unknown.state, now),
+                None => self.machines[machine_index].unrecognized_attempts.push(unknown),
             }
         }
     }
@@ -103,8 +103,8 @@
     /// A slot is free, and a machine lists an attempt of its task all the same: that attempt is held, and the task
     /// is not queued.
     pub(super) fn adopt_orphan_of_free_slot(&mut self, key: TaskKey) -> bool {
-        let job = &self.jobs[key.0];
-        let free = job.is_open() && job.tasks.get(key.1 as usize) == Some(&TaskSlot::Queued);
+        let job = &self.jobs[key.job];
+        let free = job.is_open() && job.tasks.get(key.task as usize) == Some(&TaskSlot::Queued);
         let Some(m) = self.live_attempts.machine_listing_orphan(&key).filter(|_| free) else { return false };
         let Some(&(attempt, UnassignedAttempt::Orphaned(state))) = self.machines[m].unassigned.get(&key) else {
             return false;
--- a/crates/scheduler/src/shard/machine_monitor.rs
+++ b/crates/scheduler/src/shard/machine_monitor.rs
@@ -58,13 +58,13 @@
         }
     }
 
-    fn check_machine(&mut self, i: MachineIndex, responses: &FleetResponsiveness, now: f64) {
-        let m = &self.machines[i];
+    fn check_machine(&mut self, machine_index: MachineIndex, responses: &FleetResponsiveness, now: f64) {
+        let m = &self.machines[machine_index];
         if !m.suspected && m.phase == MachinePhase::Up && self.heartbeat_age(m, now) > self.probe_after_s() {
-            self.probe(i);
+            self.probe(machine_index);
         }
-        self.check_lease(i, now);
-        let m = &self.machines[i];
+        self.check_lease(machine_index, now);
+        let m = &self.machines[machine_index];
         let heartbeat_timeout_s = self.heartbeat_timeout_s();
         let heard = self.heartbeat_age(m, now) < heartbeat_timeout_s;
         if heard
@@ -73,61 +73,61 @@
             && !m.heartbeat_path_lost
         {
             log::info!("machine {} answers questions and sends no reports", m.name);
-            self.machines[i].heartbeat_path_lost = true;
+            self.machines[machine_index].heartbeat_path_lost = true;
         }
-        self.cordon_for_lost_start(i, now);
-        match self.machines[i].phase {
-            MachinePhase::Booting => self.check_boot(i, now),
-            MachinePhase::Up => self.check_running_machine(i, responses, now),
+        self.cordon_for_lost_start(machine_index, now);
+        match self.machines[machine_index].phase {
+            MachinePhase::Booting => self.check_boot(machine_index, now),
+            MachinePhase::Up => self.check_running_machine(machine_index, responses, now),
             MachinePhase::Draining | MachinePhase::Terminating | MachinePhase::Gone => {}
         }
     }
 
-    fn check_lease(&mut self, i: MachineIndex, now: f64) {
+    fn check_lease(&mut self, machine_index: MachineIndex, now: f64) {
         let lease = stretched(self.lease_s);
-        let m = &self.machines[i];
+        let m = &self.machines[machine_index];
         let over = m.lease_renewed_at.map_or(f64::MIN, |t| t + lease).max(m.reconcile_deadline.unwrap_or(f64::MIN));
         if over > f64::MIN && now > over {
             log::warn!("machine {}: its lease is over, {} tasks are gone", m.name, m.assignments.len());
-            self.on_machine_emptied(i);
+            self.on_machine_emptied(machine_index);
         }
     }
 
     /// A start that was withdrawn and lost counts against its team's limit for as long as it may be carried
     /// out, and a cancelled one can't be made to end any more: only without the machine is it surely gone.
-    fn cordon_for_lost_start(&mut self, m: MachineIndex, now: f64) {
-        let machine = &mut self.machines[m];
+    fn cordon_for_lost_start(&mut self, machine_index: MachineIndex, now: f64) {
+        let machine = &mut self.machines[machine_index];
         if machine.phase == MachinePhase::Up && !machine.cordoned && machine.lost_start_before(now - self.lease_s) {
             log::info!("machine {} is to be replaced: a start that was withdrawn may still arrive there", machine.name);
             machine.cordoned = true;
         }
     }
 
-    fn check_boot(&mut self, i: MachineIndex, now: f64) {
-        let m = &self.machines[i];
-        let boot = self.types.get(m.machine_type).boot_s;
+    fn check_boot(&mut self, machine_index: MachineIndex, now: f64) {
+        let m = &self.machines[machine_index];
+        let boot = self.types.get(m.type_index).boot_s;
         if m.cordoned && now - m.first_seen_at > MIN_CHARGED_S {
-            self.terminate(i);
+            self.terminate(machine_index);
         } else if now - m.first_seen_at > boot * 4.0 + 15.0 {
             log::warn!("machine {} does not come up", m.name);
-            let (ty, zone, spot) = (m.machine_type, m.zone, m.spot);
+            let (ty, zone, spot) = (m.type_index, m.zone, m.spot);
             if let (true, Some(p)) = (spot, self.pools.get_mut(&ty)) {
                 p.zones.failed(zone);
             }
-            self.terminate(i);
+            self.terminate(machine_index);
         }
     }
 
     /// Gives a machine up that is lost, faulty or not needed any more.
-    fn check_running_machine(&mut self, i: MachineIndex, responses: &FleetResponsiveness, now: f64) {
-        let m = &self.machines[i];
+    fn check_running_machine(&mut self, machine_index: MachineIndex, responses: &FleetResponsiveness, now: f64) {
+        let m = &self.machines[machine_index];
         let quiet = self.heartbeat_age(m, now);
         let taken = m.reclaimed_at.is_some_and(|t| now > t + 1.0)
             && responses.rules_out_partition(m.zone)
             && quiet > self.report_s * HEARTBEAT_JITTER + 0.5;
-        let lost = self.is_given_up(i, responses, now);
+        let lost = self.is_given_up(machine_index, responses, now);
         // Responses, and neither answers nor commands reach it: only its deletion, or the
-        // end of its session, tells that what runs there is gone.
+        // end of its incarnation, tells that what runs there is gone.
         let never_heeds = m.missed_acknowledgements >= MAX_MISSED_ACKNOWLEDGEMENTS || m.unacknowledged_incarnations > 1;
         let unreached = (never_heeds && m.suspected && m.unanswered_pushes >= MAX_UNANSWERED_PROBES
             || m.unacknowledged_incarnations > 1)
@@ -138,10 +138,10 @@
         let emptied = m.cordoned && m.is_empty() && m.is_reconciled();
         let paid = now - m.first_seen_at > MIN_CHARGED_S;
         if !emptied {
-            self.clear_idle_since(i);
+            self.clear_idle_since(machine_index);
         }
-        let emptied = emptied && self.may_return_idle_machine(i, now) && paid;
-        let m = &self.machines[i];
+        let emptied = emptied && self.may_return_idle_machine(machine_index, now) && paid;
+        let m = &self.machines[machine_index];
         if m.phase != MachinePhase::Up {
             return;
         }
@@ -150,23 +150,23 @@
                 "machine {} goes: taken {taken}, silent {lost} ({quiet:.1} s), deaf {unreached}, faulty {faulty}, not needed {emptied}",
                 m.name
             );
-            self.terminate(i);
+            self.terminate(machine_index);
         }
     }
 
     /// Silent for so long that it is given up.
     ///
-    /// Also one that this owner has never heard: it was asked directly when the
+    /// Also one that this leader has never heard: it was asked directly when the
     /// shard was taken over, and its jobs wait for it everywhere. Machines that
-    /// died with the owner before once held up their jobs for a whole lease.
+    /// died with the leader before once held up their jobs for a whole lease.
     /// One that does not answer when it is asked need not be waited for until a
     /// second report is overdue: what hangs or is cut off counts as down from its
     /// first moment, and was replaced after 11 to 18 s.
-    fn is_given_up(&self, i: MachineIndex, responses: &FleetResponsiveness, now: f64) -> bool {
-        let m = &self.machines[i];
+    fn is_given_up(&self, machine_index: MachineIndex, responses: &FleetResponsiveness, now: f64) -> bool {
+        let m = &self.machines[machine_index];
         let quiet = self.heartbeat_age(m, now);
         let zone_asked = self.zones_probed_at.get(&m.zone).is_some_and(|t| now - t < self.report_s);
-        // One that this owner has never heard was asked at once, and again: it owes
+        // One that this leader has never heard was asked at once, and again: it owes
         // no report first. After all controllers had ended in a zone's cut, what ran
         // there once waited for 9 s.
         let (asked_s, questions) = match () {
@@ -181,8 +181,8 @@
     }
 
     /// Asks a machine directly whether it is there. Until it answers, nothing is started on it.
-    pub(super) fn probe(&mut self, m: MachineIndex) {
-        self.machines[m].suspected = true;
-        self.machines.push_due.insert(m);
+    pub(super) fn probe(&mut self, machine_index: MachineIndex) {
+        self.machines[machine_index].suspected = true;
+        self.machines.push_due.insert(machine_index);
     }
 }
