--- a/crates/scheduler/src/shard/machine_transfers.rs
+++ b/crates/scheduler/src/shard/machine_transfers.rs
@@ -1,12 +1,12 @@
-//! Machines that go to other cells, empty, and those that come from them. How is decided by
-//! [`lupinspur_cells::handover`]; this is what the shard knows of it.
+//! Machines that go to other shards, empty, and those that come from them. How is decided by
+//! [`lupinspur_sharding::handover`]; this is what the shard knows of it.
 
 use super::Shard;
 use crate::fleet::Phase as MachinePhase;
 use crate::fleet::machine_groups::{MachineGroupMember, machine_group_key};
 use crate::intern::{MachineGroupIndex, MachineIndex};
-use lupinspur_cells::ShardId;
-use lupinspur_cells::machine_transfer::TransferredMachine;
+use lupinspur_sharding::ShardId;
+use lupinspur_sharding::machine_transfer::TransferredMachine;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Machines that go in one value, at the most.
@@ -14,19 +14,19 @@
 
 #[derive(Debug, Default)]
 pub(super) struct MachineTransfers {
-    /// Seconds for which a machine that is not needed is kept for other cells before it is returned.
+    /// Seconds for which a machine that is not needed is kept for other shards before it is returned.
     hold_s: f64,
     /// The leader's word: what is not needed goes there, up to so many cpus.
     order: Option<(ShardId, f64)>,
     /// Since when machines that are not needed stand empty.
     idle_since: BTreeMap<MachineIndex, f64>,
-    /// Set aside for that cell, until it is stored that they are its own.
+    /// Set aside for that shard, until it is stored that they are its own.
     outgoing: BTreeMap<MachineIndex, ShardId>,
-    /// Machines of other cells, and the values stored here that may still name them.
+    /// Machines of other shards, and the values stored here that may still name them.
     still_named_by: BTreeMap<String, BTreeSet<String>>,
-    /// Machines that stand in a value on its way to this cell: they go nowhere else before that is over.
+    /// Machines that stand in a value on its way to this shard: they go nowhere else before that is over.
     arriving: BTreeSet<String>,
-    /// Machines that stand in a value on its way from this cell, whatever the records here still say.
+    /// Machines that stand in a value on its way from this shard, whatever the records here still say.
     transferred_away: BTreeSet<String>,
 }
 
@@ -37,16 +37,16 @@
 }
 
 impl Shard {
-    /// There are other cells: what is not needed is kept for them for so long, in seconds, and goes to
-    /// `order` if there is one. Without other cells nothing changes.
+    /// There are other shards: what is not needed is kept for them for so long, in seconds, and goes to
+    /// `order` if there is one. Without other shards nothing changes.
     pub fn set_rebalance_order(&mut self, order: Option<(ShardId, f64)>, hold_s: f64) {
         (self.transfers.order, self.transfers.hold_s) = (order, hold_s);
     }
 
     /// Nothing is on this machine, nothing that was said to it can yet start anything there, and no
-    /// value besides its rack's names it.
-    fn is_transferable(&self, m: MachineIndex) -> bool {
-        let x = &self.machines[m];
+    /// value besides its machine group's names it.
+    fn is_transferable(&self, machine_index: MachineIndex) -> bool {
+        let x = &self.machines[machine_index];
         x.phase == MachinePhase::Up
             && x.is_reconciled()
             && x.reported_token
@@ -62,47 +62,47 @@
             && !self.transfers.arriving.contains(&*x.name)
     }
 
-    /// May this machine, which is empty and not needed, be returned now? Where there are other cells it
+    /// May this machine, which is empty and not needed, be returned now? Where there are other shards it
     /// is kept for them for a moment, and set aside if the leader says so.
-    pub(super) fn may_return_idle_machine(&mut self, m: MachineIndex, now: f64) -> bool {
+    pub(super) fn may_return_idle_machine(&mut self, machine_index: MachineIndex, now: f64) -> bool {
         if self.transfers.hold_s <= 0.0 {
             return true;
         }
-        let since = *self.transfers.idle_since.entry(m).or_insert(now);
-        let cpus = self.types.get(self.machines[m].machine_type).cpus;
+        let since = *self.transfers.idle_since.entry(machine_index).or_insert(now);
+        let cpus = self.types.get(self.machines[machine_index].type_index).cpus;
         if let Some((to, left)) = self.transfers.order
-            // A whole machine for a part of one: else a cell that is short by less would wait for ever.
+            // A whole machine for a part of one: else a shard that is short by less would wait for ever.
             && left > 0.0
             && self.transfers.outgoing.len() < MAX_TRANSFERRED
-            && self.is_transferable(m)
+            && self.is_transferable(machine_index)
         {
             self.transfers.order = Some((to, left - cpus));
-            self.transfers.outgoing.insert(m, to);
-            self.machines[m].phase = MachinePhase::Draining;
+            self.transfers.outgoing.insert(machine_index, to);
+            self.machines[machine_index].phase = MachinePhase::Draining;
             return false;
         }
         now - since > self.transfers.hold_s
     }
 
     /// It is needed again.
-    pub(super) fn clear_idle_since(&mut self, m: MachineIndex) {
-        self.transfers.idle_since.remove(&m);
+    pub(super) fn clear_idle_since(&mut self, machine_index: MachineIndex) {
+        self.transfers.idle_since.remove(&machine_index);
     }
 
-    /// Cpus of machines that other cells may have.
+    /// Cpus of machines that other shards may have.
     pub(super) fn idle_cpus(&self) -> f64 {
         let bare = self.transfers.idle_since.keys().filter(|m| self.is_transferable(**m));
-        bare.map(|m| self.types.get(self.machines[*m].machine_type).cpus).sum()
+        bare.map(|m| self.types.get(self.machines[*m].type_index).cpus).sum()
     }
 
-    /// What was set aside for other cells, as the next owner has to know it.
+    /// What was set aside for other shards, as the next leader has to know it.
     pub fn pending_transfers(&self) -> Vec<(ShardId, TransferredMachine)> {
         let handed = |(m, to): (&MachineIndex, &ShardId)| {
             let x = &self.machines[*m];
             let handed = TransferredMachine {
                 machine: x.name.to_string(),
                 addr: x.addr.map(|a| a.to_string()).unwrap_or_default(),
-                type_name: self.types.names.name(x.machine_type).to_string(),
+                type_name: self.types.names.name(x.type_index).to_string(),
                 zone: self.types.zones.name(x.zone).to_string(),
                 spot: x.spot,
             };
@@ -111,7 +111,7 @@
         self.transfers.outgoing.iter().map(handed).collect()
     }
 
-    /// These machines stand in values on their way from this cell: all of them, each time.
+    /// These machines stand in values on their way from this shard: all of them, each time.
     pub fn on_transfers_published<'a>(&mut self, machines: impl Iterator<Item = &'a TransferredMachine> + Clone) {
         self.transfers.transferred_away = machines.clone().map(|h| h.machine.clone()).collect();
         self.on_transfer_outcome(machines, true);
@@ -121,7 +121,7 @@
         self.transfers.transferred_away.contains(machine)
     }
 
-    /// It is stored that these are another cell's, or it is not: then they stay.
+    /// It is stored that these are another shard's, or it is not: then they stay.
     pub fn on_transfer_outcome<'a>(&mut self, machines: impl Iterator<Item = &'a TransferredMachine>, stored: bool) {
         for h in machines {
             let Some(m) = self.machines.find(&h.machine) else { continue };
@@ -147,16 +147,16 @@
         }
     }
 
-    /// May a value that is stored here still name this machine, which went to another cell?
+    /// May a value that is stored here still name this machine, which went to another shard?
     pub fn may_be_named_in_records(&self, machine: &str) -> bool {
         self.transfers.still_named_by.contains_key(machine)
     }
 
-    /// A machine in a value that an earlier owner stored: is it another cell's by now?
-    pub(super) fn skip_if_transferred(&mut self, x: &MachineGroupMember, r: MachineGroupIndex) -> bool {
+    /// A machine in a value that an earlier leader stored: is it another shard's by now?
+    pub(super) fn skip_if_transferred(&mut self, x: &MachineGroupMember, group_index: MachineGroupIndex) -> bool {
         let away = self.transfers.transferred_away.contains(&x.machine);
         if away {
-            self.transfers.still_named_by.entry(x.machine.clone()).or_default().insert(machine_group_key(r));
+            self.transfers.still_named_by.entry(x.machine.clone()).or_default().insert(machine_group_key(group_index));
         }
         away
     }
@@ -176,7 +176,7 @@
         });
     }
 
-    /// Machines that come from another cell, empty. They are asked for a report with our token
+    /// Machines that come from another shard, empty. They are asked for a report with our token
     /// before anything is started on them, and recorded so that whoever owns next knows them.
     /// All that are on their way, each time: what was taken in before is left as it is.
     pub fn receive_machines<'a>(&mut self, machines: impl Iterator<Item = &'a TransferredMachine>, now: f64) {
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Does this machine stand in a stored value of this cell, or is it gone?
+    /// Does this machine stand in a stored value of this shard, or is it gone?
     pub fn is_recorded_or_gone(&self, machine: &str) -> bool {
         self.machines.find(machine).is_none_or(|m| {
             let x = &self.machines[m];
--- a/crates/scheduler/src/shard/mod.rs
+++ b/crates/scheduler/src/shard/mod.rs
@@ -56,18 +56,18 @@
 use crate::fleet::{
     Assignment, AssignmentState, CachedImage, MachineRecord, Machines, Phase as MachinePhase, PushUrgency, Types,
 };
-use crate::intern::{Index, JobIndex, MachineGroupIndex, MachineIndex, Names, TeamIndex, TypeIndex, ZoneIndex};
+use crate::intern::{DenseIndex, JobIndex, MachineGroupIndex, MachineIndex, Names, TeamIndex, TypeIndex, ZoneIndex};
 use crate::jobs::{Job, JobRecord, Jobs, PART_PREFIX, PROGRESS_PREFIX, Phase, ProgressRecord, TaskKey, TaskSlot};
 use crate::params::{Params, Team, Tuning};
 use crate::times::stretched;
 use crate::wire::{JobState, Kind, MachineType};
-use lupinspur_accounts::ServiceLevelTracker;
-use lupinspur_accounts::underserved::Underserved;
+use lupinspur_service_levels::ServiceLevelTracker;
+use lupinspur_service_levels::underserved::Underserved;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
 
-/// What the owner can say of a job that it knows.
+/// What the leader can say of a job that it knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum JobView {
     /// Its state, tasks done and tasks running.
@@ -141,20 +141,20 @@
     /// Whether the state service answers: while it does not, nothing that needs a
     /// write afterwards is begun.
     pub state_service_writable: bool,
-    /// No earlier owner recorded any machine.
+    /// No earlier leader recorded any machine.
     is_first_leader: bool,
     ticked_at: f64,
     /// When it last began to act again after a pause.
     resumed_at: f64,
     /// When a tick last came late: the processor had more to do than it could.
     late_tick_at: f64,
-    /// The stages of this takeover that were not told yet: when all was known, when the first
+    /// The stages of this failover that were not told yet: when all was known, when the first
     /// task was started.
     failover_stages: failover::FailoverStages,
     failover_log: failover::FailoverLog,
     /// Most machines were asked whether they are there, and did not answer.
     pub(crate) suspected_partition: bool,
-    /// Has the cloud told this owner which machines there are?
+    /// Has the cloud told this leader which machines there are?
     pub(crate) machine_list_read: bool,
     /// When all machines of a zone were last asked whether they are there.
     zones_probed_at: BTreeMap<ZoneIndex, f64>,
@@ -175,7 +175,7 @@
     /// When a cancellation that follows from another one was last written in its turn.
     cascade_throttled_at: f64,
     pub(crate) machine_groups: MachineGroups,
-    /// Racks whose value is to be written: before planned starts may go out, or because it
+    /// Machine groups whose value is to be written: before planned starts may go out, or because it
     /// names machines that are gone, which a successor would take for machines that may
     /// hold anything. By number, the
     /// later ones once waited for a quarter of a minute while the first were written again
@@ -193,7 +193,7 @@
     pub(crate) limits_examined: usize,
     large_jobs: large_jobs::LargeJobReservations,
     consistency: consistency::ConsistencyChecker,
-    /// Machines between this cell and others.
+    /// Machines between this shard and others.
     transfers: machine_transfers::MachineTransfers,
     /// Pairs of a job and a machine that were looked at: what placing costs.
     pub pairs_examined: u64,
@@ -214,7 +214,7 @@
 
 /// Stops a job's tasks gently enough to save.
 const STOP_GRACE_MARGIN_S: f64 = 2.0;
-/// Longer between two ticks, and this owner was not entitled to act in between.
+/// Longer between two ticks, and this leader was not entitled to act in between.
 const PROCESS_PAUSE_S: f64 = 1.0;
 /// Ticks come ten times a second and more often: one so late waited for the processor.
 const LATE_TICK_S: f64 = 0.6;
@@ -225,30 +225,30 @@
 
 impl Shard {
     /// Takes in a job that the state service holds.
-    pub fn add_job(&mut self, r: JobRecord, version: u64, now: f64) -> Option<JobIndex> {
-        let key = crate::jobs::job_key(&r.job.id);
+    pub fn add_job(&mut self, record: JobRecord, version: u64, now: f64) -> Option<JobIndex> {
+        let key = crate::jobs::job_key(&record.job.id);
         if self.moved_jobs.is_outdated(&key, version) {
             return None;
         }
         let known = self.versions.entry(key).or_insert(version);
         *known = (*known).max(version);
-        if let Some(j) = self.jobs.find(&r.job.id) {
+        if let Some(j) = self.jobs.find(&record.job.id) {
             // Our own write, whose answer comes later or never: nobody else ends jobs of ours.
-            if self.jobs[j].end_write_sent && self.jobs[j].desired_phase == r.phase {
-                self.on_end_committed(j, r.phase, now);
+            if self.jobs[j].end_write_sent && self.jobs[j].desired_phase == record.phase {
+                self.on_end_committed(j, record.phase, now);
             }
             return Some(j);
         }
-        let Some(team) = self.team_names.find(&r.job.team) else {
-            log::error!("job {} names unknown team {}", r.job.id, r.job.team);
-            self.mark_unreadable_record(&crate::jobs::job_key(&r.job.id));
+        let Some(team) = self.team_names.find(&record.job.team) else {
+            log::error!("job {} names unknown team {}", record.job.id, record.job.team);
+            self.mark_unreadable_record(&crate::jobs::job_key(&record.job.id));
             return None;
         };
-        if r.job.kind == Kind::Service {
-            self.service_cpus = self.service_cpus.max(r.job.cpus);
+        if record.job.kind == Kind::Service {
+            self.service_cpus = self.service_cpus.max(record.job.cpus);
         }
         self.placement_due = true;
-        let j = self.jobs.add(r, team, now);
+        let j = self.jobs.add(record, team, now);
         self.record_job_size(j);
         self.checkpoint_job(j, now);
         self.elastic_track(j);
@@ -265,7 +265,7 @@
         // Another node may have read the final phase already, and told it: a slow answer
         // to our write once made a cancelled job "queued" again. One that is cancelled with a job
         // that it needs may be told neither as it was, long after that one's user was told, nor as
-        // cancelled before that is stored. After a takeover that holds until all that it needs is read.
+        // cancelled before that is stored. After a failover that holds until all that it needs is read.
         let open = j.phase == Phase::Open;
         if open
             && (j.end_write_sent
@@ -282,7 +282,7 @@
     pub fn cancel(&mut self, id: &str) -> bool {
         let Some(j) = self.jobs.find(id) else { return false };
         let job = &mut self.jobs[j];
-        // On its way to another cell: that one cancels it, if it gets there.
+        // On its way to another shard: that one cancels it, if it gets there.
         if job.moving_away {
             return true;
         }
@@ -307,19 +307,19 @@
         self.report_s * 1.6
     }
 
-    /// How long a machine has been silent, not counting what this owner could not hear
+    /// How long a machine has been silent, not counting what this leader could not hear
     /// because it was not entitled to answer.
-    pub(crate) fn heartbeat_age(&self, m: &crate::fleet::Machine, now: f64) -> f64 {
-        now - m.last_heartbeat_at.max(self.resumed_at)
+    pub(crate) fn heartbeat_age(&self, machine: &crate::fleet::Machine, now: f64) -> f64 {
+        now - machine.last_heartbeat_at.max(self.resumed_at)
     }
 
-    /// How long this machine has sent this owner no report by itself, counted in the same way.
-    pub(crate) fn own_heartbeat_age(&self, m: &crate::fleet::Machine, now: f64) -> f64 {
-        now - m.own_heartbeat_at.max(self.resumed_at)
+    /// How long this machine has sent this leader no report by itself, counted in the same way.
+    pub(crate) fn own_heartbeat_age(&self, machine: &crate::fleet::Machine, now: f64) -> f64 {
+        now - machine.own_heartbeat_at.max(self.resumed_at)
     }
 
     /// Is no worker heard at all, though several should report? Of a machine that the cloud does not list
-    /// nobody hears anything: after all machines had died, each owner took itself for the one that is cut off,
+    /// nobody hears anything: after all machines had died, each leader took itself for the one that is cut off,
     /// and none stayed for long enough to rent others.
     pub fn is_partitioned_from_workers(&self, now: f64) -> bool {
         // Those that were asked because their reports are overdue say nothing, and nobody else
--- a/crates/scheduler/src/shard/moved_jobs.rs
+++ b/crates/scheduler/src/shard/moved_jobs.rs
@@ -1,5 +1,5 @@
-//! Jobs that went to other cells. A watch that lags, or a late answer to the node that accepted a job, may show
-//! its record of before yet; who took that for the present one would start what another cell has started.
+//! Jobs that went to other shards. A watch that lags, or a late answer to the node that accepted a job, may show
+//! its record of before yet; who took that for the present one would start what another shard has started.
 
 use std::collections::HashMap;
 
--- a/crates/scheduler/src/shard/permission.rs
+++ b/crates/scheduler/src/shard/permission.rs
@@ -58,11 +58,11 @@
     }
 
     /// May this task be started on this machine? What a start rests on, asked once more before it is held.
-    pub fn may_start(&self, m: MachineIndex, key: TaskKey) -> Result<(), Forbidden> {
-        let (job, machine) = (&self.jobs[key.0], &self.machines[m]);
+    pub fn may_start(&self, machine_index: MachineIndex, key: TaskKey) -> Result<(), Forbidden> {
+        let (job, machine) = (&self.jobs[key.job], &self.machines[machine_index]);
         if job.phase != Phase::Open || job.desired_phase != Phase::Open || job.moving_away {
             Err(Forbidden::JobOver)
-        } else if job.tasks.get(key.1 as usize) != Some(&TaskSlot::Queued) {
+        } else if job.tasks.get(key.task as usize) != Some(&TaskSlot::Queued) {
             Err(Forbidden::NotQueued)
         } else if job.unreconciled_machines > 0 {
             Err(Forbidden::MayRunElsewhere)
@@ -72,7 +72,7 @@
             Err(Forbidden::StartUnacknowledged)
         } else if self.live_attempts.machine_listing_orphan(&key).is_some() {
             Err(Forbidden::Occupied)
-        } else if self.dependencies.is_waiting(key.0) {
+        } else if self.dependencies.is_waiting(key.job) {
             Err(Forbidden::DependenciesUnmet)
         } else {
             Ok(())
--- a/crates/scheduler/src/shard/placement/pass.rs
+++ b/crates/scheduler/src/shard/placement/pass.rs
@@ -7,6 +7,7 @@
 use super::unplaceable::UnplaceableShapes;
 use crate::fleet::Machine;
 use crate::intern::{JobIndex, MachineIndex, TeamIndex};
+use crate::jobs::TaskKey;
 use crate::shard::{EPSILON, Prospect, Shard};
 use crate::wire::Priority;
 use std::collections::{HashMap, VecDeque};
@@ -37,7 +38,7 @@
 struct PlacementPass<'a> {
     shard: &'a mut Shard,
     now: f64,
-    /// Cpus and cards that machines with an unknown load may be using of each limit.
+    /// Cpus and accelerators that machines with an unknown load may be using of each limit.
     shadow: (f64, f64),
     turns: VecDeque<QueuedTurn>,
     /// The smallest need of all that waits, in cpus.
@@ -56,18 +57,18 @@
 }
 
 /// Places what waits, as far as there is room for it.
-pub fn place(s: &mut Shard, now: f64) {
-    s.others_waiting = false;
-    if !s.types.known() {
+pub fn place(shard: &mut Shard, now: f64) {
+    shard.others_waiting = false;
+    if !shard.types.known() {
         return;
     }
-    if let Some(pass) = PlacementPass::new(s, now) {
+    if let Some(pass) = PlacementPass::new(shard, now) {
         pass.run();
     }
 }
 
-fn has_room(s: &Shard, m: &Machine, cpus: f64) -> bool {
-    m.cpus_used + cpus <= s.types.get(m.machine_type).cpus + EPSILON
+fn has_room(shard: &Shard, machine: &Machine, cpus: f64) -> bool {
+    machine.cpus_used + cpus <= shard.types.get(machine.type_index).cpus + EPSILON
 }
 
 impl<'a> PlacementPass<'a> {
@@ -221,19 +222,19 @@
     /// The best machine that still takes this task; so many of the options before it are `full`.
     fn next_machine(
         &self,
-        j: JobIndex,
+        job_index: JobIndex,
         task: u32,
         options: &[(f64, MachineIndex)],
         full: &mut usize,
     ) -> Option<MachineIndex> {
         let s = &*self.shard;
-        let job = &s.jobs[j];
+        let job = &s.jobs[job_index];
         // A machine is filled before the next: what fitted may be full by now.
         let takes = |m: MachineIndex| fits(s, job, &s.machines[m]) && leaves_room(s, job, &s.machines[m]);
         while options.get(*full).is_some_and(|o| !takes(o.1)) {
             *full += 1;
         }
-        let is_barred = |m: MachineIndex| has_unacknowledged_start(&s.machines[m], &(j, task));
+        let is_barred = |m: MachineIndex| has_unacknowledged_start(&s.machines[m], &TaskKey::new(job_index, task));
         options.iter().skip(*full).map(|o| o.1).find(|&m| !is_barred(m) && takes(m))
     }
 
@@ -260,7 +261,7 @@
             return false;
         }
         s.jobs[turn.job].queued_tasks.pop_front();
-        if !s.plan_start(machine, (turn.job, task), self.now) {
+        if !s.plan_start(machine, TaskKey::new(turn.job, task), self.now) {
             return false;
         }
         if turn.set_apart {
--- a/crates/scheduler/src/shard/placement/preemption.rs
+++ b/crates/scheduler/src/shard/placement/preemption.rs
@@ -14,41 +14,42 @@
 const MAX_MIGRATIONS_TRIED: usize = 16;
 
 /// Would a task of this job start now, or be made room for, if its limit let it?
-pub(super) fn could_be_placed(s: &Shard, turn: &QueuedTurn, roomy: &[MachineIndex], now: f64) -> bool {
-    !options(s, &s.jobs[turn.job], roomy, now).is_empty() || cheapest_preemption(s, turn, false, now).is_some()
+pub(super) fn could_be_placed(shard: &Shard, turn: &QueuedTurn, roomy: &[MachineIndex], now: f64) -> bool {
+    !options(shard, &shard.jobs[turn.job], roomy, now).is_empty()
+        || cheapest_preemption(shard, turn, false, now).is_some()
 }
 
 /// Stops work of lower priority where that lets a task of this job start, on one
 /// machine a pass; `with_image`: only where its image is. True if room is coming.
-pub(super) fn preempt_for(s: &mut Shard, turn: &QueuedTurn, with_image: bool, now: f64) -> bool {
-    if !s.state_service_writable {
+pub(super) fn preempt_for(shard: &mut Shard, turn: &QueuedTurn, with_image: bool, now: f64) -> bool {
+    if !shard.state_service_writable {
         return false;
     }
-    let Some((m, victims)) = cheapest_preemption(s, turn, with_image, now) else {
-        return with_image && migrate_replica(s, turn.job, now);
+    let Some((m, victims)) = cheapest_preemption(shard, turn, with_image, now) else {
+        return with_image && migrate_replica(shard, turn.job, now);
     };
     for k in victims {
-        log::debug!("{}/{} makes room", s.jobs[k.0].id, k.1);
-        s.preempt(m, k);
+        log::debug!("{}/{} makes room", shard.jobs[k.job].id, k.task);
+        shard.preempt(m, k);
     }
     true
 }
 
 /// Where that would cost least, and what would be stopped there.
 fn cheapest_preemption(
-    s: &Shard,
+    shard: &Shard,
     turn: &QueuedTurn,
     with_image: bool,
     now: f64,
 ) -> Option<(MachineIndex, Vec<TaskKey>)> {
-    let job = &s.jobs[turn.job];
-    let heartbeat_timeout_s = s.recent_heartbeat_s();
-    let surpluses = s.surpluses();
-    let next = job.queued_tasks.front().map(|task| (turn.job, *task));
+    let job = &shard.jobs[turn.job];
+    let heartbeat_timeout_s = shard.recent_heartbeat_s();
+    let surpluses = shard.surpluses();
+    let next = job.queued_tasks.front().map(|task| TaskKey::new(turn.job, *task));
     let mut options: Vec<(f64, MachineIndex, Vec<TaskKey>)> = Vec::new();
-    for (i, m) in s.machines.iter() {
+    for (i, m) in shard.machines.iter() {
         // Of services nothing can be stopped; the cheap questions come first.
-        if m.service_tasks == m.assignments.len() && s.types.get(m.machine_type).cpus < m.cpus_used + job.spec.cpus
+        if m.service_tasks == m.assignments.len() && shard.types.get(m.type_index).cpus < m.cpus_used + job.spec.cpus
             || m.spot && !job.spec.spot
             || with_image && !job.image.is_some_and(|i| m.has_image(i))
             || !m.is_usable(now, heartbeat_timeout_s)
@@ -56,15 +57,15 @@
             continue;
         }
         // Room where the job may not run is no room for it: it would be waited for without end.
-        let t = s.types.get(m.machine_type);
+        let t = shard.types.get(m.type_index);
         if !type_fits(&job.spec, t)
-            || !may_run_beside(s, job, m, job.assigned, job.assigned_in_zone(m.zone))
-            || avoids(s, job, i, now)
+            || !may_run_beside(shard, job, m, job.assigned, job.assigned_in_zone(m.zone))
+            || avoids(shard, job, i, now)
             || next.is_some_and(|key| has_unacknowledged_start(m, &key))
         {
             continue;
         }
-        if let Some((cost, victims)) = preemption_on(s, job, m, &surpluses) {
+        if let Some((cost, victims)) = preemption_on(shard, job, m, &surpluses) {
             options.push((cost, i, victims));
         }
     }
@@ -72,49 +73,63 @@
 }
 
 /// What would be stopped on this machine for one task of a job, and what that would cost; nothing if it would not do.
-fn preemption_on(s: &Shard, job: &Job, m: &Machine, surpluses: &HashMap<JobIndex, u32>) -> Option<(f64, Vec<TaskKey>)> {
+fn preemption_on(
+    shard: &Shard,
+    job: &Job,
+    machine: &Machine,
+    surpluses: &HashMap<JobIndex, u32>,
+) -> Option<(f64, Vec<TaskKey>)> {
     // What is being stopped already will be free soon: wait for that first.
-    let coming: f64 =
-        m.assignments.iter().filter(|(k, h)| m.is_stopping(k, h)).map(|(k, _)| s.jobs[k.0].spec.cpus).sum();
-    let t = s.types.get(m.machine_type);
-    let mut free = t.cpus - m.cpus_used + coming;
-    let mut memory = t.memory_gb - m.memory_used;
-    let mut accelerators = t.accelerators - m.accelerators_used;
+    let coming: f64 = machine
+        .assignments
+        .iter()
+        .filter(|(k, h)| machine.is_stopping(k, h))
+        .map(|(k, _)| shard.jobs[k.job].spec.cpus)
+        .sum();
+    let t = shard.types.get(machine.type_index);
+    let mut free = t.cpus - machine.cpus_used + coming;
+    let mut memory = t.memory_gb - machine.memory_used;
+    let mut accelerators = t.accelerators - machine.accelerators_used;
     let mut victims = Vec::new();
     let mut kept = 0.0;
-    for (surplus, k) in preemptible_tasks(s, job, m, surpluses) {
+    for (surplus, k) in preemptible_tasks(shard, job, machine, surpluses) {
         if free + EPSILON >= job.spec.cpus
             && memory + EPSILON >= job.spec.memory_gb
             && accelerators + EPSILON >= job.spec.accelerators
         {
             break;
         }
-        free += s.jobs[k.0].spec.cpus;
-        memory += s.jobs[k.0].spec.memory_gb;
-        accelerators += s.jobs[k.0].spec.accelerators;
+        free += shard.jobs[k.job].spec.cpus;
+        memory += shard.jobs[k.job].spec.memory_gb;
+        accelerators += shard.jobs[k.job].spec.accelerators;
         kept += if surplus { SURPLUS_COST_S } else { 1.0 };
         victims.push(k);
     }
     let others_fit = memory + EPSILON >= job.spec.memory_gb && accelerators + EPSILON >= job.spec.accelerators;
     let enough = free + EPSILON >= job.spec.cpus && (others_fit || coming > 0.0);
-    enough.then(|| (cost(s, job, m) + kept, victims))
+    enough.then(|| (cost(shard, job, machine) + kept, victims))
 }
 
 /// Tasks of lower priority on this machine, in the order in which they would be stopped, and whether each is of a
 /// surplus.
-fn preemptible_tasks(s: &Shard, job: &Job, m: &Machine, surpluses: &HashMap<JobIndex, u32>) -> Vec<(bool, TaskKey)> {
-    let mut preemptible_tasks: Vec<_> = m
+fn preemptible_tasks(
+    shard: &Shard,
+    job: &Job,
+    machine: &Machine,
+    surpluses: &HashMap<JobIndex, u32>,
+) -> Vec<(bool, TaskKey)> {
+    let mut preemptible_tasks: Vec<_> = machine
         .assignments
         .iter()
         .filter(|(k, h)| {
             h.stop_grace_s.is_none()
                 && h.state != AssignmentState::Saving
-                && s.jobs[k.0].spec.priority > job.spec.priority
+                && shard.jobs[k.job].spec.priority > job.spec.priority
         })
         .collect();
     // The least important first, then what has lost the least.
     preemptible_tasks.sort_by(|a, b| {
-        let (ja, jb) = (&s.jobs[a.0.0], &s.jobs[b.0.0]);
+        let (ja, jb) = (&shard.jobs[a.0.job], &shard.jobs[b.0.job]);
         jb.spec.priority.cmp(&ja.spec.priority).then(b.1.assigned_at.total_cmp(&a.1.assigned_at))
     });
     if surpluses.is_empty() {
@@ -123,7 +138,7 @@
     // What elastic jobs hold beyond their smallest size is the first to go.
     let mut left = surpluses.clone();
     let mut beyond = |k: &TaskKey| {
-        let n = left.get_mut(&k.0).filter(|n| **n > 0);
+        let n = left.get_mut(&k.job).filter(|n| **n > 0);
         n.map(|n| *n -= 1).is_some()
     };
     let (first, then): (Vec<_>, Vec<_>) =
@@ -133,9 +148,9 @@
 
 /// Where a service's image is, only services are. One replica that can go on at
 /// once elsewhere leaves its place; true if one does, or is about to.
-fn migrate_replica(s: &mut Shard, waiting: JobIndex, now: f64) -> bool {
-    let heartbeat_timeout_s = s.recent_heartbeat_s();
-    let job = &s.jobs[waiting];
+fn migrate_replica(shard: &mut Shard, waiting: JobIndex, now: f64) -> bool {
+    let heartbeat_timeout_s = shard.recent_heartbeat_s();
+    let job = &shard.jobs[waiting];
     let Some(image) = job.image else { return false };
     let mut choice = None;
     let mut tried = 0;
@@ -143,26 +158,26 @@
         !m.spot
             && m.has_image(image)
             && m.is_usable(now, heartbeat_timeout_s)
-            && may_run_beside(s, job, m, job.assigned, job.assigned_in_zone(m.zone))
+            && may_run_beside(shard, job, m, job.assigned, job.assigned_in_zone(m.zone))
     };
-    for (i, m) in s.machines.iter().filter(|(_, m)| serves(m)) {
+    for (i, m) in shard.machines.iter().filter(|(_, m)| serves(m)) {
         if m.assignments.iter().any(|(k, h)| m.is_stopping(k, h)) {
             return true;
         }
         for (k, h) in &m.assignments {
-            let other = &s.jobs[k.0];
+            let other = &shard.jobs[k.job];
             let enough =
                 other.spec.cpus + EPSILON >= job.spec.cpus && other.spec.memory_gb + EPSILON >= job.spec.memory_gb;
             if !other.is_service()
                 || !enough
-                || k.0 == waiting
+                || k.job == waiting
                 || h.state != AssignmentState::Running
                 || !other.is_open()
             {
                 continue;
             }
             tried += 1;
-            if has_alternative_machine(s, other, i, now) {
+            if has_alternative_machine(shard, other, i, now) {
                 choice = Some((i, *k));
             }
             if choice.is_some() || tried >= MAX_MIGRATIONS_TRIED {
@@ -174,8 +189,8 @@
         }
     }
     let Some((m, k)) = choice else { return false };
-    log::debug!("{}/{} moves for {}", s.jobs[k.0].id, k.1, s.jobs[waiting].id);
-    s.jobs[k.0].avoided_machine = Some((m, now + 5.0));
-    s.stop_gently(m, k);
+    log::debug!("{}/{} moves for {}", shard.jobs[k.job].id, k.task, shard.jobs[waiting].id);
+    shard.jobs[k.job].avoided_machine = Some((m, now + 5.0));
+    shard.stop_gently(m, k);
     true
 }
--- a/crates/scheduler/src/shard/placement/unplaceable.rs
+++ b/crates/scheduler/src/shard/placement/unplaceable.rs
@@ -6,7 +6,7 @@
 use crate::jobs::Job;
 use crate::shard::Shard;
 use crate::wire::Priority;
-use lupinspur_cells::load_snapshot::UnusableCapacity;
+use lupinspur_sharding::load_snapshot::UnusableCapacity;
 
 /// Most kinds of waiting work that are compared with the machines that have room.
 const MAX_SHAPES: usize = 64;
@@ -23,12 +23,12 @@
 }
 
 impl Shape {
-    fn of(s: &Shard, job: &Job) -> Shape {
+    fn of(shard: &Shard, job: &Job) -> Shape {
         let r = &job.spec;
         Shape {
             spot: r.spot,
             production: r.priority == Priority::Production,
-            fills_base: may_fill_base(s, job),
+            fills_base: may_fill_base(shard, job),
             cpus: r.cpus,
             memory_gb: r.memory_gb,
             accelerators: r.accelerators,
@@ -53,46 +53,46 @@
 pub(super) struct UnplaceableShapes(Vec<Shape>);
 
 impl UnplaceableShapes {
-    pub(super) fn covers(&self, s: &Shard, job: &Job) -> bool {
-        let shape = Shape::of(s, job);
+    pub(super) fn covers(&self, shard: &Shard, job: &Job) -> bool {
+        let shape = Shape::of(shard, job);
         self.0.iter().any(|h| h.fits_wherever(&shape))
     }
 
     /// This job found nothing. Only if nothing but its size stood in the way.
-    pub(super) fn note(&mut self, s: &Shard, job: &Job) {
+    pub(super) fn note(&mut self, shard: &Shard, job: &Job) {
         let r = &job.spec;
         let plain = r.types.is_none() && r.zone.is_none() && !r.zone_affinity && !r.zone_anti_affinity;
-        if plain && job.failed_on.is_empty() && job.avoided_machine.is_none() && !self.covers(s, job) {
-            self.0.push(Shape::of(s, job));
+        if plain && job.failed_on.is_empty() && job.avoided_machine.is_none() && !self.covers(shard, job) {
+            self.0.push(Shape::of(shard, job));
         }
     }
 }
 
 /// The room beside waiting work that none of it may take, whatever would be placed next.
-pub(in crate::shard) fn unusable_capacity(s: &Shard, now: f64) -> UnusableCapacity {
-    let shadow = (unreconciled_cpus(s), unreconciled_accelerators(s));
+pub(in crate::shard) fn unusable_capacity(shard: &Shard, now: f64) -> UnusableCapacity {
+    let shadow = (unreconciled_cpus(shard), unreconciled_accelerators(shard));
     let (mut shapes, mut waiting) = (UnplaceableShapes::default(), Vec::new());
-    for job in s.jobs.live.iter().map(|&j| &s.jobs[j]) {
+    for job in shard.jobs.live.iter().map(|&j| &shard.jobs[j]) {
         let held_up = job.unreconciled_machines > 0
             || job.moving_away
             || now < job.not_before
             || job.unfinished() <= job.assigned;
-        if !job.is_open() || held_up || shapes.covers(s, job) || !within_limit(s, job, shadow) {
+        if !job.is_open() || held_up || shapes.covers(shard, job) || !within_limit(shard, job, shadow) {
             continue;
         }
         if waiting.len() == MAX_SHAPES {
             return UnusableCapacity::default();
         }
-        shapes.note(s, job);
+        shapes.note(shard, job);
         waiting.push(job);
     }
     let mut most = UnusableCapacity::default();
-    for (i, m) in s.machines.iter().filter(|(_, m)| m.is_usable(now, s.recent_heartbeat_s())) {
-        if waiting.iter().any(|job| fits(s, job, m) && leaves_room(s, job, m) && !avoids(s, job, i, now)) {
+    for (i, m) in shard.machines.iter().filter(|(_, m)| m.is_usable(now, shard.recent_heartbeat_s())) {
+        if waiting.iter().any(|job| fits(shard, job, m) && leaves_room(shard, job, m) && !avoids(shard, job, i, now)) {
             continue;
         }
-        let free = s.types.get(m.machine_type).cpus - m.cpus_used;
-        let for_services = if m.in_on_demand_base { SERVICE_ROOM * s.service_cpus } else { 0.0 };
+        let free = shard.types.get(m.type_index).cpus - m.cpus_used;
+        let for_services = if m.in_on_demand_base { SERVICE_ROOM * shard.service_cpus } else { 0.0 };
         most.any_kind = most.any_kind.max(free - for_services);
         if !m.spot {
             most.on_demand = most.on_demand.max(free);
--- a/crates/scheduler/src/shard/quotas/mod.rs
+++ b/crates/scheduler/src/shard/quotas/mod.rs
@@ -1,6 +1,6 @@
 //! Quotas that nest: what this shard tells the ledger, and what it asks it.
 //!
-//! The tree that holds is the one that the state service has. An owner whose file has a
+//! The tree that holds is the one that the state service has. A leader whose file has a
 //! higher generation stores that first, in as many values as it takes, and follows it from
 //! the write on that switches the head. One whose file is older follows what is stored.
 
@@ -10,7 +10,7 @@
 
 use super::{PendingWrite, Shard, WritePurpose};
 use crate::fleet::AssignmentState;
-use crate::intern::{Index, JobIndex, MachineIndex, TeamIndex};
+use crate::intern::{DenseIndex, JobIndex, MachineIndex, TeamIndex};
 use crate::jobs::{Job, TaskKey};
 use crate::params::Team;
 use lupinspur_quota as quota;
@@ -74,8 +74,8 @@
     Amount::new(job.spec.cpus, job.spec.accelerators)
 }
 
-fn of_team(t: TeamIndex) -> quota::TeamIndex {
-    quota::TeamIndex(t.ix() as u32)
+fn of_team(team: TeamIndex) -> quota::TeamIndex {
+    quota::TeamIndex(team.as_usize() as u32)
 }
 
 impl Quotas {
@@ -143,9 +143,9 @@
     }
 
     /// One task's use begins (1) or ends (-1) at every level above it.
-    pub(in crate::shard) fn count_quota(&mut self, j: JobIndex, sign: f64) {
+    pub(in crate::shard) fn count_quota(&mut self, job_index: JobIndex, sign: f64) {
         let Some(q) = &mut self.quotas else { return };
-        let job = &self.jobs[j];
+        let job = &self.jobs[job_index];
         q.ledger.count(of_team(job.team), need_of(job).times(sign));
     }
 
@@ -167,11 +167,11 @@
     }
 
     /// What a team is guaranteed: as the settings say, or what the levels above leave of it.
-    pub(crate) fn guaranteed(&self, t: TeamIndex) -> (f64, f64) {
+    pub(crate) fn guaranteed(&self, team: TeamIndex) -> (f64, f64) {
         match &self.quotas {
-            None => (self.teams[t.ix()].spec.cpus, self.teams[t.ix()].spec.accelerators),
+            None => (self.teams[team.as_usize()].spec.cpus, self.teams[team.as_usize()].spec.accelerators),
             Some(q) => {
-                let own = q.ledger.tree().path(of_team(t)).first();
+                let own = q.ledger.tree().path(of_team(team)).first();
                 let g = own.map_or(Amount::NONE, |l| q.ledger.tree().at(*l).guarantee);
                 (g.cpus, g.gpus)
             }
@@ -238,7 +238,7 @@
         }
         let (held, leaving) = self.held_and_leaving(|_| true);
         for (m, k) in q.ledger.give_way(&held, &leaving) {
-            log::info!("{}/{} gives way to a lower quota", self.jobs[k.0].id, k.1);
+            log::info!("{}/{} gives way to a lower quota", self.jobs[k.job].id, k.task);
             self.stop_gently(m, k);
         }
     }
@@ -248,7 +248,7 @@
         let (mut held, mut leaving) = (Vec::new(), Vec::new());
         for (m, machine) in self.machines.iter() {
             for (k, h) in &machine.assignments {
-                let job = &self.jobs[k.0];
+                let job = &self.jobs[k.job];
                 if !of(job.team) {
                     continue;
                 }
@@ -313,7 +313,7 @@
             out.extend(gives.into_iter().map(|t| (t, j)));
         }
         for ((m, k), j) in out {
-            log::info!("{}/{} gives way to {} within a limit", self.jobs[k.0].id, k.1, self.jobs[j].id);
+            log::info!("{}/{} gives way to {} within a limit", self.jobs[k.job].id, k.task, self.jobs[j].id);
             self.stop_gently(m, k);
         }
     }
--- a/crates/scheduler/src/shard/rebalancing.rs
+++ b/crates/scheduler/src/shard/rebalancing.rs
@@ -1,19 +1,19 @@
-//! What a shard is to other cells: its part of the teams' limits, its picture, and jobs that come
+//! What a shard is to other shards: its part of the teams' limits, its picture, and jobs that come
 //! from them or go to them.
 
 use super::{Shard, placement};
 use crate::fleet::Phase as MachinePhase;
-use crate::intern::{Index, JobIndex, TeamIndex};
-use crate::jobs::{Job, JobRecord, Phase, job_key};
+use crate::intern::{DenseIndex, JobIndex, TeamIndex};
+use crate::jobs::{Job, JobRecord, Phase, TaskKey, job_key};
 use crate::params::Team;
-use lupinspur_cells::ShardId;
-use lupinspur_cells::escrow::{Amount, Ledger, QuotaUse};
-use lupinspur_cells::load_snapshot::LoadSnapshot;
-use lupinspur_cells::spill::SpillCandidate;
+use lupinspur_sharding::ShardId;
+use lupinspur_sharding::escrow::{Amount, Ledger, QuotaUse};
+use lupinspur_sharding::load_snapshot::LoadSnapshot;
+use lupinspur_sharding::spill::SpillCandidate;
 
 /// Where a limit is parted, a part of nothing is not "no limit".
 const MIN_SHARE: f64 = 1e-6;
-/// Jobs that are offered to other cells in one look.
+/// Jobs that are offered to other shards in one look.
 const MAX_OFFERED: usize = 64;
 
 /// The teams' limits as they are parted: those that have one.
@@ -23,11 +23,11 @@
 }
 
 impl Shard {
-    /// This cell's part of each team's limit and guarantee from now on. Without a ledger the
+    /// This shard's part of each team's limit and guarantee from now on. Without a ledger the
     /// whole of it.
-    pub fn set_limit_shares(&mut self, whole: &[Team], shares: &Ledger, cell: ShardId) {
+    pub fn set_limit_shares(&mut self, whole: &[Team], shares: &Ledger, shard_id: ShardId) {
         for (t, all) in self.teams.iter_mut().zip(whole) {
-            let Some(share) = shares.share(&all.name, cell) else { continue };
+            let Some(share) = shares.share(&all.name, shard_id) else { continue };
             let part = |share: f64, limit: f64| if limit > 0.0 { share.max(MIN_SHARE) } else { 0.0 };
             t.spec.cpus_max = part(share.cpus, all.cpus_max);
             t.spec.accelerators_max = part(share.accelerators, all.accelerators_max);
@@ -42,7 +42,7 @@
     /// of which nobody knows what is on it.
     pub fn limit_usage(&self) -> Vec<(String, Amount)> {
         let unseen = self.machines.iter().filter(|(_, m)| !m.is_reconciled()).fold(Amount::default(), |s, (_, m)| {
-            let t = self.types.get(m.machine_type);
+            let t = self.types.get(m.type_index);
             s.plus(Amount::new(t.cpus, t.accelerators))
         });
         let of =
@@ -50,12 +50,12 @@
         self.teams.iter().map(of).collect()
     }
 
-    /// What the other cells are told.
-    pub fn load_snapshot(&self, cell: ShardId, now: f64) -> LoadSnapshot {
+    /// What the other shards are told.
+    pub fn load_snapshot(&self, shard_id: ShardId, now: f64) -> LoadSnapshot {
         let mut p =
-            LoadSnapshot { shard: cell, token: self.token, at_ms: self.day_now_ms(now), ..LoadSnapshot::default() };
+            LoadSnapshot { shard: shard_id, token: self.token, at_ms: self.day_now_ms(now), ..LoadSnapshot::default() };
         for (_, m) in self.machines.iter() {
-            let cpus = self.types.get(m.machine_type).cpus;
+            let cpus = self.types.get(m.type_index).cpus;
             match m.phase {
                 MachinePhase::Booting => p.booting_cpus += cpus,
                 // One that is to be returned is used again where demand rises.
@@ -80,7 +80,7 @@
                 p.longest_wait_s = p.longest_wait_s.max(now_ms.saturating_sub(job.ready_at_ms) as f64 / 1000.0);
             }
             let all = f64::from(job.unfinished());
-            let w = &mut wanted[job.team.ix()];
+            let w = &mut wanted[job.team.as_usize()];
             *w = w.plus(Amount::new(all * job.spec.cpus, all * job.spec.accelerators));
         }
         p.teams = self
@@ -92,7 +92,7 @@
         p
     }
 
-    /// Jobs that wait and were never started anywhere, so that another cell may have them whole:
+    /// Jobs that wait and were never started anywhere, so that another shard may have them whole:
     /// none that others wait for or that waited for others.
     pub fn spillable_jobs(&self, now: f64) -> Vec<SpillCandidate<JobIndex>> {
         let now_ms = self.day_now_ms(now);
@@ -120,24 +120,26 @@
     }
 
     /// Does some machine's stored record, or one that is being written, name this job?
-    fn is_named_by_any_machine(&self, j: JobIndex) -> bool {
+    fn is_named_by_any_machine(&self, job_index: JobIndex) -> bool {
         self.machines.iter().any(|(_, m)| {
-            m.stored_jobs.contains(&j)
-                || m.unassigned.range((j, 0)..=(j, u32::MAX)).next().is_some()
-                || m.unacknowledged_starts.range((j, 0)..=(j, u32::MAX)).next().is_some()
+            m.stored_jobs.contains(&job_index)
+                || m.unassigned.range(TaskKey::all_of(job_index)).next().is_some()
+                || m.unacknowledged_starts.range(TaskKey::all_of(job_index)).next().is_some()
         })
     }
 
     /// Does some machine list an attempt of this job that is not held here?
-    fn is_listed_by_any_machine(&self, j: JobIndex) -> bool {
-        self.machines.iter().any(|(_, m)| m.unassigned.range((j, 0)..=(j, u32::MAX)).any(|(_, l)| l.1.is_orphaned()))
+    fn is_listed_by_any_machine(&self, job_index: JobIndex) -> bool {
+        self.machines
+            .iter()
+            .any(|(_, m)| m.unassigned.range(TaskKey::all_of(job_index)).any(|(_, l)| l.1.is_orphaned()))
     }
 
-    /// The record with which a job goes to another cell, the version that it replaces, and what it
+    /// The record with which a job goes to another shard, the version that it replaces, and what it
     /// takes of its team's limit. From here on nothing of it is started here.
-    pub fn begin_move(&mut self, j: JobIndex, to: ShardId) -> Option<(JobRecord, u64, TeamIndex, Amount)> {
-        let version = *self.versions.get(&job_key(&self.jobs[j].id))?;
-        let job = &mut self.jobs[j];
+    pub fn begin_move(&mut self, job_index: JobIndex, to: ShardId) -> Option<(JobRecord, u64, TeamIndex, Amount)> {
+        let version = *self.versions.get(&job_key(&self.jobs[job_index].id))?;
+        let job = &mut self.jobs[job_index];
         job.moving_away = true;
         let mut r = JobRecord::accepted(job.spec.clone(), job.accepted_at_ms);
         (r.shard, r.moves) = (Some(to.0), job.moves + 1);
@@ -153,7 +155,7 @@
         }
     }
 
-    /// It is stored that this job is another cell's.
+    /// It is stored that this job is another shard's.
     pub fn on_job_moved(&mut self, id: &str, now: f64) {
         let Some(j) = self.jobs.find(id) else { return };
         let job = &self.jobs[j];
@@ -172,7 +174,7 @@
     }
 
     /// The team of this index, for those that give of its limit.
-    pub fn team_name(&self, t: TeamIndex) -> &str {
-        &self.teams[t.ix()].spec.name
+    pub fn team_name(&self, team: TeamIndex) -> &str {
+        &self.teams[team.as_usize()].spec.name
     }
 }
--- a/crates/scheduler/src/shard/responsiveness.rs
+++ b/crates/scheduler/src/shard/responsiveness.rs
@@ -1,4 +1,4 @@
-//! What is heard of the machines, and whether it is a machine or this owner that is cut off where
+//! What is heard of the machines, and whether it is a machine or this leader that is cut off where
 //! nothing is heard.
 
 use super::Shard;
@@ -14,9 +14,9 @@
 /// So many unresponsive machines, and one in so many of a zone, make the rest of it suspect.
 const MIN_UNRESPONSIVE: usize = 3;
 const UNRESPONSIVE_SHARE: usize = 20;
-/// So many unresponsive machines of all, and it is rather this owner that is cut off.
+/// So many unresponsive machines of all, and it is rather this leader that is cut off.
 const PARTITION_UNRESPONSIVE_SHARE: (usize, usize) = (4, 5);
-/// So many machines of other zones can tell that a zone is silent, and not this owner.
+/// So many machines of other zones can tell that a zone is silent, and not this leader.
 const MIN_WITNESSES: usize = 4;
 
 /// How many machines of some sort are up and were heard.
@@ -50,14 +50,14 @@
         }
     }
 
-    /// A machine that is unresponsive is given up sooner than others would be missed by an owner
+    /// A machine that is unresponsive is given up sooner than others would be missed by a leader
     /// that is cut off itself: there it counts who was heard just now. Reports come in
     /// turn, so that half of all are heard in half of their interval.
     fn many_heard_recently(&self) -> bool {
         self.up >= MIN_WITNESSES && self.heard_recently * 5 >= self.up * 2
     }
 
-    /// Where what we say reaches few of them, it is rather this owner whose words are lost.
+    /// Where what we say reaches few of them, it is rather this leader whose words are lost.
     fn heeded(&self) -> bool {
         self.up >= MIN_WITNESSES && self.unreached * 2 <= self.up
     }
@@ -83,7 +83,7 @@
         self.whole.less(&here)
     }
 
-    /// Only while most others are heard is a silent machine to blame. An owner that was
+    /// Only while most others are heard is a silent machine to blame. A leader that was
     /// cut off from the workers once deleted the third of them that it missed first. The
     /// machines of other zones are enough: when a zone was cut off and spot machines were
     /// taken at the same time, too few were heard in all, and everything in that zone
@@ -104,7 +104,7 @@
         self.whole.heeded() || self.elsewhere(zone).heeded()
     }
 
-    /// Is it rather this owner that is cut off?
+    /// Is it rather this leader that is cut off?
     pub(super) fn suspected_partition(&self) -> bool {
         let whole = &self.whole;
         whole.up > 0 && whole.unresponsive * PARTITION_UNRESPONSIVE_SHARE.1 >= whole.up * PARTITION_UNRESPONSIVE_SHARE.0
@@ -123,16 +123,16 @@
         FleetResponsiveness { whole, by_zone, punctual: now - self.late_tick_at > LATE_TICK_MEMORY_S }
     }
 
-    fn responsiveness_of(&self, m: &Machine, now: f64) -> Responsiveness {
+    fn responsiveness_of(&self, machine: &Machine, now: f64) -> Responsiveness {
         let recent_heartbeat_s = self.report_s / 2.0 + RECENT_MARGIN_S;
-        // One that is recorded and was never heard by this owner tells nothing.
-        let heard_within = |s: f64| usize::from(m.incarnation > 0 && self.heartbeat_age(m, now) < s);
+        // One that is recorded and was never heard by this leader tells nothing.
+        let heard_within = |s: f64| usize::from(machine.incarnation > 0 && self.heartbeat_age(machine, now) < s);
         Responsiveness {
             up: 1,
             heard_lately: heard_within(self.report_s * HEARTBEAT_JITTER + 1.0),
             heard_recently: heard_within(recent_heartbeat_s),
-            unresponsive: usize::from(m.suspected && m.unanswered_pushes > 0),
-            unreached: usize::from(m.incarnation > 0 && m.command_path_in_doubt()),
+            unresponsive: usize::from(machine.suspected && machine.unanswered_pushes > 0),
+            unreached: usize::from(machine.incarnation > 0 && machine.command_path_in_doubt()),
         }
     }
 }
--- a/crates/scheduler/src/shard/service_levels/mod.rs
+++ b/crates/scheduler/src/shard/service_levels/mod.rs
@@ -1,6 +1,6 @@
 //! The accounts of service: what this shard tells them, and what it asks them.
 //!
-//! Times in the accounts are seconds of the day, by the steady clock since this owner began.
+//! Times in the accounts are seconds of the day, by the steady clock since this leader began.
 
 mod arrivals;
 #[cfg(test)]
@@ -9,13 +9,13 @@
 use self::arrivals::Arrivals;
 use super::{PendingWrite, Shard, WritePurpose};
 use crate::fleet::Phase as MachinePhase;
-use crate::intern::{Index, JobIndex, TeamIndex};
+use crate::intern::{DenseIndex, JobIndex, TeamIndex};
 use crate::jobs::{Job, Phase, TaskSlot};
-use lupinspur_accounts::inheritance::{InheritedTotals, Part, newest_complete_round};
-use lupinspur_accounts::tracker::IndicatorIndex;
-use lupinspur_accounts::tracker::{End, Entry};
-use lupinspur_accounts::underserved::{Forecast, Underserved, forecast};
-use lupinspur_accounts::{Alert, ServiceLevelReport, Subject};
+use lupinspur_service_levels::inheritance::{InheritedTotals, Part, newest_complete_round};
+use lupinspur_service_levels::tracker::IndicatorIndex;
+use lupinspur_service_levels::tracker::{End, Entry};
+use lupinspur_service_levels::underserved::{Forecast, Underserved, forecast};
+use lupinspur_service_levels::{Alert, ServiceLevelReport, Subject};
 use serde::Deserialize;
 use std::collections::{HashMap, VecDeque};
 
@@ -34,7 +34,7 @@
 /// of it.
 const FORECAST_AFTER_PART: u64 = 4;
 
-/// Where the accounts stand for the next owner: two places, in turn.
+/// Where the accounts stand for the next leader: two places, in turn.
 pub const ACCOUNTS_PREFIX: &str = "ckpt/a/";
 /// They are handed over this often out of writes that can be spared, and in any case so often.
 const REPORT_INTERVAL_S: f64 = 5.0;
@@ -54,7 +54,7 @@
     due: Vec<JobIndex>,
     pairs_examined: f64,
     arrivals: Arrivals,
-    /// The first owner of these accounts.
+    /// The first leader of these accounts.
     chain: u64,
     round: u64,
     /// The place of the last complete round that is stored.
@@ -82,7 +82,7 @@
     Over,
 }
 
-/// What an earlier owner handed over, and its place, among the stored values of the checkpoint.
+/// What an earlier leader handed over, and its place, among the stored values of the checkpoint.
 pub fn inherited_totals<'a>(
     items: impl Iterator<Item = (&'a str, &'a serde_json::Value)>,
 ) -> Option<(InheritedTotals, u8)> {
@@ -103,7 +103,7 @@
 }
 
 impl Shard {
-    /// Goes on with the accounts of the owner before, if there are some.
+    /// Goes on with the accounts of the leader before, if there are some.
     pub fn inherit_service_levels(&mut self, handed: Option<(InheritedTotals, u8)>, now: f64) {
         let t = self.day_now_s(now);
         let Some((c, place)) = handed else { return };
@@ -112,7 +112,7 @@
         self.service_level_tracker.inherit(&c, 2.0 * self.time_bound_s + HEARTBEAT_DELAY_S, t);
     }
 
-    /// The next value of the accounts as the next owner finds them, if it is time. One that is
+    /// The next value of the accounts as the next leader finds them, if it is time. One that is
     /// not stored spoils its round; the one before stays whole.
     pub(in crate::shard) fn service_levels_write(&mut self, spare: bool, now: f64) -> Option<PendingWrite> {
         let waited = now - self.service_levels.handed_at;
@@ -150,21 +150,21 @@
     }
 
     /// A job's time begins, or it is over by its record: the next tick enters it.
-    pub(in crate::shard) fn track_later(&mut self, j: JobIndex) {
-        if self.jobs[j].phase != Phase::Open || self.jobs.live.contains(&j) {
-            self.service_levels.due.push(j);
+    pub(in crate::shard) fn track_later(&mut self, job_index: JobIndex) {
+        if self.jobs[job_index].phase != Phase::Open || self.jobs.live.contains(&job_index) {
+            self.service_levels.due.push(job_index);
         }
     }
 
-    /// One that goes to another cell before it was entered: the next look would find it gone, and
+    /// One that goes to another shard before it was entered: the next look would find it gone, and
     /// once ended the process.
-    pub(in crate::shard) fn forget_untracked(&mut self, j: JobIndex) {
-        self.service_levels.due.retain(|d| *d != j);
+    pub(in crate::shard) fn forget_untracked(&mut self, job_index: JobIndex) {
+        self.service_levels.due.retain(|d| *d != job_index);
     }
 
     /// How much later than it happens a start is seen here, or seems to be: workers report at
     /// most every half second, and the time of day of whoever accepted a job is not ours. Of a
-    /// job that this owner saw come, the moment when it came is known.
+    /// job that this leader saw come, the moment when it came is known.
     fn observation_delay_s(&self, job: &Job, now: f64) -> f64 {
         let came = self.day_now_s(job.known_since) - job.ready_at_ms as f64 / 1000.0;
         let clocks_differ =
@@ -174,14 +174,14 @@
 
     /// Tasks of a job that its team's limit lets run at one time.
     pub(in crate::shard) fn most_at_once(&self, job: &Job) -> u32 {
-        let limit = self.teams[job.team.ix()].spec.cpus_max;
+        let limit = self.teams[job.team.as_usize()].spec.cpus_max;
         if limit > 0.0 && job.spec.cpus > 0.0 { (limit / job.spec.cpus) as u32 } else { u32::MAX }
     }
 
-    fn track_job(&mut self, j: JobIndex, now: f64) {
+    fn track_job(&mut self, job_index: JobIndex, now: f64) {
         let t = self.day_now_s(now);
-        let may_have_waited_s = self.service_levels.arrivals.take(self.jobs[j].accepted_at_ms as f64 / 1000.0);
-        let job = &self.jobs[j];
+        let may_have_waited_s = self.service_levels.arrivals.take(self.jobs[job_index].accepted_at_ms as f64 / 1000.0);
+        let job = &self.jobs[job_index];
         let spec = &job.spec;
         let (from, submitted) = (job.ready_at_ms as f64 / 1000.0, job.accepted_at_ms as f64 / 1000.0);
         let began = self.day_now_s(self.began_at);
@@ -218,7 +218,7 @@
                 let ticket = self.service_level_tracker.track(&entry, t);
                 self.service_level_tracker.on_progress(ticket, tasks, t);
                 let accounts = self.service_level_tracker.of(ticket);
-                let job = &mut self.jobs[j];
+                let job = &mut self.jobs[job_index];
                 (job.tracked, job.indicators) = (Some(ticket), accounts);
                 (job.serves_until, job.useful_until) = (until, useful);
                 return;
@@ -229,17 +229,17 @@
     }
 
     /// The number of its tasks that run, or are done, has changed.
-    pub(in crate::shard) fn track_progress(&mut self, j: JobIndex, now: f64) {
+    pub(in crate::shard) fn track_progress(&mut self, job_index: JobIndex, now: f64) {
         let t = self.day_now_s(now);
-        let job = &self.jobs[j];
+        let job = &self.jobs[job_index];
         if let Some(ticket) = job.tracked {
             self.service_level_tracker.on_progress(ticket, job.progress(), t);
         }
     }
 
-    pub(in crate::shard) fn track_end(&mut self, j: JobIndex, phase: Phase, now: f64) {
+    pub(in crate::shard) fn track_end(&mut self, job_index: JobIndex, phase: Phase, now: f64) {
         let t = self.day_now_s(now);
-        let job = &mut self.jobs[j];
+        let job = &mut self.jobs[job_index];
         let ended = if job.ended_ms > 0 { job.ended_ms as f64 / 1000.0 } else { t };
         if let Some(ticket) = job.tracked.take() {
             self.service_level_tracker.on_ended(
@@ -310,7 +310,7 @@
         for &j in &self.jobs.live {
             let job = &self.jobs[j];
             if job.is_open() {
-                asked[job.team.ix()] += f64::from(job.wanted_tasks()) * job.spec.cpus;
+                asked[job.team.as_usize()] += f64::from(job.wanted_tasks()) * job.spec.cpus;
             }
         }
         for (i, asked) in asked.into_iter().enumerate() {
@@ -373,7 +373,7 @@
             .machines
             .iter()
             .filter(|(_, m)| m.phase == MachinePhase::Up)
-            .map(|(_, m)| self.types.get(m.machine_type).cpus)
+            .map(|(_, m)| self.types.get(m.type_index).cpus)
             .sum();
         let waits = self.jobs.live.iter().map(|&j| &self.jobs[j]).filter(|j| j.is_open() && !j.is_service());
         let waits: f64 = waits.map(|j| f64::from(j.wanted_tasks().saturating_sub(j.assigned)) * j.spec.cpus).sum();
--- a/crates/scheduler/src/shard/sizing.rs
+++ b/crates/scheduler/src/shard/sizing.rs
@@ -4,7 +4,7 @@
 use super::{EPSILON, FleetRecord, PoolRecord, Shard, type_fits};
 use crate::fleet::mixture::mixture;
 use crate::fleet::{Machine, Phase as MachinePhase};
-use crate::intern::{Index, MachineIndex, TypeIndex, ZoneIndex};
+use crate::intern::{DenseIndex, MachineIndex, TypeIndex, ZoneIndex};
 use crate::wire::MachineType;
 use std::collections::HashMap;
 
@@ -17,30 +17,32 @@
 const SPARE_SHARE: f64 = 0.08;
 
 impl Shard {
-    pub(super) fn share(&self, r: &crate::wire::JobRequest, ty: TypeIndex) -> f64 {
-        let t = self.types.get(ty);
+    pub(super) fn share(&self, request: &crate::wire::JobRequest, type_index: TypeIndex) -> f64 {
+        let t = self.types.get(type_index);
         let part = |need: f64, has: f64| if need > 0.0 { need / has.max(EPSILON) } else { 0.0 };
-        part(r.cpus, t.cpus).max(part(r.memory_gb, t.memory_gb)).max(part(r.accelerators, t.accelerators))
+        part(request.cpus, t.cpus)
+            .max(part(request.memory_gb, t.memory_gb))
+            .max(part(request.accelerators, t.accelerators))
     }
 
     /// The cheapest type on which a job's tasks fit.
-    fn cheapest_pool(&self, r: &crate::wire::JobRequest) -> Option<TypeIndex> {
-        self.cheapest_type(r, |_| true)
+    fn cheapest_pool(&self, request: &crate::wire::JobRequest) -> Option<TypeIndex> {
+        self.cheapest_type(request, |_| true)
     }
 
     /// The cheapest type, of those that are `offered`, on which a job's tasks fit.
     pub(super) fn cheapest_type(
         &self,
-        r: &crate::wire::JobRequest,
+        request: &crate::wire::JobRequest,
         offered: impl Fn(&MachineType) -> bool,
     ) -> Option<TypeIndex> {
         let cost = |ty: TypeIndex| {
             let t = self.types.get(ty);
-            self.share(r, ty) * if r.spot && t.spot_price > 0.0 { t.spot_price } else { t.price }
+            self.share(request, ty) * if request.spot && t.spot_price > 0.0 { t.spot_price } else { t.price }
         };
         let suits = |ty: &TypeIndex| {
             let t = self.types.get(*ty);
-            type_fits(r, t) && offered(t)
+            type_fits(request, t) && offered(t)
         };
         let types = (0..self.types.list.len()).map(TypeIndex::new).filter(suits);
         types.min_by(|&a, &b| cost(a).total_cmp(&cost(b)))
@@ -61,7 +63,7 @@
             // Beyond its smallest size a job grows into what is there, and nothing is rented for it.
             let smallest = self.elastic_sizes(j).map_or(u32::MAX, |s| s.smallest);
             let mut n = f64::from(job.wanted_tasks().min(smallest));
-            let left = &mut room[job.team.ix()];
+            let left = &mut room[job.team.as_usize()];
             if job.spec.cpus > 0.0 {
                 n = n.min((*left / job.spec.cpus).max(0.0));
                 *left -= n * job.spec.cpus;
@@ -93,7 +95,7 @@
             let count = |spot: bool, ready: bool| {
                 self.machines
                     .iter()
-                    .filter(|(_, m)| m.machine_type == ty && m.spot == spot && counts_as_fleet(m, now))
+                    .filter(|(_, m)| m.type_index == ty && m.spot == spot && counts_as_fleet(m, now))
                     .filter(|(_, m)| m.phase == MachinePhase::Up && m.can_receive_commands(now) || !ready)
                     .count()
             };
@@ -122,11 +124,13 @@
     /// The base are the on-demand machines with the most services: they have the
     /// images, and so the next service starts there at once. It takes from each zone
     /// in turn: replicas that must be spread could never leave the others otherwise.
-    fn choose_on_demand_base(&mut self, ty: TypeIndex, count: usize, now: f64) {
+    fn choose_on_demand_base(&mut self, type_index: TypeIndex, count: usize, now: f64) {
         let mut up: Vec<(ZoneIndex, usize, MachineIndex)> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.machine_type == ty && !m.spot && counts_as_fleet(m, now) && m.phase == MachinePhase::Up)
+            .filter(|(_, m)| {
+                m.type_index == type_index && !m.spot && counts_as_fleet(m, now) && m.phase == MachinePhase::Up
+            })
             .map(|(i, m)| (m.zone, m.service_tasks, i))
             .collect();
         up.sort_by_key(|(zone, services, i)| (*zone, std::cmp::Reverse(*services), *i));
@@ -156,7 +160,7 @@
     ) {
         if wanted > there + pending {
             let mut short = wanted - there - pending;
-            let cordoned = self.cordoned(|m| m.machine_type == ty && m.spot == spot);
+            let cordoned = self.cordoned(|m| m.type_index == ty && m.spot == spot);
             short -= self.uncordon(cordoned.into_iter().rev().take(short));
             if short > 0 {
                 self.rent(ty, spot, short, now);
@@ -170,7 +174,7 @@
                 .machines
                 .iter()
                 .filter(|(_, m)| {
-                    m.machine_type == ty
+                    m.type_index == ty
                         && m.spot == spot
                         && counts_as_fleet(m, now)
                         && !m.in_on_demand_base
@@ -226,15 +230,15 @@
     }
 }
 
-pub(super) fn is_present(m: &Machine) -> bool {
-    matches!(m.phase, MachinePhase::Up | MachinePhase::Booting)
+pub(super) fn is_present(machine: &Machine) -> bool {
+    matches!(machine.phase, MachinePhase::Up | MachinePhase::Booting)
 }
 
 /// Does this machine count as part of the fleet?
-pub(super) fn counts_as_fleet(m: &Machine, now: f64) -> bool {
-    is_present(m)
-        && !m.heard_only_before_failover
-        && !m.cordoned
-        && m.reclaimed_at.is_none()
-        && now >= m.quarantined_until
+pub(super) fn counts_as_fleet(machine: &Machine, now: f64) -> bool {
+    is_present(machine)
+        && !machine.heard_only_before_failover
+        && !machine.cordoned
+        && machine.reclaimed_at.is_none()
+        && now >= machine.quarantined_until
 }
--- a/crates/scheduler/src/shard/summary.rs
+++ b/crates/scheduler/src/shard/summary.rs
@@ -4,7 +4,7 @@
 use crate::fleet::{Machine, Phase as MachinePhase};
 use std::collections::BTreeMap;
 
-/// What this owner has done so far; operators see the differences in the log.
+/// What this leader has done so far; operators see the differences in the log.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Counts {
     pub reports: u64,
@@ -19,7 +19,7 @@
     pub withheld: u64,
     /// Starts that were chosen against a rule, and not made: each is a fault of this program.
     pub forbidden: u64,
-    /// Attempts of earlier owners that go on under this one, and that were told to stop.
+    /// Attempts of earlier leaders that go on under this one, and that were told to stop.
     pub adopted: u64,
     pub orphaned: u64,
 }
@@ -44,7 +44,7 @@
         let unresolved = self.machines.iter().filter(|(_, m)| !m.is_reconciled()).count();
         let mut held = BTreeMap::new();
         for (k, h) in self.machines.iter().flat_map(|(_, m)| &m.assignments) {
-            *held.entry(h.state).or_insert(0.0) += self.jobs[k.0].spec.cpus;
+            *held.entry(h.state).or_insert(0.0) += self.jobs[k.job].spec.cpus;
         }
         let mix = self.pools.values().next().map(|p| p.mix).unwrap_or_default();
         format!(
--- a/crates/scheduler/src/shard/task_failures.rs
+++ b/crates/scheduler/src/shard/task_failures.rs
@@ -38,25 +38,25 @@
 }
 
 impl Shard {
-    pub(super) fn on_task_failed(&mut self, m: MachineIndex, k: TaskKey, now: f64) {
+    pub(super) fn on_task_failed(&mut self, machine_index: MachineIndex, key: TaskKey, now: f64) {
         // What fails on a machine that is faulty by others' failures says nothing of the job.
-        if self.machines[m].is_quarantined() && self.is_failing(m, Some(k.0)) {
+        if self.machines[machine_index].is_quarantined() && self.is_failing(machine_index, Some(key.job)) {
             return;
         }
-        let job = &mut self.jobs[k.0];
+        let job = &mut self.jobs[key.job];
         job.failed_at = now;
         let before = job.is_failing_everywhere();
-        if !job.failed_on.contains(&m) {
-            job.failed_on.push(m);
+        if !job.failed_on.contains(&machine_index) {
+            job.failed_on.push(machine_index);
         }
         if !job.is_failing_everywhere() {
-            self.on_machine_failure(m, k.0, now);
+            self.on_machine_failure(machine_index, key.job, now);
             return;
         }
         if !before {
-            self.record_job_failure(k.0, now);
+            self.record_job_failure(key.job, now);
         }
-        let job = &mut self.jobs[k.0];
+        let job = &mut self.jobs[key.job];
         let excess = job.failed_on.len().saturating_sub(MAX_REMEMBERED);
         job.failed_on.drain(..excess);
         // Tasks that were started together fail together: that is one try.
@@ -68,12 +68,12 @@
     }
 
     /// The job has shown that it is at fault: the machines that it failed on get their standing back.
-    fn record_job_failure(&mut self, j: JobIndex, now: f64) {
-        log::info!("{} fails on every machine: tried again now and then", self.jobs[j].id);
-        for m in self.jobs[j].failed_on.clone() {
+    fn record_job_failure(&mut self, job_index: JobIndex, now: f64) {
+        log::info!("{} fails on every machine: tried again now and then", self.jobs[job_index].id);
+        for m in self.jobs[job_index].failed_on.clone() {
             // One that is long gone has left the memory.
             let Some(machine) = self.machines.get_mut(m) else { continue };
-            machine.recent_failures.retain(|f| f.0 != j);
+            machine.recent_failures.retain(|f| f.0 != job_index);
             if machine.is_quarantined() && machine.phase == MachinePhase::Up && !self.is_failing(m, None) {
                 log::info!("machine {} was not at fault", self.machines[m].name);
                 self.machines[m].quarantined_until = now;
@@ -81,51 +81,54 @@
             }
         }
         // Users' mistakes are no service that was owed.
-        self.track_end(j, Phase::Cancelled, now);
+        self.track_end(job_index, Phase::Cancelled, now);
         self.placement_due = true;
     }
 
     /// The job has succeeded somewhere, or what it failed on was at fault.
-    pub(super) fn clear_failures(&mut self, j: JobIndex) {
-        let job = &mut self.jobs[j];
+    pub(super) fn clear_failures(&mut self, job_index: JobIndex) {
+        let job = &mut self.jobs[job_index];
         let was = job.is_failing_everywhere();
         job.failed_on.clear();
         if was {
             (job.attempts_since_fault, job.not_before) = (0, 0.0);
-            self.track_later(j);
+            self.track_later(job_index);
             self.placement_due = true;
         }
     }
 
-    fn on_machine_failure(&mut self, m: MachineIndex, j: JobIndex, now: f64) {
-        let machine = &mut self.machines[m];
+    fn on_machine_failure(&mut self, machine_index: MachineIndex, job_index: JobIndex, now: f64) {
+        let machine = &mut self.machines[machine_index];
         machine.recent_failures.retain(|f| now - f.1 < TELLS_FOR_S);
-        machine.recent_failures.push((j, now));
-        if !self.is_failing(m, None) {
+        machine.recent_failures.push((job_index, now));
+        if !self.is_failing(machine_index, None) {
             return;
         }
-        let machine = &mut self.machines[m];
+        let machine = &mut self.machines[machine_index];
         if !machine.is_quarantined() {
             log::warn!("machine {} fails its tasks: set aside", machine.name);
             machine.quarantined_until = f64::INFINITY;
             machine.quarantined_since = now;
-            self.request_record(m);
+            self.request_record(machine_index);
         }
-        let failed_here = |j: &&JobIndex| self.jobs[**j].failed_on.contains(&m) && self.is_failing(m, Some(**j));
+        let failed_here = |job_index: &&JobIndex| {
+            self.jobs[**job_index].failed_on.contains(&machine_index)
+                && self.is_failing(machine_index, Some(**job_index))
+        };
         let cleared: Vec<JobIndex> = self.jobs.live.iter().filter(failed_here).copied().collect();
-        for j in cleared {
-            let job = &mut self.jobs[j];
+        for job_index in cleared {
+            let job = &mut self.jobs[job_index];
             let was = job.is_failing_everywhere();
-            job.failed_on.retain(|f| *f != m);
+            job.failed_on.retain(|f| *f != machine_index);
             if was && !job.is_failing_everywhere() {
-                self.clear_failures(j);
+                self.clear_failures(job_index);
             }
         }
     }
 
     /// Do failures of jobs that are not at fault speak against this machine, of others than this one?
-    fn is_failing(&self, m: MachineIndex, but: Option<JobIndex>) -> bool {
-        let fails = &self.machines[m].recent_failures;
+    fn is_failing(&self, machine_index: MachineIndex, but: Option<JobIndex>) -> bool {
+        let fails = &self.machines[machine_index].recent_failures;
         let speak = |j: JobIndex| Some(j) != but && self.jobs.get(j).is_some_and(|j| !j.is_failing_everywhere());
         let mut jobs: Vec<JobIndex> = fails.iter().map(|f| f.0).filter(|j| speak(*j)).collect();
         let of_one = |j: &JobIndex| self.jobs[*j].done > 0 && fails.iter().filter(|f| f.0 == *j).count() >= OF_ONE_JOB;
--- a/crates/scheduler/src/shard/task_reconciliation.rs
+++ b/crates/scheduler/src/shard/task_reconciliation.rs
@@ -16,7 +16,7 @@
 /// The attempts that a report lists, by task and attempt.
 type ListedAttempts<'r> = BTreeMap<(TaskKey, u64), &'r TaskReport>;
 
-/// What becomes of an attempt that has not ended and is not held by this owner.
+/// What becomes of an attempt that has not ended and is not held by this leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 enum AttemptDisposition {
     #[error("adopted")]
@@ -47,50 +47,63 @@
 
 impl Shard {
     /// Notes an attempt that is not held, or is no more. One that still runs takes room
-    /// and counts against its team's limit until its end is seen: after a takeover, those
+    /// and counts against its team's limit until its end is seen: after a failover, those
     /// of cancelled jobs once did not, and others were started beside them.
-    pub(super) fn note_unassigned(&mut self, m: MachineIndex, k: TaskKey, attempt: u64, what: UnassignedAttempt) {
-        self.drop_unassigned(m, |key, _| *key != k);
+    pub(super) fn note_unassigned(
+        &mut self,
+        machine_index: MachineIndex,
+        k: TaskKey,
+        attempt: u64,
+        what: UnassignedAttempt,
+    ) {
+        self.drop_unassigned(machine_index, |key, _| *key != k);
         if what.is_orphaned() {
-            self.count_use(m, k.0, 1.0);
-            self.live_attempts.insert_orphan(k, m);
+            self.count_use(machine_index, k.job, 1.0);
+            self.live_attempts.insert_orphan(k, machine_index);
         }
-        self.machines[m].unassigned.insert(k, (attempt, what));
+        self.machines[machine_index].unassigned.insert(k, (attempt, what));
     }
 
     /// Forgets all leftovers of a machine but those to be kept.
-    pub(super) fn drop_unassigned(&mut self, m: MachineIndex, keep: impl Fn(&TaskKey, u64) -> bool) {
-        let unassigned = &mut self.machines[m].unassigned;
+    pub(super) fn drop_unassigned(&mut self, machine_index: MachineIndex, keep: impl Fn(&TaskKey, u64) -> bool) {
+        let unassigned = &mut self.machines[machine_index].unassigned;
         let gone: Vec<(TaskKey, UnassignedAttempt)> =
             unassigned.iter().filter(|(k, (a, _))| !keep(k, *a)).map(|(k, (_, what))| (*k, *what)).collect();
         for (k, what) in gone {
-            self.machines[m].unassigned.remove(&k);
+            self.machines[machine_index].unassigned.remove(&k);
             if what.is_orphaned() {
-                self.count_use(m, k.0, -1.0);
-                self.live_attempts.remove_orphan(k, m);
+                self.count_use(machine_index, k.job, -1.0);
+                self.live_attempts.remove_orphan(k, machine_index);
                 self.placement_due = true;
             }
         }
     }
 
     /// Brings what is known of a machine's tasks in line with its report.
-    pub(super) fn reconcile_tasks(&mut self, m: MachineIndex, r: &Heartbeat, origin: HeartbeatSource, now: f64) {
-        let listed = self.listed_attempts(r);
-        self.note_unrecognized_attempts(m, r);
+    pub(super) fn reconcile_tasks(
+        &mut self,
+        machine_index: MachineIndex,
+        heartbeat: &Heartbeat,
+        origin: HeartbeatSource,
+        now: f64,
+    ) {
+        let listed = self.listed_attempts(heartbeat);
+        self.note_unrecognized_attempts(machine_index, heartbeat);
         // First of all: what is not listed any more occupies no task.
-        self.drop_unassigned(m, |k, a| listed.contains_key(&(*k, a)));
-        self.reconcile_assignments(m, &listed, origin, now);
+        self.drop_unassigned(machine_index, |k, a| listed.contains_key(&(*k, a)));
+        self.reconcile_assignments(machine_index, &listed, origin, now);
         // A fetch that no task waits for any more is given up.
-        let waited_for: Vec<_> = self.machines[m].assignments.keys().filter_map(|k| self.jobs[k.0].image).collect();
-        self.machines[m].images.retain(|i| i.ready || waited_for.contains(&i.image));
+        let waited_for: Vec<_> =
+            self.machines[machine_index].assignments.keys().filter_map(|k| self.jobs[k.job].image).collect();
+        self.machines[machine_index].images.retain(|i| i.ready || waited_for.contains(&i.image));
         for ((k, _), t) in listed {
-            if self.machines[m].assignments.get(&k).is_some_and(|h| h.attempt == t.attempt) {
+            if self.machines[machine_index].assignments.get(&k).is_some_and(|h| h.attempt == t.attempt) {
                 continue;
             }
             if t.state == TaskState::Exited {
-                self.on_unassigned_attempt_ended(m, k, t);
+                self.on_unassigned_attempt_ended(machine_index, k, t);
             } else {
-                self.settle_unassigned_attempt(m, k, t.attempt, t.state, now);
+                self.settle_unassigned_attempt(machine_index, k, t.attempt, t.state, now);
             }
         }
     }
@@ -108,29 +121,33 @@
     }
 
     /// Attempts that have not ended, of tasks that are not known here: they are told to stop.
-    fn note_unrecognized_attempts(&mut self, m: MachineIndex, r: &Heartbeat) {
-        let unknown = r.tasks.iter().filter(|t| t.state != TaskState::Exited && self.key_of(&t.task).is_none());
+    fn note_unrecognized_attempts(&mut self, machine_index: MachineIndex, heartbeat: &Heartbeat) {
+        let unknown = heartbeat.tasks.iter().filter(|t| t.state != TaskState::Exited && self.key_of(&t.task).is_none());
         let unknown = unknown.map(|t| UnrecognizedAttempt { task: t.task.clone(), attempt: t.attempt, state: t.state });
         let unknown: Vec<UnrecognizedAttempt> = unknown.collect();
-        if self.replace_unrecognized_attempts(m, unknown) {
-            self.machines.push_first(m, PushUrgency::Cancelled);
+        if self.replace_unrecognized_attempts(machine_index, unknown) {
+            self.machines.push_first(machine_index, PushUrgency::Cancelled);
         }
     }
 
     /// Whether any of them was not listed before.
-    fn replace_unrecognized_attempts(&mut self, m: MachineIndex, unknown: Vec<UnrecognizedAttempt>) -> bool {
-        if unknown.is_empty() && self.machines[m].unrecognized_attempts.is_empty() {
+    fn replace_unrecognized_attempts(
+        &mut self,
+        machine_index: MachineIndex,
+        unknown: Vec<UnrecognizedAttempt>,
+    ) -> bool {
+        if unknown.is_empty() && self.machines[machine_index].unrecognized_attempts.is_empty() {
             return false;
         }
-        let before = std::mem::replace(&mut self.machines[m].unrecognized_attempts, unknown);
-        let machine = &self.machines[m];
+        let before = std::mem::replace(&mut self.machines[machine_index].unrecognized_attempts, unknown);
+        let machine = &self.machines[machine_index];
         for (id, _) in before.iter().filter_map(UnrecognizedAttempt::job) {
             if !machine.unrecognized_jobs.iter().any(|named| **named == *id) {
-                self.live_attempts.clear_possible_holder(id, m);
+                self.live_attempts.clear_possible_holder(id, machine_index);
             }
         }
         for (id, _) in machine.unrecognized_attempts.iter().filter_map(UnrecognizedAttempt::job) {
-            self.live_attempts.note_possible_holder(id, m);
+            self.live_attempts.note_possible_holder(id, machine_index);
         }
         let is_new = |u: &&UnrecognizedAttempt| !before.iter().any(|b| (&b.task, b.attempt) == (&u.task, u.attempt));
         let new = machine.unrecognized_attempts.iter().filter(is_new);
@@ -139,22 +156,28 @@
         told.count() > 0
     }
 
-    /// Nothing that is listed runs any more, since its session is over or its machine is gone.
-    pub(super) fn clear_listed_attempts(&mut self, m: MachineIndex) {
-        self.drop_unassigned(m, |_, _| false);
-        self.replace_unrecognized_attempts(m, Vec::new());
+    /// Nothing that is listed runs any more, since its incarnation is over or its machine is gone.
+    pub(super) fn clear_listed_attempts(&mut self, machine_index: MachineIndex) {
+        self.drop_unassigned(machine_index, |_, _| false);
+        self.replace_unrecognized_attempts(machine_index, Vec::new());
     }
 
     /// What became of the attempts that are held on this machine.
-    fn reconcile_assignments(&mut self, m: MachineIndex, listed: &ListedAttempts, origin: HeartbeatSource, now: f64) {
+    fn reconcile_assignments(
+        &mut self,
+        machine_index: MachineIndex,
+        listed: &ListedAttempts,
+        origin: HeartbeatSource,
+        now: f64,
+    ) {
         let held: Vec<(TaskKey, u64, AssignmentState)> =
-            self.machines[m].assignments.iter().map(|(k, h)| (*k, h.attempt, h.state)).collect();
+            self.machines[machine_index].assignments.iter().map(|(k, h)| (*k, h.attempt, h.state)).collect();
         let (mut heeded, mut missed) = (false, Vec::new());
         for (k, attempt, state) in held {
             // Told in an answer before; this report was sent after that came, or was given up.
             let told = origin == HeartbeatSource::Heartbeat
                 && state == AssignmentState::Commanded
-                && self.machines[m]
+                && self.machines[machine_index]
                     .assignments
                     .get(&k)
                     .is_some_and(|h| h.stop_grace_s.is_none() && h.start_replied_at > f64::MIN);
@@ -162,9 +185,9 @@
                 Some(t) => {
                     heeded |= told;
                     if t.state == TaskState::Exited {
-                        self.on_task_exited(m, k, t, now);
+                        self.on_task_exited(machine_index, k, t, now);
                     } else {
-                        self.observe_task_state(m, k, t.state, now);
+                        self.observe_task_state(machine_index, k, t.state, now);
                     }
                 }
                 // Not there (yet): a start that may still be on its way is not gone.
@@ -172,66 +195,68 @@
                     if told {
                         missed.push(k);
                     }
-                    self.release_withdrawn_start(m, k, origin)
+                    self.release_withdrawn_start(machine_index, k, origin)
                 }
                 _ => {
-                    self.release_resources(m, k);
+                    self.release_resources(machine_index, k);
                     self.requeue(k);
                 }
             }
         }
-        self.record_acknowledgements(m, heeded, missed, now);
+        self.record_acknowledgements(machine_index, heeded, missed, now);
     }
 
     /// An attempt ended that is not held here: its result counts all the same.
-    fn on_unassigned_attempt_ended(&mut self, m: MachineIndex, k: TaskKey, t: &TaskReport) {
-        if t.exit_reason == Some(ExitReason::Done) {
-            self.stop_redundant_start(k);
-            self.on_task_done(k);
+    fn on_unassigned_attempt_ended(&mut self, machine_index: MachineIndex, key: TaskKey, reported: &TaskReport) {
+        if reported.exit_reason == Some(ExitReason::Done) {
+            self.stop_redundant_start(key);
+            self.on_task_done(key);
         }
         // What runs on counts for as long as it is listed; what ended beside it comes after.
-        let beside = self.machines[m].unassigned.get(&k);
-        let runs_on = beside.is_some_and(|(a, what)| *a != t.attempt && what.is_orphaned());
+        let beside = self.machines[machine_index].unassigned.get(&key);
+        let runs_on = beside.is_some_and(|(a, what)| *a != reported.attempt && what.is_orphaned());
         if !runs_on {
-            self.note_unassigned(m, k, t.attempt, UnassignedAttempt::Ended);
+            self.note_unassigned(machine_index, key, reported.attempt, UnassignedAttempt::Ended);
         }
     }
 
-    /// An attempt that has not ended, and that this owner does not hold on the machine that lists it. Whatever
+    /// An attempt that has not ended, and that this leader does not hold on the machine that lists it. Whatever
     /// becomes of it, its task starts nowhere else.
     pub(super) fn settle_unassigned_attempt(
         &mut self,
-        m: MachineIndex,
-        k: TaskKey,
+        machine_index: MachineIndex,
+        key: TaskKey,
         attempt: u64,
         state: TaskState,
         now: f64,
     ) {
-        let known = self.refresh_orphan(m, k, attempt, state);
-        let what_becomes = self.disposition_of(k);
+        let known = self.refresh_orphan(machine_index, key, attempt, state);
+        let what_becomes = self.disposition_of(key);
         if what_becomes.is_held() || !known {
-            self.log_disposition(m, k, attempt, what_becomes);
+            self.log_disposition(machine_index, key, attempt, what_becomes);
         }
         match what_becomes {
             AttemptDisposition::Adopted | AttemptDisposition::AdoptedUnread => {
-                self.adopt_attempt(m, k, (attempt, state), None, now)
+                self.adopt_attempt(machine_index, key, (attempt, state), None, now)
+            }
+            AttemptDisposition::StoppedForDependencies => {
+                self.adopt_attempt(machine_index, key, (attempt, state), Some(0.0), now)
             }
-            AttemptDisposition::StoppedForDependencies => self.adopt_attempt(m, k, (attempt, state), Some(0.0), now),
             _ if known => {}
             _ => {
-                self.note_unassigned(m, k, attempt, UnassignedAttempt::Orphaned(state));
-                if self.jobs[k.0].desired_phase == Phase::Cancelled {
-                    self.machines.push_first(m, PushUrgency::Cancelled);
+                self.note_unassigned(machine_index, key, attempt, UnassignedAttempt::Orphaned(state));
+                if self.jobs[key.job].desired_phase == Phase::Cancelled {
+                    self.machines.push_first(machine_index, PushUrgency::Cancelled);
                 } else {
-                    self.machines.push_due.insert(m);
+                    self.machines.push_due.insert(machine_index);
                 }
             }
         }
     }
 
     /// Was this attempt known as orphaned? Then it is in this state now.
-    fn refresh_orphan(&mut self, m: MachineIndex, k: TaskKey, attempt: u64, state: TaskState) -> bool {
-        match self.machines[m].unassigned.get_mut(&k) {
+    fn refresh_orphan(&mut self, machine_index: MachineIndex, key: TaskKey, attempt: u64, state: TaskState) -> bool {
+        match self.machines[machine_index].unassigned.get_mut(&key) {
             Some((a, UnassignedAttempt::Orphaned(known))) if *a == attempt => {
                 *known = state;
                 true
@@ -240,11 +265,11 @@
         }
     }
 
-    fn disposition_of(&self, k: TaskKey) -> AttemptDisposition {
-        let job = &self.jobs[k.0];
-        match job.tasks.get(k.1 as usize) {
+    fn disposition_of(&self, key: TaskKey) -> AttemptDisposition {
+        let job = &self.jobs[key.job];
+        match job.tasks.get(key.task as usize) {
             _ if !job.is_open() => AttemptDisposition::JobOver,
-            Some(TaskSlot::Queued) => match self.dependency_state(k.0) {
+            Some(TaskSlot::Queued) => match self.dependency_state(key.job) {
                 DependencyState::Met => AttemptDisposition::Adopted,
                 DependencyState::Unread => AttemptDisposition::AdoptedUnread,
                 // Of a job that waits for others nothing may run, whoever started it.
@@ -256,19 +281,25 @@
     }
 
     /// What a new leader makes of each attempt of an earlier one: without these lines nothing told why a task was
-    /// started a second time after a takeover.
-    fn log_disposition(&mut self, m: MachineIndex, k: TaskKey, attempt: u64, what_becomes: AttemptDisposition) {
+    /// started a second time after a failover.
+    fn log_disposition(
+        &mut self,
+        machine_index: MachineIndex,
+        key: TaskKey,
+        attempt: u64,
+        what_becomes: AttemptDisposition,
+    ) {
         match what_becomes {
             AttemptDisposition::Adopted | AttemptDisposition::AdoptedUnread => self.counts.adopted += 1,
             _ => self.counts.orphaned += 1,
         }
         let level = self.failover_log.level();
-        let (job, machine) = (&self.jobs[k.0], &self.machines[m]);
+        let (job, machine) = (&self.jobs[key.job], &self.machines[machine_index]);
         log::log!(
             level,
             "{}/{} on {}, session {}, attempt {attempt} of token {}: {what_becomes}",
             job.id,
-            k.1,
+            key.task,
             machine.name,
             machine.incarnation,
             attempt >> ATTEMPT_COUNTER_BITS
@@ -278,8 +309,8 @@
     /// Has the machine taken up what the answers to its reports told it? What it missed is told
     /// directly, if that reaches it. A machine whose reports came, and which nothing reached, once got
     /// one start after another, and none was ever taken back.
-    fn record_acknowledgements(&mut self, m: MachineIndex, heeded: bool, missed: Vec<TaskKey>, now: f64) {
-        let machine = &mut self.machines[m];
+    fn record_acknowledgements(&mut self, machine_index: MachineIndex, heeded: bool, missed: Vec<TaskKey>, now: f64) {
+        let machine = &mut self.machines[machine_index];
         if missed.is_empty() {
             if heeded {
                 machine.missed_acknowledgements = 0;
@@ -294,24 +325,24 @@
             }
         }
         if machine.missed_acknowledgements >= MAX_MISSED_ACKNOWLEDGEMENTS {
-            self.probe(m);
+            self.probe(machine_index);
         } else {
-            self.machines.push_due.insert(m);
+            self.machines.push_due.insert(machine_index);
         }
     }
 
-    /// An earlier owner's start goes on under this one, or is stopped by it.
+    /// An earlier leader's start goes on under this one, or is stopped by it.
     fn adopt_attempt(
         &mut self,
-        m: MachineIndex,
+        machine_index: MachineIndex,
         k: TaskKey,
         (attempt, state): (u64, TaskState),
         stop: Option<f64>,
         now: f64,
     ) {
-        self.drop_unassigned(m, |key, a| (*key, a) != (k, attempt));
+        self.drop_unassigned(machine_index, |key, a| (*key, a) != (k, attempt));
         self.assign(
-            m,
+            machine_index,
             k,
             Assignment {
                 attempt,
@@ -324,26 +355,26 @@
                 start_replied_at: f64::MIN,
             },
         );
-        self.observe_task_state(m, k, state, now);
+        self.observe_task_state(machine_index, k, state, now);
         if stop.is_some() {
-            self.machines.push_due.insert(m);
+            self.machines.push_due.insert(machine_index);
         }
-        let machine = &self.machines[m];
-        // The next owner has to know of it as well.
-        if machine.is_reconciled() && !(machine.record_stored && machine.stored_jobs.contains(&k.0)) {
-            self.request_record(m);
+        let machine = &self.machines[machine_index];
+        // The next leader has to know of it as well.
+        if machine.is_reconciled() && !(machine.record_stored && machine.stored_jobs.contains(&k.job)) {
+            self.request_record(machine_index);
         }
     }
 
     /// The task completed under another attempt: a planned start of it is of no use.
-    fn stop_redundant_start(&mut self, k: TaskKey) {
-        if let Some(TaskSlot::Assigned(m)) = self.jobs[k.0].tasks.get(k.1 as usize).copied() {
-            self.stop_task(m, k, 0.0);
+    fn stop_redundant_start(&mut self, key: TaskKey) {
+        if let Some(TaskSlot::Assigned(m)) = self.jobs[key.job].tasks.get(key.task as usize).copied() {
+            self.stop_task(m, key, 0.0);
         }
     }
 
-    pub(super) fn observe_task_state(&mut self, m: MachineIndex, k: TaskKey, state: TaskState, now: f64) {
-        let Some(h) = self.machines[m].assignments.get_mut(&k) else { return };
+    pub(super) fn observe_task_state(&mut self, machine_index: MachineIndex, key: TaskKey, state: TaskState, now: f64) {
+        let Some(h) = self.machines[machine_index].assignments.get_mut(&key) else { return };
         let (was_running, had_begun) = (h.state == AssignmentState::Running, h.state.has_started());
         h.state = match state {
             TaskState::Running => AssignmentState::Running,
@@ -354,29 +385,29 @@
         if runs && !was_running {
             h.running_since = now;
             let waited = now - h.assigned_at;
-            log::debug!("{}/{} runs after {waited:.2} s", self.jobs[k.0].id, k.1);
+            log::debug!("{}/{} runs after {waited:.2} s", self.jobs[key.job].id, key.task);
         }
         let since = h.running_since;
-        let job = &mut self.jobs[k.0];
+        let job = &mut self.jobs[key.job];
         job.running = job.running + u32::from(runs) - u32::from(was_running);
         job.started += u32::from(!had_begun);
         if runs != was_running || !had_begun {
-            self.track_progress(k.0, now);
+            self.track_progress(key.job, now);
         }
         if runs {
-            self.image_seen(m, k);
+            self.image_seen(machine_index, key);
         }
-        let job = &self.jobs[k.0];
+        let job = &self.jobs[key.job];
         if runs && now - since > HEALTHY_RUN_S && job.is_service() && !job.failed_on.is_empty() {
-            self.clear_failures(k.0);
+            self.clear_failures(key.job);
         }
     }
 
     /// The task runs or ran here, and so its image is here.
-    fn image_seen(&mut self, m: MachineIndex, k: TaskKey) {
-        let job = &self.jobs[k.0];
+    fn image_seen(&mut self, machine_index: MachineIndex, key: TaskKey) {
+        let job = &self.jobs[key.job];
         if let Some(i) = job.image {
-            self.machines[m].mark_image_ready(i, job.spec.image_gb);
+            self.machines[machine_index].mark_image_ready(i, job.spec.image_gb);
         }
     }
 
@@ -384,49 +415,49 @@
     /// not by an unanswered direct command, nor in the reply to a report that is still
     /// on its way while a direct answer overtakes it. A direct start counts as unanswered from the
     /// moment it is sent: another call that is under way to the machine doesn't carry it.
-    fn release_withdrawn_start(&mut self, m: MachineIndex, k: TaskKey, origin: HeartbeatSource) {
-        let machine = &self.machines[m];
-        let Some(h) = machine.assignments.get(&k) else { return };
+    fn release_withdrawn_start(&mut self, machine_index: MachineIndex, key: TaskKey, origin: HeartbeatSource) {
+        let machine = &self.machines[machine_index];
+        let Some(h) = machine.assignments.get(&key) else { return };
         if h.stop_grace_s.is_some()
             && origin.shows_reply_of(h.start_replied_at)
-            && !machine.unacknowledged_starts.contains_key(&k)
+            && !machine.unacknowledged_starts.contains_key(&key)
         {
-            self.release_resources(m, k);
-            self.requeue(k);
+            self.release_resources(machine_index, key);
+            self.requeue(key);
         }
     }
 
-    fn on_task_exited(&mut self, m: MachineIndex, k: TaskKey, t: &TaskReport, now: f64) {
-        let Some(held) = self.release_resources(m, k) else { return };
-        if t.exit_reason == Some(ExitReason::Done) {
-            self.image_seen(m, k);
+    fn on_task_exited(&mut self, machine_index: MachineIndex, key: TaskKey, reported: &TaskReport, now: f64) {
+        let Some(held) = self.release_resources(machine_index, key) else { return };
+        if reported.exit_reason == Some(ExitReason::Done) {
+            self.image_seen(machine_index, key);
         }
-        self.note_unassigned(m, k, t.attempt, UnassignedAttempt::Ended);
-        match t.exit_reason {
+        self.note_unassigned(machine_index, key, reported.attempt, UnassignedAttempt::Ended);
+        match reported.exit_reason {
             Some(ExitReason::Done) => {
-                let machine = &mut self.machines[m];
+                let machine = &mut self.machines[machine_index];
                 machine.recent_failures.clear();
-                self.clear_failures(k.0);
-                self.on_task_done(k);
+                self.clear_failures(key.job);
+                self.on_task_done(key);
             }
-            Some(ExitReason::Error) => self.on_task_failed(m, k, now),
+            Some(ExitReason::Error) => self.on_task_failed(machine_index, key, now),
             Some(ExitReason::NoCapacity) => {
                 // It counts something that is not known here: look again after its next report.
                 let until = now + self.report_s;
-                let machine = &mut self.machines[m];
+                let machine = &mut self.machines[machine_index];
                 machine.quarantined_until = machine.quarantined_until.max(until);
             }
-            Some(ExitReason::Unknown) => self.jobs[k.0].not_before = now + 2.0,
+            Some(ExitReason::Unknown) => self.jobs[key.job].not_before = now + 2.0,
             _ => {}
         }
         log::debug!(
             "{}/{} on {} ended: {:?} (attempt {})",
-            self.jobs[k.0].id,
-            k.1,
-            self.machines[m].name,
-            t.exit_reason,
+            self.jobs[key.job].id,
+            key.task,
+            self.machines[machine_index].name,
+            reported.exit_reason,
             held.attempt
         );
-        self.requeue(k);
+        self.requeue(key);
     }
 }
--- a/crates/scheduler/src/shard/writes/batch.rs
+++ b/crates/scheduler/src/shard/writes/batch.rs
@@ -59,7 +59,7 @@
     fn fill(&mut self, batch: &mut Batch, now: f64) -> ControlFlow<()> {
         self.write_ends(batch, now)?;
         self.delete_stale_records(batch)?;
-        // Racks take all there is for minutes at a time, and a checkpoint that is too old is none:
+        // Machine groups take all there is for minutes at a time, and a checkpoint that is too old is none:
         // one put a second goes before them then.
         if self.checkpoint_is_overdue(now) {
             batch.push(self.checkpoint_write(false, now))?;
@@ -159,7 +159,7 @@
         ControlFlow::Continue(())
     }
 
-    /// The counts of the owner before stand until there are new ones.
+    /// The counts of the leader before stand until there are new ones.
     fn write_fleet(&mut self, batch: &mut Batch, now: f64) -> ControlFlow<()> {
         let fleet_due = now - self.fleet_at >= FLEET_RECORD_INTERVAL_S && self.heartbeats_gathered(now);
         if !batch.has_spare() || !fleet_due || self.in_flight.contains(FLEET_KEY) {
@@ -189,19 +189,19 @@
         ControlFlow::Continue(())
     }
 
-    fn write_progress_of(&mut self, j: JobIndex, batch: &mut Batch) -> ControlFlow<()> {
-        let chunks: Vec<u32> = self.jobs[j].dirty_chunks.iter().copied().collect();
+    fn write_progress_of(&mut self, job_index: JobIndex, batch: &mut Batch) -> ControlFlow<()> {
+        let chunks: Vec<u32> = self.jobs[job_index].dirty_chunks.iter().copied().collect();
         for c in chunks {
-            let key = self.jobs.progress_key(j, c);
+            let key = self.jobs.progress_key(job_index, c);
             if !batch.has_spare() {
                 return ControlFlow::Break(());
             }
             if self.in_flight.contains(&key) {
                 continue;
             }
-            self.jobs[j].dirty_chunks.remove(&c);
-            let r = self.jobs.progress(j, c);
-            batch.push(self.enqueue_write(key, WritePurpose::Progress(j, c, r.clone()), &r))?;
+            self.jobs[job_index].dirty_chunks.remove(&c);
+            let r = self.jobs.progress(job_index, c);
+            batch.push(self.enqueue_write(key, WritePurpose::Progress(job_index, c, r.clone()), &r))?;
         }
         ControlFlow::Continue(())
     }
--- a/crates/scheduler/src/shard/writes/group_values.rs
+++ b/crates/scheduler/src/shard/writes/group_values.rs
@@ -1,4 +1,4 @@
-//! The value of a rack: every machine of it with the jobs that it holds or may come to hold.
+//! The value of a machine group: every machine of it with the jobs that it holds or may come to hold.
 
 use super::{PendingWrite, StoredMachine, WritePurpose, serialize_with_size};
 use crate::fleet::machine_groups::{MachineGroupMember, MachineGroupRecord, machine_group_key};
@@ -15,45 +15,52 @@
 }
 
 impl Shard {
-    /// No machine is left in this rack.
-    pub(super) fn delete_group(&mut self, r: MachineGroupIndex) -> Option<PendingWrite> {
-        self.dirty_groups.remove(&r);
-        self.machine_groups.list.remove(&r);
-        self.delete_write(machine_group_key(r))
+    /// No machine is left in this machine group.
+    pub(super) fn delete_group(&mut self, group_index: MachineGroupIndex) -> Option<PendingWrite> {
+        self.dirty_groups.remove(&group_index);
+        self.machine_groups.list.remove(&group_index);
+        self.delete_write(machine_group_key(group_index))
     }
 
-    /// The write of a rack's value. Until it is known which value stands, only what
+    /// The write of a machine group's value. Until it is known which value stands, only what
     /// both name counts as stored.
-    pub(super) fn write_group(&mut self, r: MachineGroupIndex) -> Option<PendingWrite> {
-        self.dirty_groups.remove(&r);
-        if let Some(machine_group) = self.machine_groups.list.get_mut(&r) {
+    pub(super) fn write_group(&mut self, group_index: MachineGroupIndex) -> Option<PendingWrite> {
+        self.dirty_groups.remove(&group_index);
+        if let Some(machine_group) = self.machine_groups.list.get_mut(&group_index) {
             machine_group.on_write_begun();
         }
-        let (value, contents) = self.group_value(r)?;
+        let (value, contents) = self.group_value(group_index)?;
         for (m, jobs, _) in &contents {
             let machine = &mut self.machines[*m];
             if machine.is_reconciled() {
                 machine.stored_jobs.retain(|j| jobs.contains(j));
             }
         }
-        Some(self.enqueue_sized_write(machine_group_key(r), WritePurpose::MachineGroup(r, contents), value))
+        Some(self.enqueue_sized_write(
+            machine_group_key(group_index),
+            WritePurpose::MachineGroup(group_index, contents),
+            value,
+        ))
     }
 
-    /// The value of a rack, and what it says of each machine. The names of images are a
+    /// The value of a machine group, and what it says of each machine. The names of images are a
     /// help and not a need: they give way to the jobs. So do, at last, starts that were
     /// planned and can still wait: a value over the limit would never be stored.
-    fn group_value(&mut self, r: MachineGroupIndex) -> Option<((serde_json::Value, usize), Vec<StoredMachine>)> {
+    fn group_value(
+        &mut self,
+        group_index: MachineGroupIndex,
+    ) -> Option<((serde_json::Value, usize), Vec<StoredMachine>)> {
         for (with_images, with_planned) in [(true, true), (false, true), (false, false)] {
             if !with_planned {
-                self.postpone_planned_starts(r);
+                self.postpone_planned_starts(group_index);
             }
-            let (record, contents) = self.group_record(r, with_images)?;
+            let (record, contents) = self.group_record(group_index, with_images)?;
             let value = serialize_with_size(&record)?;
             let bytes = value.1;
             let names: Vec<JobIndex> = contents.iter().flat_map(|c| c.1.iter().copied()).collect();
             self.machine_groups
                 .list
-                .get_mut(&r)?
+                .get_mut(&group_index)?
                 .on_value_built(bytes.saturating_sub(record.image_bytes()), names.into_iter());
             if bytes <= self.value_bytes {
                 return Some((value, contents));
@@ -61,21 +68,26 @@
         }
         // What stands must stay until it can be replaced: a machine alone with more jobs than
         // a value can name waits until some of them are over; its old value names them all.
-        if self.machine_groups.list.get(&r).is_some_and(|r| r.members.len() > 1) {
-            self.split_group(r);
+        if self.machine_groups.list.get(&group_index).is_some_and(|group_index| group_index.members.len() > 1) {
+            self.split_group(group_index);
         } else {
-            self.dirty_groups.insert(r);
+            self.dirty_groups.insert(group_index);
         }
         None
     }
 
-    fn postpone_planned_starts(&mut self, r: MachineGroupIndex) {
-        let members: Vec<MachineIndex> =
-            self.machine_groups.list.get(&r).into_iter().flat_map(|r| r.members.clone()).collect();
+    fn postpone_planned_starts(&mut self, group_index: MachineGroupIndex) {
+        let members: Vec<MachineIndex> = self
+            .machine_groups
+            .list
+            .get(&group_index)
+            .into_iter()
+            .flat_map(|group_index| group_index.members.clone())
+            .collect();
         for m in members {
             let machine = &self.machines[m];
             let unnamed = |(k, h): &(&TaskKey, &Assignment)| {
-                h.state == AssignmentState::Planned && !machine.stored_jobs.contains(&k.0)
+                h.state == AssignmentState::Planned && !machine.stored_jobs.contains(&k.job)
             };
             let keys: Vec<TaskKey> = machine.assignments.iter().filter(unnamed).map(|(k, _)| *k).collect();
             for k in keys {
@@ -88,13 +100,13 @@
     /// Every machine with every job that it holds or may come to hold.
     fn group_record(
         &self,
-        r: MachineGroupIndex,
+        group_index: MachineGroupIndex,
         with_images: bool,
     ) -> Option<(MachineGroupRecord, Vec<StoredMachine>)> {
-        let machine_group = self.machine_groups.list.get(&r)?;
+        let machine_group = self.machine_groups.list.get(&group_index)?;
         let mut record = MachineGroupRecord {
             shard: 0,
-            type_name: self.types.names.name(machine_group.ty).to_string(),
+            type_name: self.types.names.name(machine_group.type_index).to_string(),
             zone: self.types.zones.name(machine_group.zone).to_string(),
             spot: machine_group.spot,
             ..MachineGroupRecord::default()
@@ -103,18 +115,18 @@
         let (mut job_at, mut image_at, mut unknown_at) = (HashMap::new(), HashMap::new(), HashMap::new());
         for &m in &machine_group.members {
             let machine = &self.machines[m];
-            let mut jobs: Vec<JobIndex> = machine.assignments.keys().map(|k| k.0).collect();
+            let mut jobs: Vec<JobIndex> = machine.assignments.keys().map(|k| k.job).collect();
             if !machine.is_reconciled() {
                 jobs.extend(machine.stored_jobs.iter().copied());
             }
-            jobs.extend(machine.unacknowledged_starts.keys().map(|k| k.0));
-            // What is listed and not held occupies its task under the next owner as well.
+            jobs.extend(machine.unacknowledged_starts.keys().map(|k| k.job));
+            // What is listed and not held occupies its task under the next leader as well.
             jobs.extend(
                 machine
                     .unassigned
                     .iter()
                     .filter(|(_, unassigned_attempt)| unassigned_attempt.1.is_orphaned())
-                    .map(|(k, _)| k.0),
+                    .map(|(k, _)| k.job),
             );
             jobs.sort_unstable();
             jobs.dedup();
--- a/crates/scheduler/src/shard/writes/mod.rs
+++ b/crates/scheduler/src/shard/writes/mod.rs
@@ -4,7 +4,7 @@
 //! own key, so that a transaction applied late finds either changed and dies.
 //!
 //! - [`next`]: the next writes, the most urgent first
-//! - [`group_values`]: what stands in the value of a rack
+//! - [`group_values`]: what stands in the value of a machine group
 //! - [`outcome`]: what came of writes
 
 mod batch;
@@ -94,8 +94,8 @@
     }
 
     /// From here on until its outcome is known, this key is written by nobody else here.
-    fn mark_in_flight(&mut self, w: PendingWrite) -> PendingWrite {
-        match &w.purpose {
+    fn mark_in_flight(&mut self, write: PendingWrite) -> PendingWrite {
+        match &write.purpose {
             WritePurpose::JobEnd(..) => self.counts.finals += 1,
             WritePurpose::MachineGroup(..) => self.counts.machine_groups += 1,
             WritePurpose::Progress(..) => self.counts.progress += 1,
@@ -105,8 +105,8 @@
             | WritePurpose::ServiceLevels(..)
             | WritePurpose::DeleteStale => self.counts.other_writes += 1,
         }
-        self.in_flight.insert(w.key.clone());
-        w
+        self.in_flight.insert(write.key.clone());
+        write
     }
 
     fn delete_write(&mut self, key: String) -> Option<PendingWrite> {
--- a/crates/scheduler/src/shard/writes/outcome.rs
+++ b/crates/scheduler/src/shard/writes/outcome.rs
@@ -2,7 +2,7 @@
 
 use super::{PendingWrite, WritePurpose};
 use crate::fleet::{AssignmentState, Phase as MachinePhase};
-use crate::intern::{Index, JobIndex, MachineIndex};
+use crate::intern::{DenseIndex, JobIndex, MachineIndex};
 use crate::jobs::Phase;
 use crate::shard::Shard;
 
@@ -45,33 +45,34 @@
     }
 
     /// The end of this job is stored, as the answer to its write or the watch tells, whichever comes first.
-    pub(in crate::shard) fn on_end_committed(&mut self, j: JobIndex, phase: Phase, now: f64) {
-        if self.jobs.get(j).is_none_or(|job| job.phase != Phase::Open) {
+    pub(in crate::shard) fn on_end_committed(&mut self, job_index: JobIndex, phase: Phase, now: f64) {
+        if self.jobs.get(job_index).is_none_or(|job| job.phase != Phase::Open) {
             return;
         }
-        let chunks: Vec<String> = self.jobs.progress_keys(j).filter(|k| self.versions.contains_key(k)).collect();
+        let chunks: Vec<String> =
+            self.jobs.progress_keys(job_index).filter(|k| self.versions.contains_key(k)).collect();
         self.stale_keys.extend(chunks);
-        self.pending_ends.remove(&j);
-        self.progress_due.remove(&j);
-        self.jobs.on_end_committed(j, phase);
-        self.track_end(j, phase, now);
-        self.on_end_stored(j, now);
-        self.on_dependency_ended(j, phase, now);
+        self.pending_ends.remove(&job_index);
+        self.progress_due.remove(&job_index);
+        self.jobs.on_end_committed(job_index, phase);
+        self.track_end(job_index, phase, now);
+        self.on_end_stored(job_index, now);
+        self.on_dependency_ended(job_index, phase, now);
     }
 
-    fn on_group_record_stored(&mut self, m: MachineIndex, jobs: Vec<JobIndex>, retiring: bool) {
-        if self.machines.get_mut(m).is_none() {
+    fn on_group_record_stored(&mut self, machine_index: MachineIndex, jobs: Vec<JobIndex>, retiring: bool) {
+        if self.machines.get_mut(machine_index).is_none() {
             return;
         }
-        self.release_superseded_values(m);
-        let machine = &mut self.machines.list[m.ix()];
+        self.release_superseded_values(machine_index);
+        let machine = &mut self.machines.list[machine_index.as_usize()];
         machine.record_stored = true;
         if machine.is_reconciled() {
             // What is over may have been given back since this write was made.
             machine.stored_jobs = jobs.into_iter().filter(|j| self.jobs.get(*j).is_some()).collect();
         }
         if retiring && machine.phase == MachinePhase::Terminating {
-            self.machines_to_delete.insert(m);
+            self.machines_to_delete.insert(machine_index);
         }
         if machine.phase != MachinePhase::Up {
             return;
@@ -79,16 +80,16 @@
         let mut again = false;
         for (k, h) in &mut machine.assignments {
             if h.state == AssignmentState::Planned {
-                if machine.stored_jobs.contains(&k.0) {
+                if machine.stored_jobs.contains(&k.job) {
                     h.state = AssignmentState::Commanded;
-                    self.machines.push_due.insert(m);
+                    self.machines.push_due.insert(machine_index);
                 } else {
                     again = true;
                 }
             }
         }
         if again {
-            self.request_record(m);
+            self.request_record(machine_index);
         }
     }
 
--- a/crates/scheduler/src/shard/zone_pinned.rs
+++ b/crates/scheduler/src/shard/zone_pinned.rs
@@ -6,7 +6,7 @@
 use super::Shard;
 use crate::fleet::Machine;
 use crate::fleet::launch::MAX_PER_RENTAL;
-use crate::intern::{Index, TypeIndex, ZoneIndex};
+use crate::intern::{DenseIndex, TypeIndex, ZoneIndex};
 use crate::jobs::Job;
 use crate::shard::sizing::counts_as_fleet;
 use std::collections::BTreeMap;
@@ -34,8 +34,8 @@
 
 impl ZonePinnedDemand {
     /// Does something wait for machines of this type in this zone alone?
-    pub(super) fn at(&self, ty: TypeIndex, zone: ZoneIndex) -> bool {
-        self.0.contains_key(&(ty, zone))
+    pub(super) fn at(&self, type_index: TypeIndex, zone: ZoneIndex) -> bool {
+        self.0.contains_key(&(type_index, zone))
     }
 }
 
@@ -70,7 +70,7 @@
             }
             let Some(zone) = self.only_zone(job) else { continue };
             let Some(ty) = self.type_in_zone(job, zone) else { continue };
-            let left = &mut room[job.team.ix()];
+            let left = &mut room[job.team.as_usize()];
             let mut tasks = f64::from(job.unfinished().saturating_sub(job.assigned));
             if job.spec.cpus > 0.0 {
                 tasks = tasks.min((*left / job.spec.cpus).floor());
@@ -102,14 +102,15 @@
     }
 
     /// The base is left to services, and is no room for what waits here.
-    fn room_in_zone(&self, ty: TypeIndex, zone: ZoneIndex, now: f64) -> ZoneCapacity {
+    fn room_in_zone(&self, type_index: TypeIndex, zone: ZoneIndex, now: f64) -> ZoneCapacity {
         let mut room = ZoneCapacity::default();
         let mut add = |spot: bool, n: f64| if spot { room.spot += n } else { room.on_demand += n };
-        let all = self.launches.pending.iter().filter(|l| (l.ty, l.zone) == (ty, zone));
+        let all = self.launches.pending.iter().filter(|l| (l.type_index, l.zone) == (type_index, zone));
         all.for_each(|l| add(l.spot, l.count as f64));
-        let size = self.types.get(ty).cpus;
-        let here =
-            |m: &&Machine| (m.machine_type, m.zone) == (ty, zone) && counts_as_fleet(m, now) && !m.in_on_demand_base;
+        let size = self.types.get(type_index).cpus;
+        let here = |m: &&Machine| {
+            (m.type_index, m.zone) == (type_index, zone) && counts_as_fleet(m, now) && !m.in_on_demand_base
+        };
         let machines = self.machines.iter().map(|(_, m)| m).filter(here);
         machines.for_each(|m| add(m.spot, ((size - m.cpus_used) / size).max(0.0)));
         room
@@ -117,7 +118,7 @@
 
     /// What was to be returned is used again first.
     fn rent_in_zone(&mut self, sort: (TypeIndex, ZoneIndex, bool), mut short: usize, now: f64) {
-        let cordoned = self.cordoned(|m| (m.machine_type, m.zone, m.spot) == sort);
+        let cordoned = self.cordoned(|m| (m.type_index, m.zone, m.spot) == sort);
         short -= self.uncordon(cordoned.into_iter().take(short));
         let (ty, zone, spot) = sort;
         if short > 0 && self.launches.may_rent(ty, zone, spot, now) {
--- a/crates/scheduler/tests/exhaustive/deployment.rs
+++ b/crates/scheduler/tests/exhaustive/deployment.rs
@@ -19,7 +19,7 @@
     ValidLease,
     /// A lease counts from the sending of its renewal, not from the answer.
     CountsFromSending,
-    /// An owner's writes are conditional on its claim.
+    /// A leader's writes are conditional on its claim.
     ClaimCondition,
     /// They are conditional on the version of the record that they replace.
     RecordCondition,
@@ -27,9 +27,9 @@
     StoredBeforeConfirmed,
     /// A controller that claims reads the records before it acts.
     ReadBeforeActing,
-    /// An owner that knows of the cancellation stops the task in each answer to its worker.
+    /// A leader that knows of the cancellation stops the task in each answer to its worker.
     StopsInEachAnswer,
-    /// An owner says nothing of a job whose cancellation it has sent and does not know to be stored.
+    /// A leader says nothing of a job whose cancellation it has sent and does not know to be stored.
     SilentWhileUnsettled,
 }
 
@@ -82,7 +82,7 @@
         lease: u64,
         over: u64,
     },
-    /// The owner's write of the job's record.
+    /// The leader's write of the job's record.
     Record {
         token: u64,
         version: u64,
@@ -90,7 +90,7 @@
     },
 }
 
-/// One controller: its claim, and what it knows of the job as an owner.
+/// One controller: its claim, and what it knows of the job as a leader.
 #[derive(Clone, Debug)]
 struct Controller {
     own: LeaderElection,
@@ -122,7 +122,7 @@
     answer: Option<Answer>,
 }
 
-/// What the owner answers a report with.
+/// What the leader answers a report with.
 #[derive(Clone, Copy, Debug)]
 struct Answer {
     token: u64,
@@ -170,7 +170,7 @@
     Loads(usize),
     /// A user cancels at this controller, which owns.
     Cancels(usize, Fate),
-    /// The owner writes the job's record for another reason, as progress is.
+    /// The leader writes the job's record for another reason, as progress is.
     WritesRecord(usize, Fate),
     /// A user hears of a stored cancellation from any controller that reads the record.
     ReadsRecord,
@@ -260,7 +260,7 @@
         self.load_at_once(state, i);
     }
 
-    /// Without its guard an owner takes for granted that nothing was cancelled.
+    /// Without its guard a leader takes for granted that nothing was cancelled.
     fn load_at_once(&self, state: &mut State, i: usize) {
         let controller = &mut state.controllers[i];
         if let (Some(token), false) = (controller.own.token(), self.keeps(Guard::ReadBeforeActing)) {
--- a/crates/scheduler/tests/shard/dependencies.rs
+++ b/crates/scheduler/tests/shard/dependencies.rs
@@ -56,7 +56,7 @@
     assert!(world.shard.unread_dependencies().is_empty());
 }
 
-/// A need that another cell runs is read, and stays unknown here until it ends.
+/// A need that another shard runs is read, and stays unknown here until it ends.
 #[test]
 fn a_job_whose_need_is_open_elsewhere_is_queued_once_that_is_read() {
     let mut world = successor();
--- a/crates/scheduler/tests/shard/ends.rs
+++ b/crates/scheduler/tests/shard/ends.rs
@@ -1,4 +1,4 @@
-//! Cancellations and ends that fall between two steps of the owner.
+//! Cancellations and ends that fall between two steps of the leader.
 
 use crate::world::{World, job, report, tasks};
 use lupinspur_scheduler::fleet::Phase as MachinePhase;
@@ -103,7 +103,7 @@
 }
 
 /// over-until-watched: whoever forgets a job that is over takes an older record of it for a new job. The watch of
-/// the jobs' records may be minutes behind what this owner has stored itself.
+/// the jobs' records may be minutes behind what this leader has stored itself.
 #[test]
 fn a_watch_that_is_far_behind_opens_no_job_again_that_is_over() {
     let mut world = World::with(&["h1"]);
--- a/crates/scheduler/tests/shard/failover.rs
+++ b/crates/scheduler/tests/shard/failover.rs
@@ -1,4 +1,4 @@
-//! What the next owner may do before it knows what recorded machines hold.
+//! What the next leader may do before it knows what recorded machines hold.
 
 use crate::world::{CARDS_LIMIT, LEASE_S, LIMIT, NEXT_TOKEN, TOKEN, World, job, report, report_of};
 use lupinspur_scheduler::fleet::Phase as MachinePhase;
@@ -7,7 +7,7 @@
 use lupinspur_scheduler::wire::ListedMachine;
 use serde_json::json;
 
-/// The next owner at 100 s: h1 is recorded with a job and silent, h2 is there.
+/// The next leader at 100 s: h1 is recorded with a job and silent, h2 is there.
 fn silent_machine(world: &mut World) {
     world.stored_job(job("req-1", 1, json!({})), Phase::Open);
     world.stored_rack(0, "h1", &["req-1"], false);
@@ -34,7 +34,7 @@
     assert!(started_on_h2(&mut world, 100.0 + LEASE_S, 104.0 + LEASE_S), "after it");
 }
 
-/// lease-of-the-silent: the same for a machine that this owner has answered.
+/// lease-of-the-silent: the same for a machine that this leader has answered.
 #[test]
 fn the_tasks_of_a_silent_machine_are_gone_after_its_lease() {
     let mut world = World::with(&["h1", "h2"]);
@@ -73,7 +73,7 @@
     waits_for_the_silent_machine(json!({"herd": "limited", "cpus": LIMIT / 2.0}));
 }
 
-/// usable-knows-us: an earlier owner's start may still reach a machine that has not seen our token.
+/// usable-knows-us: an earlier leader's start may still reach a machine that has not seen our token.
 #[test]
 fn nothing_is_started_on_a_machine_before_it_knows_our_token() {
     let mut world = World::new();
@@ -118,7 +118,7 @@
     assert_eq!(names, ["h1"]);
 }
 
-/// retire-before-delete: an owner that ends after the call leaves a successor that knows of it.
+/// retire-before-delete: a leader that ends after the call leaves a successor that knows of it.
 #[test]
 fn a_machine_is_marked_as_retiring_before_it_is_deleted() {
     let mut world = World::with(&["h1"]);
@@ -131,7 +131,7 @@
     assert!(world.shard.next_delete().is_some());
 }
 
-/// unproven-gets-nothing: a report that an earlier owner's token shows may be a late copy, of a machine that is long
+/// unproven-gets-nothing: a report that an earlier leader's token shows may be a late copy, of a machine that is long
 /// gone.
 #[test]
 fn a_machine_known_by_an_old_heartbeat_alone_counts_for_nothing() {
@@ -148,7 +148,7 @@
     assert_eq!(rented(true), rented(false));
 }
 
-/// unresolved-counts-cards: the same for cards.
+/// unresolved-counts-accelerators: the same for accelerators.
 #[test]
 fn an_unresolved_machine_counts_against_every_limit_of_cards() {
     waits_for_the_silent_machine(json!({"herd": "few-cards", "cards": CARDS_LIMIT / 2.0}));
@@ -185,7 +185,7 @@
     assert!(world.held("h3").is_some());
 }
 
-/// recorded-kind-stands: what was recorded as a spot machine is one for the next owner.
+/// recorded-kind-stands: what was recorded as a spot machine is one for the next leader.
 #[test]
 fn a_recorded_spot_machine_takes_no_work_that_may_not_use_it() {
     let mut world = World::new();
@@ -202,7 +202,7 @@
     assert!(world.machine("h1").is_reconciled() && world.held("h1").is_none());
 }
 
-/// unknown-type-holds: the types that this owner knows may be older than its predecessor's.
+/// unknown-type-holds: the types that this leader knows may be older than its predecessor's.
 #[test]
 fn what_machines_of_an_unknown_type_may_hold_starts_nowhere_else_within_their_lease() {
     let mut world = World::new();
@@ -214,12 +214,12 @@
     world.take_over(100.0);
     assert!(!started_on_h2(&mut world, 100.1, 99.0 + LEASE_S), "within the lease");
     world.tick_until(100.0 + LEASE_S, 101.0 + LEASE_S);
-    // As the owner does now and then.
+    // As the leader does now and then.
     world.shard.request_placement();
     assert!(started_on_h2(&mut world, 101.1 + LEASE_S, 104.0 + LEASE_S), "after it");
 }
 
-/// The next owner at 100 s: three machines are recorded, and none of them is heard.
+/// The next leader at 100 s: three machines are recorded, and none of them is heard.
 fn nobody_heard(world: &mut World) {
     for (number, name) in ["h1", "h2", "h3"].into_iter().enumerate() {
         world.stored_rack(number as u32, name, &[], false);
@@ -227,7 +227,7 @@
     world.take_over(100.0);
 }
 
-/// unlisted-tells-nothing: machines that the cloud lists and that nobody hears speak for an owner that is cut off;
+/// unlisted-tells-nothing: machines that the cloud lists and that nobody hears speak for a leader that is cut off;
 /// those that it does not list are gone.
 #[test]
 fn a_leader_hears_nobody_only_if_there_is_somebody_to_hear() {
--- a/crates/scheduler/tests/shard/heartbeats.rs
+++ b/crates/scheduler/tests/shard/heartbeats.rs
@@ -6,7 +6,7 @@
 use lupinspur_scheduler::wire::{CommandKind, JobState};
 use serde_json::json;
 
-/// newer-token: a machine that obeys the next owner is not answered by the one before.
+/// newer-token: a machine that obeys the next leader is not answered by the one before.
 #[test]
 fn a_heartbeat_with_a_newer_token_is_not_answered() {
     let mut world = World::with(&["h1"]);
@@ -25,7 +25,7 @@
     assert_eq!(world.state("req-1"), Some(JobState::Running));
 }
 
-/// dead-session: a session whose lease is surely over has killed its tasks, whatever comes of it later.
+/// dead-incarnation: an incarnation whose lease is surely over has killed its tasks, whatever comes of it later.
 #[test]
 fn an_incarnation_that_is_over_comes_back_in_no_heartbeat() {
     let mut world = World::with(&["h1"]);
@@ -47,7 +47,7 @@
     assert!(matches!(heard, HeartbeatOutcome::Stale), "{heard:?}");
 }
 
-/// own-token-first: until a machine has reported with our token an earlier owner's start may reach it.
+/// own-token-first: until a machine has reported with our token an earlier leader's start may reach it.
 #[test]
 fn what_a_machine_holds_is_known_by_a_heartbeat_with_our_token() {
     let mut world = World::new();
@@ -137,7 +137,7 @@
     assert_eq!(tasks(&world.answer(&ended(4), 1.5), CommandKind::Forget), [""; 0]);
 }
 
-/// session-takes-all: with its session a machine has killed all, also what may have been on its way.
+/// incarnation-takes-all: with its incarnation a machine has killed all, also what may have been on its way.
 #[test]
 fn a_new_incarnation_holds_nothing_of_the_one_before() {
     let mut world = World::with(&["h1"]);
--- a/crates/scheduler/tests/shard/incarnations.rs
+++ b/crates/scheduler/tests/shard/incarnations.rs
@@ -1,4 +1,4 @@
-//! Late copies of what a machine said in earlier sessions.
+//! Late copies of what a machine said in earlier incarnations.
 
 use crate::world::{NEXT_TOKEN, TOKEN, World, job, report_of};
 use lupinspur_scheduler::fleet::Phase as MachinePhase;
@@ -14,8 +14,8 @@
     }
 }
 
-/// copies-end-no-session: copies of two earlier sessions come to a new owner just before the machine itself. Each
-/// session seems to have ended though its reports were answered; yet none of them was heard for as long as a session
+/// copies-end-no-incarnation: copies of two earlier incarnations come to a new leader just before the machine itself. Each
+/// incarnation seems to have ended though its reports were answered; yet none of them was heard for as long as an incarnation
 /// lasts.
 #[test]
 fn copies_of_two_earlier_incarnations_do_not_make_a_machine_look_unreachable() {
@@ -43,7 +43,7 @@
     assert!(world.held("h1").is_some(), "there is work for all five");
 }
 
-/// A machine whose answers are all lost goes from one session to the next, a lease each, and gets nothing more.
+/// A machine whose answers are all lost goes from one incarnation to the next, a lease each, and gets nothing more.
 #[test]
 fn a_machine_whose_incarnations_end_though_it_is_answered_gets_nothing_new() {
     let mut world = World::with(&["h1"]);
--- a/crates/scheduler/tests/shard/live_attempts.rs
+++ b/crates/scheduler/tests/shard/live_attempts.rs
@@ -2,14 +2,14 @@
 
 use crate::world::{NEXT_TOKEN, TOKEN, World, job, report, report_of, tasks};
 use lupinspur_scheduler::fleet::machine_groups::{MACHINE_GROUP_PREFIX, MachineGroupRecord};
-use lupinspur_scheduler::jobs::{JobRecord, Phase, TaskSlot};
+use lupinspur_scheduler::jobs::{JobRecord, Phase, TaskKey, TaskSlot};
 use lupinspur_scheduler::shard::Forbidden;
 use lupinspur_scheduler::wire::{Command, CommandKind};
 use serde_json::json;
 
-/// An attempt of the owner before.
+/// An attempt of the leader before.
 const EARLIER_ATTEMPT: u64 = 77;
-/// An attempt of an owner that has a later token than any that was heard of.
+/// An attempt of a leader that has a later token than any that was heard of.
 const LATER_ATTEMPT: u64 = (NEXT_TOKEN + 5) << 24;
 
 /// A successor at 100 s: h1 is recorded with `req-2`, whose need, `req-1`, ended before the checkpoint and was not
@@ -29,7 +29,7 @@
     world.shard.on_dependency_read("req-1", now);
 }
 
-/// The commands in the answer to a report of the first session that lists this attempt as running.
+/// The commands in the answer to a report of the first incarnation that lists this attempt as running.
 fn hear_running(world: &mut World, machine: &str, counter: u64, task: &str, attempt: u64, now: f64) -> Vec<Command> {
     world.answer(&report_of(machine, (1, counter), NEXT_TOKEN, &[(task, attempt, "running")]), now)
 }
@@ -94,7 +94,7 @@
     stopped_once_the_need_is_read(Phase::Cancelled);
 }
 
-/// open-elsewhere-stops: the same where the need is another cell's, and stays unknown here.
+/// open-elsewhere-stops: the same where the need is another shard's, and stays unknown here.
 #[test]
 fn what_runs_is_stopped_once_the_need_is_known_to_be_open_elsewhere() {
     let mut world = successor_with_an_unread_need();
@@ -144,7 +144,7 @@
     assert_eq!(world.shard.jobs[ix].tasks[0], TaskSlot::Assigned(world.index(lists)));
 }
 
-/// session-takes-all: with its session all that a machine listed has ended, and occupies nothing.
+/// incarnation-takes-all: with its incarnation all that a machine listed has ended, and occupies nothing.
 #[test]
 fn what_an_earlier_incarnation_listed_occupies_nothing() {
     let mut world = World::with(&["h1"]);
@@ -171,7 +171,7 @@
     assert!(world.held("h3").is_some());
 }
 
-/// record-names-listed: the next owner has to know that the machine may hold it.
+/// record-names-listed: the next leader has to know that the machine may hold it.
 #[test]
 fn the_record_of_a_machine_names_what_it_lists_and_nobody_holds() {
     let (mut world, _) = held_and_listed_again();
@@ -216,7 +216,7 @@
     assert!(world.held("h1").is_some() || world.held("h2").is_some(), "h1 holds nothing");
 }
 
-/// record-keeps-unknown: the owner after this one may know the job that this one does not.
+/// record-keeps-unknown: the leader after this one may know the job that this one does not.
 #[test]
 fn the_record_of_a_silent_machine_goes_on_naming_jobs_that_are_unknown_here() {
     let mut world = World::new();
@@ -256,8 +256,8 @@
 #[test]
 fn a_start_of_a_task_that_a_machine_lists_is_forbidden() {
     let (mut world, _) = held_and_listed_again();
-    let key = (world.shard.jobs.find("req-1").expect("a job"), 0);
-    world.shard.jobs[key.0].tasks[0] = TaskSlot::Queued;
+    let key = TaskKey::new(world.shard.jobs.find("req-1").expect("a job"), 0);
+    world.shard.jobs[key.job].tasks[0] = TaskSlot::Queued;
     let h1 = world.index("h1");
     assert_eq!(world.shard.may_start(h1, key), Err(Forbidden::Occupied));
 }
@@ -267,7 +267,7 @@
 fn a_start_of_a_job_whose_need_was_not_read_is_forbidden() {
     let mut world = successor_with_an_unread_need();
     world.hear(&report_of("h1", (1, 5), NEXT_TOKEN, &[]), 100.2);
-    let key = (world.shard.jobs.find("req-2").expect("a job"), 0);
+    let key = TaskKey::new(world.shard.jobs.find("req-2").expect("a job"), 0);
     let h1 = world.index("h1");
     assert_eq!(world.shard.may_start(h1, key), Err(Forbidden::DependenciesUnmet));
 }
@@ -304,7 +304,7 @@
     assert!(world.held("h1").is_none() && !world.machine("h1").is_reconciled(), "nobody knows what is on it");
 }
 
-/// Bad input: an attempt of an owner after this one, though nobody has heard of its token.
+/// Bad input: an attempt of a leader after this one, though nobody has heard of its token.
 #[test]
 fn an_attempt_of_a_later_token_occupies_its_task() {
     let mut world = World::new();
--- a/crates/scheduler/tests/shard/lost_starts.rs
+++ b/crates/scheduler/tests/shard/lost_starts.rs
@@ -1,4 +1,4 @@
-//! Starts that were sent directly and never answered: they may arrive until the machine's session ends.
+//! Starts that were sent directly and never answered: they may arrive until the machine's incarnation ends.
 
 use crate::world::{LIMIT, World, job, report, tasks};
 use lupinspur_scheduler::fleet::{AssignmentState, Phase as MachinePhase};
@@ -38,7 +38,7 @@
     }
 }
 
-/// lost-start-replaced: nothing else ends the wait within the session, and the team is held at its limit.
+/// lost-start-replaced: nothing else ends the wait within the incarnation, and the team is held at its limit.
 #[test]
 fn a_machine_with_a_lost_start_of_a_cancelled_job_is_replaced() {
     let mut world = World::with(&MACHINES);
--- a/crates/scheduler/tests/shard/main.rs
+++ b/crates/scheduler/tests/shard/main.rs
@@ -1,4 +1,4 @@
-//! One owner's decisions, guard by guard: each test here fails if the guard that it names is taken out
+//! One leader's decisions, guard by guard: each test here fails if the guard that it names is taken out
 //! (`tests/guards/` at the root, `scripts/guards`). Longer stories stand in the golden traces.
 
 mod attempts;
--- a/crates/scheduler/tests/shard/moved_jobs.rs
+++ b/crates/scheduler/tests/shard/moved_jobs.rs
@@ -1,8 +1,8 @@
-//! A job that goes to another cell.
+//! A job that goes to another shard.
 
 use crate::world::{World, job, report};
-use lupinspur_cells::ShardId;
 use lupinspur_scheduler::jobs::{JobRecord, Phase};
+use lupinspur_sharding::ShardId;
 use serde_json::{Value, json};
 
 const JOB: &str = "req-1";
@@ -10,7 +10,7 @@
 /// Waiting work is looked at several times meanwhile.
 const LOOKS_S: u32 = 20;
 
-/// The job has gone to another cell, and the machine has room. Returns its record of before with its version.
+/// The job has gone to another shard, and the machine has room. Returns its record of before with its version.
 fn after_it_left(world: &mut World) -> (JobRecord, u64) {
     let index = world.accept(job(JOB, 1, json!({})), 1.0);
     let before: JobRecord = serde_json::from_value(world.keys[KEY].0.clone()).expect("a record");
@@ -36,7 +36,7 @@
 }
 
 /// job-left-stays-left: a watch that lags, or a late answer to whoever submitted it, tells of the job as it was
-/// before. Its next cell may have started it.
+/// before. Its next shard may have started it.
 #[test]
 fn a_job_that_left_is_not_taken_in_again_by_its_record_of_before() {
     let mut world = World::new();
--- a/crates/scheduler/tests/shard/permission.rs
+++ b/crates/scheduler/tests/shard/permission.rs
@@ -1,6 +1,7 @@
 //! What was decided is looked at once more before it is done.
 
 use crate::world::{TOKEN, World, job, report, report_of};
+use lupinspur_scheduler::jobs::TaskKey;
 use lupinspur_scheduler::shard::{Forbidden, Lapsed, PushOutcome, PushRequest};
 use lupinspur_scheduler::wire::CommandKind;
 use serde_json::json;
@@ -17,7 +18,7 @@
     world.direct(now).iter().flat_map(|d| &d.body.commands).filter(|c| c.kind == CommandKind::Start).count()
 }
 
-/// session-when-sent: the machine has begun another session while the connection was opened.
+/// incarnation-when-sent: the machine has begun another incarnation while the connection was opened.
 #[test]
 fn commands_for_an_incarnation_that_is_over_are_withheld() {
     let mut world = World::with(&["h1"]);
@@ -59,18 +60,18 @@
     let mut world = World::with(&["h1", "h2"]);
     let j = world.accept(job("req-1", 2, json!({"cpus": 32.0})), 0.7);
     let h1 = world.index("h1");
-    assert_eq!(world.shard.may_start(h1, (j, 0)), Err(Forbidden::NotQueued), "it is held by a machine");
+    assert_eq!(world.shard.may_start(h1, TaskKey::new(j, 0)), Err(Forbidden::NotQueued), "it is held by a machine");
     let waits = world.accept(job("req-2", 1, json!({"cpus": 32.0})), 0.8);
-    assert_eq!(world.shard.may_start(h1, (waits, 0)), Ok(()));
+    assert_eq!(world.shard.may_start(h1, TaskKey::new(waits, 0)), Ok(()));
     world.shard.cancel("req-2");
-    assert_eq!(world.shard.may_start(h1, (waits, 0)), Err(Forbidden::JobOver));
+    assert_eq!(world.shard.may_start(h1, TaskKey::new(waits, 0)), Err(Forbidden::JobOver));
     let also_waits = world.accept(job("req-3", 1, json!({"cpus": 32.0})), 0.9);
     world.hear(&report_of("h1", (1, 3), TOKEN - 1, &[]), 1.0);
-    assert_eq!(world.shard.may_start(h1, (also_waits, 0)), Err(Forbidden::MachineNotReconciled));
+    assert_eq!(world.shard.may_start(h1, TaskKey::new(also_waits, 0)), Err(Forbidden::MachineNotReconciled));
     world.stored_rack(0, "h9", &["req-3"], false);
     world.take_over(2.0);
     let found = world.shard.jobs.find("req-3").expect("a job");
     let h9 = world.index("h9");
-    assert_eq!(world.shard.may_start(h9, (found, 0)), Err(Forbidden::MayRunElsewhere));
+    assert_eq!(world.shard.may_start(h9, TaskKey::new(found, 0)), Err(Forbidden::MayRunElsewhere));
     assert_eq!(world.shard.counts.forbidden, 0, "nothing of this was tried");
 }
--- a/crates/scheduler/tests/shard/placement.rs
+++ b/crates/scheduler/tests/shard/placement.rs
@@ -68,14 +68,14 @@
     assert_eq!(placed(8, json!({"cpus": LIMIT / 2.0})).len(), 8, "another team has none");
 }
 
-/// limit-cards
+/// limit-accelerators
 #[test]
 fn a_team_stays_within_its_limit_of_cards() {
     assert_eq!(placed(8, json!({"cards": CARDS_LIMIT / 2.0, "herd": "few-cards"})).len(), 2);
     assert_eq!(placed(8, json!({"cards": CARDS_LIMIT / 2.0})).len(), 8, "another team has none");
 }
 
-/// fits-memory, fits-cards: a start that does not fit is refused, and placed there again and again.
+/// fits-memory, fits-accelerators: a start that does not fit is refused, and placed there again and again.
 #[test]
 fn a_machine_gets_no_more_than_fits_its_memory_and_cards() {
     assert_eq!(placed(12, json!({"memory_gb": MEMORY_GB / 2.0})).len(), 8);
--- a/crates/scheduler/tests/shard/service_capacity.rs
+++ b/crates/scheduler/tests/shard/service_capacity.rs
@@ -1,8 +1,8 @@
 //! Room that batch work leaves to services, and that of work that waits beside it.
 
 use crate::world::{TOKEN, World, job, report};
-use lupinspur_cells::ShardId;
 use lupinspur_scheduler::jobs::{JobRecord, Phase};
+use lupinspur_sharding::ShardId;
 use serde_json::json;
 
 const MACHINE: &str = "m";
@@ -37,7 +37,7 @@
     for now in (from as u64..=until as u64).map(|s| s as f64) {
         in_base(world);
         let given = world.machine(MACHINE).assignments.iter();
-        let given = given.map(|(key, held)| (format!("{}/{}", world.shard.jobs[key.0].id, key.1), held.attempt));
+        let given = given.map(|(key, held)| (format!("{}/{}", world.shard.jobs[key.job].id, key.task), held.attempt));
         let given: Vec<(String, u64)> = given.collect();
         let state = |task: &str| if done == Some(task) { "done" } else { "running" };
         let tasks: Vec<_> = given.iter().map(|(t, attempt)| (t.as_str(), *attempt, state(t))).collect();
@@ -69,7 +69,7 @@
     assert_eq!(world.shard.jobs[world.shard.jobs.find("req-3").expect("the job")].done, 1);
 }
 
-/// What came from another cell has waited there, too.
+/// What came from another shard has waited there, too.
 #[test]
 fn a_job_from_another_cell_brings_its_wait_with_it() {
     for (moves, begins) in [(0, false), (1, true)] {
@@ -86,7 +86,7 @@
     }
 }
 
-/// Other cells are told of room that what waits here cannot use, for work that may use spot machines and for
+/// Other shards are told of room that what waits here cannot use, for work that may use spot machines and for
 /// work that may not; and of no room that something here is about to take.
 #[test]
 fn a_cell_tells_others_of_room_that_its_own_waiting_work_cannot_use() {
--- a/crates/scheduler/tests/shard/starts.rs
+++ b/crates/scheduler/tests/shard/starts.rs
@@ -2,7 +2,7 @@
 
 use crate::world::{NEXT_TOKEN, World, job, report, report_of, tasks};
 use lupinspur_scheduler::fleet::AssignmentState;
-use lupinspur_scheduler::jobs::Phase;
+use lupinspur_scheduler::jobs::{Phase, TaskKey};
 use lupinspur_scheduler::shard::PushOutcome;
 use lupinspur_scheduler::wire::CommandKind;
 use serde_json::json;
@@ -91,9 +91,9 @@
     let answer = report("h1", 4, &[("req-9/0", other, "running")]);
     // A service needs the room: the start is to be undone.
     world.accept(job("req-2", 1, json!({"cpus": 28.0, "habit": "standing", "precedence": "critical"})), 1.1);
-    let key = (world.shard.jobs.find("req-1").expect("a job"), 0);
+    let key = TaskKey::new(world.shard.jobs.find("req-1").expect("a job"), 0);
     assert!(world.machine("h1").assignments[&key].stop_grace_s.is_some(), "it does not give way");
-    // This owner stands still, or its links are slow, for longer than any reply is on its way.
+    // This leader stands still, or its links are slow, for longer than any reply is on its way.
     world.shard.on_push_outcome(
         &question,
         PushOutcome::Answered { executed: true, report: Some(serde_json::from_value(answer).expect("a report")) },
--- a/crates/scheduler/tests/shard/world.rs
+++ b/crates/scheduler/tests/shard/world.rs
@@ -2,7 +2,7 @@
 
 use lupinspur_scheduler::fleet::machine_groups::{MACHINE_GROUP_PREFIX, MachineGroupRecord};
 use lupinspur_scheduler::fleet::{Assignment, Machine};
-use lupinspur_scheduler::intern::{Index, JobIndex, MachineGroupIndex, MachineIndex};
+use lupinspur_scheduler::intern::{DenseIndex, JobIndex, MachineGroupIndex, MachineIndex};
 use lupinspur_scheduler::jobs::{JOB_PREFIX, JobRecord, Phase, job_key};
 use lupinspur_scheduler::params::{Params, Team, Tuning};
 use lupinspur_scheduler::shard::{
@@ -13,17 +13,17 @@
 use serde_json::{Value, json};
 use std::collections::{BTreeMap, HashMap};
 
-/// The owner's token, and that of the owner after it.
+/// The leader's token, and that of the leader after it.
 pub const TOKEN: u64 = 10;
 pub const NEXT_TOKEN: u64 = 20;
 pub const LEASE_S: f64 = 20.0;
 /// A team's limit: the cpus of one machine.
 pub const LIMIT: f64 = 32.0;
-/// Another team's limit: the cards of one machine.
+/// Another team's limit: the accelerators of one machine.
 pub const CARDS_LIMIT: f64 = 8.0;
 /// The memory of one machine, in GB.
 pub const MEMORY_GB: f64 = 64.0;
-/// Ticks come more often than an owner takes for a pause.
+/// Ticks come more often than a leader takes for a pause.
 const TICK_S: f64 = 0.5;
 
 fn team(name: &str, cpus_max: f64, cards_max: f64) -> Team {
@@ -75,7 +75,7 @@
         "season": incarnation, "tally": counter, "warrant": token, "reclaim_s": null, "seeds": tasks})
 }
 
-/// A report of the first session with the owner's token.
+/// A report of the first incarnation with the leader's token.
 pub fn report(machine: &str, counter: u64, tasks: &[(&str, u64, &str)]) -> Value {
     report_of(machine, (1, counter), TOKEN, tasks)
 }
@@ -87,14 +87,14 @@
 }
 
 impl World {
-    /// An owner that begins with nothing at 0 s.
+    /// A leader that begins with nothing at 0 s.
     pub fn new() -> World {
         let loaded = LoadedState::default();
         let shard = Shard::new(&params(), Tuning::default(), TOKEN, types(), loaded, 0.0);
         World { shard, keys: BTreeMap::new(), revision: TOKEN }
     }
 
-    /// The same, with machines that have reported with the owner's token.
+    /// The same, with machines that have reported with the leader's token.
     pub fn with(machines: &[&str]) -> World {
         let mut world = World::new();
         for name in machines {
@@ -109,7 +109,7 @@
         under.map(|(k, (v, n))| (k.clone(), serde_json::from_value(v.clone()).expect("its value"), *n)).collect()
     }
 
-    /// The next owner begins with what is stored.
+    /// The next leader begins with what is stored.
     pub fn take_over(&mut self, now: f64) {
         self.revision = self.revision.max(NEXT_TOKEN);
         let number = |key: &str| key[MACHINE_GROUP_PREFIX.len()..].parse::<usize>().expect("a number");
@@ -126,13 +126,13 @@
         self.shard = Shard::new(&params(), Tuning::default(), NEXT_TOKEN, types(), loaded, now);
     }
 
-    /// A value that an earlier owner stored.
+    /// A value that an earlier leader stored.
     pub fn stored(&mut self, key: &str, value: Value) {
         self.revision += 1;
         self.keys.insert(key.to_owned(), (value, self.revision));
     }
 
-    /// A rack with one machine that may hold these jobs.
+    /// A machine group with one machine that may hold these jobs.
     pub fn stored_rack(&mut self, number: u32, machine: &str, jobs: &[&str], retiring: bool) {
         let places: Vec<usize> = (0..jobs.len()).collect();
         let machine = json!({"machine": machine, "addr": "127.0.0.1:9", "retiring": retiring, "jobs": places});
@@ -147,7 +147,7 @@
         self.stored(&key, serde_json::to_value(record).expect("a record"));
     }
 
-    /// A job is accepted, and the owner knows.
+    /// A job is accepted, and the leader knows.
     pub fn accept(&mut self, job: JobRequest, now: f64) -> JobIndex {
         self.stored_job(job.clone(), Phase::Open);
         let added = self.shard.add_job(JobRecord::accepted(job, 0), self.revision, now);
@@ -175,7 +175,7 @@
         self.shard.next_writes(8, 50_000, 8, now)
     }
 
-    /// They are stored, and the owner knows.
+    /// They are stored, and the leader knows.
     pub fn store_writes(&mut self, writes: Vec<PendingWrite>, now: f64) {
         self.revision += 1;
         for write in &writes {
--- a/crates/accounts/examples/cost.rs
+++ b/crates/service-levels/examples/cost.rs
@@ -1,11 +1,11 @@
 //! What the accounts cost, by the number of classes and teams: an event of a job, and one look
-//! at all accounts, as the owner takes each second. Times are of this machine; the ratios count.
+//! at all accounts, as the leader takes each second. Times are of this machine; the ratios count.
 //!
-//!     cargo run --release -p lupinspur-accounts --example cost
+//!     cargo run --release -p lupinspur-service-levels --example cost
 
-use lupinspur_accounts::objectives::{CompletionObjective, ServiceLevelObjectives};
-use lupinspur_accounts::tracker::{End, Entry, ServiceLevelTracker, Tasks};
-use lupinspur_accounts::underserved::Underserved;
+use lupinspur_service_levels::objectives::{CompletionObjective, ServiceLevelObjectives};
+use lupinspur_service_levels::tracker::{End, Entry, ServiceLevelTracker, Tasks};
+use lupinspur_service_levels::underserved::Underserved;
 use std::collections::HashMap;
 use std::hint::black_box;
 use std::time::Instant;
--- a/crates/accounts/examples/gate.rs
+++ b/crates/service-levels/examples/gate.rs
@@ -1,13 +1,13 @@
 //! Judges reports, journal entries and logs of played days: one line for each class or team
 //! under a half, and a failure if there is one, or if a file says nothing.
 //!
-//!     cargo run -q -p lupinspur-accounts --example gate -- FILE...
-//!     cargo run -q -p lupinspur-accounts --example gate -- --agreement REPORT LOG
+//!     cargo run -q -p lupinspur-service-levels --example gate -- FILE...
+//!     cargo run -q -p lupinspur-service-levels --example gate -- --agreement REPORT LOG
 //!
-//! The second shows by class how far the owners' accounts agree with what was measured.
+//! The second shows by class how far the leaders' accounts agree with what was measured.
 
-use lupinspur_accounts::gate::{self, Judged, LOG_MARK, Nothing};
-use lupinspur_accounts::report::ServiceLevelReport;
+use lupinspur_service_levels::gate::{self, Judged, LOG_MARK, Nothing};
+use lupinspur_service_levels::report::ServiceLevelReport;
 use std::process::ExitCode;
 
 fn text(path: &str) -> Result<String, Nothing> {
--- a/crates/accounts/src/gate.rs
+++ b/crates/service-levels/src/gate.rs
@@ -2,7 +2,7 @@
 //!
 //! Three sources, each as it is written by whoever measured: the report of one run (its
 //! targets, by class), a journal entry of a score (each aim as a line of text), and the
-//! accounts that the owner logs (by class and by team).
+//! accounts that the leader logs (by class and by team).
 
 use crate::report::{ALERT_THRESHOLD, Row, ServiceLevelReport};
 use crate::{Reading, Subject};
@@ -175,8 +175,8 @@
     some(source, out)
 }
 
-/// The accounts of a day: the last that was logged, and with it the last of each chain of owners
-/// that was not handed over. What was lost between owners is unknown, and judged by nobody.
+/// The accounts of a day: the last that was logged, and with it the last of each chain of leaders
+/// that was not handed over. What was lost between leaders is unknown, and judged by nobody.
 fn together(lines: &[ServiceLevelReport]) -> Vec<Row> {
     let mut last: BTreeMap<u64, &ServiceLevelReport> = BTreeMap::new();
     last.extend(lines.iter().map(|t| (if t.chain > 0 { t.chain } else { t.leader }, t)));
@@ -216,7 +216,7 @@
 /// Readings of a class that lie further apart than this do not agree.
 const AGREES_WITHIN: f64 = 0.05;
 
-/// One reading of a class by those who measured the day, and by the owners' accounts.
+/// One reading of a class by those who measured the day, and by the leaders' accounts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Agreement {
     pub class: String,
--- a/crates/accounts/src/inheritance.rs
+++ b/crates/service-levels/src/inheritance.rs
@@ -1,10 +1,10 @@
-//! What a book hands to the book of the next owner: the sums of every account, in values of a
+//! What a book hands to the book of the next leader: the sums of every account, in values of a
 //! bounded size, written in rounds.
 //!
 //! A round is complete or it is nothing: its values name it, and how many there are. Rounds stand
 //! in two places in turn, so that one that was begun and never ended leaves the one before whole.
 //!
-//! The sums of the last ten minutes come along as one: who has sunk has sunk for the next owner
+//! The sums of the last ten minutes come along as one: who has sunk has sunk for the next leader
 //! as well. They fade in the middle of the ten minutes after.
 //!
 //! What the earlier book counted up to [`Carried::as_of`] is in the sums and must not be counted
@@ -38,7 +38,7 @@
     of: u32,
     /// Seconds of the day up to which everything was counted.
     as_of: f64,
-    /// The first owner whose accounts these are.
+    /// The first leader whose accounts these are.
     chain: u64,
     lines: Vec<IndicatorTotals>,
 }
@@ -103,13 +103,13 @@
         (0..).zip(values).map(part).collect()
     }
 
-    /// Goes on with an earlier owner's sums. `within_s`: how far the two owners' times of day may
+    /// Goes on with an earlier leader's sums. `within_s`: how far the two leaders' times of day may
     /// lie apart; what fell due around the end of the earlier accounts is unknown.
     pub fn inherit(&mut self, c: &InheritedTotals, within_s: f64, now: f64) {
         (self.settled_before, self.lost_until) = (c.as_of - within_s, c.as_of + within_s);
         for IndicatorTotals(side, name, sums) in &c.lines {
             let a = self.indicator(*side, name, now);
-            let account = &mut self.indicators[a.ix()];
+            let account = &mut self.indicators[a.as_usize()];
             for (r, &ReadingTotals(asked, served, unknown, ten_asked, ten_served)) in READINGS.into_iter().zip(sums) {
                 let ten = Share { asked: ten_asked, served: ten_served };
                 account.carried(r, Share { asked, served }, unknown, ten, c.as_of, now);
--- a/crates/accounts/src/lib.rs
+++ b/crates/service-levels/src/lib.rs
@@ -10,7 +10,7 @@
 //! - [`window`]: sums over the last minutes
 //! - [`book`]: the accounts, fed job by job
 //! - [`floor`]: who has sunk, and who must not be pushed under
-//! - [`handed`]: what a book hands to the next owner's
+//! - [`handed`]: what a book hands to the next leader's
 //! - [`told`]: rows for people, and the warnings
 //! - [`gate`]: readings of a played day that lie under a half
 
--- a/crates/accounts/src/report.rs
+++ b/crates/service-levels/src/report.rs
@@ -27,7 +27,7 @@
     pub share: Option<f64>,
     pub minute: Option<f64>,
     pub ten_minutes: Option<f64>,
-    /// Jobs, or seconds of replicas, of which nobody knows since the takeovers so far.
+    /// Jobs, or seconds of replicas, of which nobody knows since the failovers so far.
     pub unknown: u64,
     /// Seconds until all tasks were begun: half, nine in ten, the longest. Of started only.
     pub waits_s: Option<(f64, f64, f64)>,
@@ -38,8 +38,8 @@
     /// Who counted last.
     #[serde(rename = "owner", default)]
     pub leader: u64,
-    /// The owner that began these accounts: those after it went on with its sums. 0: not told,
-    /// as by a version in which each owner began anew.
+    /// The leader that began these accounts: those after it went on with its sums. 0: not told,
+    /// as by a version in which each leader began anew.
     #[serde(default)]
     pub chain: u64,
     /// Seconds of the day.
--- a/crates/accounts/src/tracker/indicator.rs
+++ b/crates/service-levels/src/tracker/indicator.rs
@@ -16,7 +16,7 @@
         IndicatorIndex(i as u32)
     }
 
-    pub fn ix(self) -> usize {
+    pub fn as_usize(self) -> usize {
         self.0 as usize
     }
 }
@@ -26,7 +26,7 @@
     pub name: String,
     pub side: Subject,
     pub(super) sums: [Sums; READINGS.len()],
-    /// Jobs of which a reading is not known, after a takeover.
+    /// Jobs of which a reading is not known, after a failover.
     pub unknown: [u64; READINGS.len()],
     /// How long jobs waited until all their tasks were begun, in milliseconds.
     pub waits: Histogram<u32>,
@@ -56,7 +56,7 @@
         &self.sums[r as usize]
     }
 
-    /// What an earlier owner counted in all, and in ten minutes.
+    /// What an earlier leader counted in all, and in ten minutes.
     pub(crate) fn carried(&mut self, r: Reading, all: Share, unknown: u64, ten: Share, as_of: f64, now: f64) {
         let sums = &mut self.sums[r as usize];
         sums.add_at(as_of - TEN_MINUTES_S / 2.0, now, ten.asked, ten.served);
--- a/crates/accounts/src/tracker/mod.rs
+++ b/crates/service-levels/src/tracker/mod.rs
@@ -44,7 +44,7 @@
     generations: Vec<u32>,
     free: Vec<u32>,
     due: BinaryHeap<Reverse<(At, Due, u32, u32)>>,
-    /// What fell due before this an earlier owner has counted; what did between the two it may
+    /// What fell due before this an earlier leader has counted; what did between the two it may
     /// have counted or not. Seconds of the day.
     pub(crate) settled_before: f64,
     pub(crate) lost_until: f64,
@@ -128,24 +128,24 @@
 
     fn count_part(&mut self, accounts: [IndicatorIndex; 2], r: Reading, now: f64, part: f64) {
         for a in accounts {
-            self.indicators[a.ix()].add(r, now, 1.0, part);
+            self.indicators[a.as_usize()].add(r, now, 1.0, part);
         }
     }
 
     fn count_unknown(&mut self, accounts: [IndicatorIndex; 2], r: Reading) {
         for a in accounts {
-            self.indicators[a.ix()].unknown[r as usize] += 1;
+            self.indicators[a.as_usize()].unknown[r as usize] += 1;
         }
     }
 
-    /// A job whose time begins, or began under an earlier owner.
+    /// A job whose time begins, or began under an earlier leader.
     pub fn track(&mut self, e: &Entry, now: f64) -> TrackedJobIndex {
         let accounts = self.of_job(e.class, e.team, now);
         let terms = self.objectives.get(e.class).cloned().unwrap_or_default();
         let wait = terms.wait_s.map(|w| e.from.max(e.waits_from) + w);
         let deadline = (!e.service).then(|| terms.latest(e.submitted, e.from, e.deadline_s)).flatten();
         let grace = terms.grace_s.or(terms.wait_s).unwrap_or(0.0);
-        // A start or an end that fell due under an earlier owner is in its accounts, or lost.
+        // A start or an end that fell due under an earlier leader is in its accounts, or lost.
         let start = wait.map(|due| self.counted_by(due));
         let unknown = |w: Option<CountedBy>| w == Some(CountedBy::Nobody);
         let doubted = terms.wait_s.is_some_and(|w| w < e.may_have_waited_s);
@@ -162,7 +162,7 @@
         if e.service && e.seen_from > counts_from {
             let lost = (e.seen_from - counts_from.max(self.settled_before).max(0.0)).max(0.0);
             for a in accounts {
-                self.indicators[a.ix()].unknown[Reading::Up as usize] += (lost * f64::from(e.tasks)) as u64;
+                self.indicators[a.as_usize()].unknown[Reading::Up as usize] += (lost * f64::from(e.tasks)) as u64;
             }
         }
         let n = self.free.pop().unwrap_or_else(|| {
@@ -215,7 +215,7 @@
         ticket.waited |= all;
         if ticket.counted && before != running {
             for a in accounts {
-                let account = &mut self.indicators[a.ix()];
+                let account = &mut self.indicators[a.as_usize()];
                 account.integrate(now);
                 account.replicas.served += f64::from(running) - f64::from(before);
             }
@@ -225,7 +225,7 @@
         }
         if all {
             for a in accounts {
-                self.indicators[a.ix()].waits.saturating_record((waited.max(0.0) * 1000.0) as u64);
+                self.indicators[a.as_usize()].waits.saturating_record((waited.max(0.0) * 1000.0) as u64);
             }
         }
     }
@@ -251,7 +251,7 @@
 
     fn stop_counting_replicas(&mut self, ticket: &TrackedJob, now: f64) {
         for a in ticket.indicators.into_iter().filter(|_| ticket.counted) {
-            let account = &mut self.indicators[a.ix()];
+            let account = &mut self.indicators[a.as_usize()];
             account.integrate(now);
             account.replicas.asked -= f64::from(ticket.tasks);
             account.replicas.served -= f64::from(ticket.running);
@@ -275,7 +275,7 @@
             None | Some((_, CountedBy::Nobody)) => self.count_unknown(accounts, Reading::Done),
             Some((ended, CountedBy::Ours)) => {
                 for a in accounts {
-                    let sums = &mut self.indicators[a.ix()].sums[Reading::Done as usize];
+                    let sums = &mut self.indicators[a.as_usize()].sums[Reading::Done as usize];
                     sums.add_at(ended.min(now), now, 1.0, f64::from(u8::from(ended <= latest)));
                 }
             }
@@ -286,7 +286,7 @@
     /// in cpu-seconds.
     pub fn held(&mut self, side: Subject, name: &str, asked: f64, held: f64, now: f64) {
         let a = self.indicator(side, name, now);
-        self.indicators[a.ix()].add(Reading::Held, now, asked, held.min(asked));
+        self.indicators[a.as_usize()].add(Reading::Held, now, asked, held.min(asked));
     }
 
     /// A submission or a cancellation that a user waited for at this controller's door.
@@ -317,7 +317,7 @@
                     ticket.counted = true;
                     let (tasks, running) = (f64::from(ticket.tasks), f64::from(ticket.running));
                     for a in accounts {
-                        let account = &mut self.indicators[a.ix()];
+                        let account = &mut self.indicators[a.as_usize()];
                         account.integrate(now);
                         account.replicas.asked += tasks;
                         account.replicas.served += running;
@@ -331,7 +331,7 @@
 
     /// A reading over a window, if anything was asked for.
     pub fn part(&self, a: IndicatorIndex, r: Reading, span: Span, now: f64) -> Share {
-        self.indicators[a.ix()].sums(r).over(span, now)
+        self.indicators[a.as_usize()].sums(r).over(span, now)
     }
 
     /// Open jobs in the book.
--- a/crates/accounts/src/underserved.rs
+++ b/crates/service-levels/src/underserved.rs
@@ -86,7 +86,7 @@
     }
 
     pub fn contains(&self, a: IndicatorIndex) -> bool {
-        self.0.get(a.ix()).copied().unwrap_or(false)
+        self.0.get(a.as_usize()).copied().unwrap_or(false)
     }
 
     /// Of either a job's class or its team.
--- a/crates/accounts/tests/gate.rs
+++ b/crates/service-levels/tests/gate.rs
@@ -1,8 +1,8 @@
 //! The gate on small reports written by hand: which pass, and which must not.
 
-use lupinspur_accounts::gate::{self, Judged, Nothing};
-use lupinspur_accounts::report::ServiceLevelReport;
-use lupinspur_accounts::{Reading, ServiceLevelTracker};
+use lupinspur_service_levels::gate::{self, Judged, Nothing};
+use lupinspur_service_levels::report::ServiceLevelReport;
+use lupinspur_service_levels::{Reading, ServiceLevelTracker};
 use std::collections::HashMap;
 
 fn lines(j: &Judged) -> Vec<String> {
@@ -33,7 +33,7 @@
     assert_eq!((j.readings, lines(&j)), (2, vec!["journal: s d: served team red: 0.490".to_owned()]));
 }
 
-/// The owner's own accounts, as they stand in its log.
+/// The leader's own accounts, as they stand in its log.
 #[test]
 fn teams_are_judged_by_the_service_levels() {
     let mut b = ServiceLevelTracker::new(HashMap::new());
@@ -45,7 +45,7 @@
     let told: ServiceLevelReport = serde_json::from_str(&text).expect("the same");
     let j = gate::accounts("log", std::slice::from_ref(&told)).expect("readings");
     assert_eq!(lines(&j), ["log: team blue accepted: 0.273"], "one job of a class says nothing");
-    // A successor's accounts come beside the last of the owner before, not in their place.
+    // A successor's accounts come beside the last of the leader before, not in their place.
     let mut next = ServiceLevelTracker::new(HashMap::new());
     (0..10).for_each(|_| next.answered("match", "blue", Reading::Accepted, true, 9.0));
     let next = ServiceLevelReport { leader: 7, ..next.report(10.0) };
@@ -53,7 +53,7 @@
     assert_eq!((lines(&j), j.lowest.map(|l| l.1 > 0.6)), (vec![], Some(true)), "13 of 21");
 }
 
-/// Guards against accounts that cannot be believed: those of one chain of owners count once, the
+/// Guards against accounts that cannot be believed: those of one chain of leaders count once, the
 /// last that was logged, and they are held against what was measured, or say that they do not know.
 #[test]
 fn service_levels_agree_with_what_was_measured_or_say_unknown() {
@@ -65,9 +65,9 @@
         {"kind":"up","class":"desk","worst_s":30.0,"value":0.2,"of":100},
         {"kind":"price","value":2.0}]}"#;
     let row = |name: &str, reading, asked, share, unknown| {
-        let (side, waits_s) = (lupinspur_accounts::Subject::Class, None);
+        let (side, waits_s) = (lupinspur_service_levels::Subject::Class, None);
         let share = Some(share);
-        lupinspur_accounts::Row {
+        lupinspur_service_levels::Row {
             side,
             name: String::from(name),
             reading,
--- a/crates/accounts/tests/inheritance.rs
+++ b/crates/service-levels/tests/inheritance.rs
@@ -1,9 +1,9 @@
-//! Accounts that are handed from owner to owner: nothing counts twice, and what is lost is told.
+//! Accounts that are handed from leader to leader: nothing counts twice, and what is lost is told.
 
-use lupinspur_accounts::inheritance::{InheritedTotals, Part, newest_complete_round};
-use lupinspur_accounts::objectives::{CompletionObjective, ServiceLevelObjectives};
-use lupinspur_accounts::tracker::{End, Entry, ServiceLevelTracker, Tasks};
-use lupinspur_accounts::{Reading, Subject};
+use lupinspur_service_levels::inheritance::{InheritedTotals, Part, newest_complete_round};
+use lupinspur_service_levels::objectives::{CompletionObjective, ServiceLevelObjectives};
+use lupinspur_service_levels::tracker::{End, Entry, ServiceLevelTracker, Tasks};
+use lupinspur_service_levels::{Reading, Subject};
 use proptest::prelude::*;
 use std::collections::HashMap;
 
@@ -52,11 +52,11 @@
 }
 
 fn sums(b: &ServiceLevelTracker, class: &str, r: Reading) -> (f64, f64, u64) {
-    let a = &b.indicators[b.find(Subject::Class, class).expect("an account").ix()];
+    let a = &b.indicators[b.find(Subject::Class, class).expect("an account").as_usize()];
     (a.sums(r).total.asked, a.sums(r).total.served, a.unknown[r as usize])
 }
 
-/// Guards against the gate that cried wolf: each of several owners counted the same waiting job
+/// Guards against the gate that cried wolf: each of several leaders counted the same waiting job
 /// as missed once more, and those that had started and lost their machines as well.
 #[test]
 fn a_job_that_waits_through_several_leaders_is_missed_once() {
@@ -80,7 +80,7 @@
     }
 }
 
-/// What fell due between the last accounts that were stored and their owner's end is unknown,
+/// What fell due between the last accounts that were stored and their leader's end is unknown,
 /// neither served nor missed; what falls due later is the successor's.
 #[test]
 fn what_was_lost_between_two_leaders_is_told_as_unknown() {
@@ -96,7 +96,7 @@
     next.track(&entry("match", 85.0), 130.0);
     next.advance(131.0);
     assert_eq!(sums(&next, "match", Reading::Started), (2.0, 0.0, 2));
-    // Done under the first owner at 99, at its end, and after it.
+    // Done under the first leader at 99, at its end, and after it.
     for (ended, known) in [(98.0, 0.0), (100.5, 0.0), (120.0, 1.0)] {
         let before = sums(&next, "match", Reading::Done).0;
         next.from_record(&entry("match", 70.0), End::Done, Some(ended), 131.0);
@@ -130,7 +130,7 @@
     End(usize),
     Wait(u32),
     Store,
-    /// The owner ends; the next begins so many seconds later.
+    /// The leader ends; the next begins so many seconds later.
     Next(u32),
 }
 
@@ -153,13 +153,13 @@
     running: u32,
     /// Some machine's record names it.
     placed: bool,
-    ticket: Option<lupinspur_accounts::TrackedJobIndex>,
+    ticket: Option<lupinspur_service_levels::TrackedJobIndex>,
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    /// Whenever owners end and whatever they had stored: no reading counts more jobs than there
+    /// Whenever leaders end and whatever they had stored: no reading counts more jobs than there
     /// are, nothing is served that was not asked for, and classes and teams agree.
     #[test]
     fn through_any_leaders_a_job_counts_at_most_once(steps in steps()) {
@@ -217,9 +217,9 @@
         for (i, class) in ["match", "desk"].into_iter().enumerate() {
             let Some(a) = b.find(Subject::Class, class) else { continue };
             for r in [Reading::Started, Reading::Done] {
-                let s = b.indicators[a.ix()].sums(r).total;
+                let s = b.indicators[a.as_usize()].sums(r).total;
                 // A start in time that was counted, whose machines are gone by the time that the
-                // next owner looks, is no such case here: a job once placed stays so.
+                // next leader looks, is no such case here: a job once placed stays so.
                 prop_assert!(s.asked <= entered[i] + 1e-6, "{class} {}: {} of {}", r.name(), s.asked, entered[i]);
                 prop_assert!(s.served <= s.asked + 1e-6);
             }
--- a/crates/accounts/tests/tracker.rs
+++ b/crates/service-levels/tests/tracker.rs
@@ -1,10 +1,10 @@
 //! The accounts, by small stories; and properties over random lives of jobs.
 
-use lupinspur_accounts::objectives::{CompletionObjective, ServiceLevelObjectives};
-use lupinspur_accounts::tracker::{End, Entry, ServiceLevelTracker, Tasks};
-use lupinspur_accounts::underserved::{Forecast, Underserved, forecast};
-use lupinspur_accounts::window::Span;
-use lupinspur_accounts::{MAX_CLASSES, MAX_TEAMS, OTHERS, Reading, Subject};
+use lupinspur_service_levels::objectives::{CompletionObjective, ServiceLevelObjectives};
+use lupinspur_service_levels::tracker::{End, Entry, ServiceLevelTracker, Tasks};
+use lupinspur_service_levels::underserved::{Forecast, Underserved, forecast};
+use lupinspur_service_levels::window::Span;
+use lupinspur_service_levels::{MAX_CLASSES, MAX_TEAMS, OTHERS, Reading, Subject};
 use proptest::prelude::*;
 use std::collections::HashMap;
 
@@ -44,7 +44,7 @@
 
 fn share(b: &ServiceLevelTracker, side: Subject, name: &str, r: Reading) -> (f64, f64) {
     let a = b.find(side, name).expect("an account");
-    let s = b.indicators[a.ix()].sums(r).total;
+    let s = b.indicators[a.as_usize()].sums(r).total;
     (s.asked, s.served)
 }
 
@@ -121,8 +121,8 @@
     assert_eq!(share(&b, Subject::Class, "match", Reading::Done), (2.0, 1.0));
     assert_eq!(share(&b, Subject::Class, "match", Reading::Started), (0.0, 0.0));
     let a = b.find(Subject::Class, "match").expect("an account");
-    assert_eq!(b.indicators[a.ix()].unknown[Reading::Started as usize], 4);
-    assert_eq!(b.indicators[a.ix()].unknown[Reading::Done as usize], 1);
+    assert_eq!(b.indicators[a.as_usize()].unknown[Reading::Started as usize], 4);
+    assert_eq!(b.indicators[a.as_usize()].unknown[Reading::Done as usize], 1);
     assert_eq!(b.part(a, Reading::Done, Span::TenMinutes, 400.0).asked, 2.0, "they ended within ten minutes");
     assert_eq!(b.part(a, Reading::Done, Span::Minute, 400.0).asked, 0.0);
 }
--- a/crates/cells/src/escrow.rs
+++ b/crates/sharding/src/escrow.rs
@@ -1,16 +1,16 @@
-//! A team's limit, parted among the cells.
+//! A team's limit, parted among the shards.
 //!
-//! One stored value holds what of each team's limit each cell may use. Only a cell itself gives:
+//! One stored value holds what of each team's limit each shard may use. Only a shard itself gives:
 //! it lowers its own share and raises another's in one write, conditional on the value and on its
 //! claim, after it has stopped counting on what it gives. So in every stored state the shares sum
-//! to the limit, nobody has to be asked, and what a cell believes of itself is never more than
+//! to the limit, nobody has to be asked, and what a shard believes of itself is never more than
 //! what is stored: it learns late of what it was given, and never late of what it gave.
 
 use crate::{EPSILON, ShardId};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Cpus and cards.
+/// Cpus and accelerators.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Amount {
     pub cpus: f64,
@@ -44,13 +44,13 @@
     }
 }
 
-/// The shares of every limited team, by cell.
+/// The shares of every limited team, by shard.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Ledger {
     pub teams: BTreeMap<String, Vec<Amount>>,
 }
 
-/// One cell gives another a part of its share of a team's limit.
+/// One shard gives another a part of its share of a team's limit.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QuotaTransfer {
     pub team: String,
@@ -59,7 +59,7 @@
     pub amount: Amount,
 }
 
-/// What a cell uses of a team's limit, what it may yet use without a further word, and what it
+/// What a shard uses of a team's limit, what it may yet use without a further word, and what it
 /// wants altogether.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct QuotaUse {
@@ -68,11 +68,11 @@
 }
 
 impl Ledger {
-    /// All of every limit is `cell`'s. Teams without a limit do not stand in the ledger.
-    pub fn new(limits: &[(String, Amount)], cells: u32, cell: ShardId) -> Ledger {
+    /// All of every limit is `shard`'s. Teams without a limit do not stand in the ledger.
+    pub fn new(limits: &[(String, Amount)], shards: u32, shard: ShardId) -> Ledger {
         let shares = |limit: Amount| {
-            let mut all = vec![Amount::default(); cells as usize];
-            if let Some(s) = all.get_mut(cell.ix()) {
+            let mut all = vec![Amount::default(); shards as usize];
+            if let Some(s) = all.get_mut(shard.as_usize()) {
                 *s = limit;
             }
             all
@@ -80,8 +80,8 @@
         Ledger { teams: limits.iter().map(|(t, l)| (t.clone(), shares(*l))).collect() }
     }
 
-    pub fn share(&self, team: &str, cell: ShardId) -> Option<Amount> {
-        Some(self.teams.get(team)?.get(cell.ix()).copied().unwrap_or_default())
+    pub fn share(&self, team: &str, shard: ShardId) -> Option<Amount> {
+        Some(self.teams.get(team)?.get(shard.as_usize()).copied().unwrap_or_default())
     }
 
     /// Do the shares of each team sum to no more than its limit?
@@ -97,28 +97,28 @@
         let mut next = self.clone();
         for g in gifts {
             let shares = next.teams.get_mut(&g.team)?;
-            let own = shares.get(g.from.ix()).copied().unwrap_or_default();
+            let own = shares.get(g.from.as_usize()).copied().unwrap_or_default();
             if g.from == g.to || !g.amount.fits(own) {
                 return None;
             }
-            let most = g.from.ix().max(g.to.ix());
+            let most = g.from.as_usize().max(g.to.as_usize());
             if shares.len() <= most {
                 shares.resize(most + 1, Amount::default());
             }
-            shares[g.from.ix()] = own.minus(g.amount);
-            shares[g.to.ix()] = shares[g.to.ix()].plus(g.amount);
+            shares[g.from.as_usize()] = own.minus(g.amount);
+            shares[g.to.as_usize()] = shares[g.to.as_usize()].plus(g.amount);
         }
         Some(next)
     }
 }
 
-/// What a cell keeps beyond what it uses and wants: a part of the limit, so that every new task
+/// What a shard keeps beyond what it uses and wants: a part of the limit, so that every new task
 /// does not need a gift.
 const RESERVE_SHARE: f64 = 0.05;
 
 /// What `me` gives of one team: what it neither uses nor wants goes to those that want more than
 /// they have, in the proportion of what they lack; the rest to the team's home. `uses`: of every
-/// cell that told of itself lately, by cell; those without one get nothing.
+/// shard that told of itself lately, by shard; those without one get nothing.
 pub fn quota_transfers(
     me: ShardId,
     team: &str,
@@ -127,17 +127,17 @@
     home: ShardId,
 ) -> Vec<QuotaTransfer> {
     let Some(shares) = ledger.teams.get(team) else { return Vec::new() };
-    let own = shares.get(me.ix()).copied().unwrap_or_default();
-    let Some(mine) = uses.get(me.ix()).copied().flatten() else { return Vec::new() };
+    let own = shares.get(me.as_usize()).copied().unwrap_or_default();
+    let Some(mine) = uses.get(me.as_usize()).copied().flatten() else { return Vec::new() };
     let limit = shares.iter().fold(Amount::default(), |s, a| s.plus(*a));
     let kept = Amount::new(limit.cpus * RESERVE_SHARE, limit.accelerators * RESERVE_SHARE);
     let needs = Amount::new(mine.held.cpus.max(mine.wanted.cpus), mine.held.accelerators.max(mine.wanted.accelerators));
     let lacks: Vec<(ShardId, Amount)> = uses
         .iter()
         .enumerate()
-        .filter(|(c, _)| *c != me.ix())
+        .filter(|(c, _)| *c != me.as_usize())
         .filter_map(|(c, u)| Some((ShardId(c as u32), u.as_ref()?)))
-        .map(|(c, u)| (c, u.wanted.minus(shares.get(c.ix()).copied().unwrap_or_default())))
+        .map(|(c, u)| (c, u.wanted.minus(shares.get(c.as_usize()).copied().unwrap_or_default())))
         .filter(|(_, l)| !l.is_none())
         .collect();
     let lacking = lacks.iter().fold(Amount::default(), |s, l| s.plus(l.1));
--- a/crates/cells/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -1,15 +1,15 @@
-//! What lies between cells. A cell is a fenced owner with machines, home teams and a share of
+//! What lies between shards. A shard is a fenced leader with machines, home teams and a share of
 //! every limit; one deployment has one or several.
 //!
 //! Everything here decides and nothing waits: no sockets, no files, no clock.
 //!
-//! - [`plan`]: the operators' file, and which cell is a team's home
+//! - [`plan`]: the operators' file, and which shard is a team's home
 //! - [`member`]: which controllers understand the plan, when it comes into force, who claims what
-//! - [`escrow`]: a team's limit, parted among the cells
-//! - [`picture`]: what each cell tells the others now and then
+//! - [`escrow`]: a team's limit, parted among the shards
+//! - [`picture`]: what each shard tells the others now and then
 //! - [`spill`]: which waiting work goes where
 //! - [`reassign`]: what the leader moves, machines and teams' homes
-//! - [`handover`]: how a machine goes from one cell to another
+//! - [`handover`]: how a machine goes from one shard to another
 
 // What is decided must not follow the order of a hash.
 #![warn(clippy::iter_over_hash_type)]
@@ -27,13 +27,13 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A cell's number, from 0. Cell 0 is the one that there always is.
+/// A shard's number, from 0. Shard 0 is the one that there always is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ShardId(pub u32);
 
 impl ShardId {
-    pub fn ix(self) -> usize {
+    pub fn as_usize(self) -> usize {
         self.0 as usize
     }
 }
--- a/crates/cells/src/load_snapshot.rs
+++ b/crates/sharding/src/load_snapshot.rs
@@ -1,13 +1,13 @@
-//! What each cell tells the others now and then, by a stored value.
+//! What each shard tells the others now and then, by a stored value.
 
 use crate::ShardId;
 use crate::escrow::QuotaUse;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The most cpus that one machine of a cell has free while nothing that waits in this cell may take them: the
+/// The most cpus that one machine of a shard has free while nothing that waits in this shard may take them: the
 /// waiting work is for another kind of machine, or is too large, or has to leave room to services. Work of
-/// another cell may fit.
+/// another shard may fit.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct UnusableCapacity {
     /// For work that may not use spot machines.
@@ -23,7 +23,7 @@
     }
 }
 
-/// One cell, seen by its owner. Amounts in cpus, times in seconds.
+/// One shard, seen by its leader. Amounts in cpus, times in seconds.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct LoadSnapshot {
     #[serde(rename = "cell")]
@@ -35,7 +35,7 @@
     /// Idle on machines that take work.
     #[serde(rename = "room")]
     pub free_cpus: f64,
-    /// On machines that stand empty and are not needed here, so that another cell may have them.
+    /// On machines that stand empty and are not needed here, so that another shard may have them.
     #[serde(rename = "idle", default)]
     pub idle_cpus: f64,
     /// Free beside work that waits and cannot use it.
--- a/crates/cells/src/machine_transfer.rs
+++ b/crates/sharding/src/machine_transfer.rs
@@ -1,4 +1,4 @@
-//! A machine goes from one cell to another, empty, by one stored value for each pair of cells.
+//! A machine goes from one shard to another, empty, by one stored value for each pair of shards.
 //!
 //! 1. The giver stores the [`Handover`] under its claim, where none stands. From that write on the
 //!    machines are the taker's, whatever the giver's own records still say; the giver has told them
@@ -10,7 +10,7 @@
 //!
 //! Each step is one write, conditional on the claim of whoever makes it and on the value's version,
 //! so that it may be repeated, and one that comes late finds something changed. Whoever owns either
-//! cell next goes on from what is stored. In every stored state a cell's own are the machines that its
+//! shard next goes on from what is stored. In every stored state a shard's own are the machines that its
 //! records name, without those on their way from it, and with those on their way to it.
 
 use crate::{EPSILON, ShardId};
@@ -28,7 +28,7 @@
     pub spot: bool,
 }
 
-/// Machines on their way from one cell to another.
+/// Machines on their way from one shard to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineTransfer {
     pub from: ShardId,
@@ -69,9 +69,9 @@
     due.then(|| MachineTransfer { machines: Vec::new(), released_by_sender: false, ..h.clone() })
 }
 
-/// What a cell gives of its machines, by the leader's word: the first cell for which it has such an
+/// What a shard gives of its machines, by the leader's word: the first shard for which it has such an
 /// order, that nothing is on its way to, and whose machines would obey it. A machine obeys the
-/// highest token that it has seen: it can only go to a cell with a higher one.
+/// highest token that it has seen: it can only go to a shard with a higher one.
 pub fn next_receiver<'a>(
     me: ShardId,
     token: u64,
--- a/crates/cells/src/plan.rs
+++ b/crates/sharding/src/plan.rs
@@ -14,6 +14,7 @@
 /// How a deployment is parted into cells.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
+#[schemars(rename = "Plan")]
 pub struct ShardingPlan {
     /// So many cells.
     #[garde(range(min = 1, max = MAX_SHARDS))]
@@ -42,6 +43,7 @@
 
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
+#[schemars(rename = "Home")]
 pub struct TeamHome {
     #[garde(length(min = 1, max = 100))]
     pub name: String,
--- a/crates/cells/src/rebalance.rs
+++ b/crates/sharding/src/rebalance.rs
@@ -1,13 +1,13 @@
-//! What the leader moves: idle machines to cells that are short, and a team's home to a cell that
-//! has room for it. The leader is the owner of cell 0. It is never needed for a start: its word is
-//! stored, and while it says nothing every cell goes on by itself.
+//! What the leader moves: idle machines to shards that are short, and a team's home to a shard that
+//! has room for it. The leader is the leader of shard 0. It is never needed for a start: its word is
+//! stored, and while it says nothing every shard goes on by itself.
 
 use crate::load_snapshot::LoadSnapshot;
 use crate::{EPSILON, ShardId, ShardingPlan};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines that one cell does not need go to another, up to so many cpus.
+/// Machines that one shard does not need go to another, up to so many cpus.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineMove {
     pub from: ShardId,
@@ -30,17 +30,17 @@
 
 /// So many looks long orders are obeyed.
 const FRESH_ROUNDS: f64 = 5.0;
-/// A team's home moves only after its cell has been short for so many times as long as it takes
+/// A team's home moves only after its shard has been short for so many times as long as it takes
 /// for machines to move.
 const HOME_AFTER: f64 = 4.0;
 /// And then rests for so many times as long.
 const HOME_RESTS: f64 = 20.0;
-/// Machines obey the highest token that they have seen. A cell with an older claim than those whose
-/// machines it is to get takes its claim anew, which costs it a takeover: only after it has been short for
+/// Machines obey the highest token that they have seen. A shard with an older claim than those whose
+/// machines it is to get takes its claim anew, which costs it a failover: only after it has been short for
 /// so many times as long, only for as much as this part of what it holds, and then it rests as well.
 const REACQUIRE_AFTER: f64 = 3.0;
 const REACQUIRE_MIN_SHARE: f64 = 0.1;
-/// Of the room that a cell tells, the part that a team whose home moves there may want.
+/// Of the room that a shard tells, the part that a team whose home moves there may want.
 const USABLE_SHARE: f64 = 0.5;
 
 impl RebalancePlan {
@@ -62,18 +62,18 @@
 }
 
 /// What a leader remembers between two looks. A new one begins with nothing, and so moves nothing
-/// before it has seen for itself that a cell stays short.
+/// before it has seen for itself that a shard stays short.
 #[derive(Debug, Default)]
 pub struct Rebalancer {
-    /// Since when each cell has been short, in milliseconds of the day.
+    /// Since when each shard has been short, in milliseconds of the day.
     short_since: BTreeMap<ShardId, u64>,
     /// When a team's home was last moved.
     moved: BTreeMap<String, u64>,
-    /// When a cell was last given an order for which it has to take its claim anew.
+    /// When a shard was last given an order for which it has to take its claim anew.
     reacquired_at: BTreeMap<ShardId, u64>,
 }
 
-/// Has this cell to take its claim anew before the machines that are ordered to it would obey?
+/// Has this shard to take its claim anew before the machines that are ordered to it would obey?
 pub fn must_reacquire(
     me: ShardId,
     token: u64,
@@ -83,7 +83,7 @@
     moves.iter().any(|m| m.to == me && m.from != me && token_of(m.from).is_some_and(|t| t > token))
 }
 
-/// What waits in a cell beyond its room and what boots for it, in cpus.
+/// What waits in a shard beyond its room and what boots for it, in cpus.
 fn shortage(p: &LoadSnapshot) -> f64 {
     (p.waiting_cpus - p.free_cpus - p.booting_cpus).max(0.0)
 }
@@ -99,7 +99,7 @@
     ) -> RebalancePlan {
         let after_ms = (plan.reassign_after_s * 1000.0) as u64;
         let short: BTreeSet<ShardId> = pictures.iter().filter(|p| shortage(p) > EPSILON).map(|p| p.shard).collect();
-        // A cell of which nothing is known is not known to be short.
+        // A shard of which nothing is known is not known to be short.
         self.short_since.retain(|c, _| short.contains(c));
         for c in &short {
             self.short_since.entry(*c).or_insert(now_ms);
@@ -144,17 +144,17 @@
         RebalancePlan { at_ms: now_ms, moves, homes }
     }
 
-    /// For a few looks, so that the cell hears of it; then not for long.
-    fn may_reacquire(&mut self, plan: &ShardingPlan, cell: ShardId, now_ms: u64) -> bool {
-        let Some(at) = self.reacquired_at.get(&cell) else { return true };
+    /// For a few looks, so that the shard hears of it; then not for long.
+    fn may_reacquire(&mut self, plan: &ShardingPlan, shard: ShardId, now_ms: u64) -> bool {
+        let Some(at) = self.reacquired_at.get(&shard) else { return true };
         let since_s = now_ms.saturating_sub(*at) as f64 / 1000.0;
         if since_s > plan.reassign_after_s * HOME_RESTS {
-            self.reacquired_at.remove(&cell);
+            self.reacquired_at.remove(&shard);
         }
         since_s <= plan.picture_s * FRESH_ROUNDS || since_s > plan.reassign_after_s * HOME_RESTS
     }
 
-    /// At most one in a look: the team that waits most in a cell that stays short, and the cell
+    /// At most one in a look: the team that waits most in a shard that stays short, and the shard
     /// with the most room, if that is enough for it.
     fn home_to_move(
         &self,
--- a/crates/cells/src/spill.rs
+++ b/crates/sharding/src/spill.rs
@@ -1,20 +1,20 @@
-//! Which waiting work goes where. A cell gives its own work away; nobody takes any, so that
+//! Which waiting work goes where. A shard gives its own work away; nobody takes any, so that
 //! what is offered to several is started by one.
 
 use crate::load_snapshot::{LoadSnapshot, UnusableCapacity};
 use crate::{ShardId, ShardingPlan};
 
-/// A job goes to another cell so often at the most; then it is started where it is. Unless it goes on waiting
+/// A job goes to another shard so often at the most; then it is started where it is. Unless it goes on waiting
 /// there: then it may go again, after twice as long each time, so that it goes seldom round, and does not
-/// wait for ever in a cell that has come to have no machines for it.
+/// wait for ever in a shard that has come to have no machines for it.
 pub const MAX_MOVES: u8 = 2;
 const MAX_DOUBLINGS: u8 = 16;
-/// In one look, work for no more than this part of the room that another cell tells: its picture
+/// In one look, work for no more than this part of the room that another shard tells: its picture
 /// may be seconds old.
 const PART_OF_ROOM: f64 = 0.5;
 const MAX_SPILLS_AT_ONCE: usize = 16;
 
-/// A job of this cell that waits and was never started anywhere.
+/// A job of this shard that waits and was never started anywhere.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SpillCandidate<J> {
     pub job: J,
@@ -29,7 +29,7 @@
 }
 
 /// Where each of these jobs goes, the ones that have waited longest first. `pictures`: of the
-/// others, fresh ones only; `mine`: this cell's own.
+/// others, fresh ones only; `mine`: this shard's own.
 pub fn plan_spills<J: Clone>(
     plan: &ShardingPlan,
     mine: &LoadSnapshot,
@@ -59,30 +59,30 @@
         // on machines, or of a kind, that it may not use.
         let waits_long = w.waited_s >= boot_s + 2.0 * plan.spill_after_s;
         let here_s = mine.expected_start_s(w.cpus, boot_s).max(if waits_long { w.waited_s } else { 0.0 });
-        // A job that is larger than any cell's room would wait for ever in one without machines: after so long
+        // A job that is larger than any shard's room would wait for ever in one without machines: after so long
         // it goes where it can begin.
         let needs = if waits_long { w.task_cpus } else { w.cpus };
         let best = room.iter_mut().filter(|r| r.1 >= needs).max_by(|a, b| a.1.total_cmp(&b.1));
-        if let Some((cell, left, p)) = best {
+        if let Some((shard, left, p)) = best {
             if p.expected_start_s(needs, boot_s) + plan.spill_gain_s <= here_s {
                 *left -= w.cpus;
-                out.push((w.job.clone(), *cell));
+                out.push((w.job.clone(), *shard));
             }
         } else if waits_long
             && plan.spill_gain_s <= here_s
-            && let Some(cell) = take_unusable(&mut unusable, w)
+            && let Some(shard) = take_unusable(&mut unusable, w)
         {
-            out.push((w.job.clone(), cell));
+            out.push((w.job.clone(), shard));
         }
     }
     out
 }
 
-/// The cell that can begin this job in room that its own waiting work cannot use, however much of that there
+/// The shard that can begin this job in room that its own waiting work cannot use, however much of that there
 /// is. The room is for this one job until the next picture.
-fn take_unusable<J>(cells: &mut [(ShardId, UnusableCapacity)], w: &SpillCandidate<J>) -> Option<ShardId> {
+fn take_unusable<J>(shards: &mut [(ShardId, UnusableCapacity)], w: &SpillCandidate<J>) -> Option<ShardId> {
     let room = |c: &(ShardId, UnusableCapacity)| c.1.for_task(w.spot);
-    let most = cells.iter_mut().filter(|c| room(c) >= w.task_cpus).max_by(|a, b| room(a).total_cmp(&room(b)))?;
+    let most = shards.iter_mut().filter(|c| room(c) >= w.task_cpus).max_by(|a, b| room(a).total_cmp(&room(b)))?;
     most.1 = UnusableCapacity::default();
     Some(most.0)
 }
--- a/crates/cells/tests/cells.rs
+++ b/crates/sharding/tests/cells.rs
@@ -1,12 +1,12 @@
-//! Small stories of what lies between cells, and properties over random ones.
+//! Small stories of what lies between shards, and properties over random ones.
 
-use lupinspur_cells::activation::{
+use lupinspur_sharding::activation::{
     ActivePlan, NOBODY, Presence, all_agree_on, campaign_delay_s, has_plan_to_offer, may_absorb_all,
 };
-use lupinspur_cells::escrow::{Amount, Ledger, QuotaTransfer, QuotaUse, quota_transfers};
-use lupinspur_cells::load_snapshot::LoadSnapshot;
-use lupinspur_cells::spill::{MAX_MOVES, SpillCandidate, plan_spills};
-use lupinspur_cells::{ShardId, ShardingPlan};
+use lupinspur_sharding::escrow::{Amount, Ledger, QuotaTransfer, QuotaUse, quota_transfers};
+use lupinspur_sharding::load_snapshot::LoadSnapshot;
+use lupinspur_sharding::spill::{MAX_MOVES, SpillCandidate, plan_spills};
+use lupinspur_sharding::{ShardId, ShardingPlan};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
@@ -33,7 +33,7 @@
     assert!(ShardingPlan::parse(example, &["foglalas".into(), "beutalo".into()]).is_ok(), "the example is a plan");
 }
 
-/// One cell more moves no team but those that go to it.
+/// One shard more moves no team but those that go to it.
 #[test]
 fn a_team_s_home_is_the_same_everywhere_and_moves_seldom() {
     let (three, four) = (ShardingPlan::of(3), ShardingPlan::of(4));
@@ -46,7 +46,7 @@
     assert_eq!(first, [1, 0, 1, 0, 0, 1, 0, 1]);
 }
 
-/// The value of `own/0` while cells are in force, read by a version that knows of none: a claim
+/// The value of `own/0` while shards are in force, read by a version that knows of none: a claim
 /// of somebody else, which it must not take over.
 #[test]
 fn a_version_without_cells_sees_another_leader() {
@@ -87,7 +87,7 @@
     );
 }
 
-/// Guards against two owners of one job: cell 0 takes nothing in while a cell may be owned, and not by a
+/// Guards against two leaders of one job: shard 0 takes nothing in while a shard may be owned, and not by a
 /// claim that its machines would not obey.
 #[test]
 fn cell_0_takes_in_what_is_surely_nobody_s() {
@@ -98,7 +98,7 @@
     assert!(!may_absorb_all(30, [nobody(20), nobody(31)]), "its machines may have seen a newer token");
 }
 
-/// Cells' claims are spread over the controllers; who has one already lets others go first, and
+/// Shards' claims are spread over the controllers; who has one already lets others go first, and
 /// one that lives alone claims all in the end.
 #[test]
 fn cells_are_claimed_by_different_controllers() {
@@ -120,7 +120,7 @@
     Some(QuotaUse { held: cpus(held), wanted: cpus(wanted) })
 }
 
-/// What nobody uses follows demand: to the cell that waits, as far as it lacks, and home again.
+/// What nobody uses follows demand: to the shard that waits, as far as it lacks, and home again.
 #[test]
 fn shares_follow_demand_and_go_home() {
     let limits = vec![("red".to_owned(), cpus(100.0))];
@@ -190,7 +190,7 @@
     assert!(plan_spills(&plan, &moved, &others, &waiting[..1], 5.0).is_empty(), "machines of its own are there sooner");
 }
 
-/// A job that was larger than half of what any cell had room for stayed in a cell without machines for ever.
+/// A job that was larger than half of what any shard had room for stayed in a shard without machines for ever.
 #[test]
 fn a_job_larger_than_any_room_goes_where_it_can_begin_once_it_has_waited_long() {
     let plan = ShardingPlan::of(3);
@@ -202,7 +202,7 @@
     assert!(plan_spills(&plan, &mine, &[picture(1, 7.0, 0.0)], &large(25.0), 15.0).is_empty(), "no room for a task");
 }
 
-/// A cell as the property knows it.
+/// A shard as the property knows it.
 #[derive(Debug, Clone, Default)]
 struct Cell {
     /// What it believes that it may use: never more than what is stored is its own.
@@ -221,10 +221,10 @@
     End(usize, f64),
     Look(usize),
     Give(usize),
-    /// A write reaches the store; or is lost; or its answer is lost, and the cell asks later.
+    /// A write reaches the store; or is lost; or its answer is lost, and the shard asks later.
     Applied(usize),
     Lost(usize),
-    /// The owner ends; its successor reads what is stored, and what runs goes on.
+    /// The leader ends; its successor reads what is stored, and what runs goes on.
     Ends(usize),
 }
 
@@ -246,8 +246,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..ProptestConfig::default() })]
 
-    /// Whatever is lost, late or ends: the cells together never use more than the team's limit.
-    /// A late write is one that reaches the store after its cell has ended: it finds another claim.
+    /// Whatever is lost, late or ends: the shards together never use more than the team's limit.
+    /// A late write is one that reaches the store after its shard has ended: it finds another claim.
     #[test]
     fn a_limit_holds_over_all_cells(steps in steps()) {
         const LIMIT: f64 = 100.0;
