--- a/crates/elastic/src/bound.rs
+++ b/crates/elastic/src/bound.rs
@@ -38,7 +38,7 @@
 impl Timing {
     /// A command goes out directly at once; where that is lost, with the reply to the next
     /// report, which is itself sent again where it got no answer.
-    fn told_s(&self) -> f64 {
+    fn reported_s(&self) -> f64 {
         self.look_s + self.answer_s + self.report_s
     }
 
@@ -49,7 +49,7 @@
 
     pub fn bound(&self) -> Bound {
         // The first step, its mercy, and the second step; then the sight of it.
-        let reachable_s = self.told_s() + self.grace_s + self.look_s + self.told_s() + self.seen_s();
+        let reachable_s = self.reported_s() + self.grace_s + self.look_s + self.reported_s() + self.seen_s();
         // Whatever it was told, it renews nothing once it is deaf.
         let deaf_s = reachable_s.max(self.lease_s + self.look_s);
         // A machine that a successor has not heard is counted for a whole lease.
--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -8,7 +8,9 @@
 /// Something wrong with a file, and where.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fault {
+    /// Where in the file, by field names and positions.
     pub path: String,
+    /// What is wrong there.
     pub what: String,
 }
 
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -9,7 +9,7 @@
 //! - [`index`]: which chunks hold, and which of their records are over, in values that fit;
 //!   the head that one conditional write switches
 //! - [`writer`]: what to write next, and what each outcome means
-//! - [`known`]: up to which revision everything is known
+//! - [`safe_revision`]: up to which revision everything is known
 //! - [`reader`]: what a successor has, or why it must read everything
 //!
 //! A checkpoint is a help and never the truth: whatever is wrong with it is *seen*, and the
--- a/crates/recovery/src/writer.rs
+++ b/crates/recovery/src/writer.rs
@@ -23,7 +23,7 @@
 /// Numbers of chunks that are free and kept for use again; the others' values are deleted.
 const KEPT_FREE: usize = 4;
 
-/// One value to be put. Its outcome is told by [`Writer::applied`] or [`Writer::failed`].
+/// One value to be put. Its outcome is told by [`Writer::on_applied`] or [`Writer::on_failed`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct ValueToWrite {
     pub key: String,
--- a/crates/scheduler/src/intern.rs
+++ b/crates/scheduler/src/intern.rs
@@ -1,10 +1,10 @@
-//! Names become dense indices at the door; inside, only indices are used.
+//! Names are mapped to dense indices where they enter the process; inside, only indices are used.
 
 use std::collections::HashMap;
 use std::marker::PhantomData;
 use std::sync::Arc;
 
-/// An index type made by [`index!`].
+/// A dense index: the position of an entry in its list.
 pub trait DenseIndex: Copy {
     fn new(i: usize) -> Self;
     fn as_usize(self) -> usize;
--- a/crates/scheduler/src/shard/machine_transfers.rs
+++ b/crates/scheduler/src/shard/machine_transfers.rs
@@ -1,5 +1,5 @@
 //! Machines that go to other shards, empty, and those that come from them. How is decided by
-//! [`lupinspur_sharding::handover`]; this is what the shard knows of it.
+//! [`lupinspur_sharding::machine_transfer`]; this is what the shard knows of it.
 
 use super::Shard;
 use crate::fleet::Phase as MachinePhase;
--- a/crates/scheduler/src/shard/placement/mod.rs
+++ b/crates/scheduler/src/shard/placement/mod.rs
@@ -4,12 +4,12 @@
 //! priority and deadline within each. Machines are packed, and those that have
 //! the image are preferred.
 //!
-//! - [`pass`]: one pass over all that waits
-//! - [`queue_order`]: the order in which jobs get machines
-//! - [`bin_packing`]: which machines could take a task, and which is best
-//! - [`limits`]: whether tasks stay within their team's limit
-//! - [`unplaceable`]: work that fits nowhere, and room that no work may take
-//! - [`room`]: room for services, made by stopping other work
+//! - `pass`: one pass over all that waits
+//! - `queue_order`: the order in which jobs get machines
+//! - `bin_packing`: which machines could take a task, and which is best
+//! - `limits`: whether tasks stay within their team's limit
+//! - `unplaceable`: work that fits nowhere, and capacity that no work may take
+//! - `preemption`: capacity for services, made by preempting other work
 
 mod bin_packing;
 mod limits;
--- a/crates/scheduler/src/shard/service_levels/mod.rs
+++ b/crates/scheduler/src/shard/service_levels/mod.rs
@@ -59,7 +59,7 @@
     round: u64,
     /// The place of the last complete round that is stored.
     place: u8,
-    handed_at: f64,
+    reported_at: f64,
     /// Values of the round under way that were not sent yet, and how many are not stored.
     to_send: VecDeque<(String, Part)>,
     left: usize,
@@ -67,7 +67,7 @@
 
 impl ServiceLevelReporter {
     pub(in crate::shard) fn new(token: u64, now: f64) -> ServiceLevelReporter {
-        ServiceLevelReporter { chain: token, handed_at: now, ..ServiceLevelReporter::default() }
+        ServiceLevelReporter { chain: token, reported_at: now, ..ServiceLevelReporter::default() }
     }
 }
 
@@ -107,24 +107,24 @@
     pub fn inherit_service_levels(&mut self, handed: Option<(InheritedTotals, u8)>, now: f64) {
         let t = self.day_now_s(now);
         let Some((c, place)) = handed else { return };
-        let glue = &mut self.service_levels;
-        (glue.chain, glue.round, glue.place) = (c.chain, c.round, place);
+        let reporter = &mut self.service_levels;
+        (reporter.chain, reporter.round, reporter.place) = (c.chain, c.round, place);
         self.service_level_tracker.inherit(&c, 2.0 * self.time_bound_s + HEARTBEAT_DELAY_S, t);
     }
 
     /// The next value of the accounts as the next leader finds them, if it is time. One that is
     /// not stored spoils its round; the one before stays whole.
     pub(in crate::shard) fn service_levels_write(&mut self, spare: bool, now: f64) -> Option<PendingWrite> {
-        let waited = now - self.service_levels.handed_at;
+        let waited = now - self.service_levels.reported_at;
         let due = waited >= if spare { REPORT_INTERVAL_S } else { MAX_REPORT_INTERVAL_S };
         if due && self.service_levels.to_send.is_empty() && self.heartbeats_gathered(now) {
             let t = self.day_now_s(now);
-            let glue = &mut self.service_levels;
-            (glue.handed_at, glue.round) = (now, glue.round + 1);
-            let parts = self.service_level_tracker.export(glue.round, glue.chain, self.value_bytes, t);
-            glue.left = parts.len();
-            let place = 1 - glue.place.min(1);
-            glue.to_send = parts.into_iter().enumerate().map(|(n, p)| (part_key(place, n), p)).collect();
+            let reporter = &mut self.service_levels;
+            (reporter.reported_at, reporter.round) = (now, reporter.round + 1);
+            let parts = self.service_level_tracker.export(reporter.round, reporter.chain, self.value_bytes, t);
+            reporter.left = parts.len();
+            let place = 1 - reporter.place.min(1);
+            reporter.to_send = parts.into_iter().enumerate().map(|(n, p)| (part_key(place, n), p)).collect();
         }
         let (key, _) = self.service_levels.to_send.front()?;
         if self.in_flight.contains(key) {
@@ -135,11 +135,11 @@
     }
 
     pub(in crate::shard) fn on_service_levels_stored(&mut self, round: u64, place: u8) {
-        let glue = &mut self.service_levels;
-        if round == glue.round {
-            glue.left = glue.left.saturating_sub(1);
-            if glue.left == 0 {
-                glue.place = place;
+        let reporter = &mut self.service_levels;
+        if round == reporter.round {
+            reporter.left = reporter.left.saturating_sub(1);
+            if reporter.left == 0 {
+                reporter.place = place;
             }
         }
     }
@@ -367,7 +367,7 @@
     }
 
     /// How many times over the batch work that waits would fill the machines, from 1 to
-    /// [`MOST_PRESSURE`].
+    /// [`MAX_PRESSURE`].
     pub(crate) fn pressure(&self) -> f64 {
         let there: f64 = self
             .machines
--- a/crates/service-levels/src/inheritance.rs
+++ b/crates/service-levels/src/inheritance.rs
@@ -1,14 +1,14 @@
-//! What a book hands to the book of the next leader: the sums of every account, in values of a
-//! bounded size, written in rounds.
+//! The totals that the next leader inherits: the sums of every indicator, in values of a bounded
+//! size, written in rounds.
 //!
 //! A round is complete or it is nothing: its values name it, and how many there are. Rounds stand
 //! in two places in turn, so that one that was begun and never ended leaves the one before whole.
 //!
-//! The sums of the last ten minutes come along as one: who has sunk has sunk for the next leader
-//! as well. They fade in the middle of the ten minutes after.
+//! The sums of the last ten minutes come along as one: what is underserved stays so under the next
+//! leader. They fade in the middle of the ten minutes after.
 //!
-//! What the earlier book counted up to [`Carried::as_of`] is in the sums and must not be counted
-//! again; what it counted after that is lost, and told as unknown.
+//! What the earlier leader counted up to [`InheritedTotals::as_of`] is in the sums and must not be counted
+//! again; what it counted after that is lost, and reported as unknown.
 
 use crate::tracker::ServiceLevelTracker;
 use crate::window::{Share, Span};
@@ -20,7 +20,7 @@
 /// Room for what frames the lines of a value.
 const FRAME: usize = 120;
 
-/// One account: its readings, in their order.
+/// One indicator: its readings, in their order.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct IndicatorTotals(pub Subject, pub String, pub Vec<ReadingTotals>);
 
--- a/crates/service-levels/src/lib.rs
+++ b/crates/service-levels/src/lib.rs
@@ -1,18 +1,18 @@
-//! Accounts of service: what each class of jobs and each team asked for, and what it was
-//! served, in total and over the last minute and ten minutes.
+//! Service levels: what each class of jobs and each team asked for, and what it was served, in
+//! total and over the last minute and ten minutes.
 //!
 //! Everything here decides and nothing waits: no sockets, no files, no clock; times are
 //! seconds of the caller's steady clock. An event costs the same however many classes and
 //! teams there are, and what is kept is bounded: names beyond [`MAX_CLASSES`] and
-//! [`MOST_TEAMS`] share one account each.
+//! [`MAX_TEAMS`] share one indicator each.
 //!
-//! - [`terms`]: what a class was promised
+//! - [`objectives`]: what a class was promised
 //! - [`window`]: sums over the last minutes
-//! - [`book`]: the accounts, fed job by job
-//! - [`floor`]: who has sunk, and who must not be pushed under
-//! - [`handed`]: what a book hands to the next leader's
-//! - [`told`]: rows for people, and the warnings
-//! - [`gate`]: readings of a played day that lie under a half
+//! - [`tracker`]: the indicators, fed job by job
+//! - [`underserved`]: which indicators lie below the threshold
+//! - [`inheritance`]: the totals that the next leader goes on with
+//! - [`report`]: rows for operators, and alerts
+//! - [`gate`]: the service-level gate: readings of a played day that lie below a half
 
 // What is decided must not follow the order of a hash.
 #![warn(clippy::iter_over_hash_type)]
@@ -29,14 +29,14 @@
 pub use report::{Alert, Row, ServiceLevelReport};
 pub use tracker::{Entry, ServiceLevelTracker, TrackedJobIndex};
 
-/// Classes and teams with accounts of their own; the others share one.
+/// Classes and teams with indicators of their own; the others share one.
 pub const MAX_CLASSES: usize = 64;
 pub const MAX_TEAMS: usize = 128;
 pub const MAX_LEVELS: usize = 128;
-/// The name under which the others are told.
+/// The name under which the others are reported.
 pub const OTHERS: &str = "(others)";
 
-/// What is read of an account. Each is a share: of what was asked for, what was served.
+/// One measure of an indicator: of what was asked for, the share that was served.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Reading {
@@ -56,7 +56,7 @@
     Largest,
 }
 
-/// In the order in which they are handed over: new ones come last.
+/// In the order in which they are stored for the next leader: new ones come last.
 pub const READINGS: [Reading; 7] = [
     Reading::Started,
     Reading::Done,
@@ -81,7 +81,7 @@
     }
 }
 
-/// Whose account: a class of jobs, a team, or a level of quotas that nest.
+/// What an indicator is about: a class of jobs, a team, or a level of nested quotas.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Subject {
--- a/crates/service-levels/src/tracker/indicator.rs
+++ b/crates/service-levels/src/tracker/indicator.rs
@@ -1,4 +1,4 @@
-//! One account: the sums of what was asked for and served.
+//! One indicator: the sums of what was asked for and served.
 
 use crate::window::{Share, Sums, TEN_MINUTES_S};
 use crate::{READINGS, Reading, Subject};
@@ -7,7 +7,7 @@
 /// Waits are kept in milliseconds up to a day, to one part in a hundred.
 const MAX_WAIT_MS: u64 = 86_400_000;
 
-/// One account, dense, classes and teams apart.
+/// The dense index of an indicator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct IndicatorIndex(pub(super) u32);
 
--- a/crates/service-levels/src/tracker/mod.rs
+++ b/crates/service-levels/src/tracker/mod.rs
@@ -1,4 +1,4 @@
-//! The accounts, fed job by job.
+//! The tracker of service levels, fed job by job. It owns all indicators; it never reads a clock.
 
 mod indicator;
 mod tracked_job;
--- a/crates/service-levels/src/tracker/tracked_job.rs
+++ b/crates/service-levels/src/tracker/tracked_job.rs
@@ -1,12 +1,12 @@
-//! One job in the book, from its entry to its end.
+//! One tracked job, from its entry to its end.
 
 use super::IndicatorIndex;
 
-/// An open job in the book. Valid until [`Book::ended`].
+/// The number of an open tracked job. Valid until [`ServiceLevelTracker::on_ended`](super::ServiceLevelTracker::on_ended).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TrackedJobIndex(pub(super) u32);
 
-/// A job as it enters the book. Times are seconds of the day.
+/// A job as it is first tracked. Times are seconds of the day.
 #[derive(Debug, Clone)]
 pub struct Entry<'a> {
     pub class: &'a str,
@@ -25,7 +25,7 @@
     /// The submission, from which the deadline counts, and its deadline in seconds after it.
     pub submitted: f64,
     pub deadline_s: Option<f64>,
-    /// Whether all its tasks ran before this book was opened cannot be told.
+    /// Whether all its tasks ran before this tracker was created is unknown.
     pub may_have_started: bool,
     /// Nothing is known of its replicas before this.
     pub seen_from: f64,
--- a/crates/service-levels/src/underserved.rs
+++ b/crates/service-levels/src/underserved.rs
@@ -1,25 +1,25 @@
-//! Who has sunk, and who must not be pushed under.
+//! Which classes and teams are underserved.
 //!
-//! The floor is a share of service over ten minutes. A class or team below it has *sunk*;
-//! work of it that can still be of use gains standing, up to that of the best batch work,
-//! as long as somebody else is above the floor. Where all have sunk, those gain that are served
-//! clearly less than the best of them.
+//! The threshold is a share of service over ten minutes. A class or team below it is
+//! *underserved*: its work that can still be of use is raised, up to the rank of the best batch
+//! work, as long as another one is above the threshold. Where all are underserved, those are
+//! raised that are served clearly less than the best of them.
 
 use crate::Reading;
 use crate::tracker::{IndicatorIndex, ServiceLevelTracker};
 use crate::window::Span;
 use std::collections::HashMap;
 
-/// Below this share an account has sunk. Above a half, since what is to be kept over a half
-/// must be helped before it is there.
+/// Below this share an indicator is underserved. It lies above a half, since what is to be kept
+/// over a half must be helped before it falls there.
 pub const UNDERSERVED_THRESHOLD: f64 = 0.65;
-/// So many jobs tell something.
+/// With fewer jobs than this a share says nothing.
 const MIN_ASKED: f64 = 8.0;
 
-/// The readings that the order of starts can mend.
+/// The readings that the order of starts can improve.
 const IMPROVABLE_READINGS: [Reading; 2] = [Reading::Started, Reading::Done];
 
-/// Whoever has sunk gains only over those that are served better by this much.
+/// An underserved indicator is raised only over those that are served better by this much.
 const MIN_LEAD: f64 = 0.1;
 
 /// Jobs of an account that are open and not counted yet, and how many of them will be done in
@@ -44,12 +44,12 @@
     Forecast { open: jobs.len() as f64, will }
 }
 
-/// Which accounts have sunk, as of the last look.
+/// Which indicators are underserved, as of the last evaluation.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Underserved(Vec<bool>);
 
 impl Underserved {
-    /// Looks at every account once. `ahead`: what its open jobs will come to; a class of the
+    /// Evaluates every indicator once. `ahead`: what its open jobs will come to; a class of the
     /// lowest priority was once seen to sink only when its first jobs had waited in vain.
     pub fn evaluate(book: &ServiceLevelTracker, ahead: &HashMap<IndicatorIndex, Forecast>, now: f64) -> Underserved {
         let share = |i: usize| {
@@ -75,14 +75,14 @@
                 *second = *s;
             }
         }
-        let sunk = |(a, s): (&crate::tracker::ServiceLevelIndicator, &Option<f64>)| {
+        let is_underserved = |(a, s): (&crate::tracker::ServiceLevelIndicator, &Option<f64>)| {
             let [first, second] = best[a.side as usize];
             let others = if *s == first { second } else { first };
             s.is_some_and(|s| {
                 s < UNDERSERVED_THRESHOLD && others.is_none_or(|o| o >= UNDERSERVED_THRESHOLD || s < o - MIN_LEAD)
             })
         };
-        Underserved(book.indicators.iter().zip(&shares).map(sunk).collect())
+        Underserved(book.indicators.iter().zip(&shares).map(is_underserved).collect())
     }
 
     pub fn contains(&self, a: IndicatorIndex) -> bool {
--- a/crates/sharding/src/activation.rs
+++ b/crates/sharding/src/activation.rs
@@ -18,6 +18,7 @@
 pub struct ActivePlan {
     node: String,
     nonce: String,
+    /// How the deployment is divided.
     #[serde(rename = "cells")]
     pub plan: ShardingPlan,
     /// On the way back to one: shard 0 takes in what the others had, and these are owned no more.
@@ -26,10 +27,12 @@
 }
 
 impl ActivePlan {
+    /// The record of a plan that becomes active.
     pub fn new(plan: ShardingPlan) -> ActivePlan {
         ActivePlan { node: NOBODY.into(), nonce: "plan".into(), plan: plan, merging: false }
     }
 
+    /// The record of a plan whose shards merge into shard 0.
     pub fn merging(plan: ShardingPlan) -> ActivePlan {
         ActivePlan { merging: true, ..ActivePlan::new(plan) }
     }
@@ -38,6 +41,7 @@
 /// What a controller says of itself while it lives, under a key on its lease.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Presence {
+    /// The controller's name.
     pub node: String,
     /// The plan of its file, if it has one.
     pub plan: Option<ShardingPlan>,
@@ -45,8 +49,8 @@
 
 /// May the plan of this controller come into force? Only when all controllers of the settings
 /// live, understand shards, and have the same plan. A plan of one shard is the way back.
-pub fn all_agree_on(mine: &ShardingPlan, nodes: &[&str], present: &[Presence]) -> bool {
-    let agrees = |n: &&str| present.iter().any(|p| p.node == **n && p.plan.as_ref() == Some(mine));
+pub fn all_agree_on(own: &ShardingPlan, nodes: &[&str], present: &[Presence]) -> bool {
+    let agrees = |n: &&str| present.iter().any(|p| p.node == **n && p.plan.as_ref() == Some(own));
     nodes.iter().all(agrees)
 }
 
@@ -58,19 +62,19 @@
 }
 
 /// Has this controller a plan to offer, beside the one in force?
-pub fn has_plan_to_offer(mine: &ShardingPlan, in_force: Option<&ShardingPlan>) -> bool {
-    if mine.cells > 1 { in_force.is_none() } else { in_force.is_some() }
+pub fn has_plan_to_offer(own: &ShardingPlan, in_force: Option<&ShardingPlan>) -> bool {
+    if own.cells > 1 { in_force.is_none() } else { in_force.is_some() }
 }
 
 /// Seconds that a controller waits before it claims a shard that has no leader. `nodes`: all
 /// controllers of the settings, in any order; `owned`: how many shards it owns. The preferred one
 /// goes at once; one that owns others already comes after those that own none.
-pub fn campaign_delay_s(me: &str, nodes: &[&str], shard: ShardId, owned: usize) -> f64 {
+pub fn campaign_delay_s(own_shard: &str, nodes: &[&str], shard: ShardId, owned: usize) -> f64 {
     let mut all: Vec<&str> = nodes.iter().copied().collect::<BTreeSet<_>>().into_iter().collect();
     // In turn, so that the shards of a deployment that begins are not all one controller's.
     all.sort_unstable();
     let first = shard.as_usize() % all.len().max(1);
-    let at = all.iter().position(|n| *n == me).unwrap_or(all.len());
+    let at = all.iter().position(|n| *n == own_shard).unwrap_or(all.len());
     let rank = (at + all.len() - first) % all.len().max(1);
     rank as f64 * RANK_S + owned as f64 * OWNED_S
 }
--- a/crates/sharding/src/escrow.rs
+++ b/crates/sharding/src/escrow.rs
@@ -10,27 +10,33 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Cpus and accelerators.
+/// An amount of cpus and accelerators.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct Amount {
+    /// Cpus.
     pub cpus: f64,
+    /// Accelerators; the stored name is older.
     #[serde(rename = "cards")]
     pub accelerators: f64,
 }
 
 impl Amount {
+    /// So many cpus and accelerators.
     pub fn new(cpus: f64, accelerators: f64) -> Amount {
         Amount { cpus, accelerators: accelerators }
     }
 
+    /// The sum of both.
     pub fn plus(self, o: Amount) -> Amount {
         Amount::new(self.cpus + o.cpus, self.accelerators + o.accelerators)
     }
 
+    /// What is left of it, never less than nothing.
     pub fn minus(self, o: Amount) -> Amount {
         Amount::new((self.cpus - o.cpus).max(0.0), (self.accelerators - o.accelerators).max(0.0))
     }
 
+    /// Is it no more than the other, up to rounding?
     pub fn fits(self, o: Amount) -> bool {
         self.cpus <= o.cpus + EPSILON && self.accelerators <= o.accelerators + EPSILON
     }
@@ -39,6 +45,16 @@
         Amount::new(self.cpus.min(o.cpus), self.accelerators.min(o.accelerators))
     }
 
+    fn most(self, other: Amount) -> Amount {
+        Amount::new(self.cpus.max(other.cpus), self.accelerators.max(other.accelerators))
+    }
+
+    /// The part of it that belongs to `part` of `whole`.
+    fn in_proportion(self, part: Amount, whole: Amount) -> Amount {
+        let of = |all: f64, part: f64, whole: f64| if whole > EPSILON { all * part / whole } else { 0.0 };
+        Amount::new(of(self.cpus, part.cpus, whole.cpus), of(self.accelerators, part.accelerators, whole.accelerators))
+    }
+
     fn is_none(self) -> bool {
         self.cpus <= EPSILON && self.accelerators <= EPSILON
     }
@@ -47,15 +63,20 @@
 /// The shares of every limited team, by shard.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Ledger {
+    /// The shares of each team, by shard.
     pub teams: BTreeMap<String, Vec<Amount>>,
 }
 
 /// One shard gives another a part of its share of a team's limit.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QuotaTransfer {
+    /// The team's name.
     pub team: String,
+    /// The shard that gives.
     pub from: ShardId,
+    /// The shard that receives.
     pub to: ShardId,
+    /// The part of the limit that moves.
     pub amount: Amount,
 }
 
@@ -63,7 +84,9 @@
 /// wants altogether.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct QuotaUse {
+    /// What its tasks hold.
     pub held: Amount,
+    /// What its open jobs want altogether.
     pub wanted: Amount,
 }
 
@@ -80,6 +103,7 @@
         Ledger { teams: limits.iter().map(|(t, l)| (t.clone(), shares(*l))).collect() }
     }
 
+    /// This shard's part of a team's limit; none where the team has no limit.
     pub fn share(&self, team: &str, shard: ShardId) -> Option<Amount> {
         Some(self.teams.get(team)?.get(shard.as_usize()).copied().unwrap_or_default())
     }
@@ -93,9 +117,9 @@
     }
 
     /// The ledger after these gifts; none where somebody would give what is not theirs.
-    pub fn apply(&self, gifts: &[QuotaTransfer]) -> Option<Ledger> {
+    pub fn apply(&self, transfers: &[QuotaTransfer]) -> Option<Ledger> {
         let mut next = self.clone();
-        for g in gifts {
+        for g in transfers {
             let shares = next.teams.get_mut(&g.team)?;
             let own = shares.get(g.from.as_usize()).copied().unwrap_or_default();
             if g.from == g.to || !g.amount.fits(own) {
@@ -112,56 +136,59 @@
     }
 }
 
-/// What a shard keeps beyond what it uses and wants: a part of the limit, so that every new task
-/// does not need a gift.
+/// The part of a limit that a shard keeps beyond what it uses and wants, so that not every new task
+/// needs a transfer.
 const RESERVE_SHARE: f64 = 0.05;
 
-/// What `me` gives of one team: what it neither uses nor wants goes to those that want more than
-/// they have, in the proportion of what they lack; the rest to the team's home. `uses`: of every
-/// shard that told of itself lately, by shard; those without one get nothing.
+/// What `own_shard` gives of one team's limit.
+///
+/// What it neither uses nor wants goes to the shards that want more than they have, in proportion to
+/// their shortage; the rest goes to the team's home. `uses` holds, by shard, the last report of each
+/// shard that reported lately; a shard without one gets nothing.
 pub fn quota_transfers(
-    me: ShardId,
+    own_shard: ShardId,
     team: &str,
     ledger: &Ledger,
     uses: &[Option<QuotaUse>],
     home: ShardId,
 ) -> Vec<QuotaTransfer> {
     let Some(shares) = ledger.teams.get(team) else { return Vec::new() };
-    let own = shares.get(me.as_usize()).copied().unwrap_or_default();
-    let Some(mine) = uses.get(me.as_usize()).copied().flatten() else { return Vec::new() };
-    let limit = shares.iter().fold(Amount::default(), |s, a| s.plus(*a));
-    let kept = Amount::new(limit.cpus * RESERVE_SHARE, limit.accelerators * RESERVE_SHARE);
-    let needs = Amount::new(mine.held.cpus.max(mine.wanted.cpus), mine.held.accelerators.max(mine.wanted.accelerators));
-    let lacks: Vec<(ShardId, Amount)> = uses
-        .iter()
-        .enumerate()
-        .filter(|(c, _)| *c != me.as_usize())
-        .filter_map(|(c, u)| Some((ShardId(c as u32), u.as_ref()?)))
-        .map(|(c, u)| (c, u.wanted.minus(shares.get(c.as_usize()).copied().unwrap_or_default())))
-        .filter(|(_, l)| !l.is_none())
-        .collect();
-    let lacking = lacks.iter().fold(Amount::default(), |s, l| s.plus(l.1));
-    // Somebody waits: what is kept for later is given, too, except at home.
-    let spare = own.minus(needs);
-    let spare = if lacks.is_empty() || me == home { spare.minus(kept) } else { spare };
-    let given = spare.least(lacking);
-    let part = |l: f64, of: f64, all: f64| if of > EPSILON { all * l / of } else { 0.0 };
-    let mut out: Vec<QuotaTransfer> = lacks
+    let share_of = |shard: ShardId| shares.get(shard.as_usize()).copied().unwrap_or_default();
+    let Some(own_use) = uses.get(own_shard.as_usize()).copied().flatten() else { return Vec::new() };
+    let limit = shares.iter().fold(Amount::default(), |sum, share| sum.plus(*share));
+    let reserve = Amount::new(limit.cpus * RESERVE_SHARE, limit.accelerators * RESERVE_SHARE);
+    let needed = own_use.held.most(own_use.wanted);
+    let shortages = shortages(own_shard, uses, share_of);
+    let total_shortage = shortages.iter().fold(Amount::default(), |sum, shortage| sum.plus(shortage.1));
+    let spare = share_of(own_shard).minus(needed);
+    // While another shard is short, the reserve is given as well, except at home.
+    let offered = if shortages.is_empty() || own_shard == home { spare.minus(reserve) } else { spare };
+    let given = offered.least(total_shortage);
+    let transfer = |to: ShardId, amount: Amount| QuotaTransfer { team: team.to_owned(), from: own_shard, to, amount };
+    let mut transfers: Vec<QuotaTransfer> = shortages
         .iter()
-        .map(|(c, l)| QuotaTransfer {
-            team: team.to_owned(),
-            from: me,
-            to: *c,
-            amount: Amount::new(
-                part(l.cpus, lacking.cpus, given.cpus),
-                part(l.accelerators, lacking.accelerators, given.accelerators),
-            ),
-        })
+        .map(|(shard, shortage)| transfer(*shard, given.in_proportion(*shortage, total_shortage)))
         .collect();
-    let rest = own.minus(needs).minus(kept).minus(given);
-    if me != home && lacks.is_empty() && rest.cpus + rest.accelerators > kept.cpus.max(kept.accelerators) {
-        out.push(QuotaTransfer { team: team.to_owned(), from: me, to: home, amount: rest });
+    let rest = spare.minus(reserve).minus(given);
+    let is_worth_a_transfer = rest.cpus + rest.accelerators > reserve.cpus.max(reserve.accelerators);
+    if own_shard != home && shortages.is_empty() && is_worth_a_transfer {
+        transfers.push(transfer(home, rest));
     }
-    out.retain(|g| !g.amount.is_none());
-    out
+    transfers.retain(|transfer| !transfer.amount.is_none());
+    transfers
+}
+
+/// What each other shard wants beyond its share, of those that want more.
+fn shortages(
+    own_shard: ShardId,
+    uses: &[Option<QuotaUse>],
+    share_of: impl Fn(ShardId) -> Amount,
+) -> Vec<(ShardId, Amount)> {
+    (0u32..)
+        .map(ShardId)
+        .zip(uses)
+        .filter(|(shard, _)| *shard != own_shard)
+        .filter_map(|(shard, reported)| Some((shard, reported.as_ref()?.wanted.minus(share_of(shard)))))
+        .filter(|(_, shortage)| !shortage.is_none())
+        .collect()
 }
--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -1,18 +1,18 @@
-//! What lies between shards. A shard is a fenced leader with machines, home teams and a share of
-//! every limit; one deployment has one or several.
+//! Decisions between shards. A shard is a set of machines and teams with one fenced leader and a share
+//! of every limit; a deployment has one or several. Settings and flags call a shard a cell.
 //!
 //! Everything here decides and nothing waits: no sockets, no files, no clock.
 //!
 //! - [`plan`]: the operators' file, and which shard is a team's home
-//! - [`member`]: which controllers understand the plan, when it comes into force, who claims what
-//! - [`escrow`]: a team's limit, parted among the shards
-//! - [`picture`]: what each shard tells the others now and then
-//! - [`spill`]: which waiting work goes where
-//! - [`reassign`]: what the leader moves, machines and teams' homes
-//! - [`handover`]: how a machine goes from one shard to another
+//! - [`activation`]: which controllers know the plan, when it becomes active, who campaigns for which shard
+//! - [`escrow`]: a team's limit, divided among the shards
+//! - [`load_snapshot`]: what each shard publishes about its load
+//! - [`spill`]: which waiting jobs move to which shard
+//! - [`rebalance`]: which machines and team homes change shards
+//! - [`machine_transfer`]: how a machine moves from one shard to another
 
 // What is decided must not follow the order of a hash.
-#![warn(clippy::iter_over_hash_type)]
+#![warn(clippy::iter_over_hash_type, missing_docs)]
 
 pub mod activation;
 pub mod escrow;
@@ -33,6 +33,7 @@
 pub struct ShardId(pub u32);
 
 impl ShardId {
+    /// Its position among all shards.
     pub fn as_usize(self) -> usize {
         self.0 as usize
     }
--- a/crates/sharding/src/load_snapshot.rs
+++ b/crates/sharding/src/load_snapshot.rs
@@ -26,6 +26,7 @@
 /// One shard, seen by its leader. Amounts in cpus, times in seconds.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct LoadSnapshot {
+    /// The shard that it describes.
     #[serde(rename = "cell")]
     pub shard: ShardId,
     /// The claim of whoever tells it.
--- a/crates/sharding/src/machine_transfer.rs
+++ b/crates/sharding/src/machine_transfer.rs
@@ -1,10 +1,10 @@
 //! A machine goes from one shard to another, empty, by one stored value for each pair of shards.
 //!
-//! 1. The giver stores the [`Handover`] under its claim, where none stands. From that write on the
+//! 1. The giver stores the [`MachineTransfer`] under its claim, where none stands. From that write on the
 //!    machines are the taker's, whatever the giver's own records still say; the giver has told them
 //!    nothing that may yet come.
 //! 2. The taker takes them in as soon as it sees the value, and records them. The giver's records
-//!    stop naming them; when that is stored the giver says so in the value ([`Handover::left`]).
+//!    stop naming them; when that is stored the giver says so in the value ([`MachineTransfer::released_by_sender`]).
 //! 3. When both hold the taker empties the value. It is never deleted: of a key that is absent again a
 //!    write that comes minutes late would think that it is the first.
 //!
@@ -19,19 +19,26 @@
 /// What a machine is, for whoever has never met it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TransferredMachine {
+    /// The machine's name.
     pub machine: String,
+    /// The address of its worker; empty where it is not known.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub addr: String,
+    /// The machine type's name.
     #[serde(rename = "type")]
     pub type_name: String,
+    /// The zone's name.
     pub zone: String,
+    /// Whether it is a spot machine.
     pub spot: bool,
 }
 
 /// Machines on their way from one shard to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineTransfer {
+    /// The shard that gives them.
     pub from: ShardId,
+    /// The shard that receives them.
     pub to: ShardId,
     /// None: the one before is over, and another may begin.
     pub machines: Vec<TransferredMachine>,
@@ -45,11 +52,13 @@
 /// Where a value stands: one for each pair, so that nobody else writes it.
 pub const PREFIX: &str = "cells/hand/";
 
+/// The key of the value for this pair of shards.
 pub fn key(from: ShardId, to: ShardId) -> String {
     format!("{PREFIX}{}/{}", from.0, to.0)
 }
 
 impl MachineTransfer {
+    /// Is the last transfer over, so that another may begin?
     pub fn is_complete(&self) -> bool {
         self.machines.is_empty()
     }
@@ -73,15 +82,15 @@
 /// order, that nothing is on its way to, and whose machines would obey it. A machine obeys the
 /// highest token that it has seen: it can only go to a shard with a higher one.
 pub fn next_receiver<'a>(
-    me: ShardId,
+    own_shard: ShardId,
     token: u64,
     orders: impl Iterator<Item = &'a crate::rebalance::MachineMove>,
     under_way: &[MachineTransfer],
     token_of: impl Fn(ShardId) -> Option<u64>,
 ) -> Option<(ShardId, f64)> {
     orders
-        .filter(|o| o.from == me && o.to != me && o.cpus > EPSILON)
+        .filter(|o| o.from == own_shard && o.to != own_shard && o.cpus > EPSILON)
         .filter(|o| token_of(o.to).is_some_and(|t| t > token))
-        .find(|o| !under_way.iter().any(|h| h.from == me && h.to == o.to && !h.is_complete()))
+        .find(|o| !under_way.iter().any(|h| h.from == own_shard && h.to == o.to && !h.is_complete()))
         .map(|o| (o.to, o.cpus))
 }
--- a/crates/sharding/src/plan.rs
+++ b/crates/sharding/src/plan.rs
@@ -9,6 +9,7 @@
 use std::hash::Hasher;
 use twox_hash::XxHash64;
 
+/// Shards of a deployment, at the most.
 pub const MAX_SHARDS: u32 = 32;
 
 /// How a deployment is parted into cells.
@@ -44,6 +45,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
 #[schemars(rename = "Home")]
+#[allow(missing_docs, reason = "doc comments here would be part of the published schema")]
 pub struct TeamHome {
     #[garde(length(min = 1, max = 100))]
     pub name: String,
--- a/crates/sharding/src/rebalance.rs
+++ b/crates/sharding/src/rebalance.rs
@@ -10,8 +10,11 @@
 /// Machines that one shard does not need go to another, up to so many cpus.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineMove {
+    /// The shard that gives machines.
     pub from: ShardId,
+    /// The shard that receives them.
     pub to: ShardId,
+    /// Cpus of the machines that move.
     pub cpus: f64,
 }
 
@@ -75,12 +78,12 @@
 
 /// Has this shard to take its claim anew before the machines that are ordered to it would obey?
 pub fn must_reacquire(
-    me: ShardId,
+    own_shard: ShardId,
     token: u64,
     moves: &[MachineMove],
     token_of: impl Fn(ShardId) -> Option<u64>,
 ) -> bool {
-    moves.iter().any(|m| m.to == me && m.from != me && token_of(m.from).is_some_and(|t| t > token))
+    moves.iter().any(|m| m.to == own_shard && m.from != own_shard && token_of(m.from).is_some_and(|t| t > token))
 }
 
 /// What waits in a shard beyond its room and what boots for it, in cpus.
@@ -93,12 +96,12 @@
     pub fn plan_round(
         &mut self,
         plan: &ShardingPlan,
-        pictures: &[LoadSnapshot],
+        snapshots: &[LoadSnapshot],
         stored: &RebalancePlan,
         now_ms: u64,
     ) -> RebalancePlan {
         let after_ms = (plan.reassign_after_s * 1000.0) as u64;
-        let short: BTreeSet<ShardId> = pictures.iter().filter(|p| shortage(p) > EPSILON).map(|p| p.shard).collect();
+        let short: BTreeSet<ShardId> = snapshots.iter().filter(|p| shortage(p) > EPSILON).map(|p| p.shard).collect();
         // A shard of which nothing is known is not known to be short.
         self.short_since.retain(|c, _| short.contains(c));
         for c in &short {
@@ -110,9 +113,9 @@
             since.is_some_and(|s| now_ms.saturating_sub(*s) as f64 >= after_ms as f64 * times)
         };
         let mut idle: Vec<(&LoadSnapshot, f64)> =
-            pictures.iter().filter(|p| !short.contains(&p.shard)).map(|p| (p, p.idle_cpus)).collect();
+            snapshots.iter().filter(|p| !short.contains(&p.shard)).map(|p| (p, p.idle_cpus)).collect();
         let mut needy: Vec<(&LoadSnapshot, f64)> =
-            pictures.iter().filter(|p| lasting(p.shard, 1.0)).map(|p| (p, shortage(p))).collect();
+            snapshots.iter().filter(|p| lasting(p.shard, 1.0)).map(|p| (p, shortage(p))).collect();
         needy.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.shard.cmp(&b.0.shard)));
         let mut moves = Vec::new();
         for (to, mut lack) in needy {
@@ -133,7 +136,7 @@
         }
         moves.sort_by_key(|m| (m.from, m.to));
         let mut homes = stored.homes.clone();
-        if let Some((team, to)) = self.home_to_move(plan, pictures, stored, now_ms, |c| lasting(c, HOME_AFTER)) {
+        if let Some((team, to)) = self.home_to_move(plan, snapshots, stored, now_ms, |c| lasting(c, HOME_AFTER)) {
             self.moved.insert(team.clone(), now_ms);
             if plan.home(&team) == to {
                 homes.remove(&team);
@@ -159,7 +162,7 @@
     fn home_to_move(
         &self,
         plan: &ShardingPlan,
-        pictures: &[LoadSnapshot],
+        snapshots: &[LoadSnapshot],
         stored: &RebalancePlan,
         now_ms: u64,
         stays_short: impl Fn(ShardId) -> bool,
@@ -168,14 +171,14 @@
         let rests = |t: &str| self.moved.get(t).is_some_and(|at| (now_ms.saturating_sub(*at) as f64) < rest_ms);
         let waits = |p: &LoadSnapshot, t: &str| p.teams.get(t).map_or(0.0, |u| u.wanted.minus(u.held).cpus);
         let of = |p: &LoadSnapshot| p.teams.keys().map(|t| (t.clone(), waits(p, t))).collect::<Vec<_>>();
-        let (team, wants, from) = pictures
+        let (team, wants, from) = snapshots
             .iter()
             .filter(|p| stays_short(p.shard))
             .flat_map(|p| of(p).into_iter().map(|(t, w)| (t, w, p.shard)))
             .filter(|(t, w, c)| *w > EPSILON && stored.home(plan, t) == *c && !rests(t))
             .max_by(|a, b| a.1.total_cmp(&b.1).then(b.0.cmp(&a.0)))?;
         let room = |p: &LoadSnapshot| p.free_cpus - p.waiting_cpus;
-        let best = pictures
+        let best = snapshots
             .iter()
             .filter(|p| p.shard != from && p.waiting_cpus <= EPSILON)
             .max_by(|a, b| room(a).total_cmp(&room(b)))?;
