--- a/crates/sharding/src/activation.rs
+++ b/crates/sharding/src/activation.rs
@@ -29,7 +29,7 @@
 impl ActivePlan {
     /// The record of a plan that becomes active.
     pub fn new(plan: ShardingPlan) -> ActivePlan {
-        ActivePlan { node: NOBODY.into(), nonce: "plan".into(), plan: plan, merging: false }
+        ActivePlan { node: NOBODY.into(), nonce: "plan".into(), plan, merging: false }
     }
 
     /// The record of a plan whose shards merge into shard 0.
--- a/crates/sharding/src/escrow.rs
+++ b/crates/sharding/src/escrow.rs
@@ -23,7 +23,7 @@
 impl Amount {
     /// So many cpus and accelerators.
     pub fn new(cpus: f64, accelerators: f64) -> Amount {
-        Amount { cpus, accelerators: accelerators }
+        Amount { cpus, accelerators }
     }
 
     /// The sum of both.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,8 @@
 //! lupinspur: a cluster scheduler for services and batch work, on spot machines
-//! with on-demand machines for the gap. See docs/design.md.
+//! with on-demand machines for the gap. docs/architecture.md shows the whole, docs/design.md says why.
+
+// Standard output belongs to the command line.
+#![warn(clippy::print_stdout)]
 
 pub mod api;
 pub mod audit;
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -54,7 +54,7 @@
         zone,
         image,
         deadline_s,
-        dependencies: dependencies,
+        dependencies,
         elastic,
         ..all
     }
