--- a/crates/scheduler/src/shard/checkpointing.rs
+++ b/crates/scheduler/src/shard/checkpointing.rs
@@ -161,7 +161,7 @@
         let mut writer = std::mem::take(&mut self.checkpointer.writer);
         let record = |id: &str| {
             let job = self.jobs.get(self.jobs.find(id)?).filter(|j| j.phase == Phase::Open)?;
-            let version = *self.versions.get(&job_key(id))?;
+            let version = self.write_queue.version_of(&job_key(id))?;
             let mut record = JobRecord::accepted(job.spec.clone(), job.accepted_at_ms);
             (record.shard, record.moves) = (job.shard, job.moves);
             Some((version, serde_json::to_value(&record).ok()?))
@@ -174,8 +174,8 @@
         let ValueToWrite { key, value } = put?;
         // A chunk's number may come again while the deletion of its earlier value waits, or is
         // under way: that would take the new value with it.
-        self.stale_keys.remove(&key);
-        if self.in_flight.contains(&key) {
+        self.write_queue.clear_stale(&key);
+        if self.write_queue.is_in_flight(&key) {
             self.checkpointer.writer.on_failed(&key);
             return None;
         }
@@ -185,7 +185,7 @@
     pub(super) fn checkpoint_applied(&mut self, key: &str) {
         let before = self.checkpointer.writer.stored_round();
         let gone = self.checkpointer.writer.on_applied(key);
-        self.stale_keys.extend(gone);
+        gone.into_iter().for_each(|key| self.write_queue.mark_stale(key));
         let round = self.checkpointer.writer.stored_round();
         if round != before {
             log::debug!("checkpoint {round}: {} open jobs", self.checkpointer.writer.open());
@@ -265,11 +265,10 @@
         self.checkpointer.writer.on_ended(&id);
         self.jobs.on_end_committed(job_index, Phase::Cancelled);
         self.dependencies.on_job_ended(job_index, Phase::Cancelled);
-        self.pending_ends.remove(&job_index);
-        self.progress_due.remove(&job_index);
+        self.write_queue.forget_job(job_index);
         self.forget_untracked(job_index);
         self.drop_references(&BTreeSet::from([job_index]));
-        self.versions.remove(&job_key(&id));
+        self.write_queue.forget_version(&job_key(&id));
         self.jobs.remove(job_index);
     }
 
@@ -306,7 +305,7 @@
     /// that for a new one.
     fn may_be_reopened_by_watch(&self, job_index: JobIndex) -> bool {
         let Some(job) = self.jobs.get(job_index) else { return false };
-        let ended_at = self.versions.get(&job_key(&job.id)).copied().unwrap_or(0);
+        let ended_at = self.write_queue.version_of(&job_key(&job.id)).unwrap_or(0);
         ended_at > self.checkpointer.known.watched_revision()
     }
 
@@ -324,14 +323,14 @@
             let keys = m.assignments.keys().chain(m.unassigned.keys()).chain(m.unacknowledged_starts.keys());
             kept.extend(keys.map(|k| k.job).filter(|j| over.contains(j)));
         }
-        kept.extend(self.pending_ends.iter().chain(&self.progress_due).filter(|j| over.contains(j)));
+        kept.extend(self.write_queue.jobs_due().filter(|j| over.contains(j)));
         kept.extend(over.iter().filter(|j| self.may_be_reopened_by_watch(**j)));
         self.checkpointer.over.extend(kept.iter().map(|j| (now, *j)));
         over.retain(|j| !kept.contains(j));
         self.drop_references(&over);
         for j in over {
             if let Some(job) = self.jobs.get(j) {
-                self.versions.remove(&job_key(&job.id));
+                self.write_queue.forget_version(&job_key(&job.id));
             }
             self.jobs.remove(j);
         }
@@ -343,7 +342,7 @@
 
     /// How much this leader holds, for tests and the log: jobs, machines, images, versions.
     pub fn memory_footprint(&self) -> [usize; 4] {
-        [self.jobs.list.len(), self.machines.list.len(), self.jobs.images.len(), self.versions.len()]
+        [self.jobs.list.len(), self.machines.list.len(), self.jobs.images.len(), self.write_queue.stored_keys().count()]
     }
 }
 
--- a/crates/scheduler/src/shard/consistency.rs
+++ b/crates/scheduler/src/shard/consistency.rs
@@ -74,7 +74,7 @@
         job.queued_tasks = (0u32..).zip(&job.tasks).filter(|(_, s)| **s == TaskSlot::Queued).map(|(t, _)| t).collect();
         if over {
             job.desired_phase = Phase::Done;
-            self.pending_ends.insert(job_index);
+            self.write_queue.mark_end_due(job_index);
         }
         self.placement_due = true;
     }
--- a/crates/scheduler/src/shard/dependencies.rs
+++ b/crates/scheduler/src/shard/dependencies.rs
@@ -112,7 +112,7 @@
             if job.phase == Phase::Open && job.desired_phase == Phase::Open {
                 job.desired_phase = Phase::Cancelled;
                 job.cascade_cancelled_at = Some(since);
-                self.pending_ends.insert(j);
+                self.write_queue.mark_end_due(j);
                 self.stop_all(j);
             }
         }
--- a/crates/scheduler/src/shard/failover.rs
+++ b/crates/scheduler/src/shard/failover.rs
@@ -111,17 +111,8 @@
             time_bound_s: params.time_bound_s,
             value_bytes,
             attempts: 0,
-            versions: HashMap::new(),
-            in_flight: HashSet::new(),
-            pending_ends: BTreeSet::new(),
-            cascade_throttled_at: f64::MIN,
+            write_queue: writes::WriteQueue::new(now),
             machine_groups: MachineGroups { next: loaded.next_group_number, ..MachineGroups::default() },
-            dirty_groups: BTreeSet::new(),
-            progress_due: BTreeSet::new(),
-            progress_at: now,
-            stale_keys: BTreeSet::new(),
-            fleet_stored: FleetRecord::default(),
-            fleet_at: now,
             placement_due: true,
             late_credit: 0.0,
             limits_examined: 0,
@@ -144,42 +135,44 @@
             merged_groups: loaded.merged_groups,
         };
         for (key, version) in loaded.stale_keys {
-            shard.versions.insert(key.clone(), version);
-            shard.stale_keys.insert(key);
+            shard.write_queue.set_version(key.clone(), version);
+            shard.write_queue.mark_stale(key);
         }
         for z in &params.zones {
             shard.types.zones.intern(z);
         }
         shard.jobs.zones = shard.types.zones.len().max(16);
-        shard.versions.extend(loaded.checkpoint.keys);
+        for (key, version) in loaded.checkpoint.keys {
+            shard.write_queue.set_version(key, version);
+        }
         if let Some((_, v)) = loaded.fleet {
-            shard.versions.insert(crate::fleet::FLEET_KEY.into(), v);
+            shard.write_queue.set_version(crate::fleet::FLEET_KEY.into(), v);
         }
         for (r, v) in loaded.jobs {
             shard.add_job(r, v, now);
         }
         for (key, r, v) in loaded.progress {
-            shard.versions.insert(key.clone(), v);
+            shard.write_queue.set_version(key.clone(), v);
             match shard.progress_of(&key) {
                 Some((j, from)) if shard.jobs[j].phase == Phase::Open => {
                     shard.jobs.load_progress(j, from, &r);
                     if shard.jobs[j].desired_phase != Phase::Open {
-                        shard.pending_ends.insert(j);
+                        shard.write_queue.mark_end_due(j);
                     }
                 }
                 // Of a record that could not be read nobody knows whether it is over.
                 _ if shard.has_unreadable_records() => {}
-                _ => _ = shard.stale_keys.insert(key),
+                _ => shard.write_queue.mark_stale(key),
             }
         }
         for (key, version) in loaded.quotas.iter().flat_map(|q| {
             let head = q.head.iter().map(|(_, v)| (lupinspur_quota::stored::HEAD.to_owned(), *v));
             head.chain(q.parts.iter().map(|(k, _, v)| (k.clone(), *v)))
         }) {
-            shard.versions.insert(key, version);
+            shard.write_queue.set_version(key, version);
         }
         for (name, r, v) in loaded.machines {
-            shard.versions.insert(crate::fleet::machine_key(&name), v);
+            shard.write_queue.set_version(crate::fleet::machine_key(&name), v);
             shard.machines_to_restore.push((name, r));
         }
         if !types.is_empty() {
@@ -226,10 +219,10 @@
             self.restore_group(i, r, version, now);
         }
         for (key, r, version) in std::mem::take(&mut self.merged_groups) {
-            self.versions.insert(key.clone(), version);
+            self.write_queue.set_version(key.clone(), version);
             let key: Arc<str> = key.into();
             if r.machines.is_empty() {
-                self.stale_keys.insert(key.to_string());
+                self.write_queue.mark_stale(key.to_string());
             }
             for (name, own) in r.machine_records() {
                 if let Some(m) = self.restore_machine(&name, own, now) {
@@ -268,7 +261,7 @@
         let zone = self.types.zones.intern(&record.zone);
         let bytes = serde_json::to_string(&record).map_or(0, |t| t.len());
         let key: Arc<str> = machine_group_key(group_index).into();
-        self.versions.insert(key.to_string(), version);
+        self.write_queue.set_version(key.to_string(), version);
         let before = record.machines.len();
         record.machines.retain(|x| !self.skip_if_transferred(x, group_index));
         let names_others = record.machines.len() < before;
@@ -286,7 +279,7 @@
                 .on_value_built(bytes.saturating_sub(record.image_bytes()), names.into_iter());
         }
         if old && record.machines.is_empty() {
-            self.stale_keys.insert(key.to_string());
+            self.write_queue.mark_stale(key.to_string());
         }
         for (name, own) in record.machine_records() {
             match self.restore_machine(&name, own, now) {
--- a/crates/scheduler/src/shard/machine_records.rs
+++ b/crates/scheduler/src/shard/machine_records.rs
@@ -8,7 +8,7 @@
     pub(crate) fn release_superseded_values(&mut self, machine_index: MachineIndex) {
         for key in std::mem::take(&mut self.machines[machine_index].superseded_values) {
             if self.machine_groups.remove_superseded(&key, machine_index) {
-                self.stale_keys.insert(key.to_string());
+                self.write_queue.mark_stale(key.to_string());
             }
         }
     }
@@ -16,9 +16,9 @@
     /// Parts a machine group whose value does not fit: its halves are stored first, then it goes.
     pub(super) fn split_group(&mut self, group_index: MachineGroupIndex) {
         let Some(machine_group) = self.machine_groups.list.remove(&group_index) else { return };
-        self.dirty_groups.remove(&group_index);
+        self.write_queue.clear_group_due(group_index);
         let key: Arc<str> = machine_group_key(group_index).into();
-        let stored = self.versions.contains_key(&*key);
+        let stored = self.write_queue.is_stored(&key);
         let members: Vec<MachineIndex> = machine_group.members.iter().copied().collect();
         for half in members.chunks(members.len().div_ceil(2)) {
             let i = self.machine_groups.new_closed_group(
@@ -42,7 +42,7 @@
         let value_bytes = self.value_bytes;
         self.machine_groups.list.values_mut().for_each(|r| r.reset_compaction(value_bytes));
         for (&i, machine_group) in &self.machine_groups.list {
-            let waits = self.dirty_groups.contains(&i) || self.in_flight.contains(&machine_group_key(i));
+            let waits = self.write_queue.is_group_due(i) || self.write_queue.is_in_flight(&machine_group_key(i));
             let takes = |m: &MachineIndex| {
                 let m = &self.machines[*m];
                 let free = self.types.get(m.type_index).cpus - m.cpus_used;
@@ -77,7 +77,7 @@
     }
 
     pub(crate) fn mark_group_dirty(&mut self, group_index: MachineGroupIndex) {
-        self.dirty_groups.insert(group_index);
+        self.write_queue.mark_group_due(group_index);
         if let Some(machine_group) = self.machine_groups.list.get_mut(&group_index) {
             machine_group.mark_dirty(self.ticked_at);
         }
--- a/crates/scheduler/src/shard/machine_transfers.rs
+++ b/crates/scheduler/src/shard/machine_transfers.rs
@@ -137,7 +137,7 @@
             let mut values: BTreeSet<String> = machine.superseded_values.iter().map(|k| k.to_string()).collect();
             values.extend(machine.machine_group.map(machine_group_key));
             // What neither stands nor is under way names nobody.
-            values.retain(|k| self.versions.contains_key(k) || self.in_flight.contains(k));
+            values.retain(|k| self.write_queue.is_stored(k) || self.write_queue.is_in_flight(k));
             if !values.is_empty() {
                 self.transfers.still_named_by.insert(h.machine.clone(), values);
             }
--- a/crates/scheduler/src/shard/mod.rs
+++ b/crates/scheduler/src/shard/mod.rs
@@ -64,7 +64,7 @@
 use lupinspur_service_levels::ServiceLevelTracker;
 use lupinspur_service_levels::underserved::Underserved;
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
+use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 use std::sync::Arc;
 
 /// What the leader can say of a job that it knows.
@@ -168,24 +168,10 @@
     time_bound_s: f64,
     value_bytes: usize,
     attempts: u64,
-    versions: HashMap<String, u64>,
     moved_jobs: moved_jobs::MovedJobs,
-    in_flight: HashSet<String>,
-    pending_ends: BTreeSet<JobIndex>,
-    /// When a cancellation that follows from another one was last written in its turn.
-    cascade_throttled_at: f64,
+    /// What stands to be written, and on which versions.
+    write_queue: writes::WriteQueue,
     pub(crate) machine_groups: MachineGroups,
-    /// Machine groups whose value is to be written: before planned starts may go out, or because it
-    /// names machines that are gone, which a successor would take for machines that may
-    /// hold anything. By number, the
-    /// later ones once waited for a quarter of a minute while the first were written again
-    /// and again: see [`crate::fleet::machine_groups::MachineGroup::turn`].
-    dirty_groups: BTreeSet<MachineGroupIndex>,
-    progress_due: BTreeSet<JobIndex>,
-    progress_at: f64,
-    stale_keys: BTreeSet<String>,
-    fleet_stored: FleetRecord,
-    fleet_at: f64,
     pub(crate) placement_due: bool,
     /// Cpus set apart for batch work that is late, see placement.
     pub(crate) late_credit: f64,
@@ -230,8 +216,7 @@
         if self.moved_jobs.is_outdated(&key, version) {
             return None;
         }
-        let known = self.versions.entry(key).or_insert(version);
-        *known = (*known).max(version);
+        self.write_queue.raise_version(key, version);
         if let Some(j) = self.jobs.find(&record.job.id) {
             // Our own write, whose answer comes later or never: nobody else ends jobs of ours.
             if self.jobs[j].end_write_sent && self.jobs[j].desired_phase == record.phase {
@@ -288,7 +273,7 @@
         }
         if job.desired_phase == Phase::Open {
             job.desired_phase = Phase::Cancelled;
-            self.pending_ends.insert(j);
+            self.write_queue.mark_end_due(j);
             self.stop_all(j);
         }
         // Its user waits for the answer now, whatever else it is cancelled for.
--- a/crates/scheduler/src/shard/quotas/mod.rs
+++ b/crates/scheduler/src/shard/quotas/mod.rs
@@ -196,7 +196,7 @@
             Some(_) => (part_key(plan.generation, q.stored_parts), Step::Part(q.stored_parts)),
             None => (HEAD.to_owned(), Step::Head),
         };
-        if self.in_flight.contains(&key) {
+        if self.write_queue.is_in_flight(&key) {
             return None;
         }
         match parts.get(q.stored_parts).cloned() {
@@ -216,12 +216,12 @@
                     q.in_force = true;
                     self.placement_due = true;
                     let old: Vec<String> = self
-                        .versions
-                        .keys()
+                        .write_queue
+                        .stored_keys()
                         .filter(|k| k.starts_with(PREFIX) && generation_of(k).is_some_and(|g| g != plan.generation))
                         .cloned()
                         .collect();
-                    self.stale_keys.extend(old);
+                    old.into_iter().for_each(|key| self.write_queue.mark_stale(key));
                     // Starts that were chosen and not sent yet are withdrawn at once.
                     self.preempt_over_quota();
                 }
--- a/crates/scheduler/src/shard/rebalancing.rs
+++ b/crates/scheduler/src/shard/rebalancing.rs
@@ -138,7 +138,7 @@
     /// The record with which a job goes to another shard, the version that it replaces, and what it
     /// takes of its team's limit. From here on nothing of it is started here.
     pub fn begin_move(&mut self, job_index: JobIndex, to: ShardId) -> Option<(JobRecord, u64, TeamIndex, Amount)> {
-        let version = *self.versions.get(&job_key(&self.jobs[job_index].id))?;
+        let version = self.write_queue.version_of(&job_key(&self.jobs[job_index].id))?;
         let job = &mut self.jobs[job_index];
         job.moving_away = true;
         let mut r = JobRecord::accepted(job.spec.clone(), job.accepted_at_ms);
@@ -164,7 +164,7 @@
             return;
         }
         let key = job_key(id);
-        if let Some(&replaced) = self.versions.get(&key) {
+        if let Some(replaced) = self.write_queue.version_of(&key) {
             self.moved_jobs.note(key, replaced, now);
         }
         // Nobody here counts it, neither as served nor as missed.
--- a/crates/scheduler/src/shard/service_levels/mod.rs
+++ b/crates/scheduler/src/shard/service_levels/mod.rs
@@ -127,7 +127,7 @@
             glue.to_send = parts.into_iter().enumerate().map(|(n, p)| (part_key(place, n), p)).collect();
         }
         let (key, _) = self.service_levels.to_send.front()?;
-        if self.in_flight.contains(key) {
+        if self.write_queue.is_in_flight(key) {
             return None;
         }
         let (key, part) = self.service_levels.to_send.pop_front()?;
--- a/crates/scheduler/src/shard/starts.rs
+++ b/crates/scheduler/src/shard/starts.rs
@@ -210,9 +210,9 @@
         }
         if self.jobs.mark_task_done(key.job, key.task, false) {
             self.track_progress(key.job, self.ticked_at);
-            self.progress_due.insert(key.job);
+            self.write_queue.mark_progress_due(key.job);
             if self.jobs[key.job].desired_phase != Phase::Open {
-                self.pending_ends.insert(key.job);
+                self.write_queue.mark_end_due(key.job);
             }
         }
     }
--- a/crates/scheduler/src/shard/writes/batch.rs
+++ b/crates/scheduler/src/shard/writes/batch.rs
@@ -1,18 +1,13 @@
 //! The next writes, the most urgent first.
 
 use super::{PendingWrite, WritePurpose, serialize_with_size};
-use crate::fleet::machine_groups::{MACHINE_GROUP_PREFIX, machine_group_key};
-use crate::fleet::{FLEET_KEY, MACHINE_PREFIX};
+use crate::fleet::FLEET_KEY;
+use crate::fleet::machine_groups::machine_group_key;
 use crate::intern::{JobIndex, MachineGroupIndex};
 use crate::jobs::{JobRecord, Phase, job_key};
 use crate::shard::Shard;
 use std::ops::ControlFlow;
 
-/// Besides what can be spared, one cancellation that follows from another each so often,
-/// until they press.
-const CASCADE_THROTTLE_INTERVAL_S: f64 = 0.25;
-const PROGRESS_INTERVAL_S: f64 = 4.0;
-const FLEET_RECORD_INTERVAL_S: f64 = 5.0;
 /// With less room in bytes than this, a batch takes no further write.
 const MIN_BATCH_BYTES: usize = 20 * 1024;
 
@@ -91,15 +86,15 @@
             let follows = job.cascade_cancelled_at.is_some() && !self.cascade_is_overdue(*j, now);
             (follows, job.desired_phase != Phase::Cancelled, job.cascade_cancelled_at.is_some())
         };
-        let mut f: Vec<_> = self.pending_ends.iter().map(|j| (turn(j), *j)).collect();
+        let mut f: Vec<_> = self.write_queue.pending_ends().map(|j| (turn(&j), j)).collect();
         f.sort();
         let at_ease = f.iter().position(|((follows, ..), _)| *follows).unwrap_or(f.len());
         // The writer takes each write as soon as there is one to take, so that a share of
         // a transaction would be all of it.
-        let in_turn = usize::from(now - self.cascade_throttled_at >= CASCADE_THROTTLE_INTERVAL_S);
+        let in_turn = usize::from(self.write_queue.may_write_cascade(now));
         f.truncate(at_ease + in_turn.max(spare));
         if in_turn > 0 && f.len() > at_ease {
-            self.cascade_throttled_at = now;
+            self.write_queue.on_cascade_written(now);
         }
         f.into_iter().map(|(_, j)| j).collect()
     }
@@ -108,7 +103,7 @@
         for j in self.ordered_ends(batch.spare, now) {
             let job = &self.jobs[j];
             let key = job_key(&job.id);
-            if self.in_flight.contains(&key) {
+            if self.write_queue.is_in_flight(&key) {
                 continue;
             }
             let phase = job.desired_phase;
@@ -127,9 +122,7 @@
     /// what can be spared is nothing where the starts take all there is. A successor once
     /// found twice as many machines as there were, and waited for the others.
     fn delete_stale_records(&mut self, batch: &mut Batch) -> ControlFlow<()> {
-        let stale =
-            self.stale_keys.iter().find(|k| k.starts_with(MACHINE_GROUP_PREFIX) || k.starts_with(MACHINE_PREFIX));
-        if let Some(key) = stale.filter(|k| !self.in_flight.contains(*k)).cloned() {
+        if let Some(key) = self.write_queue.stale_machine_record() {
             batch.push(self.delete_write(key))?;
         }
         ControlFlow::Continue(())
@@ -137,16 +130,16 @@
 
     fn write_racks(&mut self, batch: &mut Batch, now: f64) -> ControlFlow<()> {
         let mut due: Vec<((bool, f64), MachineGroupIndex)> = self
-            .dirty_groups
-            .iter()
-            .filter(|r| !self.in_flight.contains(&machine_group_key(**r)))
+            .write_queue
+            .groups_due()
+            .filter(|r| !self.write_queue.is_in_flight(&machine_group_key(*r)))
             .map(|r| {
                 (
                     self.machine_groups
                         .list
-                        .get(r)
+                        .get(&r)
                         .map_or((false, 0.0), |machine_group| machine_group.write_priority(now)),
-                    *r,
+                    r,
                 )
             })
             .collect();
@@ -161,31 +154,31 @@
 
     /// The counts of the leader before stand until there are new ones.
     fn write_fleet(&mut self, batch: &mut Batch, now: f64) -> ControlFlow<()> {
-        let fleet_due = now - self.fleet_at >= FLEET_RECORD_INTERVAL_S && self.heartbeats_gathered(now);
-        if !batch.has_spare() || !fleet_due || self.in_flight.contains(FLEET_KEY) {
+        let fleet_due = self.write_queue.is_fleet_record_due(now) && self.heartbeats_gathered(now);
+        if !batch.has_spare() || !fleet_due || self.write_queue.is_in_flight(FLEET_KEY) {
             return ControlFlow::Continue(());
         }
-        self.fleet_at = now;
+        self.write_queue.on_fleet_record_made(now);
         let mut r = self.fleet_record();
         // A help to a successor and no need: what does not fit is left out.
         while serialize_with_size(&r).is_some_and(|v| v.1 > self.value_bytes) && r.pools.pop().is_some() {}
-        if r != self.fleet_stored {
+        if !self.write_queue.is_fleet_record_stored(&r) {
             batch.push(self.enqueue_write(FLEET_KEY.into(), WritePurpose::Fleet(r.clone()), &r))?;
         }
         ControlFlow::Continue(())
     }
 
     fn write_progress(&mut self, batch: &mut Batch, now: f64) -> ControlFlow<()> {
-        if now - self.progress_at < PROGRESS_INTERVAL_S {
+        if !self.write_queue.is_progress_round_due(now) {
             return ControlFlow::Continue(());
         }
-        for j in self.progress_due.clone() {
+        for j in self.write_queue.jobs_with_progress_due() {
             if self.jobs[j].desired_phase == Phase::Open {
                 self.write_progress_of(j, batch)?;
             }
-            self.progress_due.remove(&j);
+            self.write_queue.clear_progress_due(j);
         }
-        self.progress_at = now;
+        self.write_queue.finish_progress_round(now);
         ControlFlow::Continue(())
     }
 
@@ -196,7 +189,7 @@
             if !batch.has_spare() {
                 return ControlFlow::Break(());
             }
-            if self.in_flight.contains(&key) {
+            if self.write_queue.is_in_flight(&key) {
                 continue;
             }
             self.jobs[job_index].dirty_chunks.remove(&c);
@@ -207,15 +200,8 @@
     }
 
     fn delete_stale_keys(&mut self, batch: &mut Batch) -> ControlFlow<()> {
-        let cheapest_preemption = batch.spare.saturating_sub(batch.writes.len() + 2);
-        let tidy: Vec<String> = self
-            .stale_keys
-            .iter()
-            .filter(|k| !self.in_flight.contains(*k))
-            .take(cheapest_preemption)
-            .cloned()
-            .collect();
-        for key in tidy {
+        let limit = batch.spare.saturating_sub(batch.writes.len() + 2);
+        for key in self.write_queue.deletable_keys(limit) {
             batch.push(self.delete_write(key))?;
         }
         ControlFlow::Continue(())
--- a/crates/scheduler/src/shard/writes/group_values.rs
+++ b/crates/scheduler/src/shard/writes/group_values.rs
@@ -17,7 +17,7 @@
 impl Shard {
     /// No machine is left in this machine group.
     pub(super) fn delete_group(&mut self, group_index: MachineGroupIndex) -> Option<PendingWrite> {
-        self.dirty_groups.remove(&group_index);
+        self.write_queue.clear_group_due(group_index);
         self.machine_groups.list.remove(&group_index);
         self.delete_write(machine_group_key(group_index))
     }
@@ -25,7 +25,7 @@
     /// The write of a machine group's value. Until it is known which value stands, only what
     /// both name counts as stored.
     pub(super) fn write_group(&mut self, group_index: MachineGroupIndex) -> Option<PendingWrite> {
-        self.dirty_groups.remove(&group_index);
+        self.write_queue.clear_group_due(group_index);
         if let Some(machine_group) = self.machine_groups.list.get_mut(&group_index) {
             machine_group.on_write_begun();
         }
@@ -71,7 +71,7 @@
         if self.machine_groups.list.get(&group_index).is_some_and(|group_index| group_index.members.len() > 1) {
             self.split_group(group_index);
         } else {
-            self.dirty_groups.insert(group_index);
+            self.write_queue.mark_group_due(group_index);
         }
         None
     }
--- a/crates/scheduler/src/shard/writes/mod.rs
+++ b/crates/scheduler/src/shard/writes/mod.rs
@@ -3,13 +3,17 @@
 //! Every write is conditional on the claim and on the last known version of its
 //! own key, so that a transaction applied late finds either changed and dies.
 //!
-//! - [`next`]: the next writes, the most urgent first
+//! - [`queue`]: what is due, and the versions that writes are conditional on
+//! - [`batch`]: the next writes, the most urgent first
 //! - [`group_values`]: what stands in the value of a machine group
 //! - [`outcome`]: what came of writes
 
 mod batch;
 mod group_values;
 mod outcome;
+mod queue;
+
+pub(in crate::shard) use queue::WriteQueue;
 
 use super::quotas::Step;
 use super::{FleetRecord, Shard};
@@ -88,7 +92,7 @@
         (value, bytes): (serde_json::Value, usize),
     ) -> PendingWrite {
         let bytes = bytes + key.len() * 2 + 64;
-        let version = self.versions.get(&key).copied().unwrap_or(0);
+        let version = self.write_queue.version_of(&key).unwrap_or(0);
         let change = Mutation::Put { key: key.clone(), value, lease: None };
         self.mark_in_flight(PendingWrite { version, purpose: what, mutation: change, bytes, key })
     }
@@ -105,13 +109,13 @@
             | WritePurpose::ServiceLevels(..)
             | WritePurpose::DeleteStale => self.counts.other_writes += 1,
         }
-        self.in_flight.insert(write.key.clone());
+        self.write_queue.mark_in_flight(&write.key);
         write
     }
 
     fn delete_write(&mut self, key: String) -> Option<PendingWrite> {
-        self.stale_keys.remove(&key);
-        let version = self.versions.get(&key).copied().filter(|v| *v > 0)?;
+        self.write_queue.clear_stale(&key);
+        let version = self.write_queue.version_of(&key).filter(|v| *v > 0)?;
         let change = Mutation::Delete { key: key.clone() };
         Some(self.mark_in_flight(PendingWrite {
             version,
--- a/crates/scheduler/src/shard/writes/outcome.rs
+++ b/crates/scheduler/src/shard/writes/outcome.rs
@@ -11,11 +11,11 @@
     pub fn on_writes_applied(&mut self, writes: Vec<PendingWrite>, revision: u64, now: f64) {
         self.on_revision(revision);
         for w in writes {
-            self.in_flight.remove(&w.key);
+            self.write_queue.on_settled(&w.key);
             match w.purpose {
                 WritePurpose::Checkpoint => self.checkpoint_applied(&w.key),
                 WritePurpose::DeleteStale => {
-                    self.versions.remove(&w.key);
+                    self.write_queue.forget_version(&w.key);
                     self.on_group_value_stored(&w.key, &[]);
                     continue;
                 }
@@ -33,14 +33,14 @@
                     if self.jobs.get(j).is_some_and(|j| j.phase == Phase::Open) {
                         self.jobs.on_progress_stored(j, c, &r);
                     } else {
-                        self.stale_keys.insert(w.key.clone());
+                        self.write_queue.mark_stale(w.key.clone());
                     }
                 }
-                WritePurpose::Fleet(r) => self.fleet_stored = r,
+                WritePurpose::Fleet(r) => self.write_queue.on_fleet_record_stored(r),
                 WritePurpose::Quota(step) => self.quota_applied(step),
                 WritePurpose::ServiceLevels(round, place) => self.on_service_levels_stored(round, place),
             }
-            self.versions.insert(w.key, revision);
+            self.write_queue.set_version(w.key, revision);
         }
     }
 
@@ -50,10 +50,9 @@
             return;
         }
         let chunks: Vec<String> =
-            self.jobs.progress_keys(job_index).filter(|k| self.versions.contains_key(k)).collect();
-        self.stale_keys.extend(chunks);
-        self.pending_ends.remove(&job_index);
-        self.progress_due.remove(&job_index);
+            self.jobs.progress_keys(job_index).filter(|k| self.write_queue.is_stored(k)).collect();
+        chunks.into_iter().for_each(|key| self.write_queue.mark_stale(key));
+        self.write_queue.forget_job(job_index);
         self.jobs.on_end_committed(job_index, phase);
         self.track_end(job_index, phase, now);
         self.on_end_stored(job_index, now);
@@ -96,7 +95,7 @@
     /// These writes were not applied: they are wanted still.
     pub fn on_writes_rejected(&mut self, writes: Vec<PendingWrite>) {
         for w in writes {
-            self.in_flight.remove(&w.key);
+            self.write_queue.on_settled(&w.key);
             match w.purpose {
                 WritePurpose::JobEnd(..) => {}
                 WritePurpose::Checkpoint => self.checkpoint_failed(&w.key),
@@ -104,11 +103,11 @@
                 WritePurpose::Progress(j, c, _) => {
                     if self.jobs.get(j).is_some_and(|j| j.phase == Phase::Open) {
                         self.jobs[j].dirty_chunks.insert(c);
-                        self.progress_due.insert(j);
+                        self.write_queue.mark_progress_due(j);
                     }
                 }
                 WritePurpose::Fleet(_) | WritePurpose::Quota(_) | WritePurpose::ServiceLevels(..) => {}
-                WritePurpose::DeleteStale => _ = self.stale_keys.insert(w.key),
+                WritePurpose::DeleteStale => self.write_queue.mark_stale(w.key),
             }
         }
     }
@@ -116,9 +115,9 @@
     /// The state service's own word on a key whose version was in doubt.
     pub fn on_version_known(&mut self, key: &str, version: u64) {
         if version == 0 {
-            self.versions.remove(key);
+            self.write_queue.forget_version(key);
         } else {
-            self.versions.insert(key.to_owned(), version);
+            self.write_queue.set_version(key.to_owned(), version);
         }
     }
 }
