--- a/crates/scheduler/src/shard/checkpointing.rs
+++ b/crates/scheduler/src/shard/checkpointing.rs
@@ -129,11 +129,11 @@
     /// The ends among these writes, as users are told of them once they are stored.
     pub fn job_ends_in(&self, writes: &[PendingWrite]) -> Vec<(String, JobState, u64)> {
         let end = |w: &PendingWrite| match w.purpose {
-            WritePurpose::JobEnd(j, Phase::Done) => {
+            WritePurpose::JobEnd { job: j, phase: Phase::Done } => {
                 let job = self.jobs.get(j)?;
                 Some((job.id.to_string(), JobState::Done, u64::from(job.spec.tasks)))
             }
-            WritePurpose::JobEnd(j, Phase::Cancelled) => {
+            WritePurpose::JobEnd { job: j, phase: Phase::Cancelled } => {
                 Some((self.jobs.get(j)?.id.to_string(), JobState::Cancelled, 0))
             }
             _ => None,
--- a/crates/scheduler/src/shard/service_levels/mod.rs
+++ b/crates/scheduler/src/shard/service_levels/mod.rs
@@ -131,7 +131,8 @@
             return None;
         }
         let (key, part) = self.service_levels.to_send.pop_front()?;
-        self.enqueue_write(key, WritePurpose::ServiceLevels(part.round(), 1 - self.service_levels.place.min(1)), &part)
+        let place = 1 - self.service_levels.place.min(1);
+        self.enqueue_write(key, WritePurpose::ServiceLevels { round: part.round(), place }, &part)
     }
 
     pub(in crate::shard) fn on_service_levels_stored(&mut self, round: u64, place: u8) {
--- a/crates/scheduler/src/shard/writes/group_values.rs
+++ b/crates/scheduler/src/shard/writes/group_values.rs
@@ -1,19 +1,72 @@
 //! The value of a machine group: every machine of it with the jobs that it holds or may come to hold.
+//!
+//! Owns what a value says and how it is made to fit; never when it is written.
 
-use super::{PendingWrite, StoredMachine, WritePurpose, serialize_with_size};
-use crate::fleet::machine_groups::{MachineGroupMember, MachineGroupRecord, machine_group_key};
+use super::{PendingWrite, SizedValue, StoredMachine, WritePurpose};
+use crate::fleet::machine_groups::{MachineGroup, MachineGroupMember, MachineGroupRecord, machine_group_key};
 use crate::fleet::{Assignment, AssignmentState, Machine, Phase as MachinePhase};
-use crate::intern::{JobIndex, MachineGroupIndex, MachineIndex};
+use crate::intern::{ImageIndex, JobIndex, MachineGroupIndex, MachineIndex};
 use crate::jobs::TaskKey;
 use crate::shard::Shard;
 use std::collections::{BTreeSet, HashMap};
 
 /// Jobs that nobody here knows and that this machine may hold: their names go on standing in its record.
 fn unrecognized_jobs(machine: &Machine) -> BTreeSet<&str> {
-    let listed = machine.unrecognized_attempts.iter().filter_map(|u| u.job().map(|(id, _)| id));
+    let listed = machine.unrecognized_attempts.iter().filter_map(|unknown| unknown.job().map(|(id, _)| id));
     listed.chain(machine.unrecognized_jobs.iter().map(|id| &**id)).collect()
 }
 
+/// What of a machine group may be left out so that its value fits.
+#[derive(Clone, Copy)]
+struct GroupContents {
+    images: bool,
+    /// Starts that are planned, whose job no stored value names.
+    planned_starts: bool,
+}
+
+/// What is tried in turn: the names of images are a help and not a need, and planned starts can still wait.
+const CONTENTS_IN_TURN: [GroupContents; 3] = [
+    GroupContents { images: true, planned_starts: true },
+    GroupContents { images: false, planned_starts: true },
+    GroupContents { images: false, planned_starts: false },
+];
+
+/// The value of a machine group, and what it says of each machine.
+struct GroupValue {
+    value: SizedValue,
+    machines: Vec<StoredMachine>,
+}
+
+/// A record while it is put together: each name stands in it once, and machines refer to its place.
+struct GroupRecordBuilder<'a> {
+    record: MachineGroupRecord,
+    job_places: HashMap<JobIndex, u32>,
+    unrecognized_places: HashMap<&'a str, u32>,
+    image_places: HashMap<ImageIndex, u32>,
+}
+
+impl<'a> GroupRecordBuilder<'a> {
+    fn place_of_job(&mut self, job: JobIndex, id: &str) -> u32 {
+        *self.job_places.entry(job).or_insert_with(|| push_job(&mut self.record, id))
+    }
+
+    fn place_of_unrecognized(&mut self, id: &'a str) -> u32 {
+        *self.unrecognized_places.entry(id).or_insert_with(|| push_job(&mut self.record, id))
+    }
+
+    fn place_of_image(&mut self, image: ImageIndex, name: &str, size_gb: f64) -> u32 {
+        *self.image_places.entry(image).or_insert_with(|| {
+            self.record.images.push((name.to_owned(), size_gb));
+            self.record.images.len() as u32 - 1
+        })
+    }
+}
+
+fn push_job(record: &mut MachineGroupRecord, id: &str) -> u32 {
+    record.jobs.push(id.to_owned());
+    record.jobs.len() as u32 - 1
+}
+
 impl Shard {
     /// No machine is left in this machine group.
     pub(super) fn delete_group(&mut self, group_index: MachineGroupIndex) -> Option<PendingWrite> {
@@ -29,70 +82,59 @@
         if let Some(machine_group) = self.machine_groups.list.get_mut(&group_index) {
             machine_group.on_write_begun();
         }
-        let (value, contents) = self.group_value(group_index)?;
-        for (m, jobs, _) in &contents {
-            let machine = &mut self.machines[*m];
+        let GroupValue { value, machines } = self.group_value(group_index)?;
+        for stored in &machines {
+            let machine = &mut self.machines[stored.machine];
             if machine.is_reconciled() {
-                machine.stored_jobs.retain(|j| jobs.contains(j));
+                machine.stored_jobs.retain(|job| stored.jobs.contains(job));
             }
         }
-        Some(self.enqueue_sized_write(
-            machine_group_key(group_index),
-            WritePurpose::MachineGroup(group_index, contents),
-            value,
-        ))
+        let purpose = WritePurpose::MachineGroup { group: group_index, machines };
+        Some(self.enqueue_sized_write(machine_group_key(group_index), purpose, value))
     }
 
-    /// The value of a machine group, and what it says of each machine. The names of images are a
-    /// help and not a need: they give way to the jobs. So do, at last, starts that were
-    /// planned and can still wait: a value over the limit would never be stored.
-    fn group_value(
-        &mut self,
-        group_index: MachineGroupIndex,
-    ) -> Option<((serde_json::Value, usize), Vec<StoredMachine>)> {
-        for (with_images, with_planned) in [(true, true), (false, true), (false, false)] {
-            if !with_planned {
+    /// The value of a machine group in the first form that fits: a value over the limit would never be stored.
+    fn group_value(&mut self, group_index: MachineGroupIndex) -> Option<GroupValue> {
+        for contents in CONTENTS_IN_TURN {
+            if !contents.planned_starts {
                 self.postpone_planned_starts(group_index);
             }
-            let (record, contents) = self.group_record(group_index, with_images)?;
-            let value = serialize_with_size(&record)?;
-            let bytes = value.1;
-            let names: Vec<JobIndex> = contents.iter().flat_map(|c| c.1.iter().copied()).collect();
-            self.machine_groups
-                .list
-                .get_mut(&group_index)?
-                .on_value_built(bytes.saturating_sub(record.image_bytes()), names.into_iter());
-            if bytes <= self.value_bytes {
-                return Some((value, contents));
+            let (record, machines) = self.group_record(group_index, contents.images)?;
+            let value = SizedValue::of(&record)?;
+            let names: Vec<JobIndex> = machines.iter().flat_map(|stored| stored.jobs.iter().copied()).collect();
+            let bytes_without_images = value.bytes.saturating_sub(record.image_bytes());
+            let group = self.machine_groups.list.get_mut(&group_index)?;
+            group.on_value_built(bytes_without_images, names.into_iter());
+            if value.bytes <= self.value_bytes {
+                return Some(GroupValue { value, machines });
             }
         }
-        // What stands must stay until it can be replaced: a machine alone with more jobs than
-        // a value can name waits until some of them are over; its old value names them all.
-        if self.machine_groups.list.get(&group_index).is_some_and(|group_index| group_index.members.len() > 1) {
+        self.on_value_too_long(group_index);
+        None
+    }
+
+    /// What stands must stay until it can be replaced: a machine alone with more jobs than
+    /// a value can name waits until some of them are over; its old value names them all.
+    fn on_value_too_long(&mut self, group_index: MachineGroupIndex) {
+        if self.machine_groups.list.get(&group_index).is_some_and(|group| group.members.len() > 1) {
             self.split_group(group_index);
         } else {
             self.write_queue.mark_group_due(group_index);
         }
-        None
     }
 
     fn postpone_planned_starts(&mut self, group_index: MachineGroupIndex) {
-        let members: Vec<MachineIndex> = self
-            .machine_groups
-            .list
-            .get(&group_index)
-            .into_iter()
-            .flat_map(|group_index| group_index.members.clone())
-            .collect();
-        for m in members {
-            let machine = &self.machines[m];
-            let unnamed = |(k, h): &(&TaskKey, &Assignment)| {
-                h.state == AssignmentState::Planned && !machine.stored_jobs.contains(&k.job)
+        let group = self.machine_groups.list.get(&group_index);
+        let members: Vec<MachineIndex> = group.into_iter().flat_map(|group| group.members.iter().copied()).collect();
+        for machine_index in members {
+            let machine = &self.machines[machine_index];
+            let unnamed = |(key, assignment): &(&TaskKey, &Assignment)| {
+                assignment.state == AssignmentState::Planned && !machine.stored_jobs.contains(&key.job)
             };
-            let keys: Vec<TaskKey> = machine.assignments.iter().filter(unnamed).map(|(k, _)| *k).collect();
-            for k in keys {
-                self.release_resources(m, k);
-                self.requeue(k);
+            let keys: Vec<TaskKey> = machine.assignments.iter().filter(unnamed).map(|(key, _)| *key).collect();
+            for key in keys {
+                self.release_resources(machine_index, key);
+                self.requeue(key);
             }
         }
     }
@@ -103,66 +145,70 @@
         group_index: MachineGroupIndex,
         with_images: bool,
     ) -> Option<(MachineGroupRecord, Vec<StoredMachine>)> {
-        let machine_group = self.machine_groups.list.get(&group_index)?;
-        let mut record = MachineGroupRecord {
+        let group = self.machine_groups.list.get(&group_index)?;
+        let mut builder = self.group_record_builder(group);
+        let mut machines = Vec::with_capacity(group.members.len());
+        for &machine_index in &group.members {
+            let machine = &self.machines[machine_index];
+            let jobs = jobs_to_record(machine);
+            let member = self.group_member(&mut builder, machine, &jobs, with_images);
+            machines.push(StoredMachine { machine: machine_index, jobs, terminating: member.terminating });
+            builder.record.machines.push(member);
+        }
+        Some((builder.record, machines))
+    }
+
+    fn group_record_builder(&self, group: &MachineGroup) -> GroupRecordBuilder<'_> {
+        let record = MachineGroupRecord {
             shard: 0,
-            type_name: self.types.names.name(machine_group.type_index).to_string(),
-            zone: self.types.zones.name(machine_group.zone).to_string(),
-            spot: machine_group.spot,
+            type_name: self.types.names.name(group.type_index).to_string(),
+            zone: self.types.zones.name(group.zone).to_string(),
+            spot: group.spot,
             ..MachineGroupRecord::default()
         };
-        let mut contents = Vec::with_capacity(machine_group.members.len());
-        let (mut job_at, mut image_at, mut unknown_at) = (HashMap::new(), HashMap::new(), HashMap::new());
-        for &m in &machine_group.members {
-            let machine = &self.machines[m];
-            let mut jobs: Vec<JobIndex> = machine.assignments.keys().map(|k| k.job).collect();
-            if !machine.is_reconciled() {
-                jobs.extend(machine.stored_jobs.iter().copied());
-            }
-            jobs.extend(machine.unacknowledged_starts.keys().map(|k| k.job));
-            // What is listed and not held occupies its task under the next leader as well.
-            jobs.extend(
-                machine
-                    .unassigned
-                    .iter()
-                    .filter(|(_, unassigned_attempt)| unassigned_attempt.1.is_orphaned())
-                    .map(|(k, _)| k.job),
-            );
-            jobs.sort_unstable();
-            jobs.dedup();
-            let mut place = |j: &JobIndex| {
-                *job_at.entry(*j).or_insert_with(|| {
-                    record.jobs.push(self.jobs[*j].id.to_string());
-                    record.jobs.len() as u32 - 1
-                })
-            };
-            let mut places: Vec<u32> = jobs.iter().map(&mut place).collect();
-            places.extend(unrecognized_jobs(machine).into_iter().map(|id| {
-                *unknown_at.entry(id).or_insert_with(|| {
-                    record.jobs.push(id.to_owned());
-                    record.jobs.len() as u32 - 1
-                })
-            }));
-            let ready = machine.images.iter().filter(|i| i.ready && with_images);
-            let images = ready
-                .map(|i| {
-                    *image_at.entry(i.image).or_insert_with(|| {
-                        record.images.push((self.jobs.images.name(i.image).to_string(), i.gb));
-                        record.images.len() as u32 - 1
-                    })
-                })
-                .collect();
-            let retiring = machine.phase == MachinePhase::Terminating;
-            record.machines.push(MachineGroupMember {
-                machine: machine.name.to_string(),
-                addr: machine.addr.map(|a| a.to_string()).unwrap_or_default(),
-                terminating: retiring,
-                faulty: machine.is_quarantined(),
-                jobs: places,
-                images,
-            });
-            contents.push((m, jobs, retiring));
+        GroupRecordBuilder {
+            record,
+            job_places: HashMap::new(),
+            unrecognized_places: HashMap::new(),
+            image_places: HashMap::new(),
         }
-        Some((record, contents))
     }
+
+    fn group_member<'a>(
+        &self,
+        builder: &mut GroupRecordBuilder<'a>,
+        machine: &'a Machine,
+        jobs: &[JobIndex],
+        with_images: bool,
+    ) -> MachineGroupMember {
+        let mut places: Vec<u32> = jobs.iter().map(|job| builder.place_of_job(*job, &self.jobs[*job].id)).collect();
+        places.extend(unrecognized_jobs(machine).into_iter().map(|id| builder.place_of_unrecognized(id)));
+        let ready = machine.images.iter().filter(|cached| cached.ready && with_images);
+        let images = ready
+            .map(|cached| builder.place_of_image(cached.image, self.jobs.images.name(cached.image), cached.gb))
+            .collect();
+        MachineGroupMember {
+            machine: machine.name.to_string(),
+            addr: machine.addr.map(|addr| addr.to_string()).unwrap_or_default(),
+            terminating: machine.phase == MachinePhase::Terminating,
+            faulty: machine.is_quarantined(),
+            jobs: places,
+            images,
+        }
+    }
+}
+
+/// The jobs that a machine holds, may hold or may come to hold, in order.
+fn jobs_to_record(machine: &Machine) -> Vec<JobIndex> {
+    let mut jobs: Vec<JobIndex> = machine.assignments.keys().map(|key| key.job).collect();
+    if !machine.is_reconciled() {
+        jobs.extend(machine.stored_jobs.iter().copied());
+    }
+    jobs.extend(machine.unacknowledged_starts.keys().map(|key| key.job));
+    // What is listed and not held occupies its task under the next leader as well.
+    let orphaned = machine.unassigned.iter().filter(|(_, (_, unassigned))| unassigned.is_orphaned());
+    jobs.extend(orphaned.map(|(key, _)| key.job));
+    jobs.sort_unstable();
+    jobs.dedup();
+    jobs
 }
--- a/crates/scheduler/src/shard/writes/outcome.rs
+++ b/crates/scheduler/src/shard/writes/outcome.rs
@@ -1,6 +1,8 @@
 //! What came of writes: applied, not applied, or told by the state service afterwards.
+//!
+//! Owns what follows from an outcome; never what is written next.
 
-use super::{PendingWrite, WritePurpose};
+use super::{PendingWrite, StoredMachine, WritePurpose};
 use crate::fleet::{AssignmentState, Phase as MachinePhase};
 use crate::intern::{DenseIndex, JobIndex, MachineIndex};
 use crate::jobs::Phase;
@@ -10,47 +12,55 @@
     /// These writes are applied, all at this revision.
     pub fn on_writes_applied(&mut self, writes: Vec<PendingWrite>, revision: u64, now: f64) {
         self.on_revision(revision);
-        for w in writes {
-            self.write_queue.on_settled(&w.key);
-            match w.purpose {
-                WritePurpose::Checkpoint => self.checkpoint_applied(&w.key),
-                WritePurpose::DeleteStale => {
-                    self.write_queue.forget_version(&w.key);
-                    self.on_group_value_stored(&w.key, &[]);
-                    continue;
-                }
-                WritePurpose::JobEnd(j, phase) => self.on_end_committed(j, phase, now),
-                WritePurpose::MachineGroup(_, contents) => {
-                    // Its value may have room for names again.
-                    self.placement_due = true;
-                    let machines: Vec<MachineIndex> = contents.iter().map(|c| c.0).collect();
-                    self.on_group_value_stored(&w.key, &machines);
-                    for (m, jobs, retiring) in contents {
-                        self.on_group_record_stored(m, jobs, retiring);
-                    }
-                }
-                WritePurpose::Progress(j, c, r) => {
-                    if self.jobs.get(j).is_some_and(|j| j.phase == Phase::Open) {
-                        self.jobs.on_progress_stored(j, c, &r);
-                    } else {
-                        self.write_queue.mark_stale(w.key.clone());
-                    }
-                }
-                WritePurpose::Fleet(r) => self.write_queue.on_fleet_record_stored(r),
-                WritePurpose::Quota(step) => self.quota_applied(step),
-                WritePurpose::ServiceLevels(round, place) => self.on_service_levels_stored(round, place),
+        for PendingWrite { key, purpose, .. } in writes {
+            self.write_queue.on_settled(&key);
+            if let WritePurpose::DeleteStale = purpose {
+                self.write_queue.forget_version(&key);
+                self.on_group_value_stored(&key, &[]);
+            } else {
+                self.on_put_applied(&key, purpose, now);
+                self.write_queue.set_version(key, revision);
+            }
+        }
+    }
+
+    fn on_put_applied(&mut self, key: &str, purpose: WritePurpose, now: f64) {
+        match purpose {
+            WritePurpose::Checkpoint => self.checkpoint_applied(key),
+            WritePurpose::JobEnd { job, phase } => self.on_end_committed(job, phase, now),
+            WritePurpose::MachineGroup { machines, .. } => self.on_group_applied(key, machines),
+            WritePurpose::Progress { job, chunk, record } if self.is_open(job) => {
+                self.jobs.on_progress_stored(job, chunk, &record);
             }
-            self.write_queue.set_version(w.key, revision);
+            WritePurpose::Progress { .. } => self.write_queue.mark_stale(key.to_owned()),
+            WritePurpose::Fleet(record) => self.write_queue.on_fleet_record_stored(record),
+            WritePurpose::Quota(step) => self.quota_applied(step),
+            WritePurpose::ServiceLevels { round, place } => self.on_service_levels_stored(round, place),
+            WritePurpose::DeleteStale => {}
+        }
+    }
+
+    fn is_open(&self, job_index: JobIndex) -> bool {
+        self.jobs.get(job_index).is_some_and(|job| job.phase == Phase::Open)
+    }
+
+    fn on_group_applied(&mut self, key: &str, stored: Vec<StoredMachine>) {
+        // Its value may have room for names again.
+        self.placement_due = true;
+        let machines: Vec<MachineIndex> = stored.iter().map(|stored| stored.machine).collect();
+        self.on_group_value_stored(key, &machines);
+        for machine in stored {
+            self.on_group_record_stored(machine);
         }
     }
 
     /// The end of this job is stored, as the answer to its write or the watch tells, whichever comes first.
     pub(in crate::shard) fn on_end_committed(&mut self, job_index: JobIndex, phase: Phase, now: f64) {
-        if self.jobs.get(job_index).is_none_or(|job| job.phase != Phase::Open) {
+        if !self.is_open(job_index) {
             return;
         }
         let chunks: Vec<String> =
-            self.jobs.progress_keys(job_index).filter(|k| self.write_queue.is_stored(k)).collect();
+            self.jobs.progress_keys(job_index).filter(|key| self.write_queue.is_stored(key)).collect();
         chunks.into_iter().for_each(|key| self.write_queue.mark_stale(key));
         self.write_queue.forget_job(job_index);
         self.jobs.on_end_committed(job_index, phase);
@@ -59,7 +69,8 @@
         self.on_dependency_ended(job_index, phase, now);
     }
 
-    fn on_group_record_stored(&mut self, machine_index: MachineIndex, jobs: Vec<JobIndex>, retiring: bool) {
+    fn on_group_record_stored(&mut self, stored: StoredMachine) {
+        let machine_index = stored.machine;
         if self.machines.get_mut(machine_index).is_none() {
             return;
         }
@@ -68,46 +79,54 @@
         machine.record_stored = true;
         if machine.is_reconciled() {
             // What is over may have been given back since this write was made.
-            machine.stored_jobs = jobs.into_iter().filter(|j| self.jobs.get(*j).is_some()).collect();
+            let jobs = stored.jobs.into_iter();
+            machine.stored_jobs = jobs.filter(|job| self.jobs.get(*job).is_some()).collect();
         }
-        if retiring && machine.phase == MachinePhase::Terminating {
+        if stored.terminating && machine.phase == MachinePhase::Terminating {
             self.machines_to_delete.insert(machine_index);
         }
         if machine.phase != MachinePhase::Up {
             return;
         }
-        let mut again = false;
-        for (k, h) in &mut machine.assignments {
-            if h.state == AssignmentState::Planned {
-                if machine.stored_jobs.contains(&k.job) {
-                    h.state = AssignmentState::Commanded;
+        self.command_recorded_starts(machine_index);
+    }
+
+    /// Planned starts go out whose job the stored record names; for the others it is written again.
+    fn command_recorded_starts(&mut self, machine_index: MachineIndex) {
+        let machine = &mut self.machines.list[machine_index.as_usize()];
+        let mut unnamed = false;
+        for (key, assignment) in &mut machine.assignments {
+            if assignment.state == AssignmentState::Planned {
+                if machine.stored_jobs.contains(&key.job) {
+                    assignment.state = AssignmentState::Commanded;
                     self.machines.push_due.insert(machine_index);
                 } else {
-                    again = true;
+                    unnamed = true;
                 }
             }
         }
-        if again {
+        if unnamed {
             self.request_record(machine_index);
         }
     }
 
     /// These writes were not applied: they are wanted still.
     pub fn on_writes_rejected(&mut self, writes: Vec<PendingWrite>) {
-        for w in writes {
-            self.write_queue.on_settled(&w.key);
-            match w.purpose {
-                WritePurpose::JobEnd(..) => {}
-                WritePurpose::Checkpoint => self.checkpoint_failed(&w.key),
-                WritePurpose::MachineGroup(r, _) => self.mark_group_dirty(r),
-                WritePurpose::Progress(j, c, _) => {
-                    if self.jobs.get(j).is_some_and(|j| j.phase == Phase::Open) {
-                        self.jobs[j].dirty_chunks.insert(c);
-                        self.write_queue.mark_progress_due(j);
-                    }
+        for PendingWrite { key, purpose, .. } in writes {
+            self.write_queue.on_settled(&key);
+            match purpose {
+                WritePurpose::Checkpoint => self.checkpoint_failed(&key),
+                WritePurpose::MachineGroup { group, .. } => self.mark_group_dirty(group),
+                WritePurpose::Progress { job, chunk, .. } if self.is_open(job) => {
+                    self.jobs[job].dirty_chunks.insert(chunk);
+                    self.write_queue.mark_progress_due(job);
                 }
-                WritePurpose::Fleet(_) | WritePurpose::Quota(_) | WritePurpose::ServiceLevels(..) => {}
-                WritePurpose::DeleteStale => self.write_queue.mark_stale(w.key),
+                WritePurpose::DeleteStale => self.write_queue.mark_stale(key),
+                WritePurpose::JobEnd { .. }
+                | WritePurpose::Progress { .. }
+                | WritePurpose::Fleet(_)
+                | WritePurpose::Quota(_)
+                | WritePurpose::ServiceLevels { .. } => {}
             }
         }
     }
--- a/tests/leadership/main.rs
+++ b/tests/leadership/main.rs
@@ -200,7 +200,7 @@
     assert!(delete.matches_stored(None) && !delete.matches_stored(Some(&item(&wanted, 9))));
     let mut record =
         json!({"at_ms": 0, "phase": "cancelled", "ended_ms": 7, "job": controllers::job_request("req-000003")});
-    let end = put(WritePurpose::JobEnd(JobIndex::new(0), Phase::Cancelled));
+    let end = put(WritePurpose::JobEnd { job: JobIndex::new(0), phase: Phase::Cancelled });
     assert!(end.matches_stored(Some(&item(&record, 9))), "whenever it was");
     record["phase"] = json!("open");
     assert!(!end.matches_stored(Some(&item(&record, 9))));
