--- a/crates/scheduler/src/shard/service_levels/mod.rs
+++ b/crates/scheduler/src/shard/service_levels/mod.rs
@@ -127,11 +127,12 @@
             reporter.to_send = parts.into_iter().enumerate().map(|(n, p)| (part_key(place, n), p)).collect();
         }
         let (key, _) = self.service_levels.to_send.front()?;
-        if self.in_flight.contains(key) {
+        if self.write_queue.is_in_flight(key) {
             return None;
         }
         let (key, part) = self.service_levels.to_send.pop_front()?;
-        self.enqueue_write(key, WritePurpose::ServiceLevels(part.round(), 1 - self.service_levels.place.min(1)), &part)
+        let place = 1 - self.service_levels.place.min(1);
+        self.enqueue_write(key, WritePurpose::ServiceLevels { round: part.round(), place }, &part)
     }
 
     pub(in crate::shard) fn on_service_levels_stored(&mut self, round: u64, place: u8) {
