--- a/crates/scheduler/src/fleet/machine.rs
+++ b/crates/scheduler/src/fleet/machine.rs
@@ -2,6 +2,7 @@
 
 use crate::intern::{ImageIndex, JobIndex, MachineGroupIndex, TypeIndex, ZoneIndex};
 use crate::jobs::{TaskKey, TaskMap, split_task};
+use crate::times::stretched;
 use crate::wire::TaskState;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -90,6 +91,23 @@
     pub ready: bool,
 }
 
+/// What the ends of leases and of incarnations are reckoned by.
+#[derive(Clone, Copy, Debug)]
+pub struct LeaseTiming {
+    /// How long a worker's lease lasts, in seconds of its own clock.
+    pub lease_s: f64,
+    /// How often a worker sends a heartbeat, in seconds.
+    pub heartbeat_interval_s: f64,
+}
+
+impl LeaseTiming {
+    /// So many seconds after the last answer a lease is over by any clock, and the next incarnation was heard.
+    fn surely_over_s(self) -> f64 {
+        stretched(self.lease_s) + self.heartbeat_interval_s
+    }
+}
+
+/// What this leader knows of one machine.
 #[derive(Debug)]
 pub struct Machine {
     pub name: std::sync::Arc<str>,
@@ -224,6 +242,84 @@
         }
     }
 
+    /// Heartbeats order by incarnation and sequence; whatever is older may have been held back for minutes. One of a
+    /// machine that is gone, or of an incarnation that is over for certain, never counts again.
+    pub fn is_newer_heartbeat(&self, incarnation: u64, sequence: u64) -> bool {
+        self.phase != Phase::Gone
+            && incarnation > self.expired_incarnation
+            && (incarnation, sequence) > (self.incarnation, self.sequence)
+    }
+
+    /// Takes over the address that a heartbeat names, if it is one.
+    pub fn update_address(&mut self, address: &str) {
+        if let Ok(parsed) = address.parse() {
+            self.addr = Some(parsed);
+        }
+    }
+
+    /// Does this incarnation follow another one that was heard?
+    pub fn is_new_incarnation(&self, incarnation: u64) -> bool {
+        self.incarnation != 0 && incarnation > self.incarnation
+    }
+
+    /// An incarnation that lasts for longer than a lease has been answered. One that is over may have been
+    /// over for a while before that is heard.
+    pub fn forgive_long_incarnation(&mut self, is_over: bool, timing: LeaseTiming, now: f64) {
+        let unanswered_lasts_s = if is_over { timing.lease_s * 2.0 } else { timing.surely_over_s() };
+        if self.incarnation != 0 && now - self.incarnation_since > unanswered_lasts_s {
+            self.unacknowledged_incarnations = 0;
+        }
+    }
+
+    /// Its lease has ended although its heartbeats were answered, or although it was there all the time and
+    /// its heartbeats went round in search of an answer: hearing it proves nothing. By direct
+    /// questions alone no lease is renewed: those that ended just after an outage once looked deaf.
+    pub fn ended_though_answered(&self, timing: LeaseTiming, now: f64) -> bool {
+        let was_answered = |answered_at: f64| now - answered_at < timing.lease_s / 2.0;
+        self.heartbeat_path_lost || self.heartbeat_answered_at.is_some_and(was_answered)
+    }
+
+    /// Of two incarnations in a row the later was heard for as long as an incarnation lasts, nearly: late copies of
+    /// earlier ones, which come one after the other, prove nothing.
+    pub fn proves_lost_acknowledgements(&self, timing: LeaseTiming, now: f64) -> bool {
+        self.unacknowledged_incarnations == 0 || now - self.incarnation_since >= timing.lease_s / 2.0
+    }
+
+    /// One more incarnation ended unacknowledged: from the second in a row on, the machine gets nothing new until
+    /// it has shown that answers reach it.
+    pub fn count_unacknowledged_incarnation(&mut self, timing: LeaseTiming, now: f64) {
+        self.unacknowledged_incarnations += 1;
+        if self.unacknowledged_incarnations > 1 {
+            self.commandable_from = now + timing.surely_over_s();
+        }
+    }
+
+    /// An incarnation's lease runs from its beginning, which was before its first heartbeat. Nothing changes where
+    /// the incarnation is the one that was known.
+    pub fn begin_incarnation(&mut self, incarnation: u64, now: f64) {
+        if self.incarnation == 0 {
+            self.own_heartbeat_at = now;
+        }
+        if incarnation > self.incarnation {
+            self.incarnation_since = now;
+            self.heartbeat_answered_at = None;
+            self.lease_renewed_at = Some(self.lease_renewed_at.map_or(now, |renewed_at| renewed_at.max(now)));
+        }
+    }
+
+    /// This is its newest heartbeat.
+    pub fn record_heartbeat(&mut self, incarnation: u64, sequence: u64, now: f64) {
+        self.incarnation = incarnation;
+        self.sequence = sequence;
+        self.last_heartbeat_at = now;
+    }
+
+    /// It has shown that it is there and answers.
+    pub fn clear_suspicion(&mut self) {
+        self.suspected = false;
+        self.unanswered_pushes = 0;
+    }
+
     /// Was this task told to stop, and will it be gone soon? One whose start had no answer and may still be on
     /// its way has no end that can be waited for.
     pub fn is_stopping(&self, key: &TaskKey, assignment: &Assignment) -> bool {
--- a/crates/scheduler/src/fleet/mod.rs
+++ b/crates/scheduler/src/fleet/mod.rs
@@ -13,8 +13,8 @@
 pub mod zones;
 
 pub use machine::{
-    Assignment, AssignmentState, CachedImage, MAX_MISSED_ACKNOWLEDGEMENTS, Machine, Phase, UnassignedAttempt,
-    UnrecognizedAttempt,
+    Assignment, AssignmentState, CachedImage, LeaseTiming, MAX_MISSED_ACKNOWLEDGEMENTS, Machine, Phase,
+    UnassignedAttempt, UnrecognizedAttempt,
 };
 pub use machines::{Machines, PushUrgency};
 pub use types::Types;
--- a/crates/scheduler/src/shard/heartbeats.rs
+++ b/crates/scheduler/src/shard/heartbeats.rs
@@ -1,10 +1,14 @@
-//! What workers say of themselves: which reports count, and what follows for their machine.
+//! Heartbeats of the workers: which of them count, and what follows for their machine.
+//!
+//! Owns the order of those effects. What is known of one machine is changed by methods of [`Machine`]; what a
+//! heartbeat says of tasks is carried out in `task_reconciliation`. It sends nothing and places nothing.
+//!
+//! [`Machine`]: crate::fleet::Machine
 
 use super::Shard;
-use crate::fleet::{AssignmentState, Phase as MachinePhase};
+use crate::fleet::{AssignmentState, LeaseTiming, Phase as MachinePhase};
 use crate::intern::MachineIndex;
 use crate::jobs::{TaskKey, split_task};
-use crate::times::stretched;
 use crate::wire::{Heartbeat, HeartbeatReply, TaskReport, TaskState};
 
 /// How a report came to this leader, and so how old what it says may be.
@@ -26,11 +30,19 @@
     pub(super) fn shows_reply_of(self, replied_at: f64) -> bool {
         match self {
             HeartbeatSource::Heartbeat => true,
-            HeartbeatSource::PushReply { sent_at: asked_at } => asked_at - replied_at > REPLY_DROPPED_AFTER_S,
+            HeartbeatSource::PushReply { sent_at } => sent_at - replied_at > REPLY_DROPPED_AFTER_S,
         }
     }
 }
 
+/// What the incarnation of a heartbeat tells.
+struct IncarnationChange {
+    /// An earlier incarnation was known: it is over.
+    is_new: bool,
+    /// The earlier one's lease ended although this leader answered its heartbeats.
+    lost_acknowledgements: bool,
+}
+
 /// Workers drop a reply that comes 4 s after their report left.
 const REPLY_DROPPED_AFTER_S: f64 = 6.0;
 
@@ -52,10 +64,11 @@
     pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat, now: f64) -> HeartbeatOutcome {
         self.counts.reports += 1;
         match self.reconcile_heartbeat(heartbeat, HeartbeatSource::Heartbeat, now) {
-            Ok(m) => {
-                let commands = self.heartbeat_commands(m, heartbeat, now);
-                let in_time = self.own_heartbeat_age(&self.machines[m], now) <= self.heartbeat_timeout_s();
-                let machine = &mut self.machines[m];
+            Ok(machine_index) => {
+                let commands = self.heartbeat_commands(machine_index, heartbeat, now);
+                let heartbeat_age = self.own_heartbeat_age(&self.machines[machine_index], now);
+                let in_time = heartbeat_age <= self.heartbeat_timeout_s();
+                let machine = &mut self.machines[machine_index];
                 if in_time && std::mem::take(&mut machine.heartbeat_path_lost) {
                     self.placement_due = true;
                 }
@@ -64,145 +77,146 @@
                 machine.heartbeat_answered_at = Some(now);
                 HeartbeatOutcome::Reply(HeartbeatReply { token: self.token, commands })
             }
-            Err(h) => h,
+            Err(outcome) => outcome,
         }
     }
 
     fn find_or_adopt_machine(&mut self, heartbeat: &Heartbeat, now: f64) -> Option<MachineIndex> {
-        if let Some(m) = self.machines.find(&heartbeat.machine) {
-            return Some(m);
+        if let Some(machine_index) = self.machines.find(&heartbeat.machine) {
+            return Some(machine_index);
         }
         // On its way to another shard: that one takes it in, and not whoever hears it first.
         if self.is_transferred_away(&heartbeat.machine) {
             return None;
         }
-        let ty = self.types.names.find(&heartbeat.type_name)?;
+        let type_index = self.types.names.find(&heartbeat.type_name)?;
         let zone = self.types.zones.intern(&heartbeat.zone);
-        log::info!("machine {} was not expected: adopted", heartbeat.machine);
-        let m = self.machines.add(&heartbeat.machine, ty, zone, heartbeat.spot, now);
-        self.machines[m].heard_only_before_failover = heartbeat.token > 0 && heartbeat.token < self.token;
-        Some(m)
+        log::info!("unexpected machine adopted machine={}", heartbeat.machine);
+        let machine_index = self.machines.add(&heartbeat.machine, type_index, zone, heartbeat.spot, now);
+        let is_of_earlier_leader = heartbeat.token > 0 && heartbeat.token < self.token;
+        self.machines[machine_index].heard_only_before_failover = is_of_earlier_leader;
+        Some(machine_index)
     }
 
+    /// Brings what is known of a machine in line with its heartbeat, unless that is out of date.
     pub(super) fn reconcile_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
-        origin: HeartbeatSource,
+        source: HeartbeatSource,
         now: f64,
     ) -> Result<MachineIndex, HeartbeatOutcome> {
-        let token = self.token;
-        if heartbeat.token > token {
+        if heartbeat.token > self.token {
             return Err(HeartbeatOutcome::Superseded);
         }
-        let m = self.find_or_adopt_machine(heartbeat, now).ok_or(HeartbeatOutcome::Stale)?;
-        let machine = &mut self.machines[m];
-        // Reports order by (incarnation, seq); whatever is older may have been held back for minutes.
-        if machine.phase == MachinePhase::Gone
-            || heartbeat.incarnation <= machine.expired_incarnation
-            || (heartbeat.incarnation, heartbeat.sequence) <= (machine.incarnation, machine.sequence)
-        {
+        let machine_index = self.find_or_adopt_machine(heartbeat, now).ok_or(HeartbeatOutcome::Stale)?;
+        let machine = &mut self.machines[machine_index];
+        if !machine.is_newer_heartbeat(heartbeat.incarnation, heartbeat.sequence) {
             return Err(HeartbeatOutcome::Stale);
         }
-        if let Ok(a) = heartbeat.addr.parse() {
-            machine.addr = Some(a);
-        }
-        let is_new_incarnation = machine.incarnation != 0 && heartbeat.incarnation > machine.incarnation;
-        // An incarnation that lasts for longer than a lease has been answered. One that is over may have been
-        // over for a while before that is heard.
-        let lasts = if is_new_incarnation { self.lease_s * 2.0 } else { stretched(self.lease_s) + self.report_s };
-        if machine.incarnation != 0 && now - machine.incarnation_since > lasts {
-            machine.unacknowledged_incarnations = 0;
-        }
-        // Its lease has ended although its reports were answered, or although it was there all the time and
-        // its reports went round in search of an answer: hearing it proves nothing. By direct
-        // questions alone no lease is renewed: those that ended just after an outage once looked deaf.
-        let lost = is_new_incarnation
-            && (machine.heartbeat_path_lost
-                || machine.heartbeat_answered_at.is_some_and(|t| now - t < self.lease_s / 2.0));
-        // Of two incarnations in a row the later was heard for as long as an incarnation lasts, nearly: late copies of
-        // earlier ones, which come one after the other, prove nothing.
-        let proves_loss =
-            machine.unacknowledged_incarnations == 0 || now - machine.incarnation_since >= self.lease_s / 2.0;
-        if lost && proves_loss {
-            machine.unacknowledged_incarnations += 1;
-            if machine.unacknowledged_incarnations > 1 {
-                machine.commandable_from = now + stretched(self.lease_s) + self.report_s;
-            }
+        machine.update_address(&heartbeat.addr);
+        let change = self.observe_incarnation(machine_index, heartbeat, now);
+        let machine = &mut self.machines[machine_index];
+        machine.record_heartbeat(heartbeat.incarnation, heartbeat.sequence, now);
+        if !(source.is_heartbeat() && machine.command_path_in_doubt()) {
+            machine.clear_suspicion();
+        }
+        self.note_reclaim_notice(machine_index, heartbeat, now);
+        self.mark_ready(machine_index);
+        if change.is_new {
+            // The worker killed everything of its earlier incarnation.
+            self.on_incarnation_expired(machine_index);
+        }
+        // Once may be our own lateness: an answer that waited here for its turn comes too late there.
+        if change.lost_acknowledgements && self.machines[machine_index].command_path_in_doubt() {
+            self.probe(machine_index);
+        }
+        if heartbeat.token < self.token {
+            self.request_heartbeat_with_own_token(machine_index, source);
+            return Ok(machine_index);
+        }
+        self.acknowledge_own_token(machine_index, source);
+        self.reconcile_tasks(machine_index, heartbeat, source, now);
+        self.mark_reconciled_by(machine_index, heartbeat);
+        self.drain_on_notice(machine_index);
+        Ok(machine_index)
+    }
+
+    /// What this heartbeat's incarnation tells of the one before and of its acknowledgements.
+    fn observe_incarnation(
+        &mut self,
+        machine_index: MachineIndex,
+        heartbeat: &Heartbeat,
+        now: f64,
+    ) -> IncarnationChange {
+        let timing = LeaseTiming { lease_s: self.lease_s, heartbeat_interval_s: self.report_s };
+        let machine = &mut self.machines[machine_index];
+        let is_new = machine.is_new_incarnation(heartbeat.incarnation);
+        machine.forgive_long_incarnation(is_new, timing, now);
+        let lost_acknowledgements = is_new && machine.ended_though_answered(timing, now);
+        if lost_acknowledgements && machine.proves_lost_acknowledgements(timing, now) {
+            machine.count_unacknowledged_incarnation(timing, now);
             log::warn!(
-                "machine {}: its lease ended though it was answered ({})",
+                "lease ended although heartbeats were answered machine={} incarnations={}",
                 machine.name,
                 machine.unacknowledged_incarnations
             );
         }
-        if machine.incarnation == 0 {
-            machine.own_heartbeat_at = now;
-        }
-        if heartbeat.incarnation > machine.incarnation {
-            (machine.incarnation_since, machine.heartbeat_answered_at) = (now, None);
-            // An incarnation's lease runs from its beginning, which was before this.
-            machine.lease_renewed_at = Some(machine.lease_renewed_at.map_or(now, |t| t.max(now)));
-        }
-        machine.incarnation = heartbeat.incarnation;
-        machine.sequence = heartbeat.sequence;
-        machine.last_heartbeat_at = now;
-        let proves = !(origin.is_heartbeat() && machine.command_path_in_doubt());
-        if proves {
-            (machine.suspected, machine.unanswered_pushes) = (false, 0);
-        }
-        match heartbeat.notice_s {
-            Some(s) if machine.reclaimed_at.is_none() => {
-                log::info!("machine {} has notice of {s} s", machine.name);
-                machine.reclaimed_at = Some(now + s);
-            }
-            _ => {}
-        }
-        let became_ready = machine.phase == MachinePhase::Booting;
-        if became_ready {
-            machine.phase = MachinePhase::Up;
-            let (ty, zone, spot) = (machine.type_index, machine.zone, machine.spot);
-            if spot
-                && !machine.heard_only_before_failover
-                && let Some(p) = self.pools.get_mut(&ty)
-            {
-                p.zones.ready(zone);
-            }
+        machine.begin_incarnation(heartbeat.incarnation, now);
+        IncarnationChange { is_new, lost_acknowledgements }
+    }
+
+    /// The cloud takes the machine back in so many seconds.
+    fn note_reclaim_notice(&mut self, machine_index: MachineIndex, heartbeat: &Heartbeat, now: f64) {
+        let machine = &mut self.machines[machine_index];
+        let Some(notice_s) = heartbeat.notice_s else { return };
+        if machine.reclaimed_at.is_none() {
+            log::info!("reclaim notice received machine={} notice_s={notice_s}", machine.name);
+            machine.reclaimed_at = Some(now + notice_s);
         }
-        if is_new_incarnation {
-            // The worker killed everything of its earlier incarnation.
-            self.on_incarnation_expired(m);
+    }
+
+    /// A machine that boots is up with its first heartbeat, which counts for its zone if it is a spot machine.
+    fn mark_ready(&mut self, machine_index: MachineIndex) {
+        let machine = &mut self.machines[machine_index];
+        if machine.phase != MachinePhase::Booting {
+            return;
         }
-        // Once may be our own lateness: an answer that waited here for its turn comes too late there.
-        if lost && self.machines[m].command_path_in_doubt() {
-            self.probe(m);
-        }
-        if heartbeat.token < token {
-            // It may still obey an earlier leader: ask for a report with our token.
-            let machine = &mut self.machines[m];
-            machine.reported_token = false;
-            machine.missed_acknowledgements +=
-                u32::from(origin.is_heartbeat() && machine.heartbeat_answered_at.is_some());
-            self.machines.push_due.insert(m);
-            return Ok(m);
-        }
-        self.machines[m].heard_only_before_failover = false;
-        let machine = &mut self.machines[m];
-        let first = !std::mem::replace(&mut machine.reported_token, true);
-        if first {
-            // It has taken up our token. Reports that it had sent before showed the one of an earlier leader.
-            if origin.is_heartbeat() {
-                machine.missed_acknowledgements = 0;
-            }
-            self.placement_due = true;
+        machine.phase = MachinePhase::Up;
+        if machine.spot
+            && !machine.heard_only_before_failover
+            && let Some(pool) = self.pools.get_mut(&machine.type_index)
+        {
+            pool.zones.ready(machine.zone);
+        }
+    }
+
+    /// It may still obey an earlier leader: it is asked for a heartbeat with our token.
+    fn request_heartbeat_with_own_token(&mut self, machine_index: MachineIndex, source: HeartbeatSource) {
+        let machine = &mut self.machines[machine_index];
+        machine.reported_token = false;
+        let is_missed = source.is_heartbeat() && machine.heartbeat_answered_at.is_some();
+        machine.missed_acknowledgements += u32::from(is_missed);
+        self.machines.push_due.insert(machine_index);
+    }
+
+    /// Its heartbeat shows our token. Those that it had sent before showed the one of an earlier leader.
+    fn acknowledge_own_token(&mut self, machine_index: MachineIndex, source: HeartbeatSource) {
+        let machine = &mut self.machines[machine_index];
+        machine.heard_only_before_failover = false;
+        let is_first = !std::mem::replace(&mut machine.reported_token, true);
+        if is_first && source.is_heartbeat() {
+            machine.missed_acknowledgements = 0;
         }
-        self.reconcile_tasks(m, heartbeat, origin, now);
-        // What runs here and is no job known here is one that ended before this leader began:
-        // nobody knows its team, so that the machine counts in full until it is gone.
-        let unknown = |t: &TaskReport| t.state != TaskState::Exited && self.key_of(&t.task).is_none();
-        if !heartbeat.tasks.iter().any(unknown) {
-            self.mark_reconciled(m);
+        self.placement_due |= is_first;
+    }
+
+    /// What runs here and is no job known here is one that ended before this leader began:
+    /// nobody knows its team, so that the machine counts in full until it is gone.
+    fn mark_reconciled_by(&mut self, machine_index: MachineIndex, heartbeat: &Heartbeat) {
+        let is_unknown = |task: &TaskReport| task.state != TaskState::Exited && self.key_of(&task.task).is_none();
+        if !heartbeat.tasks.iter().any(is_unknown) {
+            self.mark_reconciled(machine_index);
         }
-        self.drain_on_notice(m);
-        Ok(m)
     }
 
     /// Planned starts stay, since they were never sent; the rest is gone.
@@ -210,14 +224,14 @@
         let keys: Vec<TaskKey> = self.machines[machine_index]
             .assignments
             .iter()
-            .filter(|(_, h)| h.state != AssignmentState::Planned)
-            .map(|(k, _)| *k)
+            .filter(|(_, assignment)| assignment.state != AssignmentState::Planned)
+            .map(|(key, _)| *key)
             .collect();
         // First, so that nothing of this incarnation occupies a task any more.
         self.clear_listed_attempts(machine_index);
-        for k in keys {
-            self.release_resources(machine_index, k);
-            self.requeue(k);
+        for key in keys {
+            self.release_resources(machine_index, key);
+            self.requeue(key);
         }
         self.machines[machine_index].unacknowledged_starts.clear();
         // What waited for those may start here again.
@@ -230,17 +244,18 @@
             return;
         }
         let keys: Vec<TaskKey> = self.machines[machine_index].assignments.keys().copied().collect();
-        for k in keys {
-            let job = &self.jobs[k.job];
+        for key in keys {
+            let job = &self.jobs[key.job];
             if job.spec.checkpoint_s > 0.0 || job.is_service() {
-                self.stop_gently(machine_index, k);
+                self.stop_gently(machine_index, key);
             }
         }
     }
 
+    /// The key of a task by its published name, if its job is known here and has so many tasks.
     pub(super) fn key_of(&self, name: &str) -> Option<TaskKey> {
         let (job, task) = split_task(name)?;
-        let j = self.jobs.find(job)?;
-        (task < self.jobs[j].spec.tasks).then_some(TaskKey::new(j, task))
+        let job_index = self.jobs.find(job)?;
+        (task < self.jobs[job_index].spec.tasks).then_some(TaskKey::new(job_index, task))
     }
 }
