--- a/src/node/failover.rs
+++ b/src/node/failover.rs
@@ -51,7 +51,7 @@
                 .state
                 .get(&self.to_stored_key(FLEET_KEY), RequestPriority::Normal)
                 .await?
-                .map(|i| self.from_stored_key(i));
+                .map(|i| self.strip_stored_prefix(i));
             let (taken_in, stale) = self.read_merged().await?;
             let shares = self.read_shares().await?;
             let away = self.read_away().await?;
--- /dev/null
+++ b/src/node/loops/pushes.rs
@@ -0,0 +1,80 @@
+//! Commands that are pushed to workers. Each push is checked once more at the moment of sending, and only the
+//! shard that sent it learns of its outcome.
+
+use crate::clock;
+use crate::node::{EXECUTOR, ShardRuntime, lock};
+use crate::shard::{PushRequest, Shard};
+use async_channel::Sender;
+use std::sync::Arc;
+
+/// Pushes use at most one of so many sockets.
+const SOCKETS_PER_PUSH: usize = 8;
+const MIN_CONCURRENT_PUSHES: usize = 8;
+const MAX_CONCURRENT_PUSHES: usize = 512;
+
+impl ShardRuntime {
+    pub(in crate::node) async fn push_loop(self: Arc<Self>) {
+        // Machines that do not answer keep a call for a second and more each, hundreds at once.
+        let max_concurrent =
+            (self.settings.sockets / SOCKETS_PER_PUSH).clamp(MIN_CONCURRENT_PUSHES, MAX_CONCURRENT_PUSHES);
+        let (done_sender, done_receiver) = async_channel::bounded::<()>(max_concurrent);
+        let mut running = 0;
+        while self.is_open() {
+            Self::wait_for_wake(&self.wakes.direct.1).await;
+            while done_receiver.try_recv().is_ok() {
+                running -= 1;
+            }
+            while running < max_concurrent {
+                let now = clock::now();
+                let Some(Some(request)) = self.with_shard(now, |shard| shard.next_push(now)) else { break };
+                running += 1;
+                EXECUTOR.spawn(self.clone().push_in_background(request, done_sender.clone())).detach();
+            }
+        }
+    }
+
+    async fn push_in_background(self: Arc<Self>, request: PushRequest, done: Sender<()>) {
+        self.push(request).await;
+        let _ = done.send(()).await;
+        self.wake();
+        let _ = self.wakes.direct.0.try_send(());
+    }
+
+    async fn push(&self, request: PushRequest) {
+        let may_be_sent = || self.may_still_push(&request);
+        let outcome = self.workers.commands(request.addr, &request.body, may_be_sent).await;
+        let now = clock::now();
+        // Only the shard that sent it may learn of it.
+        if let Some(shard) = lock(&self.shard).as_mut().filter(|shard| shard.token == request.body.token) {
+            shard.on_push_outcome(&request, outcome, now);
+        }
+    }
+
+    /// May these commands be sent now? The lease, the token, the machine's incarnation and each start are checked
+    /// again.
+    fn may_still_push(&self, request: &PushRequest) -> bool {
+        let (now, token) = (clock::now(), request.body.token);
+        let check = |shard: &mut Shard| (shard.token == token).then(|| shard.check_push_still_valid(request));
+        let permitted = self.with_shard(now, check).flatten();
+        let lease_s = self.lease_valid_until().map_or(0.0, |until| until - now);
+        let (commands, address, incarnation) = (request.body.commands.len(), request.addr, request.body.incarnation);
+        match permitted {
+            Some(Ok(())) => {
+                log::debug!(
+                    "commands sent count={commands} address={address} token={token} incarnation={incarnation} lease_s={lease_s:.2}"
+                );
+                true
+            }
+            Some(Err(reason)) => {
+                log::info!("commands withheld count={commands} address={address} token={token} reason=\"{reason}\"");
+                false
+            }
+            None => {
+                log::warn!(
+                    "commands withheld count={commands} address={address} token={token} reason=token_not_valid lease_s={lease_s:.2}"
+                );
+                false
+            }
+        }
+    }
+}
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -12,7 +12,7 @@
 pub use shard_runtime::ShardRuntime;
 
 use crate::clock;
-use crate::cloud::{CloudClient, CloudError};
+use crate::cloud::CloudClient;
 use crate::election::{
     CRASH_LOOP_BACKOFF_S, ElectionStep, LEADERSHIP_KEY, LEADERSHIP_PREFIX, LeaderElection, LeadershipRecord,
     MACHINE_TYPES_KEY, ObservedRecord, backoff_key,
@@ -25,12 +25,10 @@
 use crate::jobs::{JOB_PREFIX, JobRecord, PART_PREFIX, PROGRESS_PREFIX, Phase};
 use crate::peer::Peers;
 use crate::settings::Settings;
-use crate::shard::{
-    CloudCall, Counts, LoadedCheckpoint, LoadedQuotas, LoadedState, PushRequest, Shard, parse_job_record,
-};
-use crate::state::{CompareAndSwap, KvClient, MAX_TRANSACTION_BYTES, RequestPriority, StateError};
+use crate::shard::{LoadedCheckpoint, LoadedQuotas, LoadedState, Shard, parse_job_record};
+use crate::state::{CompareAndSwap, KvClient, RequestPriority, StateError};
 use crate::tuning::Tuning;
-use crate::wire::{Compare, KeyValue, Kind, MachineType, Mutation, RentRequest};
+use crate::wire::{Compare, KeyValue, Kind, MachineType, Mutation};
 use crate::worker::WorkerClient;
 use async_channel::{Receiver, Sender};
 use async_executor::Executor;
@@ -39,9 +37,8 @@
 use lru::LruCache;
 use lupinspur_quota::Plan;
 use lupinspur_quota::stored::{HEAD, PREFIX};
-use lupinspur_service_levels::gate::LOG_MARK;
 use lupinspur_service_levels::inheritance::InheritedTotals;
-use lupinspur_service_levels::{Alert, Reading, ServiceLevelReport as ServiceTold, ServiceLevelTracker};
+use lupinspur_service_levels::{Reading, ServiceLevelReport as ServiceTold, ServiceLevelTracker};
 use lupinspur_sharding::ShardId;
 use serde::de::DeserializeOwned;
 use std::collections::HashMap;
--- a/src/node/routing.rs
+++ b/src/node/routing.rs
@@ -192,7 +192,7 @@
     }
 
     /// The other way round.
-    pub(super) fn from_stored_key(&self, mut item: KeyValue) -> KeyValue {
+    pub(super) fn strip_stored_prefix(&self, mut item: KeyValue) -> KeyValue {
         if self.id.0 != 0
             && let Some(key) = item.key.strip_prefix(&format!("c{}/", self.id.0))
         {
@@ -204,7 +204,7 @@
     /// Everything of this shard under a prefix.
     pub(super) async fn list_own(&self, prefix: &str) -> Result<Vec<KeyValue>, StateError> {
         let (items, _) = self.state.list(&self.to_stored_key(prefix), RequestPriority::Normal).await?;
-        Ok(items.into_iter().map(|i| self.from_stored_key(i)).collect())
+        Ok(items.into_iter().map(|i| self.strip_stored_prefix(i)).collect())
     }
 
     /// Does a record concern this shard? One that is over does, since others may wait for it.
