--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,102 +1,97 @@
-//! The interface for users and the workers' reports: requests in, answers out.
+//! The HTTP interface for users, workers and the load balancer: one handler for each request. Decides nothing about
+//! jobs or machines; answers are made in `responses`.
 
+mod job_request;
 mod lookup;
+mod route;
 mod submission;
 
 use crate::clock;
-use crate::heartbeat::parse_report;
+use crate::heartbeat::parse_heartbeat;
 use crate::http::{Incoming, Outgoing};
-use crate::job_status::{Lookup, valid_id};
+use crate::job_status::Lookup;
 use crate::node::Node;
 use crate::peer::Verb;
 use crate::responses::{about_answer, report_answer, unavailable};
-use crate::shard::HeartbeatOutcome;
+use crate::shard::{HeartbeatOutcome, Shard};
 use crate::state::RequestPriority;
-use crate::wire;
-use http_types::Method;
 use lupinspur_service_levels::Reading;
+use route::{Route, route};
 
-/// A poll comes again anyway; a cancellation is what its user waits for.
-fn turn(verb: Verb) -> RequestPriority {
+/// The class and team that a cancellation is counted for where the job is not known.
+const UNKNOWN: &str = "(unknown)";
+
+/// The priority of reads for a request: a poll is repeated anyway, a user waits for a cancellation.
+fn request_priority(verb: Verb) -> RequestPriority {
     if verb == Verb::Show { RequestPriority::BestEffort } else { RequestPriority::Normal }
 }
 
 impl Node {
     /// Answers one request of a user, a worker or the load balancer.
-    pub async fn handle(&self, req: Incoming) -> Outgoing {
-        let path = req.path.as_str();
-        match (req.method, path) {
-            (Method::Post, wire::REPORT_PATH) => self.report(&req.body).await,
-            (Method::Get, wire::HEALTH_PATH) => {
-                if self.healthy() {
-                    Outgoing::json(200, &serde_json::json!({}))
-                } else {
-                    unavailable()
-                }
-            }
-            (Method::Post, wire::JOBS_PATH) => {
-                let began = clock::now();
-                let out = self.submit_counted(&req.body, began).await;
-                log::debug!(
-                    "a submission was answered with {} {} after {:.3} s",
-                    out.status,
-                    String::from_utf8_lossy(&out.body),
-                    clock::now() - began
-                );
-                out
-            }
-            (method, _) => {
-                let Some(rest) = path.strip_prefix(wire::JOBS_PATH).and_then(|p| p.strip_prefix('/')) else {
-                    let known = [wire::REPORT_PATH, wire::HEALTH_PATH, wire::JOBS_PATH].contains(&path);
-                    return if known {
-                        Outgoing::error(405, "method not allowed")
-                    } else {
-                        Outgoing::error(404, "no such path")
-                    };
-                };
-                let (id, verb, wanted) = match rest.split_once('/') {
-                    None => (rest, Verb::Show, Method::Get),
-                    Some((id, wire::CANCEL_END)) => (id, Verb::Cancel, Method::Post),
-                    Some(_) => return Outgoing::error(404, "no such path"),
-                };
-                if method != wanted {
-                    return Outgoing::error(405, "method not allowed");
-                }
-                if !valid_id(id) {
-                    return Outgoing::error(400, "job id is malformed");
-                }
-                let began = clock::now();
-                let lookup = self.about(verb, id).await;
-                if verb == Verb::Cancel && lookup != Lookup::Absent {
-                    let job = |s: &mut crate::shard::Shard| s.class_and_team(id);
-                    // Elsewhere than at the leader nobody knows whose job it is.
-                    let unknown = || ("(unknown)".to_owned(), "(unknown)".to_owned());
-                    let here = self.shard_knowing_job(id, began).and_then(|c| c.with_shard(began, job).flatten());
-                    let (class, team) = here.unwrap_or_else(unknown);
-                    self.note_answer(&class, &team, Reading::Cancelled, lookup != Lookup::Unavailable, began);
-                }
-                log::debug!("{verb:?} {id} is answered with {lookup:?}");
-                about_answer(verb, id, lookup, self.leader_lease_valid_until(id))
-            }
+    pub async fn handle(&self, request: Incoming) -> Outgoing {
+        match route(request.method, &request.path) {
+            Ok(Route::Heartbeat) => self.handle_heartbeat(&request.body).await,
+            Ok(Route::Health) => self.handle_health(),
+            Ok(Route::SubmitJob) => self.handle_submission(&request.body).await,
+            Ok(Route::Job { id, verb }) => self.handle_job(id, verb).await,
+            Err(error) => Outgoing::error(error.status(), &error.to_string()),
         }
     }
 
-    async fn report(&self, body: &[u8]) -> Outgoing {
-        let r = match parse_report(body) {
-            Ok(r) => r,
-            Err(why) => return Outgoing::error(400, &why),
+    fn handle_health(&self) -> Outgoing {
+        if self.healthy() { Outgoing::json(200, &serde_json::json!({})) } else { unavailable() }
+    }
+
+    async fn handle_heartbeat(&self, body: &[u8]) -> Outgoing {
+        let heartbeat = match parse_heartbeat(body) {
+            Ok(heartbeat) => heartbeat,
+            Err(error) => return Outgoing::error(400, &error.to_string()),
         };
-        let Some(cell) = self.shard_of_machine(&r.machine, r.token).await else { return unavailable() };
+        let shard = self.shard_of_machine(&heartbeat.machine, heartbeat.token).await;
+        let Some(shard) = shard else { return unavailable() };
         let now = clock::now();
-        let heard = cell.with_shard(now, |s| s.on_heartbeat(&r, now));
-        if matches!(heard, Some(HeartbeatOutcome::Reply(_))) {
-            cell.wake();
+        let outcome = shard.with_shard(now, |state| state.on_heartbeat(&heartbeat, now));
+        if matches!(outcome, Some(HeartbeatOutcome::Reply(_))) {
+            shard.wake();
+        }
+        report_answer(outcome, shard.lease_valid_until(), || shard.redirect_target(now))
+    }
+
+    async fn handle_submission(&self, body: &[u8]) -> Outgoing {
+        let received_at = clock::now();
+        let answer = self.submit_and_count(body, received_at).await;
+        log::debug!(
+            "submission answered status={} body={} seconds={:.3}",
+            answer.status,
+            String::from_utf8_lossy(&answer.body),
+            clock::now() - received_at
+        );
+        answer
+    }
+
+    async fn handle_job(&self, id: &str, verb: Verb) -> Outgoing {
+        let received_at = clock::now();
+        let lookup = self.look_up_job(verb, id).await;
+        if verb == Verb::Cancel && lookup != Lookup::Absent {
+            self.count_cancellation(id, lookup, received_at);
         }
-        report_answer(heard, cell.lease_valid_until(), || cell.redirect_target(now))
+        log::debug!("job request answered verb={verb:?} job={id} lookup={lookup:?}");
+        about_answer(verb, id, lookup, self.leader_lease_valid_until(id))
+    }
+
+    /// Counts a cancellation for the job's class and team, which only the job's leader knows.
+    fn count_cancellation(&self, id: &str, lookup: Lookup, received_at: f64) {
+        let class_and_team = |state: &mut Shard| state.class_and_team(id);
+        let known = self
+            .shard_knowing_job(id, received_at)
+            .and_then(|shard| shard.with_shard(received_at, class_and_team).flatten());
+        let (class, team) = known.unwrap_or_else(|| (UNKNOWN.to_owned(), UNKNOWN.to_owned()));
+        let served = lookup != Lookup::Unavailable;
+        self.note_answer(&class, &team, Reading::Cancelled, served, received_at);
     }
 
-    /// The end of this controller's lease, if it owns this job.
+    /// The end of this controller's lease if it leads this job's shard, in seconds of the steady clock.
     fn leader_lease_valid_until(&self, id: &str) -> Option<f64> {
-        self.shard_knowing_job(id, clock::now()).and_then(|c| c.lease_valid_until())
+        self.shard_knowing_job(id, clock::now()).and_then(|shard| shard.lease_valid_until())
     }
 }
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -1,175 +1,184 @@
-//! Submissions: read, judged, stored, and answered as before where they are repeated.
+//! Submissions: admits a job, stores its acceptance once, and answers repetitions with what is stored. Never answers
+//! 201 before the acceptance is stored, nor 422 for a job that was accepted before.
 
+use super::job_request::parse_job_request;
 use crate::clock;
 use crate::http::Outgoing;
 use crate::job_status::{JobStatus, Lookup, valid_id};
 use crate::jobs::{JobRecord, RECORD_GROWS_BY, job_key};
-use crate::node::Node;
+use crate::node::{Node, ShardRuntime};
 use crate::peer::Verb;
 use crate::responses::{job_answer, resubmission_answer, status_from_record, unavailable};
-use crate::shard::{AdmissionError, check_admission};
+use crate::shard::{AdmissionError, Shard, check_admission};
 use crate::state::{COMMIT_TIMEOUT, CompareAndSwap, RequestPriority, StateError};
-use crate::wire::{self, Compare, JobRequest, JobState, Kind, Mutation};
-use lupinspur_elastic::Sizes;
+use crate::wire::{Compare, JobRequest, JobState, Kind, Mutation};
 use lupinspur_service_levels::Reading;
+use lupinspur_sharding::ShardId;
 use std::time::Duration;
 
-const MAX_TASKS: u32 = 100_000;
-const ACCEPT_WITHIN_S: f64 = 4.0;
+/// How long after its arrival a submission may still be sent to the state service, in seconds.
+const ACCEPT_TIMEOUT_S: f64 = 4.0;
 /// An acceptance without an answer for so long is sent again, then after twice as long each time: it is
 /// conditional on the record's absence, so that it may be. The state service mostly answers within
 /// milliseconds, and sometimes takes a few hundred.
 const ACCEPT_FIRST_TIMEOUT: Duration = Duration::from_millis(350);
 
-fn sizes_of(v: &serde_json::Value) -> Result<Option<Sizes>, String> {
-    let field = wire::ELASTIC_FIELD;
-    if v.is_null() {
-        return Ok(None);
-    }
-    let o = v.as_object().ok_or_else(|| format!("{field} is not an object"))?;
-    let whole = |name: &str| {
-        let n = o.get(name).and_then(serde_json::Value::as_u64).and_then(|n| u32::try_from(n).ok());
-        n.ok_or_else(|| format!("{field}.{name} is not a whole number"))
-    };
-    Ok(Some(Sizes { smallest: whole("smallest")?, largest: whole("largest")? }))
+/// What a job is that a submission names as a dependency.
+enum Dependency {
+    Accepted,
+    Invalid(&'static str),
+    /// The state service gave no answer, or the record cannot be read.
+    Undecided,
 }
 
-fn parse_job(body: &[u8], elastic: bool) -> Result<JobRequest, String> {
-    let mut v: serde_json::Value = serde_json::from_slice(body).map_err(|_| "not JSON".to_owned())?;
-    let Some(o) = v.as_object_mut() else { return Err("not a JSON object".into()) };
-    // Where the feature is off this is a field like any that is not known.
-    let declared = o.remove(wire::ELASTIC_FIELD).filter(|_| elastic);
-    let sizes = declared.map(|v| sizes_of(&v)).transpose()?.flatten();
-    let mut r: JobRequest = serde_json::from_value(v).map_err(|e| e.to_string())?;
-    r.elastic = sizes;
-    if !valid_id(&r.id) {
-        return Err("id is malformed".into());
-    }
-    if r.tasks == 0 || r.tasks > MAX_TASKS {
-        return Err(format!("the number of tasks must be from 1 to {MAX_TASKS}"));
-    }
-    // Stored records of earlier versions may lack it, a submission may not.
-    if r.image.is_none() {
-        return Err("the image is missing".into());
-    }
-    let amounts = [
-        ("cpus", r.cpus),
-        ("cards", r.accelerators),
-        ("memory_gb", r.memory_gb),
-        ("image size", r.image_gb),
-        ("run time", r.estimate_s),
-        ("checkpoint interval", r.checkpoint_s),
-        ("saving time", r.save_s),
-        ("deadline", r.deadline_s.unwrap_or(0.0)),
-    ];
-    if let Some(s) = r.elastic {
-        if r.kind == Kind::Service {
-            return Err(format!("{}: a service keeps all its replicas", wire::ELASTIC_FIELD));
-        }
-        s.check(r.tasks).map_err(|e| format!("{}: {e}", wire::ELASTIC_FIELD))?;
-    }
-    // A name given twice counts once, and an empty list is as none.
-    let mut seen = std::collections::HashSet::new();
-    r.dependencies = r.dependencies.take().map(|mut n| {
-        n.retain(|id| seen.insert(id.clone()));
-        n
-    });
-    r.dependencies = r.dependencies.take().filter(|n| !n.is_empty());
-    match amounts.iter().find(|(_, v)| !v.is_finite() || *v < 0.0) {
-        Some((what, v)) => Err(format!("{what}: {v} is out of range")),
-        None => Ok(r),
-    }
+/// Why a submission is not sent to the state service.
+enum Refusal {
+    /// The job can never run, for this reason.
+    NeverRuns(String),
+    /// It cannot be decided now whether the job can run.
+    Undecided,
 }
 
-/// What a job is that a submission names as one to wait for.
-enum Need {
-    Accepted,
-    Wrong(&'static str),
-    CannotTell,
+/// An acceptance that is ready to be stored.
+struct Acceptance {
+    record: JobRecord,
+    key: String,
+    value: serde_json::Value,
+    /// The shard that the job's team belongs to; none where there is one shard only.
+    home: Option<ShardId>,
+}
+
+impl Acceptance {
+    fn id(&self) -> &str {
+        &self.record.job.id
+    }
+
+    fn shard_id(&self) -> ShardId {
+        self.home.unwrap_or_default()
+    }
 }
 
 impl Node {
-    pub(super) async fn submit_counted(&self, body: &[u8], began: f64) -> Outgoing {
-        let job = match parse_job(body, self.elastic_plan.is_some()) {
-            Ok(j) => j,
-            Err(e) => return Outgoing::error(400, &e),
+    /// Answers a submission, and counts the answer for the job's class and team.
+    pub(super) async fn submit_and_count(&self, body: &[u8], received_at: f64) -> Outgoing {
+        let job = match parse_job_request(body, self.elastic_plan.is_some()) {
+            Ok(job) => job,
+            Err(error) => return Outgoing::error(400, &error.to_string()),
         };
         let (class, team) = (job.class.clone(), job.team.clone());
-        let out = self.submit(job).await;
-        // What can never run was answered rightly, and was not asked of the cluster.
-        if out.status != 422 {
-            self.note_answer(&class, &team, Reading::Accepted, matches!(out.status, 200 | 201), began);
+        let answer = self.submit(job).await;
+        // A job that can never run was answered correctly, and demands nothing of the cluster.
+        if answer.status != 422 {
+            let served = matches!(answer.status, 200 | 201);
+            self.note_answer(&class, &team, Reading::Accepted, served, received_at);
         }
-        out
+        answer
     }
 
     async fn submit(&self, job: JobRequest) -> Outgoing {
-        let id = job.id.clone();
-        let began = clock::now();
-        if let Some(cell) = self.shard_knowing_job(&id, began) {
-            let lookup = cell.about_here(Verb::Show, &id).await;
-            return resubmission_answer(&id, lookup, cell.lease_valid_until());
+        let started_at = clock::now();
+        if let Some(answer) = self.answer_if_known(&job.id, started_at).await {
+            return answer;
         }
-        if let Some(t) = self.known_end(&id) {
-            return job_answer(200, &id, t, false);
+        let id = job.id.clone();
+        match self.prepare_acceptance(job, started_at).await {
+            Ok(acceptance) => self.store_acceptance(&acceptance, started_at).await,
+            Err(Refusal::NeverRuns(reason)) => self.refuse_unless_stored(&id, &reason).await,
+            Err(Refusal::Undecided) => unavailable(),
         }
-        // What was accepted stays so: limits and machine types may be others since.
-        match check_admission(&job, &self.settings.teams, &self.machine_types()) {
-            Ok(()) => {}
-            Err(AdmissionError::Rejected(why)) => return self.never(&id, &why).await,
-            Err(AdmissionError::Undecided) => return unavailable(),
+    }
+
+    /// The answer to a job that this node knows already.
+    async fn answer_if_known(&self, id: &str, now: f64) -> Option<Outgoing> {
+        if let Some(shard) = self.shard_knowing_job(id, now) {
+            let lookup = shard.look_up_as_leader(Verb::Show, id).await;
+            return Some(resubmission_answer(id, lookup, shard.lease_valid_until()));
         }
+        self.known_end(id).map(|status| job_answer(200, id, status, false))
+    }
+
+    /// Checks whether the job can ever run, and makes the record of its acceptance.
+    async fn prepare_acceptance(&self, job: JobRequest, started_at: f64) -> Result<Acceptance, Refusal> {
+        // A job that was accepted stays accepted: limits and machine types may have changed since.
+        check_admission(&job, &self.settings.teams, &self.machine_types()).map_err(|error| match error {
+            AdmissionError::Rejected(reason) => Refusal::NeverRuns(reason),
+            AdmissionError::Undecided => Refusal::Undecided,
+        })?;
         let mut record = JobRecord::accepted(job, clock::wall_ms());
         let home = self.home_shard(&record.job.team);
-        record.shard = home.map(|c| c.0).filter(|c| *c != 0);
-        let key = job_key(&id);
-        let Ok(value) = serde_json::to_value(&record) else { return unavailable() };
+        record.shard = home.map(|shard| shard.0).filter(|number| *number != 0);
+        let value = serde_json::to_value(&record).map_err(|_| Refusal::Undecided)?;
         if value.to_string().len() + RECORD_GROWS_BY > self.settings.value_bytes() {
-            return self.never(&id, "the job's description is too long").await;
+            return Err(Refusal::NeverRuns("the job's description is too long".to_owned()));
         }
-        for dependency in record.job.dependencies() {
-            if clock::now() - began > ACCEPT_WITHIN_S {
-                return unavailable();
+        self.check_dependencies(&record.job, started_at).await?;
+        Ok(Acceptance { key: job_key(&record.job.id), record, value, home })
+    }
+
+    async fn check_dependencies(&self, job: &JobRequest, started_at: f64) -> Result<(), Refusal> {
+        for dependency in job.dependencies() {
+            if clock::now() - started_at > ACCEPT_TIMEOUT_S {
+                return Err(Refusal::Undecided);
             }
-            match self.dependency(dependency, &id).await {
-                Need::Accepted => {}
-                Need::Wrong(why) => return self.never(&id, &format!("{dependency}: {why}")).await,
-                Need::CannotTell => return unavailable(),
+            match self.dependency(dependency, &job.id).await {
+                Dependency::Accepted => {}
+                Dependency::Invalid(reason) => return Err(Refusal::NeverRuns(format!("{dependency}: {reason}"))),
+                Dependency::Undecided => return Err(Refusal::Undecided),
             }
         }
-        let cell = self.shard(home.unwrap_or_default());
-        // Another leader may have ended the job by the time of the answer: only the shard of this moment takes it in.
-        let token = cell.as_ref().and_then(|c| c.with_shard(began, |s| s.token));
-        let mut limit = ACCEPT_FIRST_TIMEOUT;
+        Ok(())
+    }
+
+    async fn store_acceptance(&self, acceptance: &Acceptance, started_at: f64) -> Outgoing {
+        let shard = self.shard(acceptance.shard_id());
+        // Another leader may have ended the job by the time of the answer: only the shard of this moment adds it.
+        let token = shard.as_ref().and_then(|shard| shard.with_shard(started_at, |state| state.token));
+        let mut timeout = ACCEPT_FIRST_TIMEOUT;
         loop {
-            // If absent: of a submission and its repetitions, on any nodes, one is accepted.
-            let condition = Compare { key: key.clone(), version: 0 };
-            let change = Mutation::Put { key: key.clone(), value: value.clone(), lease: None };
-            match self.state.commit_within(limit, vec![condition], vec![change], RequestPriority::Urgent).await {
+            match self.commit_if_absent(acceptance, timeout).await {
                 Ok(CompareAndSwap::Applied(version)) => {
-                    let now = clock::now();
-                    self.note_job_shard(&id, home.unwrap_or_default());
-                    let add = |s: &mut crate::shard::Shard| {
-                        (Some(s.token) == token).then(|| s.add_job(record.clone(), version, now)).flatten()
-                    };
-                    if cell.as_ref().and_then(|c| c.with_shard(now, add)).flatten().is_some() {
-                        self.wake();
-                    }
-                    return job_answer(201, &id, JobStatus { state: JobState::Queued, done: 0, running: 0 }, false);
+                    return self.on_accepted(acceptance, shard.as_deref(), token, version);
                 }
-                Ok(CompareAndSwap::Conflict(_)) => return self.accepted_before(&id).await,
-                // It may or may not be stored: the next try tells.
-                Err(StateError::Unknown) if clock::now() - began < ACCEPT_WITHIN_S => {
-                    limit = (limit * 2).min(COMMIT_TIMEOUT);
+                Ok(CompareAndSwap::Conflict(_)) => return self.answer_from_stored(acceptance.id()).await,
+                // It may or may not be stored: the next try shows.
+                Err(StateError::Unknown) if clock::now() - started_at < ACCEPT_TIMEOUT_S => {
+                    timeout = (timeout * 2).min(COMMIT_TIMEOUT);
                 }
                 Err(_) => return unavailable(),
             }
         }
     }
 
+    /// Stores the record if there is none: of a submission and its repetitions, on any nodes, one is accepted.
+    async fn commit_if_absent(&self, acceptance: &Acceptance, timeout: Duration) -> Result<CompareAndSwap, StateError> {
+        let absent = Compare { key: acceptance.key.clone(), version: 0 };
+        let put = Mutation::Put { key: acceptance.key.clone(), value: acceptance.value.clone(), lease: None };
+        self.state.commit_within(timeout, vec![absent], vec![put], RequestPriority::Urgent).await
+    }
+
+    /// Adds a job that was stored to its shard, if this node leads it with the same token as before.
+    fn on_accepted(
+        &self,
+        acceptance: &Acceptance,
+        shard: Option<&ShardRuntime>,
+        token: Option<u64>,
+        version: u64,
+    ) -> Outgoing {
+        let now = clock::now();
+        self.note_job_shard(acceptance.id(), acceptance.shard_id());
+        let add_job = |state: &mut Shard| {
+            let is_same_leader = Some(state.token) == token;
+            is_same_leader.then(|| state.add_job(acceptance.record.clone(), version, now)).flatten()
+        };
+        if shard.and_then(|shard| shard.with_shard(now, add_job)).flatten().is_some() {
+            self.wake();
+        }
+        job_answer(201, acceptance.id(), JobStatus { state: JobState::Queued, done: 0, running: 0 }, false)
+    }
+
     /// The answer to a submission of a job that is stored.
-    async fn accepted_before(&self, id: &str) -> Outgoing {
-        let mut lookup = self.about(Verb::Show, id).await;
+    async fn answer_from_stored(&self, id: &str) -> Outgoing {
+        let mut lookup = self.look_up_job(Verb::Show, id).await;
         if !matches!(lookup, Lookup::Known(_)) {
             // It is stored, and so accepted: what its record says was true after it was submitted again.
             lookup = match self.state.get(&job_key(id), RequestPriority::Normal).await {
@@ -180,45 +189,53 @@
         resubmission_answer(id, lookup, self.leader_lease_valid_until(id))
     }
 
-    /// A submission that can never run, unless it was accepted already: then a repetition
-    /// must not hear that it was refused, whatever has become of limits since.
-    async fn never(&self, id: &str, why: &str) -> Outgoing {
+    /// Refuses a submission that can never run, unless it was accepted already: then a repetition
+    /// must not be answered with a refusal, whatever has become of limits since.
+    async fn refuse_unless_stored(&self, id: &str, reason: &str) -> Outgoing {
         match self.state.get(&job_key(id), RequestPriority::Normal).await {
-            Ok(None) => Outgoing::error(422, why),
-            Ok(Some(_)) => self.accepted_before(id).await,
+            Ok(None) => Outgoing::error(422, reason),
+            Ok(Some(_)) => self.answer_from_stored(id).await,
             Err(_) => unavailable(),
         }
     }
 
-    /// May a submission name this job as one to wait for? Whether it was accepted is the
-    /// state service's word; its failure to answer is not.
-    async fn dependency(&self, dependency: &str, by: &str) -> Need {
-        if dependency == by {
-            return Need::Wrong("a job cannot wait for itself");
+    /// May a submission name this job as a dependency? Only the state service's answer says whether it was
+    /// accepted; a failure to answer does not.
+    async fn dependency(&self, dependency: &str, submitted_id: &str) -> Dependency {
+        if dependency == submitted_id {
+            return Dependency::Invalid("a job cannot wait for itself");
         }
         if !valid_id(dependency) {
-            return Need::Wrong("no such job was accepted");
+            return Dependency::Invalid("no such job was accepted");
         }
-        let of_kind = |k: Kind| match k {
-            Kind::Array => Need::Accepted,
-            Kind::Service => Need::Wrong("a service is never done"),
-        };
-        let now = clock::now();
-        let kind = |s: &mut crate::shard::Shard| s.jobs.find(dependency).map(|j| s.jobs[j].spec.kind);
-        let here = self.shard_knowing_job(dependency, now).and_then(|c| c.with_shard(now, kind).flatten());
-        if let Some(kind) = here.or_else(|| self.accepted_kind(dependency)) {
-            return of_kind(kind);
+        if let Some(kind) = self.known_kind(dependency) {
+            return dependency_of_kind(kind);
         }
         match self.state.get(&job_key(dependency), RequestPriority::Normal).await {
-            Ok(None) => Need::Wrong("no such job was accepted"),
+            Ok(None) => Dependency::Invalid("no such job was accepted"),
             Ok(Some(item)) => match serde_json::from_value::<JobRecord>(item.value) {
-                Ok(r) => {
-                    self.note_accepted(dependency, r.job.kind);
-                    of_kind(r.job.kind)
+                Ok(record) => {
+                    self.note_accepted(dependency, record.job.kind);
+                    dependency_of_kind(record.job.kind)
                 }
-                Err(_) => Need::CannotTell,
+                Err(_) => Dependency::Undecided,
             },
-            Err(_) => Need::CannotTell,
+            Err(_) => Dependency::Undecided,
         }
     }
+
+    /// The kind of an accepted job, as far as this node knows it without the state service.
+    fn known_kind(&self, id: &str) -> Option<Kind> {
+        let now = clock::now();
+        let kind = |state: &mut Shard| state.jobs.find(id).map(|index| state.jobs[index].spec.kind);
+        let led_here = self.shard_knowing_job(id, now).and_then(|shard| shard.with_shard(now, kind).flatten());
+        led_here.or_else(|| self.accepted_kind(id))
+    }
+}
+
+fn dependency_of_kind(kind: Kind) -> Dependency {
+    match kind {
+        Kind::Array => Dependency::Accepted,
+        Kind::Service => Dependency::Invalid("a service is never done"),
+    }
 }
--- a/src/heartbeat.rs
+++ b/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! Reading workers' reports: what is no report is refused before it changes anything.
+//! Parses and validates workers' heartbeats. A body that is no heartbeat is refused before it changes anything.
 
 use crate::wire::Heartbeat;
 use std::net::SocketAddr;
@@ -6,17 +6,30 @@
 /// Incarnations of workers are counted from this.
 const FIRST_INCARNATION: u64 = 1;
 
-/// Reads a report, or says why it is none.
-pub fn parse_report(body: &[u8]) -> Result<Heartbeat, String> {
-    let report: Heartbeat = serde_json::from_slice(body).map_err(|e| format!("not a report: {e}"))?;
-    if report.machine.is_empty() {
-        return Err("the machine has no name".into());
+/// Why a body is no heartbeat. Answered with 400.
+#[derive(Debug, thiserror::Error)]
+pub enum HeartbeatError {
+    #[error("not a heartbeat: {0}")]
+    Malformed(#[source] serde_json::Error),
+    #[error("the machine has no name")]
+    UnnamedMachine,
+    #[error("the address is malformed: {0:.60}")]
+    MalformedAddress(String),
+    #[error("incarnations begin with {FIRST_INCARNATION}, not {0}")]
+    Incarnation(u64),
+}
+
+/// Parses the body of a worker's heartbeat.
+pub fn parse_heartbeat(body: &[u8]) -> Result<Heartbeat, HeartbeatError> {
+    let heartbeat: Heartbeat = serde_json::from_slice(body).map_err(HeartbeatError::Malformed)?;
+    if heartbeat.machine.is_empty() {
+        return Err(HeartbeatError::UnnamedMachine);
     }
-    if report.addr.parse::<SocketAddr>().is_err() {
-        return Err("the address is malformed".into());
+    if heartbeat.addr.parse::<SocketAddr>().is_err() {
+        return Err(HeartbeatError::MalformedAddress(heartbeat.addr));
     }
-    if report.incarnation < FIRST_INCARNATION {
-        return Err(format!("sessions begin with {FIRST_INCARNATION}"));
+    if heartbeat.incarnation < FIRST_INCARNATION {
+        return Err(HeartbeatError::Incarnation(heartbeat.incarnation));
     }
-    Ok(report)
+    Ok(heartbeat)
 }
--- a/src/peer_server.rs
+++ b/src/peer_server.rs
@@ -115,7 +115,7 @@
         let verb = q.verb();
         let cell = self.cell(q.cell)?;
         let lookup = match cell.leadership_status(clock::now()) {
-            LeadershipStatus::Leading => cell.about_here(verb, &q.job).await,
+            LeadershipStatus::Leading => cell.look_up_as_leader(verb, &q.job).await,
             _ => Lookup::Unavailable,
         };
         let mut a = JobAnswer::default();
