--- a/src/audit.rs
+++ b/src/audit.rs
@@ -6,7 +6,7 @@
 use crate::election::{LEADERSHIP_PREFIX, LeadershipRecord, MACHINE_TYPES_KEY};
 use crate::fleet::machine_groups::{MACHINE_GROUP_PREFIX, MachineGroupRecord};
 use crate::fleet::{FLEET_KEY, MACHINE_PREFIX, MachineRecord};
-use crate::http::Client;
+use crate::http::{CallError, Client};
 use crate::jobs::{JOB_PREFIX, PART_PREFIX, PROGRESS_PREFIX, Phase, ProgressRecord};
 use crate::settings::Settings;
 use crate::shard::{FleetRecord, parse_job_record};
@@ -17,6 +17,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt::Write as _;
+use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Faults that are told one by one; the rest are counted.
@@ -260,8 +261,19 @@
     MACHINE_GROUP_PREFIX,
 ];
 
+/// Why the state could not be read to its end.
+#[derive(Debug, thiserror::Error)]
+pub enum AuditError {
+    #[error("a page after {after:?}: {source}")]
+    MalformedPage { after: String, source: serde_json::Error },
+    #[error("the state service answers {status} after {after:?}")]
+    Refused { status: u16, after: String },
+    #[error("the state service at {addr}: {source}")]
+    Call { addr: SocketAddr, source: CallError },
+}
+
 /// Reads everything, no more than `rate` requests a second.
-pub async fn run(settings: &Settings, rate: f64) -> Result<Findings, String> {
+pub async fn run(settings: &Settings, rate: f64) -> Result<Findings, AuditError> {
     let http = Client::new(1, 1);
     let mut audit = Audit::default();
     // All keys at once, those of no known kind included; one by one where that is refused.
@@ -273,7 +285,8 @@
         let query = wire::list_query(prefix, &after, 1000);
         let answer = http.call(settings.state, Method::Get, &query, None, Duration::from_secs(10)).await;
         let page: KeyValuePage = match answer {
-            Ok((200, b)) => serde_json::from_slice(&b).map_err(|e| format!("a page after {after:?}: {e}"))?,
+            Ok((200, b)) => serde_json::from_slice(&b)
+                .map_err(|source| AuditError::MalformedPage { after: after.clone(), source })?,
             Ok((400, _)) if prefix.is_empty() && after.is_empty() => {
                 prefixes = PREFIXES.to_vec();
                 continue;
@@ -282,8 +295,8 @@
                 async_io::Timer::after(Duration::from_secs(1)).await;
                 continue;
             }
-            Ok((status, _)) => return Err(format!("the state service answers {status} after {after:?}")),
-            Err(e) => return Err(format!("the state service at {}: {e}", settings.state)),
+            Ok((status, _)) => return Err(AuditError::Refused { status, after }),
+            Err(source) => return Err(AuditError::Call { addr: settings.state, source }),
         };
         after = page.items.last().map(|i| i.key.clone()).unwrap_or_default();
         if !page.has_more || page.items.is_empty() {
@@ -317,79 +330,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use serde_json::{Value, json};
-
-    fn job(id: &str, phase: &str) -> Value {
-        json!({"at_ms": 0, "phase": phase, "job": {
-            "id":id,"breed":"b","herd":"t","habit":"batch","precedence":"idle","seeds":7,
-            "cpus":1.0,"cards":0.0,"memory_gb":1.0,"same_place":false,"scatter":false,"fallow":true,
-            "pull_gb":0.0,"expected_s":1.0,"pressing_s":0.0,"pressing_cost_s":0.0}})
-    }
-
-    fn findings(items: Vec<(&str, Value, u64)>) -> Findings {
-        let mut a = Audit::default();
-        for (key, value, version) in items {
-            a.take(KeyValue { key: key.into(), value, version, lease: None });
-        }
-        a.finish()
-    }
-
-    /// A checkpoint of one open job, as of a revision.
-    fn checkpoint(at: u64) -> Vec<(&'static str, Value, u64)> {
-        let mut w = lupinspur_recovery::Writer::new(4000, 0.0);
-        w.on_opened("req-1");
-        let mut out = Vec::new();
-        while w.is_due(at, at, 100.0) {
-            let Some(p) = w.next_value(at, 100.0, |_| Some((2, job("req-1", "open")))) else { break };
-            w.on_applied(&p.key);
-            let key = ["ckpt/c/0", "ckpt/head", "ckpt/i/0/0"].into_iter().find(|k| *k == p.key).expect("a key");
-            out.push((key, p.value, 9));
-        }
-        out
-    }
-
-    #[test]
-    fn a_sound_state_has_no_faults() {
-        let mut items = checkpoint(5);
-        items.push(("job/req-1", job("req-1", "open"), 2));
-        items.push(("job/req-2", job("req-2", "done"), 4));
-        // Accepted after the checkpoint.
-        items.push(("job/req-3", job("req-3", "open"), 7));
-        items.push(("prog/req-1/0", json!({"done": "3f"}), 8));
-        items.push(("prog/req-2/0", json!({"done": "7f"}), 3));
-        let f = findings(items);
-        assert_eq!(f.faults, []);
-        assert_eq!((f.left_over, f.kinds["jobs, open"].keys, f.kinds["checkpoint, open jobs"].keys), (1, 2, 1));
-        assert!(table(&f).contains("jobs, done"));
-    }
-
-    /// Malformed, contradictory, out of place: each is told by its key.
-    #[test]
-    fn each_fault_is_told_by_its_key() {
-        let mut items = checkpoint(5);
-        items.push(("job/req-1", job("req-1", "cancelled"), 4));
-        items.push(("job/req-2", job("req-2", "open"), 3));
-        items.push(("job/req-4", job("req-5", "open"), 8));
-        items.push(("job/req-6", json!("what"), 8));
-        items.push(("prog/req-2/0", json!({"done": "xyz"}), 8));
-        items.push((
-            "rack/0",
-            json!({"shard":0,"type":"m","zone":"a","spot":false,"jobs":["req-2"],
-            "machines":[{"machine":"h1","jobs":[3]}]}),
-            8,
-        ));
-        items.push(("what/1", json!(1), 8));
-        let told: Vec<String> = findings(items).faults.iter().map(|f| format!("{} {}", f.key, f.what)).collect();
-        assert_eq!(told[0], "job/req-1 is over, and open by the checkpoint");
-        assert_eq!(told[1], "job/req-2 is open, and not in the checkpoint");
-        assert_eq!(told[2], "job/req-4 holds the record of another job, req-5");
-        assert!(told[3].starts_with("job/req-6 holds something unknown"), "{told:?}");
-        assert!(told[4].starts_with("prog/req-2/0 is malformed"));
-        assert_eq!(told[5], "rack/0 names job 3 of 1 for machine h1");
-        assert_eq!(told[6], "what/1 is of no kind that is known here");
-        let torn = checkpoint(5).into_iter().filter(|i| i.0 != "ckpt/c/0").collect();
-        assert_eq!(findings(torn).faults[0], Fault { key: "ckpt/head".into(), what: "ckpt/c/0 is missing".into() });
-    }
-}
+mod tests;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,9 +1,14 @@
 //! The program: reads its command line and settings, then runs the node.
 
 use clap::Parser;
-use lupinspur::settings::Settings;
+use lupinspur::logging::LoggingError;
+use lupinspur::node::Features;
+use lupinspur::query::{Query, QueryError};
+use lupinspur::settings::{Settings, SettingsError};
+use lupinspur::tuning::FlagError;
 use lupinspur_files::load;
 use lupinspur_quota::{Plan, Tree};
+use lupinspur_sharding::ShardingPlan;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -33,62 +38,105 @@
     #[command(flatten)]
     tuning: lupinspur::tuning::Flags,
     #[command(subcommand)]
-    query: Option<lupinspur::query::Query>,
+    query: Option<Query>,
 }
 
-/// The quota file, if nothing in it is wrong; or each fault on a line of its own.
-fn quotas(path: &Path, settings: &Settings) -> Result<Plan, String> {
+/// Why the program ends with a failure.
+#[derive(Debug, thiserror::Error)]
+enum ProgramError {
+    #[error("LOG_LEVEL: {0}")]
+    Logging(#[from] LoggingError),
+    #[error(transparent)]
+    Flag(#[from] FlagError),
+    #[error("--config is needed")]
+    MissingConfig,
+    #[error(transparent)]
+    Settings(#[from] SettingsError),
+    /// Each fault of a file on a line of its own.
+    #[error("{0}")]
+    File(String),
+    #[error("--quotas and --cells cannot be used together: nested quotas are not parted among cells yet")]
+    QuotasWithShards,
+    #[error(transparent)]
+    Query(#[from] QueryError),
+    #[error("there are faults")]
+    FaultsFound,
+    #[error(transparent)]
+    Listen(#[from] std::io::Error),
+}
+
+/// Reads the quota file; fails with each fault on a line of its own.
+fn load_quotas(path: &Path, settings: &Settings) -> Result<Plan, ProgramError> {
     let teams = lupinspur::shard::team_limits(&settings.teams);
-    let (warnings, plan) = load(path, |text| {
-        let plan = Plan::parse(text).map_err(|f| vec![f])?;
+    let parse = |text: &str| {
+        let plan = Plan::parse(text).map_err(|fault| vec![fault])?;
         Ok((Tree::of(&plan, &teams)?.1, plan))
-    })?;
-    for w in warnings {
-        log::warn!("{}: {w}", path.display());
+    };
+    let (warnings, plan) = load(path, parse).map_err(ProgramError::File)?;
+    for warning in warnings {
+        log::warn!("{}: {warning}", path.display());
     }
     lupinspur::shard::fits_values(&plan, settings.value_bytes())
-        .map_err(|e| format!("{}: {e}", path.display()))
-        .map(|()| plan)
+        .map_err(|error| ProgramError::File(format!("{}: {error}", path.display())))?;
+    Ok(plan)
+}
+
+/// Reads the file of shards; fails with each fault on a line of its own.
+fn load_shards(path: &Path, settings: &Settings) -> Result<ShardingPlan, ProgramError> {
+    let teams: Vec<String> = settings.teams.iter().map(|team| team.name.clone()).collect();
+    load(path, |text| ShardingPlan::parse(text, &teams)).map_err(ProgramError::File)
 }
 
-/// The file of shards, if nothing in it is wrong; or each fault on a line of its own.
-fn cells(path: &Path, settings: &Settings) -> Result<lupinspur_sharding::ShardingPlan, String> {
-    let teams: Vec<String> = settings.teams.iter().map(|t| t.name.clone()).collect();
-    load(path, |text| lupinspur_sharding::ShardingPlan::parse(text, &teams))
+fn load_elastic(path: &Path) -> Result<lupinspur_elastic::Plan, ProgramError> {
+    load(path, lupinspur_elastic::Plan::parse).map_err(ProgramError::File)
 }
 
-fn run(args: Args) -> Result<(), String> {
-    let level = args.log_level.as_deref().unwrap_or(if args.query.is_some() { "warn" } else { "info" });
-    lupinspur::logging::init(level).map_err(|e| format!("LOG_LEVEL: {e}"))?;
-    if let Some(q) = &args.query {
-        let (text, good) = lupinspur::query::run(q)?;
-        print!("{text}");
-        return if good { Ok(()) } else { Err("there are faults".into()) };
+fn load_features(args: &Args, settings: &Settings) -> Result<Features, ProgramError> {
+    let quotas = args.quotas.as_deref().map(|path| load_quotas(path, settings)).transpose()?;
+    let elastic = args.elastic.as_deref().map(load_elastic).transpose()?;
+    let cells = args.cells.as_deref().map(|path| load_shards(path, settings)).transpose()?;
+    if quotas.is_some() && cells.is_some() {
+        return Err(ProgramError::QuotasWithShards);
     }
-    args.tuning.check()?;
-    let Some(config) = &args.config else { return Err("--config is needed".into()) };
-    let settings = Settings::load(config).map_err(|e| e.to_string())?;
-    let plan = args.quotas.as_deref().map(|p| quotas(p, &settings)).transpose()?;
-    let elastic = args.elastic.as_deref().map(|p| load(p, lupinspur_elastic::Plan::parse)).transpose()?;
-    let cells = args.cells.as_deref().map(|p| cells(p, &settings)).transpose()?;
-    if plan.is_some() && cells.is_some() {
-        return Err("--quotas and --cells cannot be used together: nested quotas are not parted among cells yet".into());
+    Ok(Features { quotas, elastic, cells })
+}
+
+fn run(args: &Args) -> Result<(), ProgramError> {
+    let default_level = if args.query.is_some() { "warn" } else { "info" };
+    lupinspur::logging::init(args.log_level.as_deref().unwrap_or(default_level))?;
+    match &args.query {
+        Some(query) => run_query(query),
+        None => run_controller(args),
     }
+}
+
+fn run_query(query: &Query) -> Result<(), ProgramError> {
+    let answer = lupinspur::query::run(query)?;
+    print!("{}", answer.text);
+    if answer.is_sound { Ok(()) } else { Err(ProgramError::FaultsFound) }
+}
+
+fn run_controller(args: &Args) -> Result<(), ProgramError> {
+    args.tuning.check()?;
+    let config = args.config.as_deref().ok_or(ProgramError::MissingConfig)?;
+    let settings = Settings::load(config)?;
+    let features = load_features(args, &settings)?;
     if args.check {
-        if let Some(e) = &elastic {
-            println!("{}", lupinspur::shard::elastic_bound(&settings.params(), args.tuning.claim_s, e).told());
+        if let Some(plan) = &features.elastic {
+            let bound = lupinspur::shard::elastic_bound(&settings.params(), args.tuning.claim_s, plan);
+            println!("{}", bound.told());
         }
         return Ok(());
     }
-    let features = lupinspur::node::Features { quotas: plan, elastic, cells };
-    lupinspur::run::run(settings, args.tuning.tuning(), features).map_err(|e| e.to_string())
+    lupinspur::run::run(settings, args.tuning.tuning(), features)?;
+    Ok(())
 }
 
 fn main() -> ExitCode {
-    match run(Args::parse()) {
+    match run(&Args::parse()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(e) => {
-            for line in e.lines() {
+        Err(error) => {
+            for line in error.to_string().lines() {
                 eprintln!("lupinspur: {line}");
             }
             ExitCode::FAILURE
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -85,42 +85,66 @@
     Some(Channel(send))
 }
 
+/// Why an operator's question to a controller has no answer.
+#[derive(Debug, thiserror::Error)]
+pub enum PeerQueryError {
+    #[error("{0} cannot be reached")]
+    Unreachable(SocketAddr),
+    #[error("{0} does not answer")]
+    NoAnswer(SocketAddr),
+    /// The controller's own reason.
+    #[error("{0}")]
+    Refused(String),
+}
+
 /// A connection for one question of an operator to any controller.
-async fn operator(ex: &'static Executor<'static>, addr: SocketAddr) -> Result<OwnerClient<Channel>, String> {
-    let channel = connect(ex, addr).await.ok_or_else(|| format!("{addr} cannot be reached"))?;
+async fn operator_client(
+    ex: &'static Executor<'static>,
+    addr: SocketAddr,
+) -> Result<OwnerClient<Channel>, PeerQueryError> {
+    let channel = connect(ex, addr).await.ok_or(PeerQueryError::Unreachable(addr))?;
     Ok(OwnerClient::with_origin(channel, origin()))
 }
 
-async fn answer<A>(
+async fn await_answer<Answer>(
     addr: SocketAddr,
-    asked: impl Future<Output = Result<tonic::Response<A>, tonic::Status>>,
-) -> Result<A, String> {
-    match timed(ASK * 2, asked).await {
-        Ok(Ok(a)) => Ok(a.into_inner()),
-        Ok(Err(s)) => Err(s.message().to_owned()),
-        Err(_) => Err(format!("{addr} does not answer")),
+    call: impl Future<Output = Result<tonic::Response<Answer>, tonic::Status>>,
+) -> Result<Answer, PeerQueryError> {
+    match timed(ASK * 2, call).await {
+        Ok(Ok(response)) => Ok(response.into_inner()),
+        Ok(Err(status)) => Err(PeerQueryError::Refused(status.message().to_owned())),
+        Err(_) => Err(PeerQueryError::NoAnswer(addr)),
     }
 }
 
-pub async fn query_quotas(ex: &'static Executor<'static>, addr: SocketAddr, job: &str) -> Result<QuotaAnswer, String> {
-    let q = QuotaQuestion { job: job.to_owned(), passed_on: false, cell: 0 };
-    answer(addr, operator(ex, addr).await?.quotas(q)).await
+/// Asks a controller about quotas, and why this job waits; an empty id asks about no job.
+pub async fn query_quotas(
+    ex: &'static Executor<'static>,
+    addr: SocketAddr,
+    job: &str,
+) -> Result<QuotaAnswer, PeerQueryError> {
+    let question = QuotaQuestion { job: job.to_owned(), passed_on: false, cell: 0 };
+    await_answer(addr, operator_client(ex, addr).await?.quotas(question)).await
 }
 
+/// Asks a controller about the elastic jobs of a shard.
 pub async fn query_elastic(
     ex: &'static Executor<'static>,
     addr: SocketAddr,
-    cell: u32,
-) -> Result<ServiceAnswer, String> {
-    answer(addr, operator(ex, addr).await?.elastic(ServiceQuestion { passed_on: false, cell })).await
+    shard: u32,
+) -> Result<ServiceAnswer, PeerQueryError> {
+    let question = ServiceQuestion { passed_on: false, cell: shard };
+    await_answer(addr, operator_client(ex, addr).await?.elastic(question)).await
 }
 
+/// Asks a controller about the service levels of a shard.
 pub async fn query_service(
     ex: &'static Executor<'static>,
     addr: SocketAddr,
-    cell: u32,
-) -> Result<ServiceAnswer, String> {
-    answer(addr, operator(ex, addr).await?.service(ServiceQuestion { passed_on: false, cell })).await
+    shard: u32,
+) -> Result<ServiceAnswer, PeerQueryError> {
+    let question = ServiceQuestion { passed_on: false, cell: shard };
+    await_answer(addr, operator_client(ex, addr).await?.service(question)).await
 }
 
 impl Peers {
--- a/src/tuning.rs
+++ b/src/tuning.rs
@@ -3,6 +3,19 @@
 use clap::Args;
 pub use lupinspur_scheduler::params::Tuning;
 
+/// Largest value of a flag in seconds.
+const MAX_SECONDS: f64 = 600.0;
+
+/// A flag in seconds that is out of its bounds.
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
+#[error("--{name}: {value} must be from {min} to {MAX_SECONDS}")]
+pub struct FlagError {
+    pub name: &'static str,
+    pub value: f64,
+    pub min: f64,
+}
+
+/// The flags of a controller that are tuned by operators.
 #[derive(Args, Clone, Debug)]
 pub struct Flags {
     /// Spot machines held beyond the target.
@@ -20,16 +33,17 @@
 }
 
 impl Flags {
+    /// The same values as the scheduler takes them.
     pub fn tuning(&self) -> Tuning {
         Tuning { extra: self.extra, window_s: self.window_s, hold_s: self.hold_s, leader_lease_s: self.claim_s }
     }
 
-    pub fn check(&self) -> Result<(), String> {
-        for (name, v, least) in
-            [("window-s", self.window_s, 0.0), ("hold-s", self.hold_s, 0.0), ("claim-s", self.claim_s, 1.0)]
-        {
-            if !(v.is_finite() && v >= least && v <= 600.0) {
-                return Err(format!("--{name}: {v} must be from {least} to 600"));
+    /// Whether every value is within its bounds.
+    pub fn check(&self) -> Result<(), FlagError> {
+        let flags = [("window-s", self.window_s, 0.0), ("hold-s", self.hold_s, 0.0), ("claim-s", self.claim_s, 1.0)];
+        for (name, value, min) in flags {
+            if !(value.is_finite() && value >= min && value <= MAX_SECONDS) {
+                return Err(FlagError { name, value, min });
             }
         }
         Ok(())
--- a/tests/loopback/malformed.rs
+++ b/tests/loopback/malformed.rs
@@ -144,7 +144,7 @@
     for at in &cluster.peer {
         [b"junk".as_slice(), http1, &preface_and_junk].iter().for_each(|bytes| send_raw(*at, bytes));
         let answer = async_io::block_on(query_quotas(&EX, *at, "no job"));
-        assert_eq!(answer.err().as_deref(), Some("job id is malformed"));
+        assert_eq!(answer.map_err(|error| error.to_string()).err().as_deref(), Some("job id is malformed"));
     }
     let settings = |i: usize| Settings::load(&cluster.dir.join(format!("n{i}.toml"))).expect("settings");
     let (all, leader) = (settings(0), format!("n{}", cluster.until_led()));
