--- a/crates/model/tests/fault_combinations_machines.rs
+++ b/crates/model/tests/fault_combinations_machines.rs
@@ -1,5 +1,5 @@
 //! Two troubles at once, where machines, their reports and users take part: each with several seeds, with one shard
-//! and with three. Each test asserts that its runs show the combination. `MEETING_SEEDS=200 cargo test -p lupinspur-model --test meetings_machines` plays more of each.
+//! and with three. Each test asserts that its runs show the combination. `MEETING_SEEDS=200 cargo test -p lupinspur-model --test fault_combinations_machines` plays more of each.
 
 mod evidence;
 
--- a/crates/model/tests/random_fault_combinations.rs
+++ b/crates/model/tests/random_fault_combinations.rs
@@ -1,6 +1,6 @@
 //! Random fault combinations: two to four faults of any kind within seconds of one another and of one change of leader
 //! or two, for each kind of work, with one shard and with several, by seeds.
-//! `MEETINGS=2000 cargo test --release -p lupinspur-model --test random_meetings` plays so many of each deployment, from
+//! `MEETINGS=2000 cargo test --release -p lupinspur-model --test random_fault_combinations` plays so many of each deployment, from
 //! `MEETING_SEED` on, over `MEETING_CELLS` shards, `MEETING_THREADS` runs at a time.
 
 use fastrand::Rng;
