--- a/crates/scheduler/src/shard/cloud_calls.rs
+++ b/crates/scheduler/src/shard/cloud_calls.rs
@@ -119,7 +119,7 @@
                 None => {
                     let Some(ty) = self.types.names.find(&l.type_name) else { continue };
                     let zone = self.types.zones.intern(&l.zone);
-                    log::info!("machine {} was not expected: adopted from the list", l.id);
+                    log::info!("unexpected machine adopted from the list machine={}", l.id);
                     self.machines.add(&l.id, ty, zone, l.spot, now - l.age_s - self.list_lag_s)
                 }
             };
@@ -177,7 +177,7 @@
         for (z, n) in asked {
             let l = self.launches.enqueue(type_index, z, spot, n);
             log::info!(
-                "renting {} {} machines in zone {}",
+                "renting count={} kind={} zone={}",
                 l.count,
                 if spot { "spot" } else { "on-demand" },
                 self.types.zones.name(z)
--- a/crates/scheduler/src/shard/consistency.rs
+++ b/crates/scheduler/src/shard/consistency.rs
@@ -61,7 +61,7 @@
             return;
         }
         log::error!(
-            "{}: {} tasks on no machine, {waits} of {queued} in the queue, over {over}: mended",
+            "inconsistent job repaired job={} tasks_on_no_machine={} in_queue={waits} queued={queued} over={over}",
             job.id,
             lost.len()
         );
--- a/crates/scheduler/src/shard/dependencies.rs
+++ b/crates/scheduler/src/shard/dependencies.rs
@@ -48,7 +48,7 @@
             let job = &self.jobs[j];
             if job.assigned > 0 && job.is_open() && self.dependency_state(j) == DependencyState::Open {
                 log::warn!(
-                    "{} waits for a job that is open, and {} tasks of it are held: stopped",
+                    "job waits for an open dependency, its tasks are stopped job={} tasks={}",
                     job.id,
                     job.assigned
                 );
@@ -97,7 +97,7 @@
                 self.placement_due = true;
                 let (job, day) = (&self.jobs[j], self.day_now_ms(now) as f64);
                 log::debug!(
-                    "{} ({}) waits for nothing any more, {:.1} s after its acceptance and {:.1} s before it is due",
+                    "dependencies met job={} class={} age_s={:.1} due_in_s={:.1}",
                     job.id,
                     job.spec.class,
                     (day - job.accepted_at_ms as f64) / 1000.0,
--- a/crates/scheduler/src/shard/elastic.rs
+++ b/crates/scheduler/src/shard/elastic.rs
@@ -122,7 +122,7 @@
         let Some(pool) = &mut self.elastic else { return };
         let mercy = pool.mercy(grace);
         pool.shrink(key.job, key, mercy, held.held - held.leaving - 1, now);
-        log::debug!("{}/{} gives room back, with {mercy:.1} s to save", self.jobs[key.job].id, key.task);
+        log::debug!("elastic task preempted task={}/{} grace_s={mercy:.1}", self.jobs[key.job].id, key.task);
         self.stop_task(machine_index, key, mercy);
     }
 
@@ -130,7 +130,7 @@
     pub(super) fn on_elastic_task_gone(&mut self, key: TaskKey) {
         let now = self.ticked_at;
         if let Some(took) = self.elastic.as_mut().and_then(|p| p.gone(key, now)) {
-            log::debug!("{}/{} gave its room back after {took:.2} s", self.jobs[key.job].id, key.task);
+            log::debug!("elastic task gone task={}/{} after_s={took:.2}", self.jobs[key.job].id, key.task);
         }
     }
 
@@ -142,7 +142,7 @@
             else {
                 continue;
             };
-            log::info!("{}/{} did not save in time: stopped without", self.jobs[k.job].id, k.task);
+            log::info!("elastic task did not save in time, stopped task={}/{}", self.jobs[k.job].id, k.task);
             self.stop_task(m, k, 0.0);
         }
         if now - self.elastic_looked < RESIZE_INTERVAL_S {
--- a/crates/scheduler/src/shard/large_jobs.rs
+++ b/crates/scheduler/src/shard/large_jobs.rs
@@ -173,7 +173,7 @@
             job.large_job_reported = true;
             if let Some(served) = served {
                 if !served {
-                    log::warn!("{} is among the largest of {} and has not begun in time", job.id, job.spec.class);
+                    log::warn!("large job not begun in time job={} class={}", job.id, job.spec.class);
                 }
                 let (class, team) = (job.spec.class.clone(), job.spec.team.clone());
                 self.service_level_tracker.answered(&class, &team, Reading::Largest, served, t);
@@ -258,7 +258,7 @@
         self.large_jobs.spell.on_reserved(now);
         if kept != Some(m) {
             self.large_jobs.reserved.retain(|_, k| k.0 != job_index);
-            log::info!("machine {} is kept for {}", self.machines[m].name, self.jobs[job_index].id);
+            log::info!("machine reserved machine={} job={}", self.machines[m].name, self.jobs[job_index].id);
             self.large_jobs.reserved.insert(m, (job_index, now));
         }
         let priority = self.jobs[job_index].spec.priority;
--- a/crates/scheduler/src/shard/machine_transfers.rs
+++ b/crates/scheduler/src/shard/machine_transfers.rs
@@ -192,7 +192,7 @@
             }
             let Some(ty) = self.types.names.find(&h.type_name) else { continue };
             let zone = self.types.zones.intern(&h.zone);
-            log::info!("machine {} comes from another cell", h.machine);
+            log::info!("machine received from another shard machine={}", h.machine);
             let m = self.machines.add(&h.machine, ty, zone, h.spot, now);
             let machine = &mut self.machines[m];
             machine.addr = h.addr.parse().ok();
--- a/crates/scheduler/src/shard/placement/preemption.rs
+++ b/crates/scheduler/src/shard/placement/preemption.rs
@@ -29,7 +29,7 @@
         return with_image && migrate_replica(shard, turn.job, now);
     };
     for k in victims {
-        log::debug!("{}/{} makes room", shard.jobs[k.job].id, k.task);
+        log::debug!("task preempted reason=capacity task={}/{}", shard.jobs[k.job].id, k.task);
         shard.preempt(m, k);
     }
     true
@@ -189,7 +189,7 @@
         }
     }
     let Some((m, k)) = choice else { return false };
-    log::debug!("{}/{} moves for {}", shard.jobs[k.job].id, k.task, shard.jobs[waiting].id);
+    log::debug!("replica migrated task={}/{} for={}", shard.jobs[k.job].id, k.task, shard.jobs[waiting].id);
     shard.jobs[k.job].avoided_machine = Some((m, now + 5.0));
     shard.stop_gently(m, k);
     true
--- a/crates/scheduler/src/shard/quotas/mod.rs
+++ b/crates/scheduler/src/shard/quotas/mod.rs
@@ -85,7 +85,7 @@
             let made = Tree::of(p, &teams);
             if let Err(faults) = &made {
                 let told: Vec<String> = faults.iter().map(ToString::to_string).collect();
-                log::error!("quotas of generation {}: {}", p.generation, told.join("; "));
+                log::error!("stored quota plan is wrong generation={}: {}", p.generation, told.join("; "));
             }
             made.ok().map(|m| m.0)
         };
@@ -211,7 +211,7 @@
             Step::Part(n) => q.stored_parts = n + 1,
             Step::Head => {
                 if let Some((plan, tree, _)) = q.next.take() {
-                    log::info!("quotas of generation {} hold", plan.generation);
+                    log::info!("quota plan in force generation={}", plan.generation);
                     q.ledger.change(tree);
                     q.in_force = true;
                     self.placement_due = true;
@@ -238,7 +238,7 @@
         }
         let (held, leaving) = self.held_and_leaving(|_| true);
         for (m, k) in q.ledger.give_way(&held, &leaving) {
-            log::info!("{}/{} gives way to a lower quota", self.jobs[k.job].id, k.task);
+            log::info!("task preempted reason=lower-quota task={}/{}", self.jobs[k.job].id, k.task);
             self.stop_gently(m, k);
         }
     }
@@ -313,7 +313,7 @@
             out.extend(gives.into_iter().map(|t| (t, j)));
         }
         for ((m, k), j) in out {
-            log::info!("{}/{} gives way to {} within a limit", self.jobs[k.job].id, k.task, self.jobs[j].id);
+            log::info!("task preempted reason=limit task={}/{} for={}", self.jobs[k.job].id, k.task, self.jobs[j].id);
             self.stop_gently(m, k);
         }
     }
--- a/crates/scheduler/src/shard/service_levels/mod.rs
+++ b/crates/scheduler/src/shard/service_levels/mod.rs
@@ -94,7 +94,7 @@
                 places.push((p.round(), place));
                 parts.push(p);
             }
-            Err(e) => log::error!("accounts handed over hold something unknown: {e}"),
+            Err(e) => log::error!("stored service levels unreadable error={e}"),
         }
     }
     let c = newest_complete_round(parts)?;
--- a/crates/scheduler/src/shard/task_failures.rs
+++ b/crates/scheduler/src/shard/task_failures.rs
@@ -69,13 +69,13 @@
 
     /// The job has shown that it is at fault: the machines that it failed on get their standing back.
     fn record_job_failure(&mut self, job_index: JobIndex, now: f64) {
-        log::info!("{} fails on every machine: tried again now and then", self.jobs[job_index].id);
+        log::info!("job fails on every machine, retried with backoff job={}", self.jobs[job_index].id);
         for m in self.jobs[job_index].failed_on.clone() {
             // One that is long gone has left the memory.
             let Some(machine) = self.machines.get_mut(m) else { continue };
             machine.recent_failures.retain(|f| f.0 != job_index);
             if machine.is_quarantined() && machine.phase == MachinePhase::Up && !self.is_failing(m, None) {
-                log::info!("machine {} was not at fault", self.machines[m].name);
+                log::info!("quarantine lifted, the job was at fault machine={}", self.machines[m].name);
                 self.machines[m].quarantined_until = now;
                 self.request_record(m);
             }
@@ -106,7 +106,7 @@
         }
         let machine = &mut self.machines[machine_index];
         if !machine.is_quarantined() {
-            log::warn!("machine {} fails its tasks: set aside", machine.name);
+            log::warn!("machine quarantined reason=task-failures machine={}", machine.name);
             machine.quarantined_until = f64::INFINITY;
             machine.quarantined_since = now;
             self.request_record(machine_index);
--- a/crates/scheduler/src/shard/zone_pinned.rs
+++ b/crates/scheduler/src/shard/zone_pinned.rs
@@ -124,7 +124,7 @@
         if short > 0 && self.launches.may_rent(ty, zone, spot, now) {
             let launch = self.launches.enqueue(ty, zone, spot, short.min(MAX_PER_RENTAL));
             let zone = self.types.zones.name(zone);
-            log::info!("renting {} machines in zone {zone} for work that may run nowhere else", launch.count);
+            log::info!("renting for zone-pinned work count={} zone={zone}", launch.count);
         }
     }
 }
