--- a/crates/scheduler/src/shard/commands.rs
+++ b/crates/scheduler/src/shard/commands.rs
@@ -47,7 +47,7 @@
 }
 
 /// The time of sending of a command that is still to be sent.
-const NOT_SENT: f64 = -1.0;
+pub(super) const NOT_SENT: f64 = -1.0;
 /// A machine that executed what it was sent, and whose report does not show our token yet, is asked again after this.
 const UNPROVEN_RETRY_INTERVAL_S: f64 = 1.0;
 /// A machine that refused what it was sent is asked again after this.
--- a/crates/scheduler/src/shard/mod.rs
+++ b/crates/scheduler/src/shard/mod.rs
@@ -53,9 +53,7 @@
 use crate::fleet::machine_groups::{MachineGroupMember, MachineGroupRecord, MachineGroups, machine_group_key};
 use crate::fleet::mixture::{Mixture, Target};
 use crate::fleet::zones::ZoneLists;
-use crate::fleet::{
-    Assignment, AssignmentState, CachedImage, MachineRecord, Machines, Phase as MachinePhase, PushUrgency, Types,
-};
+use crate::fleet::{Assignment, CachedImage, MachineRecord, Machines, Phase as MachinePhase, PushUrgency, Types};
 use crate::intern::{DenseIndex, JobIndex, MachineGroupIndex, MachineIndex, Names, TeamIndex, TypeIndex, ZoneIndex};
 use crate::jobs::{Job, JobRecord, Jobs, PART_PREFIX, PROGRESS_PREFIX, Phase, ProgressRecord, TaskKey, TaskSlot};
 use crate::params::{Params, Team, Tuning};
--- a/crates/scheduler/src/shard/starts.rs
+++ b/crates/scheduler/src/shard/starts.rs
@@ -1,6 +1,13 @@
-//! One start's way: planned, held, stopped, released, and put into the queue again.
+//! One start's way: planned, assigned, stopped, released, and put into the queue again.
+//!
+//! Owns the numbers of attempts and what an assignment takes of machines, teams and quotas. It never chooses the
+//! machine of a task, and sends nothing: a start goes out once the machine's stored record names its job.
 
-use super::*;
+use super::commands::NOT_SENT;
+use super::{STOP_GRACE_MARGIN_S, Shard};
+use crate::fleet::{Assignment, AssignmentState, PushUrgency};
+use crate::intern::{DenseIndex, JobIndex, MachineIndex};
+use crate::jobs::{Phase, TaskKey, TaskSlot};
 
 /// An attempt's number is the token of the leader that started it, shifted by so many bits, and a count.
 pub(super) const ATTEMPT_COUNTER_BITS: u32 = 24;
@@ -8,24 +15,26 @@
 impl Shard {
     /// Every task of this job is to go. Planned ones were never started.
     pub(super) fn stop_all(&mut self, job_index: JobIndex) {
-        let held: Vec<(u32, MachineIndex)> = (0u32..)
-            .zip(&self.jobs[job_index].tasks)
-            .filter_map(|(t, s)| if let TaskSlot::Assigned(m) = s { Some((t, *m)) } else { None })
+        let numbered = (0u32..).zip(&self.jobs[job_index].tasks);
+        let assigned: Vec<(u32, MachineIndex)> = numbered
+            .filter_map(
+                |(task, slot)| if let TaskSlot::Assigned(machine) = slot { Some((task, *machine)) } else { None },
+            )
             .collect();
-        for (t, m) in held {
-            self.stop_task(m, TaskKey::new(job_index, t), 0.0);
+        for (task, machine_index) in assigned {
+            self.stop_task(machine_index, TaskKey::new(job_index, task), 0.0);
         }
     }
 
     /// Stops a held task; with grace if it can save.
-    pub(crate) fn stop_task(&mut self, machine_index: MachineIndex, key: TaskKey, grace: f64) {
-        let Some(h) = self.machines[machine_index].assignments.get_mut(&key) else { return };
-        if h.state == AssignmentState::Planned {
+    pub(crate) fn stop_task(&mut self, machine_index: MachineIndex, key: TaskKey, grace_s: f64) {
+        let Some(assignment) = self.machines[machine_index].assignments.get_mut(&key) else { return };
+        if assignment.state == AssignmentState::Planned {
             self.release_resources(machine_index, key);
             self.requeue(key);
-        } else if h.stop_grace_s.is_none_or(|g| grace < g) {
-            h.stop_grace_s = Some(grace);
-            h.stop_sent_at = -1.0;
+        } else if assignment.stop_grace_s.is_none_or(|earlier_s| grace_s < earlier_s) {
+            assignment.stop_grace_s = Some(grace_s);
+            assignment.stop_sent_at = NOT_SENT;
             if self.jobs[key.job].desired_phase == Phase::Cancelled {
                 self.machines.push_first(machine_index, PushUrgency::Cancelled);
             } else {
@@ -36,81 +45,89 @@
 
     /// Stops a task that is to go on elsewhere: it may save first, if it can.
     pub(crate) fn stop_gently(&mut self, machine_index: MachineIndex, key: TaskKey) {
-        let grace = self.grace(key.job);
-        self.stop_task(machine_index, key, grace);
+        let grace_s = self.grace(key.job);
+        self.stop_task(machine_index, key, grace_s);
     }
 
+    /// Seconds that a task of this job has between being told to stop and being ended.
     pub(super) fn grace(&self, job_index: JobIndex) -> f64 {
-        let s = &self.jobs[job_index].spec;
-        if s.checkpoint_s > 0.0 { s.save_s + STOP_GRACE_MARGIN_S } else { 0.0 }
+        let spec = &self.jobs[job_index].spec;
+        if spec.checkpoint_s > 0.0 { spec.save_s + STOP_GRACE_MARGIN_S } else { 0.0 }
     }
 
-    /// Holds a task on a machine: resources and limits count from here on. False, and an error in the log, where
+    /// Assigns a task to a machine: resources and limits count from here on. False, and an error in the log, where
     /// what it rests on does not hold.
     pub(crate) fn plan_start(&mut self, machine_index: MachineIndex, key: TaskKey, now: f64) -> bool {
-        if let Err(why) = self.may_start(machine_index, key) {
+        if let Err(reason) = self.may_start(machine_index, key) {
             self.counts.forbidden += 1;
             log::error!(
-                "the start of {}/{} on {} is withheld, token {}: {why}",
+                "start withheld machine={} job={} task={} token={} reason={reason}",
+                self.machines[machine_index].name,
                 self.jobs[key.job].id,
                 key.task,
-                self.machines[machine_index].name,
                 self.token
             );
             return false;
         }
-        self.attempts += 1;
         self.counts.starts += 1;
         self.failover_stages.first_start.get_or_insert(now - self.began_at);
-        // Attempts never repeat across leaders: each claim has a range of its own.
-        let attempt = (self.token << ATTEMPT_COUNTER_BITS) + self.attempts;
+        let attempt = self.next_attempt();
+        self.log_start(machine_index, key, attempt, now);
+        self.log_repeated_start(machine_index, key, attempt);
+        self.assign(machine_index, key, planned_assignment(attempt, now));
+        self.touch_image_of(machine_index, key.job);
+        self.command_or_record_start(machine_index, key);
+        true
+    }
+
+    /// Attempts never repeat across leaders: each claim has a range of its own.
+    fn next_attempt(&mut self) -> u64 {
+        self.attempts += 1;
+        (self.token << ATTEMPT_COUNTER_BITS) + self.attempts
+    }
+
+    /// The machine uses the job's image now, or fetches it.
+    fn touch_image_of(&mut self, machine_index: MachineIndex, job_index: JobIndex) {
+        let job = &self.jobs[job_index];
+        let cache_gb = self.types.get(self.machines[machine_index].type_index).cache_gb;
+        if let Some(image) = job.image {
+            self.machines[machine_index].touch_image(image, job.spec.image_gb, cache_gb);
+        }
+    }
+
+    /// The start goes out at once if the machine's stored record names the job, and else once it does.
+    fn command_or_record_start(&mut self, machine_index: MachineIndex, key: TaskKey) {
+        let machine = &mut self.machines[machine_index];
+        if machine.stored_jobs.contains(&key.job) && machine.record_stored {
+            if let Some(assignment) = machine.assignments.get_mut(&key) {
+                assignment.state = AssignmentState::Commanded;
+            }
+            self.machines.push_due.insert(machine_index);
+            return;
+        }
+        self.request_record(machine_index);
+        let group_index = self.machines[machine_index].machine_group;
+        if let Some(group) = group_index.and_then(|group_index| self.machine_groups.list.get_mut(&group_index)) {
+            let job = &self.jobs[key.job];
+            group.on_start_planned(key.job, &job.id, job.is_service());
+        }
+    }
+
+    fn log_start(&self, machine_index: MachineIndex, key: TaskKey, attempt: u64, now: f64) {
         let job = &self.jobs[key.job];
-        let image = job.image.map(|i| (i, job.spec.image_gb));
+        let machine = &self.machines[machine_index];
         log::debug!(
-            "{}/{} ({}) goes to {}, attempt {attempt}, token {}, session {}, {} ms after its acceptance, image there: {}",
+            "start planned machine={} job={} task={} attempt={attempt} token={} incarnation={} class={} \
+             since_acceptance_ms={} image_cached={}",
+            machine.name,
             job.id,
             key.task,
-            job.spec.class,
-            self.machines[machine_index].name,
             self.token,
-            self.machines[machine_index].incarnation,
+            machine.incarnation,
+            job.spec.class,
             self.day_now_ms(now).saturating_sub(job.accepted_at_ms),
-            image.is_none_or(|i| self.machines[machine_index].has_image(i.0))
-        );
-        self.log_repeated_start(machine_index, key, attempt);
-        self.assign(
-            machine_index,
-            key,
-            Assignment {
-                attempt,
-                state: AssignmentState::Planned,
-                assigned_at: now,
-                running_since: now,
-                stop_grace_s: None,
-                stop_sent_at: -1.0,
-                start_sent_at: -1.0,
-                start_replied_at: f64::MIN,
-            },
+            job.image.is_none_or(|image| machine.has_image(image))
         );
-        let cache = self.types.get(self.machines[machine_index].type_index).cache_gb;
-        let machine = &mut self.machines[machine_index];
-        if let Some((i, gb)) = image {
-            machine.touch_image(i, gb, cache);
-        }
-        if machine.stored_jobs.contains(&key.job) && machine.record_stored {
-            if let Some(h) = machine.assignments.get_mut(&key) {
-                h.state = AssignmentState::Commanded;
-            }
-            self.machines.push_due.insert(machine_index);
-        } else {
-            self.request_record(machine_index);
-            let machine_group = self.machines[machine_index].machine_group;
-            if let Some(r) = machine_group.and_then(|r| self.machine_groups.list.get_mut(&r)) {
-                let job = &self.jobs[key.job];
-                r.on_start_planned(key.job, &job.id, job.is_service());
-            }
-        }
-        true
     }
 
     /// The right to start a task whose job an earlier leader had started.
@@ -121,17 +138,19 @@
         let level = self.failover_log.level();
         log::log!(
             level,
-            "{}/{} goes to {}, attempt {attempt}, token {}: an earlier owner had started its job, no machine lists the task, \
-             and all that were recorded with the job were heard or are gone",
+            "start planned after a failover machine={} job={} task={} attempt={attempt} token={} reason=no machine lists \
+             the task, and every machine recorded with the job reported or is gone",
+            self.machines[machine_index].name,
             self.jobs[key.job].id,
             key.task,
-            self.machines[machine_index].name,
             self.token
         );
     }
 
+    /// The task is this machine's from here on, with all that it takes.
     pub(crate) fn assign(&mut self, machine_index: MachineIndex, key: TaskKey, assignment: Assignment) {
-        let (running, begun) = (assignment.state == AssignmentState::Running, assignment.state.has_started());
+        let is_running = assignment.state == AssignmentState::Running;
+        let has_started = assignment.state.has_started();
         self.count_use(machine_index, key.job, 1.0);
         let machine = &mut self.machines[machine_index];
         let job = &mut self.jobs[key.job];
@@ -139,10 +158,10 @@
         machine.service_tasks += usize::from(job.is_service());
         job.tasks[key.task as usize] = TaskSlot::Assigned(machine_index);
         job.assigned += 1;
-        job.running += u32::from(running);
-        job.started += u32::from(begun);
-        if let Some(c) = job.zone_counts.get_mut(machine.zone.as_usize()) {
-            *c += 1;
+        job.running += u32::from(is_running);
+        job.started += u32::from(has_started);
+        if let Some(count) = job.zone_counts.get_mut(machine.zone.as_usize()) {
+            *count += 1;
         }
     }
 
@@ -159,10 +178,10 @@
         self.count_quota(job_index, sign);
     }
 
-    /// A held task's end is seen: what it took is free again.
+    /// An assigned task's end is seen: what it took is free again.
     pub(crate) fn release_resources(&mut self, machine_index: MachineIndex, key: TaskKey) -> Option<Assignment> {
         let machine = &mut self.machines[machine_index];
-        let held = machine.assignments.remove(&key)?;
+        let released = machine.assignments.remove(&key)?;
         self.count_use(machine_index, key.job, -1.0);
         let machine = &mut self.machines[machine_index];
         let job = &mut self.jobs[key.job];
@@ -177,19 +196,19 @@
             job.tasks[key.task as usize] = TaskSlot::Queued;
         }
         job.assigned -= 1;
-        if held.state == AssignmentState::Running {
+        if released.state == AssignmentState::Running {
             job.running -= 1;
         }
-        job.started -= u32::from(held.state.has_started());
-        if let Some(c) = job.zone_counts.get_mut(machine.zone.as_usize()) {
-            *c -= 1;
+        job.started -= u32::from(released.state.has_started());
+        if let Some(count) = job.zone_counts.get_mut(machine.zone.as_usize()) {
+            *count -= 1;
         }
-        if held.state.has_started() {
+        if released.state.has_started() {
             self.track_progress(key.job, self.ticked_at);
         }
         self.on_elastic_task_gone(key);
         self.placement_due = true;
-        Some(held)
+        Some(released)
     }
 
     /// A slot that is free again is queued, unless a machine lists an attempt of its task all the same.
@@ -204,6 +223,7 @@
         }
     }
 
+    /// A task has ended well: that is stored with its job's progress, or with the job's end if it was the last.
     pub(crate) fn on_task_done(&mut self, key: TaskKey) {
         if self.jobs[key.job].is_service() || self.jobs[key.job].phase != Phase::Open {
             return;
@@ -221,10 +241,10 @@
     pub(crate) fn on_machine_emptied(&mut self, machine_index: MachineIndex) {
         let keys: Vec<TaskKey> = self.machines[machine_index].assignments.keys().copied().collect();
         self.clear_listed_attempts(machine_index);
-        for k in keys {
+        for key in keys {
             // A planned start was never sent: it may stay planned only on a machine that goes on.
-            self.release_resources(machine_index, k);
-            self.requeue(k);
+            self.release_resources(machine_index, key);
+            self.requeue(key);
         }
         let machine = &mut self.machines[machine_index];
         machine.expired_incarnation = machine.incarnation;
@@ -233,3 +253,17 @@
         self.mark_reconciled(machine_index);
     }
 }
+
+/// An assignment whose start was not sent yet.
+fn planned_assignment(attempt: u64, now: f64) -> Assignment {
+    Assignment {
+        attempt,
+        state: AssignmentState::Planned,
+        assigned_at: now,
+        running_since: now,
+        stop_grace_s: None,
+        stop_sent_at: NOT_SENT,
+        start_sent_at: NOT_SENT,
+        start_replied_at: f64::MIN,
+    }
+}
