--- a/crates/scheduler/src/shard/failover.rs
+++ b/crates/scheduler/src/shard/failover.rs
@@ -1,6 +1,28 @@
-//! What a new leader finds and makes of it: records, machine groups, machines that may hold anything.
+//! What a new leader finds in the state service and makes of it: jobs, machine groups, machines that may hold anything.
+//!
+//! Owns the first state of a [`Shard`] and what is told of a failover. It reads nothing by itself, and starts, stops
+//! and releases nothing: a machine that was restored may hold what its record says until it is reconciled.
 
-use super::*;
+use super::quotas::{LoadedQuotas, Quotas};
+use super::{
+    Counts, FleetRecord, LoadedCheckpoint, Pool, Shard, TeamState, checkpointing, consistency, elastic, large_jobs,
+    live_attempts, machine_transfers, service_levels,
+};
+use crate::dependency_graph::DependencyGraph;
+use crate::fleet::launch::Launches;
+use crate::fleet::machine_groups::{MachineGroupMember, MachineGroupRecord, MachineGroups, machine_group_key};
+use crate::fleet::mixture::{Mixture, Target};
+use crate::fleet::zones::ZoneLists;
+use crate::fleet::{CachedImage, MachineRecord, Machines, Phase as MachinePhase, PushUrgency, Types};
+use crate::intern::{DenseIndex, JobIndex, MachineGroupIndex, MachineIndex, Names, TypeIndex};
+use crate::jobs::{JobRecord, Jobs, PART_PREFIX, PROGRESS_PREFIX, Phase, ProgressRecord};
+use crate::params::{Params, Tuning};
+use crate::times::stretched;
+use crate::wire::MachineType;
+use lupinspur_service_levels::ServiceLevelTracker;
+use lupinspur_service_levels::underserved::Underserved;
+use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
+use std::sync::Arc;
 
 /// What the leader is told of the world when it takes over.
 #[derive(Debug, Default)]
@@ -53,21 +75,53 @@
 }
 
 impl Shard {
+    /// A new leader's shard, of all that was read: `now` is in seconds of this node's steady clock, and the
+    /// leadership began then.
     pub fn new(
         params: &Params,
         tuning: Tuning,
         token: u64,
         types: Vec<MachineType>,
-        loaded: LoadedState,
+        mut loaded: LoadedState,
         now: f64,
     ) -> Shard {
+        let mut shard = Shard::without_records(params, tuning, token, &mut loaded, now);
+        for (key, version) in loaded.stale_keys {
+            shard.versions.insert(key.clone(), version);
+            shard.stale_keys.insert(key);
+        }
+        for zone in &params.zones {
+            shard.types.zones.intern(zone);
+        }
+        shard.jobs.zones = shard.types.zones.len().max(16);
+        shard.versions.extend(loaded.checkpoint.keys);
+        if let Some((_, version)) = loaded.fleet {
+            shard.versions.insert(crate::fleet::FLEET_KEY.into(), version);
+        }
+        for (record, version) in loaded.jobs {
+            shard.add_job(record, version, now);
+        }
+        shard.restore_progress(loaded.progress);
+        shard.restore_quota_versions(loaded.quotas.as_ref());
+        shard.note_machine_records(loaded.machines);
+        if !types.is_empty() {
+            shard.on_types(types, now);
+        }
+        shard.loading_records = false;
+        shard.note_unread_dependencies();
+        shard
+    }
+
+    /// A shard that knows its settings and none of the jobs and machines. Takes out of what was loaded the values
+    /// that wait for the machine types.
+    fn without_records(params: &Params, tuning: Tuning, token: u64, loaded: &mut LoadedState, now: f64) -> Shard {
         let mut team_names = Names::default();
-        for t in &params.teams {
-            team_names.intern(&t.name);
+        for team in &params.teams {
+            team_names.intern(&team.name);
         }
         let value_bytes = params.value_bytes;
         let earlier_chunk = crate::jobs::chunk_tasks((params.value_kb * 1024.0) as usize);
-        let mut shard = Shard {
+        Shard {
             token,
             began_at: now,
             jobs: Jobs::new(crate::jobs::chunk_tasks(value_bytes).min(earlier_chunk), earlier_chunk, 0),
@@ -127,7 +181,7 @@
             limits_examined: 0,
             large_jobs: large_jobs::LargeJobReservations::new(),
             consistency: consistency::ConsistencyChecker::default(),
-            transfers: machine_transfers::MachineTransfers::new(loaded.transferred_away),
+            transfers: machine_transfers::MachineTransfers::new(std::mem::take(&mut loaded.transferred_away)),
             pairs_examined: 0,
             counts: Counts::default(),
             machines_checked_at: f64::MIN,
@@ -138,119 +192,128 @@
             fleet_sized_at: now - 10.0,
             evicted_at: now,
             machines_to_delete: BTreeSet::new(),
-            fleet_to_restore: loaded.fleet.as_ref().map(|f| f.0.clone()),
+            fleet_to_restore: loaded.fleet.as_ref().map(|(record, _)| record.clone()),
             machines_to_restore: Vec::new(),
-            groups_to_restore: loaded.machine_groups,
-            merged_groups: loaded.merged_groups,
-        };
-        for (key, version) in loaded.stale_keys {
-            shard.versions.insert(key.clone(), version);
-            shard.stale_keys.insert(key);
-        }
-        for z in &params.zones {
-            shard.types.zones.intern(z);
-        }
-        shard.jobs.zones = shard.types.zones.len().max(16);
-        shard.versions.extend(loaded.checkpoint.keys);
-        if let Some((_, v)) = loaded.fleet {
-            shard.versions.insert(crate::fleet::FLEET_KEY.into(), v);
-        }
-        for (r, v) in loaded.jobs {
-            shard.add_job(r, v, now);
+            groups_to_restore: std::mem::take(&mut loaded.machine_groups),
+            merged_groups: std::mem::take(&mut loaded.merged_groups),
         }
-        for (key, r, v) in loaded.progress {
-            shard.versions.insert(key.clone(), v);
-            match shard.progress_of(&key) {
-                Some((j, from)) if shard.jobs[j].phase == Phase::Open => {
-                    shard.jobs.load_progress(j, from, &r);
-                    if shard.jobs[j].desired_phase != Phase::Open {
-                        shard.pending_ends.insert(j);
+    }
+
+    /// Tasks that are stored as done. What belongs to no open job is to be deleted.
+    fn restore_progress(&mut self, progress: Vec<(String, ProgressRecord, u64)>) {
+        for (key, record, version) in progress {
+            self.versions.insert(key.clone(), version);
+            match self.progress_of(&key) {
+                Some((job_index, first_task)) if self.jobs[job_index].phase == Phase::Open => {
+                    self.jobs.load_progress(job_index, first_task, &record);
+                    if self.jobs[job_index].desired_phase != Phase::Open {
+                        self.pending_ends.insert(job_index);
                     }
                 }
                 // Of a record that could not be read nobody knows whether it is over.
-                _ if shard.has_unreadable_records() => {}
-                _ => _ = shard.stale_keys.insert(key),
+                _ if self.has_unreadable_records() => {}
+                _ => _ = self.stale_keys.insert(key),
             }
         }
-        for (key, version) in loaded.quotas.iter().flat_map(|q| {
-            let head = q.head.iter().map(|(_, v)| (lupinspur_quota::stored::HEAD.to_owned(), *v));
-            head.chain(q.parts.iter().map(|(k, _, v)| (k.clone(), *v)))
-        }) {
-            shard.versions.insert(key, version);
+    }
+
+    fn restore_quota_versions(&mut self, quotas: Option<&LoadedQuotas>) {
+        let Some(quotas) = quotas else { return };
+        if let Some((_, version)) = &quotas.head {
+            self.versions.insert(lupinspur_quota::stored::HEAD.to_owned(), *version);
         }
-        for (name, r, v) in loaded.machines {
-            shard.versions.insert(crate::fleet::machine_key(&name), v);
-            shard.machines_to_restore.push((name, r));
+        for (key, _, version) in &quotas.parts {
+            self.versions.insert(key.clone(), *version);
         }
-        if !types.is_empty() {
-            shard.on_types(types, now);
+    }
+
+    /// Machines with a value of their own: they are restored once the machine types are known.
+    fn note_machine_records(&mut self, machines: Vec<(String, MachineRecord, u64)>) {
+        for (name, record, version) in machines {
+            self.versions.insert(crate::fleet::machine_key(&name), version);
+            self.machines_to_restore.push((name, record));
         }
-        shard.loading_records = false;
-        shard.note_unread_dependencies();
-        shard
     }
 
     /// The job whose progress stands under this key, and the first task that it speaks of.
     pub(super) fn progress_of(&self, key: &str) -> Option<(JobIndex, u32)> {
         let (names, unit) = match key.strip_prefix(PROGRESS_PREFIX) {
-            Some(k) => (k, self.jobs.legacy_chunk_tasks),
+            Some(names) => (names, self.jobs.legacy_chunk_tasks),
             None => (key.strip_prefix(PART_PREFIX)?, 1),
         };
-        let (id, n) = names.rsplit_once('/')?;
-        Some((self.jobs.find(id)?, n.parse::<u32>().ok()?.checked_mul(unit)?))
+        let (id, number) = names.rsplit_once('/')?;
+        Some((self.jobs.find(id)?, number.parse::<u32>().ok()?.checked_mul(unit)?))
     }
 
     /// The machine types became known, or their prices moved.
     pub fn on_types(&mut self, types: Vec<MachineType>, now: f64) {
         self.types.update(types);
+        self.open_pools(now);
+        for (group_index, record, version) in std::mem::take(&mut self.groups_to_restore) {
+            self.restore_group(group_index, record, version, now);
+        }
+        for (key, record, version) in std::mem::take(&mut self.merged_groups) {
+            self.restore_merged_group(key, record, version, now);
+        }
+        for (name, record) in std::mem::take(&mut self.machines_to_restore) {
+            if let Some(machine_index) = self.restore_machine(&name, record, now) {
+                self.note_superseding_value(&crate::fleet::machine_key(&name).into(), machine_index);
+            }
+        }
+        self.rewrite_superseded_values();
+        self.placement_due = true;
+    }
+
+    /// A pool for each machine type that has none, by the stored fleet if there is one.
+    fn open_pools(&mut self, now: f64) {
         let fleet = self.fleet_to_restore.take();
         for i in 0..self.types.list.len() {
-            let ty = TypeIndex::new(i);
-            if self.pools.contains_key(&ty) {
-                continue;
+            let type_index = TypeIndex::new(i);
+            if !self.pools.contains_key(&type_index) {
+                let pool = self.pool_of_type(type_index, fleet.as_ref(), now);
+                self.pools.insert(type_index, pool);
             }
-            let t = self.types.get(ty);
-            let mut zones = ZoneLists::new(t.zones.iter().filter_map(|z| self.types.zones.find(z)));
-            let mut target = Target::default();
-            if let Some(p) = fleet.as_ref().and_then(|f| f.pools.iter().find(|p| p.type_name == t.name)) {
-                for z in p.preemptive.iter().filter_map(|z| self.types.zones.find(z)) {
-                    if zones.active.len() > 2 && zones.active.remove(&z) {
-                        zones.preemptive.insert(z);
-                    }
-                }
-                target.restore(now, p.target);
-            }
-            self.pools.insert(ty, Pool { zones, target, base: Target::default(), mix: Mixture::default() });
-        }
-        for (i, r, version) in std::mem::take(&mut self.groups_to_restore) {
-            self.restore_group(i, r, version, now);
         }
-        for (key, r, version) in std::mem::take(&mut self.merged_groups) {
-            self.versions.insert(key.clone(), version);
-            let key: Arc<str> = key.into();
-            if r.machines.is_empty() {
-                self.stale_keys.insert(key.to_string());
-            }
-            for (name, own) in r.machine_records() {
-                if let Some(m) = self.restore_machine(&name, own, now) {
-                    self.note_superseding_value(&key, m);
+    }
+
+    fn pool_of_type(&self, type_index: TypeIndex, fleet: Option<&FleetRecord>, now: f64) -> Pool {
+        let machine_type = self.types.get(type_index);
+        let mut zones = ZoneLists::new(machine_type.zones.iter().filter_map(|zone| self.types.zones.find(zone)));
+        let mut target = Target::default();
+        if let Some(stored) = fleet.and_then(|f| f.pools.iter().find(|pool| pool.type_name == machine_type.name)) {
+            for zone in stored.preemptive.iter().filter_map(|zone| self.types.zones.find(zone)) {
+                if zones.active.len() > 2 && zones.active.remove(&zone) {
+                    zones.preemptive.insert(zone);
                 }
             }
+            target.restore(now, stored.target);
+        }
+        Pool { zones, target, base: Target::default(), mix: Mixture::default() }
+    }
+
+    /// A machine group of a shard that this one takes in: its machines go to groups of this one.
+    fn restore_merged_group(&mut self, key: String, record: MachineGroupRecord, version: u64, now: f64) {
+        self.versions.insert(key.clone(), version);
+        let key: Arc<str> = key.into();
+        if record.machines.is_empty() {
+            self.stale_keys.insert(key.to_string());
         }
-        for (name, r) in std::mem::take(&mut self.machines_to_restore) {
-            if let Some(m) = self.restore_machine(&name, r, now) {
-                self.note_superseding_value(&crate::fleet::machine_key(&name).into(), m);
+        for (name, machine_record) in record.machine_records() {
+            if let Some(machine_index) = self.restore_machine(&name, machine_record, now) {
+                self.note_superseding_value(&key, machine_index);
             }
         }
-        // Old values say what they say until all their machines are recorded by machine groups. That
-        // has time: it comes out of the writes that can be spared.
+    }
+
+    /// Old values say what they say until all their machines are recorded by machine groups. That
+    /// has time: it comes out of the writes that can be spared.
+    fn rewrite_superseded_values(&mut self) {
         let elsewhere: BTreeSet<MachineIndex> =
             self.machine_groups.superseded_values.values().flatten().copied().collect();
-        for m in elsewhere {
-            let machine_group = self.group_of_machine(m);
+        for machine_index in elsewhere {
+            let machine_group = self.group_of_machine(machine_index);
             self.mark_group_dirty(machine_group);
         }
-        self.placement_due = true;
     }
 
     pub(super) fn restore_group(
@@ -260,55 +323,59 @@
         version: u64,
         now: f64,
     ) {
-        let Some(ty) = self.types.names.find(&record.type_name) else {
-            log::warn!("{} is of unknown type {}", machine_group_key(group_index), record.type_name);
-            self.defer_job(&record.jobs);
+        let Some(type_index) = self.types.names.find(&record.type_name) else {
+            log::warn!(
+                "machine group of unknown type deferred machine_group={} type={}",
+                machine_group_key(group_index),
+                record.type_name
+            );
+            self.defer_jobs(&record.jobs);
             return;
         };
         let zone = self.types.zones.intern(&record.zone);
-        let bytes = serde_json::to_string(&record).map_or(0, |t| t.len());
+        let bytes = serde_json::to_string(&record).map_or(0, |value| value.len());
         let key: Arc<str> = machine_group_key(group_index).into();
         self.versions.insert(key.to_string(), version);
         let before = record.machines.len();
-        record.machines.retain(|x| !self.skip_if_transferred(x, group_index));
+        record.machines.retain(|member| !self.skip_if_transferred(member, group_index));
         let names_others = record.machines.len() < before;
         // A value that could not be written again, by the limits that hold or will hold, or
         // that names a machine of another machine group, is replaced: its machines go to other machine groups,
         // and only when all of those are stored does it go.
-        let names_another = |x: &MachineGroupMember| {
-            self.machines.find(&x.machine).is_some_and(|m| self.machines[m].machine_group.is_some())
+        let is_in_another_group = |member: &MachineGroupMember| {
+            let known = self.machines.find(&member.machine);
+            known.is_some_and(|machine_index| self.machines[machine_index].machine_group.is_some())
         };
-        let old = bytes > self.value_bytes || record.machines.iter().any(names_another);
-        if !old {
+        let is_replaced = bytes > self.value_bytes || record.machines.iter().any(is_in_another_group);
+        if !is_replaced {
             let names: Vec<JobIndex> = record.jobs.iter().filter_map(|id| self.jobs.find(id)).collect();
             self.machine_groups
-                .open(group_index, ty, zone, record.spot)
+                .open(group_index, type_index, zone, record.spot)
                 .on_value_built(bytes.saturating_sub(record.image_bytes()), names.into_iter());
         }
-        if old && record.machines.is_empty() {
+        if is_replaced && record.machines.is_empty() {
             self.stale_keys.insert(key.to_string());
         }
-        for (name, own) in record.machine_records() {
-            match self.restore_machine(&name, own, now) {
-                Some(m) if old => self.note_superseding_value(&key, m),
-                Some(m) => {
-                    self.machines[m].machine_group = Some(group_index);
-                    self.machine_groups.open(group_index, ty, zone, record.spot).members.insert(m);
-                }
-                None => {}
+        for (name, machine_record) in record.machine_records() {
+            let Some(machine_index) = self.restore_machine(&name, machine_record, now) else { continue };
+            if is_replaced {
+                self.note_superseding_value(&key, machine_index);
+            } else {
+                self.machines[machine_index].machine_group = Some(group_index);
+                self.machine_groups.open(group_index, type_index, zone, record.spot).members.insert(machine_index);
             }
         }
-        if self.machine_groups.list.get(&group_index).is_some_and(|record| record.members.is_empty() || names_others) {
+        if self.machine_groups.list.get(&group_index).is_some_and(|group| group.members.is_empty() || names_others) {
             self.mark_group_dirty(group_index);
         }
     }
 
     /// Machines that cannot be taken in may hold tasks of these jobs until their leases are surely over.
-    fn defer_job(&mut self, jobs: &[String]) {
+    fn defer_jobs(&mut self, jobs: &[String]) {
         let until = self.began_at + stretched(self.lease_s);
         for id in jobs {
-            if let Some(j) = self.jobs.find(id) {
-                let job = &mut self.jobs[j];
+            if let Some(job_index) = self.jobs.find(id) {
+                let job = &mut self.jobs[job_index];
                 job.not_before = job.not_before.max(until);
             } else {
                 self.live_attempts.defer_job(id, until);
@@ -327,65 +394,71 @@
     /// until it reports with our token or its lease is surely over. One that stands in
     /// two values, as it does while an earlier version's are being replaced, may hold both.
     pub(super) fn restore_machine(&mut self, name: &str, record: MachineRecord, now: f64) -> Option<MachineIndex> {
-        let Some(ty) = self.types.names.find(&record.type_name) else {
-            log::warn!("machine {name} is of unknown type {}", record.type_name);
-            self.defer_job(&record.jobs);
+        let Some(type_index) = self.types.names.find(&record.type_name) else {
+            log::warn!("machine of unknown type deferred machine={name} type={}", record.type_name);
+            self.defer_jobs(&record.jobs);
             return None;
         };
         let zone = self.types.zones.intern(&record.zone);
-        let m = self.machines.add(name, ty, zone, record.spot, now);
-        let mut jobs = std::mem::take(&mut self.machines[m].stored_jobs);
-        let mut first = None;
-        for id in &record.jobs {
-            match self.jobs.find(id) {
-                Some(j) if self.jobs[j].phase == Phase::Open => {
-                    self.jobs[j].recorded_before_failover = true;
-                    if jobs.insert(j) {
-                        self.jobs[j].unreconciled_machines += 1;
-                    }
-                }
-                Some(j) if self.jobs[j].phase == Phase::Cancelled => first = Some(PushUrgency::Cancelled),
-                Some(_) => first = first.or(Some(PushUrgency::JobOver)),
-                None => {
-                    first = first.or(Some(PushUrgency::JobOver));
-                    self.live_attempts.note_possible_holder(id, m);
-                    self.machines[m].unrecognized_jobs.push(id.as_str().into());
-                }
-            }
-        }
-        let images = record
-            .images
-            .iter()
-            .map(|(i, gb)| CachedImage { image: self.jobs.images.intern(i), gb: *gb, ready: true })
-            .collect();
-        let until = self.began_at + stretched(self.lease_s);
-        let machine = &mut self.machines[m];
+        let machine_index = self.machines.add(name, type_index, zone, record.spot, now);
+        let urgency = self.restore_stored_jobs(machine_index, &record.jobs);
+        let images = record.images.iter();
+        let images =
+            images.map(|(image, gb)| CachedImage { image: self.jobs.images.intern(image), gb: *gb, ready: true });
+        let images = images.collect();
+        let reconcile_deadline = self.began_at + stretched(self.lease_s);
+        let machine = &mut self.machines[machine_index];
         machine.addr = record.addr.parse().ok().or(machine.addr);
-        let retiring = record.terminating || machine.phase == MachinePhase::Terminating;
-        machine.phase = if retiring { MachinePhase::Terminating } else { MachinePhase::Up };
-        machine.reconcile_deadline = Some(until);
-        machine.stored_jobs = jobs;
+        let is_terminating = record.terminating || machine.phase == MachinePhase::Terminating;
+        machine.phase = if is_terminating { MachinePhase::Terminating } else { MachinePhase::Up };
+        machine.reconcile_deadline = Some(reconcile_deadline);
         machine.images = images;
         machine.record_stored = true;
         if record.faulty {
             machine.quarantined_until = f64::INFINITY;
         }
-        match first {
-            Some(why) => self.machines.push_first(m, why),
-            None => _ = self.machines.push_due.insert(m),
+        match urgency {
+            Some(urgency) => self.machines.push_first(machine_index, urgency),
+            None => _ = self.machines.push_due.insert(machine_index),
         }
-        if retiring {
-            self.machines_to_delete.insert(m);
+        if is_terminating {
+            self.machines_to_delete.insert(machine_index);
+        }
+        Some(machine_index)
+    }
+
+    /// The jobs that a machine's record names, beside those of a value that was restored before: while it is not
+    /// reconciled it may hold tasks of them. How urgently it has to be told of those that are over.
+    fn restore_stored_jobs(&mut self, machine_index: MachineIndex, ids: &[String]) -> Option<PushUrgency> {
+        let mut stored_jobs = std::mem::take(&mut self.machines[machine_index].stored_jobs);
+        let mut urgency = None;
+        for id in ids {
+            let Some(job_index) = self.jobs.find(id) else {
+                urgency = urgency.or(Some(PushUrgency::JobOver));
+                self.live_attempts.note_possible_holder(id, machine_index);
+                self.machines[machine_index].unrecognized_jobs.push(id.as_str().into());
+                continue;
+            };
+            let job = &mut self.jobs[job_index];
+            match job.phase {
+                Phase::Open => {
+                    job.recorded_before_failover = true;
+                    job.unreconciled_machines += u32::from(stored_jobs.insert(job_index));
+                }
+                Phase::Cancelled => urgency = Some(PushUrgency::Cancelled),
+                _ => urgency = urgency.or(Some(PushUrgency::JobOver)),
+            }
         }
-        Some(m)
+        self.machines[machine_index].stored_jobs = stored_jobs;
+        urgency
     }
 
     /// From now on it is known what this machine holds.
     pub(crate) fn mark_reconciled(&mut self, machine_index: MachineIndex) {
         let machine = &mut self.machines[machine_index];
         if machine.reconcile_deadline.take().is_some() {
-            for j in machine.stored_jobs.clone() {
-                let job = &mut self.jobs[j];
+            for job_index in machine.stored_jobs.clone() {
+                let job = &mut self.jobs[job_index];
                 job.unreconciled_machines = job.unreconciled_machines.saturating_sub(1);
             }
             for id in std::mem::take(&mut self.machines[machine_index].unrecognized_jobs) {
@@ -406,16 +479,16 @@
 
     /// Tells once how long each stage of the failover took.
     pub(super) fn log_failover_stages(&mut self, now: f64) {
-        let s = &mut self.failover_stages;
-        if s.told || !self.machines.present.iter().all(|m| self.machines.list[m.as_usize()].is_reconciled()) {
+        let stages = &mut self.failover_stages;
+        let mut present = self.machines.present.iter();
+        if stages.told || !present.all(|machine_index| self.machines.list[machine_index.as_usize()].is_reconciled()) {
             return;
         }
-        let resolved = *s.resolved.get_or_insert(now - self.began_at);
-        let Some(first) = s.first_start else { return };
-        s.told = true;
+        let resolved = *stages.resolved.get_or_insert(now - self.began_at);
+        let Some(first) = stages.first_start else { return };
+        stages.told = true;
         log::info!(
-            "after the takeover the first start took {first:.2} s, and all machines were known after {resolved:.2} s; {} attempts \
-             of earlier owners adopted, {} orphaned",
+            "failover complete first_start_s={first:.2} reconciled_s={resolved:.2} adopted_attempts={} orphaned_attempts={}",
             self.counts.adopted,
             self.counts.orphaned
         );
--- a/crates/scheduler/src/shard/mod.rs
+++ b/crates/scheduler/src/shard/mod.rs
@@ -50,17 +50,14 @@
 
 use crate::dependency_graph::DependencyGraph;
 use crate::fleet::launch::Launches;
-use crate::fleet::machine_groups::{MachineGroupMember, MachineGroupRecord, MachineGroups, machine_group_key};
+use crate::fleet::machine_groups::{MachineGroupRecord, MachineGroups, machine_group_key};
 use crate::fleet::mixture::{Mixture, Target};
 use crate::fleet::zones::ZoneLists;
-use crate::fleet::{
-    Assignment, AssignmentState, CachedImage, MachineRecord, Machines, Phase as MachinePhase, PushUrgency, Types,
-};
+use crate::fleet::{Assignment, AssignmentState, MachineRecord, Machines, Phase as MachinePhase, PushUrgency, Types};
 use crate::intern::{DenseIndex, JobIndex, MachineGroupIndex, MachineIndex, Names, TeamIndex, TypeIndex, ZoneIndex};
-use crate::jobs::{Job, JobRecord, Jobs, PART_PREFIX, PROGRESS_PREFIX, Phase, ProgressRecord, TaskKey, TaskSlot};
-use crate::params::{Params, Team, Tuning};
-use crate::times::stretched;
-use crate::wire::{JobState, Kind, MachineType};
+use crate::jobs::{Job, JobRecord, Jobs, Phase, TaskKey, TaskSlot};
+use crate::params::{Team, Tuning};
+use crate::wire::{JobState, Kind};
 use lupinspur_service_levels::ServiceLevelTracker;
 use lupinspur_service_levels::underserved::Underserved;
 use serde::{Deserialize, Serialize};
