--- a/src/node/merging.rs
+++ b/src/node/merging.rs
@@ -15,7 +15,14 @@
 use crate::fleet::machine_groups::MachineGroupRecord;
 use lupinspur_sharding::activation::{ActivePlan, NOBODY, Presence, all_agree_on, may_absorb_all};
 
-type TakenIn = (Vec<(String, MachineGroupRecord, u64)>, Vec<(String, u64)>);
+/// What the other shards stored, as the shard that takes them in reads it.
+#[derive(Default)]
+pub(super) struct MergedState {
+    /// Their machine groups, by key, with the version.
+    pub(super) machine_groups: Vec<(String, MachineGroupRecord, u64)>,
+    /// Everything else, which is of no use any more, with the version.
+    pub(super) stale_keys: Vec<(String, u64)>,
+}
 
 impl Node {
     /// Are the shards that are in force on their way back to one?
@@ -134,11 +141,11 @@
         if !claims.iter().all(|(_, i)| i.as_ref().is_some_and(|i| record_holder(i) == NOBODY)) {
             return;
         }
-        let read_at = *lock(&self.loaded_at);
+        let loaded_at = *lock(&self.loaded_at);
         if !self.absorbs_all_shards() {
             return self.reacquire_leadership(token).await;
         }
-        if read_at.0 != token || !self.others_are_cleared(plan, read_at.1).await {
+        if loaded_at.token != token || !self.others_are_cleared(plan, loaded_at.revision).await {
             return;
         }
         let Ok(Some(stands)) = self.state.get(LEADERSHIP_KEY, RequestPriority::Normal).await else { return };
@@ -170,20 +177,21 @@
 
     /// What the other shards kept, while they merge into this one: machine groups, and the rest, which is of
     /// no use any more. So is what passed between them.
-    pub(super) async fn read_merged(&self) -> Result<TakenIn, StateError> {
-        let (mut machine_groups, mut stale) = (Vec::new(), Vec::new());
+    pub(super) async fn read_merged(&self) -> Result<MergedState, StateError> {
+        let mut merged = MergedState::default();
         if !self.absorbs_all_shards() {
-            return Ok((machine_groups, stale));
+            return Ok(merged);
         }
-        for c in 1..self.shards().len() {
-            let (items, _) = self.state.list(&format!("c{c}/"), RequestPriority::Normal).await?;
-            let (of_racks, rest): (Vec<KeyValue>, Vec<KeyValue>) =
-                items.into_iter().partition(|i| i.key.starts_with(&format!("c{c}/{MACHINE_GROUP_PREFIX}")));
-            stale.extend(rest.into_iter().map(|i| (i.key, i.version)));
-            machine_groups.extend(parse_items::<MachineGroupRecord>(of_racks));
+        for shard in 1..self.shards().len() {
+            let (items, _) = self.state.list(&format!("c{shard}/"), RequestPriority::Normal).await?;
+            let group_prefix = format!("c{shard}/{MACHINE_GROUP_PREFIX}");
+            let (groups, rest): (Vec<KeyValue>, Vec<KeyValue>) =
+                items.into_iter().partition(|item| item.key.starts_with(&group_prefix));
+            merged.stale_keys.extend(rest.into_iter().map(|item| (item.key, item.version)));
+            merged.machine_groups.extend(parse_items::<MachineGroupRecord>(groups));
         }
         let (items, _) = self.state.list(SHARDS_PREFIX, RequestPriority::Normal).await?;
-        stale.extend(items.into_iter().map(|i| (i.key, i.version)));
-        Ok((machine_groups, stale))
+        merged.stale_keys.extend(items.into_iter().map(|item| (item.key, item.version)));
+        Ok(merged)
     }
 }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -18,14 +18,12 @@
     MACHINE_TYPES_KEY, ObservedRecord, backoff_key,
 };
 use crate::fleet::machine_groups::MACHINE_GROUP_PREFIX;
-use crate::fleet::{FLEET_KEY, MACHINE_PREFIX};
 use crate::health::Health;
-use crate::intern::{DenseIndex, MachineGroupIndex};
 use crate::job_status::{JobStatus, Lookup};
 use crate::jobs::{JOB_PREFIX, JobRecord, PART_PREFIX, PROGRESS_PREFIX, Phase};
 use crate::peer::Peers;
 use crate::settings::Settings;
-use crate::shard::{LoadedCheckpoint, LoadedQuotas, LoadedState, Shard, parse_job_record};
+use crate::shard::{Shard, parse_job_record};
 use crate::state::{CompareAndSwap, KvClient, RequestPriority, StateError};
 use crate::tuning::Tuning;
 use crate::wire::{Compare, KeyValue, Kind, MachineType, Mutation};
@@ -33,11 +31,8 @@
 use async_channel::{Receiver, Sender};
 use async_executor::Executor;
 use async_io::Timer;
-use futures_lite::FutureExt;
 use lru::LruCache;
 use lupinspur_quota::Plan;
-use lupinspur_quota::stored::{HEAD, PREFIX};
-use lupinspur_service_levels::inheritance::InheritedTotals;
 use lupinspur_service_levels::{Reading, ServiceLevelReport as ServiceTold, ServiceLevelTracker};
 use lupinspur_sharding::ShardId;
 use serde::de::DeserializeOwned;
--- a/src/node/shard_runtime.rs
+++ b/src/node/shard_runtime.rs
@@ -17,12 +17,18 @@
     pub(super) quota_transfer_in_progress: AtomicBool,
     /// Another set of shards has taken its place: its loops end.
     pub(super) closed: AtomicBool,
-    /// By which claim, and up to which revision, everything was read.
-    pub(super) loaded_at: Mutex<(u64, u64)>,
+    pub(super) loaded_at: Mutex<LoadedAt>,
     /// Shard 0, at the end of a merging: whatever the others had is its own.
     pub(super) absorbs_all_shards: AtomicBool,
 }
 
+/// Under which token, and up to which revision, everything was read.
+#[derive(Debug, Default, Clone, Copy)]
+pub(super) struct LoadedAt {
+    pub(super) token: u64,
+    pub(super) revision: u64,
+}
+
 impl std::ops::Deref for ShardRuntime {
     type Target = Node;
     fn deref(&self) -> &Node {
