--- /dev/null
+++ b/src/node/leadership/lease.rs
@@ -0,0 +1,73 @@
+//! The lease of a leader: renewed well before it ends, and valid from the moment at which the renewal was sent. It
+//! is never renewed here once it is known to have expired.
+
+use crate::clock;
+use crate::election::LeaderElection;
+use crate::node::{ShardRuntime, lock};
+use crate::state::StateError;
+use async_io::Timer;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// A lease is renewed so many times while it lasts.
+const RENEWALS_PER_LEASE: f64 = 5.0;
+const MAX_RENEWAL_INTERVAL_S: f64 = 1.5;
+const RENEWAL_TIMEOUT: Duration = Duration::from_millis(1200);
+/// Whoever does not lead campaigns this often.
+const CAMPAIGN_INTERVAL: Duration = Duration::from_millis(150);
+
+impl ShardRuntime {
+    pub(in crate::node) async fn renew_lease_loop(self: Arc<Self>) {
+        let interval_s = (self.tuning.leader_lease_s / RENEWALS_PER_LEASE).min(MAX_RENEWAL_INTERVAL_S);
+        let interval = Duration::from_secs_f64(interval_s);
+        let mut renewal_sent_at = f64::MIN;
+        while self.is_open() {
+            let due = clock::now() - renewal_sent_at >= interval.as_secs_f64();
+            let lease = lock(&self.election).lease_to_renew(due);
+            if let Some(lease) = lease {
+                renewal_sent_at = clock::now();
+                self.renew_lease(lease, renewal_sent_at).await;
+            }
+            self.campaign().await;
+            let leading = lock(&self.election).valid_token(clock::now()).is_some();
+            let pause = if leading { interval } else { CAMPAIGN_INTERVAL };
+            Timer::after(pause.min(interval)).await;
+        }
+    }
+
+    async fn renew_lease(&self, lease: u64, sent_at: f64) {
+        match self.state.renew(lease, RENEWAL_TIMEOUT).await {
+            Ok(()) => {
+                self.state_answered();
+                let mut election = lock(&self.election);
+                if election.lease() == Some(lease) {
+                    election.lease_renewed(lease, sent_at);
+                }
+            }
+            Err(StateError::NoSuchLease) => {
+                log::warn!("lease expired shard={} lease={lease}", self.id.0);
+                self.on_lease_expired(lease);
+                // The watch may have told the record's end before the campaign's own answer came, after
+                // a pause: nothing else would show then that nobody holds it.
+                self.read_leadership_record().await;
+            }
+            Err(error) => log::debug!("lease renewal failed shard={} lease={lease} reason=\"{error}\"", self.id.0),
+        }
+    }
+
+    /// Ends leadership as `update` says, and drops the shard.
+    pub(in crate::node) fn leadership_lost(&self, update: impl FnOnce(&mut LeaderElection)) {
+        update(&mut lock(&self.election));
+        let lost_token = lock(&self.shard).take().map(|shard| shard.token);
+        if let Some(token) = lost_token {
+            log::warn!("leadership lost shard={} token={token}", self.id.0);
+            self.update_rate_shares();
+        }
+    }
+
+    pub(super) fn on_lease_expired(&self, lease: u64) {
+        if lock(&self.election).lease_expired(lease) {
+            self.leadership_lost(|_| {});
+        }
+    }
+}
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -13,10 +13,7 @@
 
 use crate::clock;
 use crate::cloud::CloudClient;
-use crate::election::{
-    CRASH_LOOP_BACKOFF_S, ElectionStep, LEADERSHIP_KEY, LEADERSHIP_PREFIX, LeaderElection, LeadershipRecord,
-    MACHINE_TYPES_KEY, ObservedRecord, backoff_key,
-};
+use crate::election::{LEADERSHIP_KEY, LEADERSHIP_PREFIX, LeaderElection, LeadershipRecord};
 use crate::fleet::machine_groups::MACHINE_GROUP_PREFIX;
 use crate::health::Health;
 use crate::job_status::{JobStatus, Lookup};
