--- a/src/audit/tests.rs
+++ b/src/audit/tests.rs
@@ -1,4 +1,5 @@
-use super::*;
+use super::{Audit, Fault, Findings, table};
+use crate::wire::KeyValue;
 use serde_json::{Value, json};
 
 fn job(id: &str, phase: &str) -> Value {
--- a/src/rate_limiter/tests.rs
+++ b/src/rate_limiter/tests.rs
@@ -1,4 +1,4 @@
-use super::*;
+use super::RateLimiter;
 
 #[test]
 fn keeps_to_its_rate() {
--- a/src/run.rs
+++ b/src/run.rs
@@ -37,7 +37,7 @@
     clock::now();
     let listener = listen_on(settings.listen)?;
     let peer_listener = listen_on(settings.peer_listen)?;
-    let bounds = settings.door();
+    let bounds = settings.http_bounds();
     log::info!("{} in {} listens on {}", settings.node, settings.zone, settings.listen);
     let node = Arc::new(Node::new(settings, tuning, features));
     let n = || node.clone();
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,23 +1,21 @@
-//! The settings file that the platform hands over, read and checked.
+//! The settings file that the platform hands over. Never changes while the process runs.
 
-use crate::wire;
-use lupinspur_scheduler::params::Params;
+mod error;
+mod parse;
+#[cfg(test)]
+mod tests;
+
+pub use error::{SettingsError, WrongValue};
 pub use lupinspur_scheduler::params::Team;
-use lupinspur_service_levels::{CompletionObjective, ServiceLevelObjectives};
+
+use crate::http::{Bounds, MAX_BODY};
+use lupinspur_scheduler::params::Params;
+use lupinspur_service_levels::ServiceLevelObjectives;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::path::Path;
 
-#[derive(Debug, thiserror::Error)]
-pub enum SettingsError {
-    #[error("settings file {0}: {1}")]
-    Unreadable(String, std::io::Error),
-    #[error("settings file: {0}")]
-    Malformed(String),
-    #[error("settings: {field}: {reason}")]
-    Wrong { field: String, reason: String },
-}
-
+/// Another controller.
 #[derive(Debug, Clone)]
 pub struct Peer {
     pub node: String,
@@ -35,6 +33,8 @@
     pub txn_ops: usize,
 }
 
+/// What the platform says of this controller and its cluster. Fields that end in `_s` are seconds, in `_rps` requests
+/// a second.
 #[derive(Debug, Clone)]
 pub struct Settings {
     pub node: String,
@@ -64,52 +64,15 @@
     pub memory_mb: f64,
 }
 
-/// The part of the sockets that workers and users may hold; the rest is for our own calls.
-const SOCKETS_IN: (usize, usize) = (4, 5);
-/// The part of the memory that bodies of requests may take.
-const BODIES_OF_MEMORY: f64 = 0.125;
-
-fn wrong<T>(field: &str, reason: impl Into<String>) -> Result<T, SettingsError> {
-    Err(SettingsError::Wrong { field: field.into(), reason: reason.into() })
-}
-
-fn addr(field: &str, text: &str) -> Result<SocketAddr, SettingsError> {
-    text.parse().or_else(|_| wrong(field, format!("{text:?} is not an address and port")))
-}
-
-fn positive(field: &str, v: f64) -> Result<f64, SettingsError> {
-    if v.is_finite() && v > 0.0 { Ok(v) } else { wrong(field, format!("{v} must be above zero")) }
-}
-
-fn amount(field: &str, v: f64) -> Result<f64, SettingsError> {
-    if v.is_finite() && v >= 0.0 { Ok(v) } else { wrong(field, format!("{v} must not be negative")) }
-}
-
-fn name(field: &str, v: String) -> Result<String, SettingsError> {
-    if v.is_empty() { wrong(field, "must not be empty") } else { Ok(v) }
-}
-
-/// What the objectives promise each class. One that names no class, or is of a kind that is
-/// not known, promises nothing that can be counted by class.
-fn terms(objectives: &[wire::SettingsObjective]) -> Result<HashMap<String, ServiceLevelObjectives>, SettingsError> {
-    let mut out: HashMap<String, ServiceLevelObjectives> = HashMap::new();
-    for o in objectives {
-        let Some(class) = &o.class else { continue };
-        let of = |what: &str, v: Option<f64>| {
-            v.map(|v| positive(&format!("cluster.objectives.{what} of {class}"), v)).transpose()
-        };
-        let (within, times, after) = (of("within_s", o.within_s)?, of("times", o.times)?, of("after_s", o.after_s)?);
-        let t = out.entry(class.clone()).or_default();
-        match (o.kind.as_str(), within) {
-            ("wait", Some(s)) => t.wait(s),
-            ("finished", Some(s)) => t.done.push(CompletionObjective::Within(s)),
-            ("deadline", _) => t.done.push(CompletionObjective::Deadline(times.unwrap_or(1.0))),
-            ("up", _) => t.grace_s = after,
-            _ => {}
-        }
-    }
-    Ok(out)
-}
+/// The fraction of the sockets that workers and users may hold; the rest is for this controller's own calls.
+const INBOUND_SOCKETS_NUMERATOR: usize = 4;
+const INBOUND_SOCKETS_DENOMINATOR: usize = 5;
+/// Connections that workers and users may hold at least.
+const MIN_INBOUND_CONNECTIONS: usize = 8;
+/// The fraction of the memory that bodies of requests may take.
+const BODY_MEMORY_FRACTION: f64 = 0.125;
+/// Bodies of the largest size that fit at once at least.
+const MIN_LARGEST_BODIES: usize = 4;
 
 /// Of a value's limit, the part left free: for how the service may count what we do not see.
 const VALUE_SLACK: usize = 32;
@@ -142,12 +105,13 @@
         }
     }
 
-    /// What workers and users may take of this controller.
-    pub fn door(&self) -> crate::http::Bounds {
-        let body_bytes = (self.memory_mb * 1024.0 * 1024.0 * BODIES_OF_MEMORY) as usize;
-        crate::http::Bounds {
-            connections: (self.sockets * SOCKETS_IN.0 / SOCKETS_IN.1).max(8),
-            body_bytes: body_bytes.max(4 * crate::http::MAX_BODY),
+    /// What workers and users together may take of this controller.
+    pub fn http_bounds(&self) -> Bounds {
+        let body_bytes = (self.memory_mb * 1024.0 * 1024.0 * BODY_MEMORY_FRACTION) as usize;
+        let connections = self.sockets * INBOUND_SOCKETS_NUMERATOR / INBOUND_SOCKETS_DENOMINATOR;
+        Bounds {
+            connections: connections.max(MIN_INBOUND_CONNECTIONS),
+            body_bytes: body_bytes.max(MIN_LARGEST_BODIES * MAX_BODY),
         }
     }
 
@@ -156,99 +120,16 @@
         self.txn_ops.min(self.state_next.txn_ops)
     }
 
+    /// Reads and checks the settings file.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
-        let text =
-            std::fs::read_to_string(path).map_err(|e| SettingsError::Unreadable(path.display().to_string(), e))?;
+        let text = std::fs::read_to_string(path)
+            .map_err(|source| SettingsError::Unreadable { path: path.to_owned(), source })?;
         Settings::parse(&text)
     }
 
+    /// Checks the text of a settings file. The first field that is wrong is named by the error.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
-        let f: wire::SettingsFile = toml::from_str(text).map_err(|e| {
-            let field = text.get(e.span().unwrap_or_default()).unwrap_or("").trim();
-            let hint = if field.is_empty() { String::new() } else { format!(" at {field:.60}") };
-            SettingsError::Malformed(format!("{}{hint}", e.message().replace('\n', " ")))
-        })?;
-        let mut peers = Vec::new();
-        for p in f.peers {
-            let field = wire::SETTINGS_PEER_ADDR;
-            peers.push(Peer { addr: addr(field, &p.addr)?, node: p.node, zone: p.zone });
-        }
-        for (i, p) in peers.iter().enumerate() {
-            if p.node == f.node || peers[..i].iter().any(|q| q.node == p.node) {
-                return wrong(wire::SETTINGS_PEERS, format!("{} is named twice", p.node));
-            }
-        }
-        let mut teams: Vec<Team> = Vec::new();
-        for t in f.params.teams {
-            if teams.iter().any(|o| o.name == t.name) {
-                return wrong("cluster.teams", format!("{} is named twice", t.name));
-            }
-            teams.push(Team {
-                name: name("cluster.teams.name", t.name)?,
-                cpus: amount("cluster.teams.cpus", t.cpus)?,
-                cpus_max: amount("cluster.teams.cpus_max", t.cpus_max)?,
-                accelerators: amount("cluster.teams.gpus", t.gpus)?,
-                accelerators_max: amount("cluster.teams.gpus_max", t.gpus_max)?,
-            });
-        }
-        if teams.is_empty() {
-            return wrong("cluster.teams", "at least one team is needed");
-        }
-        if f.params.zones.is_empty() {
-            return wrong("cluster.zones", "at least one zone is needed");
-        }
-        let value_kb = positive("cluster.state.value_kb", f.params.state.value_kb)?;
-        if value_kb < 2.0 {
-            return wrong("cluster.state.value_kb", "at least 2 is needed");
-        }
-        let txn_ops = f.params.state.txn_ops;
-        if txn_ops == 0 {
-            return wrong("cluster.state.txn_ops", "must be above zero");
-        }
-        let next = f.params.state.next.as_ref();
-        let state_rps = positive("cluster.state.rps", f.params.state.rps)?;
-        let write_rps = positive("cluster.state.write_rps", f.params.state.write_rps)?;
-        let state_next = StateNext {
-            rps: positive("cluster.state.next.rps", next.and_then(|n| n.rps).unwrap_or(state_rps))?,
-            write_rps: positive("cluster.state.next.write_rps", next.and_then(|n| n.write_rps).unwrap_or(write_rps))?,
-            value_kb: positive("cluster.state.next.value_kb", next.and_then(|n| n.value_kb).unwrap_or(value_kb))?,
-            txn_ops: next.and_then(|n| n.txn_ops).unwrap_or(txn_ops),
-        };
-        if state_next.value_kb < 2.0 {
-            return wrong("cluster.state.next.value_kb", "at least 2 is needed");
-        }
-        if state_next.txn_ops == 0 {
-            return wrong("cluster.state.next.txn_ops", "must be above zero");
-        }
-        let sockets = f.params.limits.max_connections.unwrap_or(1000);
-        if sockets < 16 {
-            return wrong("cluster.limits.sockets", "at least 16 are needed");
-        }
-        Ok(Settings {
-            node: name(wire::SETTINGS_NODE, f.node)?,
-            zone: name(wire::SETTINGS_ZONE, f.zone)?,
-            listen: addr(wire::SETTINGS_LISTEN, &f.listen)?,
-            peer_listen: addr("peer_listen", &f.peer_listen)?,
-            peers,
-            cloud: addr("services.cloud", &f.services.cloud)?,
-            state: addr("services.state", &f.services.state)?,
-            zones: f.params.zones,
-            teams,
-            terms: terms(&f.params.objectives)?,
-            report_s: positive("cluster.workers.report_s", f.params.workers.report_s)?,
-            lease_s: positive("cluster.workers.lease_s", f.params.workers.lease_s)?,
-            cancel_s: positive("cluster.workers.cancel_s", f.params.workers.cancel_s)?,
-            state_rps,
-            write_rps,
-            value_kb,
-            txn_ops,
-            state_next,
-            time_bound_s: amount("cluster.time_bound_ms", f.params.time_bound_ms)? / 1000.0,
-            cloud_rps: positive("cluster.cloud.rps", f.params.cloud.rps)?,
-            list_lag_s: amount("cluster.cloud.list_lag_s", f.params.cloud.list_lag_s)?,
-            sockets,
-            memory_mb: positive("cluster.limits.ram_mb", f.params.limits.memory_mb.unwrap_or(100.0))?,
-        })
+        parse::parse(text)
     }
 }
 
@@ -278,6 +159,3 @@
 [cluster.cloud]
 rps = 5.0
 "#;
-
-#[cfg(test)]
-mod tests;
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -1,4 +1,4 @@
-use super::*;
+use super::{EXAMPLE, Settings, SettingsError};
 
 fn with_next(next: &str) -> Result<Settings, SettingsError> {
     Settings::parse(&EXAMPLE.replace("[cluster.cloud]", &format!("[cluster.state.next]\n{next}\n[cluster.cloud]")))
