--- a/src/health.rs
+++ b/src/health.rs
@@ -1,73 +1,45 @@
-//! What the load balancer is answered.
+//! The health check that the load balancer asks for. Decides alone; reads neither clock nor state.
 //!
-//! It takes a node away after two noes and lets it wait before it is back, twice as long for each
+//! The load balancer takes a node away after two refusals and lets it wait before it is back, twice as long for each
 //! further time within two minutes, up to a minute. A node that lost the state service again and again
 //! for a few seconds was away for that minute after all was well; where all lost it together, nobody
 //! was there to be asked.
 
 use std::collections::VecDeque;
 
-/// The state service has not answered for so long, in seconds: no, if nothing else is known.
+/// A follower is unhealthy once the state service has not answered for so long, in seconds.
 const GRACE_S: f64 = 4.0;
-/// For each time that it was said lately, twice as long before it is said again; no longer than this.
+/// The grace doubles with each recent refusal, up to this, in seconds.
 const MAX_GRACE_S: f64 = 32.0;
-/// The load balancer counts removals for so long, in seconds.
-const COUNTS_FOR_S: f64 = 120.0;
+/// For so long the load balancer counts removals, in seconds.
+const REMOVAL_WINDOW_S: f64 = 120.0;
 
-/// Remembers what it said.
+/// The health check's recent answers.
 #[derive(Debug, Default)]
 pub struct Health {
-    said_no: bool,
-    /// When it began to say no.
-    noes: VecDeque<f64>,
+    is_refusing: bool,
+    /// When it began to refuse, each time within the window, in seconds of the steady clock.
+    refused_at: VecDeque<f64>,
 }
 
 impl Health {
-    /// Can this node take requests? `useful`: it can do anything at all; `owns`: it need ask nobody;
-    /// `answered`: when the state service last answered it. Times are seconds of the steady clock.
-    pub fn says(&mut self, useful: bool, owns: bool, answered: f64, now: f64) -> bool {
-        while self.noes.front().is_some_and(|t| now - t > COUNTS_FOR_S) {
-            self.noes.pop_front();
+    /// Can this node take requests? `can_decide`: it has what every decision needs; `is_leader`: it need ask nobody;
+    /// `state_answered_at`: when the state service last answered it. Times are seconds of the steady clock.
+    pub fn says(&mut self, can_decide: bool, is_leader: bool, state_answered_at: f64, now: f64) -> bool {
+        while self.refused_at.front().is_some_and(|refused_at| now - refused_at > REMOVAL_WINDOW_S) {
+            self.refused_at.pop_front();
         }
-        let grace = GRACE_S * f64::from(1u32 << self.noes.len().min(8) as u32);
-        // Once it is said, it is said until the state service answers again.
-        let patience = if self.said_no { GRACE_S } else { grace.min(MAX_GRACE_S) };
-        let yes = useful && (owns || now - answered < patience);
-        if useful && !yes && !self.said_no {
-            self.noes.push_back(now);
+        let grace = GRACE_S * f64::from(1u32 << self.refused_at.len().min(8) as u32);
+        // Once it refuses, it refuses until the state service answers again.
+        let patience = if self.is_refusing { GRACE_S } else { grace.min(MAX_GRACE_S) };
+        let is_healthy = can_decide && (is_leader || now - state_answered_at < patience);
+        if can_decide && !is_healthy && !self.is_refusing {
+            self.refused_at.push_back(now);
         }
-        self.said_no = !yes;
-        yes
+        self.is_refusing = !is_healthy;
+        is_healthy
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    /// Guards against a node that is away for a minute after the last of many short troubles: within
-    /// two minutes it says no so few times that the load balancer's pause stays short.
-    #[test]
-    fn many_short_troubles_take_a_node_away_only_a_few_times() {
-        let mut h = Health::default();
-        let (mut answered, mut said, mut removals) = (0.0, true, Vec::new());
-        for i in 0..2400 {
-            let now = f64::from(i) * 0.1;
-            // Six seconds without an answer in every ten.
-            if now % 10.0 < 4.0 {
-                answered = now;
-            }
-            let yes = h.says(true, false, answered, now);
-            if said && !yes {
-                removals.push(now);
-            }
-            said = yes;
-        }
-        assert!(!removals.is_empty(), "a node that is refused says so");
-        let most = removals.iter().map(|t| removals.iter().filter(|o| (*t..t + 120.0).contains(*o)).count()).max();
-        assert!(most <= Some(3), "{most:?} removals within two minutes: {removals:?}");
-        assert!(!h.says(true, false, answered, answered + MAX_GRACE_S + 0.1), "not for ever");
-        assert!(h.says(true, true, 0.0, 500.0), "an owner need ask nobody");
-        assert!(!h.says(false, false, 500.0, 500.0), "without the machine types nothing can be judged");
-    }
-}
+mod tests;
--- a/src/http/admission.rs
+++ b/src/http/admission.rs
@@ -1,4 +1,5 @@
-//! What all connections to one listener may take together, and what is refused first where they run short.
+//! Admission control: what all connections to one listener may take together, and which requests are refused first
+//! where connections are short. Never refuses a worker's report or the load balancer's question.
 
 use http_types::Method;
 use std::sync::Mutex;
@@ -8,6 +9,7 @@
 /// What all connections to one listener may take together.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
+    /// Open connections.
     pub connections: usize,
     /// Bytes of the bodies that are being read or handled.
     pub body_bytes: usize,
@@ -18,8 +20,31 @@
     pub(super) bounds: Bounds,
     pub(super) open: AtomicUsize,
     pub(super) body_bytes: AtomicUsize,
-    /// Requests of users that were refused, and since when.
-    pub(super) refused: Mutex<(u64, Option<Instant>)>,
+    pub(super) refusals: Mutex<RefusalLog>,
+}
+
+/// Users' requests that were refused since the last log line about them.
+#[derive(Debug, Default)]
+pub(super) struct RefusalLog {
+    refused: u64,
+    logged_at: Option<Instant>,
+}
+
+impl RefusalLog {
+    /// Counts one; logs no more often than [`REFUSAL_LOG_INTERVAL`].
+    fn count(&mut self) {
+        self.refused += 1;
+        if self.logged_at.is_none_or(|logged_at| logged_at.elapsed() >= REFUSAL_LOG_INTERVAL) {
+            log::warn!("connections are short, requests of users refused count={}", self.refused);
+            *self = RefusalLog { refused: 0, logged_at: Some(Instant::now()) };
+        }
+    }
+}
+
+impl Admission {
+    pub(super) fn new(bounds: Bounds) -> Admission {
+        Admission { bounds, open: AtomicUsize::new(0), body_bytes: AtomicUsize::new(0), refusals: Mutex::default() }
+    }
 }
 
 const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(10);
@@ -33,9 +58,12 @@
     }
 }
 
-pub(super) fn reserve(of: &AtomicUsize, n: usize, most: usize) -> Option<Reservation<'_>> {
-    let part = (of.fetch_add(n, Ordering::Relaxed) + n <= most, Reservation(of, n));
-    part.0.then_some(part.1)
+/// Takes `amount` of what is counted by `used`, if no more than `limit` is used then.
+pub(super) fn reserve(used: &AtomicUsize, amount: usize, limit: usize) -> Option<Reservation<'_>> {
+    let is_within_limit = used.fetch_add(amount, Ordering::Relaxed) + amount <= limit;
+    // Given back at once where it is not within the limit.
+    let reservation = Reservation(used, amount);
+    is_within_limit.then_some(reservation)
 }
 
 /// What a request is, as far as its admission goes.
@@ -61,7 +89,7 @@
         }
     }
 
-    /// How long whoever asks waits for an answer, by the protocol, in seconds.
+    /// How long the peer waits for an answer, by the protocol, in seconds.
     pub(super) fn patience_s(self) -> f64 {
         match self {
             RequestKind::Report => 4.0,
@@ -88,37 +116,32 @@
 
 impl Admission {
     pub(super) fn shortage(&self) -> Shortage {
-        let (open, most) = (self.open.load(Ordering::Relaxed), self.bounds.connections);
+        let (open, limit) = (self.open.load(Ordering::Relaxed), self.bounds.connections);
         // A few take turns, however few there are.
-        let over = |part: usize| open > most - (most / part).max(2);
+        let leaves_less_than = |part: usize| open > limit - (limit / part).max(2);
         match () {
-            () if over(16) => Shortage::NoUsers,
-            () if over(8) => Shortage::NoPolls,
-            () if over(4) => Shortage::CloseAfterAnswer,
+            () if leaves_less_than(16) => Shortage::NoUsers,
+            () if leaves_less_than(8) => Shortage::NoPolls,
+            () if leaves_less_than(4) => Shortage::CloseAfterAnswer,
             () => Shortage::None,
         }
     }
 
     /// Is a request of this kind refused now?
-    pub(super) fn refuses(&self, what: RequestKind) -> bool {
-        let refused = match what {
+    pub(super) fn refuses(&self, kind: RequestKind) -> bool {
+        let refused = match kind {
             RequestKind::Report | RequestKind::Health => false,
             RequestKind::Poll => self.shortage() >= Shortage::NoPolls,
             RequestKind::User => self.shortage() >= Shortage::NoUsers,
         };
         if refused {
-            let mut told = self.refused.lock().unwrap_or_else(|e| e.into_inner());
-            told.0 += 1;
-            if told.1.is_none_or(|t| t.elapsed() >= REFUSAL_LOG_INTERVAL) {
-                log::warn!("connections run short: {} requests of users refused since this was last said", told.0);
-                *told = (0, Some(Instant::now()));
-            }
+            self.refusals.lock().unwrap_or_else(|error| error.into_inner()).count();
         }
         refused
     }
 
     /// Is a connection given back after the answer to such a request?
-    pub(super) fn closes_after(&self, what: RequestKind) -> bool {
-        self.shortage() >= if what == RequestKind::Report { Shortage::NoUsers } else { Shortage::CloseAfterAnswer }
+    pub(super) fn closes_after(&self, kind: RequestKind) -> bool {
+        self.shortage() >= if kind == RequestKind::Report { Shortage::NoUsers } else { Shortage::CloseAfterAnswer }
     }
 }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,4 +1,4 @@
-//! Calls to other services, over a small pool of open connections.
+//! Calls to other services, over a small pool of open connections. Never repeats a call by itself.
 
 use super::{Conn, timed};
 use futures_lite::AsyncReadExt;
@@ -8,9 +8,12 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Largest response body that is read (a watch may return many changes).
+/// Largest response body that is read, in bytes (a watch may return many changes).
 const MAX_RESPONSE: u64 = 16 * 1024 * 1024;
-const POOL_IDLE: Duration = Duration::from_secs(20);
+/// How long an idle connection is kept.
+const MAX_IDLE: Duration = Duration::from_secs(20);
+/// How long a connection may take to open.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// How a call went wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -28,8 +31,8 @@
 pub struct Client {
     idle: Mutex<Idle>,
     per_addr: usize,
-    /// Most idle connections in all.
-    most: usize,
+    /// Most idle connections to all addresses.
+    max_idle_connections: usize,
 }
 
 #[derive(Default)]
@@ -40,39 +43,40 @@
 }
 
 impl Client {
-    pub fn new(per_addr: usize, most: usize) -> Client {
-        Client { idle: Mutex::default(), per_addr, most }
+    /// Keeps no more than so many idle connections to one address, and to all.
+    pub fn new(per_addr: usize, max_idle_connections: usize) -> Client {
+        Client { idle: Mutex::default(), per_addr, max_idle_connections }
     }
 
     fn pooled(&self, addr: SocketAddr) -> Option<Conn> {
         let mut idle = self.idle.lock().unwrap_or_else(|e| e.into_inner());
         loop {
-            let (c, since) = idle.open.get_mut(&addr)?.pop()?;
+            let (conn, since) = idle.open.get_mut(&addr)?.pop()?;
             idle.count -= 1;
-            if since.elapsed() < POOL_IDLE {
-                return Some(c);
+            if since.elapsed() < MAX_IDLE {
+                return Some(conn);
             }
         }
     }
 
-    fn keep(&self, addr: SocketAddr, c: Conn) {
+    fn keep(&self, addr: SocketAddr, conn: Conn) {
         let mut idle = self.idle.lock().unwrap_or_else(|e| e.into_inner());
         let now = Instant::now();
         // Now and then, not for each call: there may be hundreds of addresses.
-        if idle.swept.is_none_or(|t| now - t > POOL_IDLE / 4) {
+        if idle.swept.is_none_or(|swept| now - swept > MAX_IDLE / 4) {
             idle.swept = Some(now);
-            idle.open.retain(|_, l| {
-                l.retain(|(_, since)| now - *since < POOL_IDLE);
-                !l.is_empty()
+            idle.open.retain(|_, connections| {
+                connections.retain(|(_, since)| now - *since < MAX_IDLE);
+                !connections.is_empty()
             });
             idle.count = idle.open.values().map(Vec::len).sum();
         }
-        if idle.count >= self.most {
+        if idle.count >= self.max_idle_connections {
             return;
         }
         let list = idle.open.entry(addr).or_default();
         if list.len() < self.per_addr {
-            list.push((c, now));
+            list.push((conn, now));
             idle.count += 1;
         }
     }
@@ -101,30 +105,30 @@
         limit: Duration,
     ) -> Result<(u16, Vec<u8>), CallError> {
         let conn = match self.pooled(addr) {
-            Some(c) => c,
-            None => Conn::open(addr, limit.min(Duration::from_millis(1500))).await.map_err(|_| CallError::NotSent)?,
+            Some(conn) => conn,
+            None => Conn::open(addr, limit.min(CONNECT_TIMEOUT)).await.map_err(|_| CallError::NotSent)?,
         };
         let url = Url::parse(&format!("http://{addr}{path}")).map_err(|_| CallError::NotSent)?;
-        let mut req = Request::new(method, url);
-        if let Some(b) = body {
-            req.set_body(Body::from_bytes(b));
+        let mut request = Request::new(method, url);
+        if let Some(body) = body {
+            request.set_body(Body::from_bytes(body));
         }
         if !may_be_sent() {
             self.keep(addr, conn);
             return Err(CallError::Withheld);
         }
         let exchange = async {
-            let mut res = async_h1::connect(conn.clone(), req).await.map_err(|_| CallError::NoAnswer)?;
-            let close = res.header("connection").is_some_and(|h| h.as_str().eq_ignore_ascii_case("close"));
-            let announced = res.len();
+            let mut response = async_h1::connect(conn.clone(), request).await.map_err(|_| CallError::NoAnswer)?;
+            let close = response.header("connection").is_some_and(|value| value.as_str().eq_ignore_ascii_case("close"));
+            let announced = response.len();
             let mut out = Vec::new();
-            let mut body = res.take_body().take(MAX_RESPONSE);
+            let mut body = response.take_body().take(MAX_RESPONSE);
             body.read_to_end(&mut out).await.map_err(|_| CallError::NoAnswer)?;
             // A server that ended in the middle of its answer has not given one.
             if announced.is_some_and(|n| n != out.len()) {
                 return Err(CallError::NoAnswer);
             }
-            Ok::<_, CallError>((res.status() as u16, out, close))
+            Ok::<_, CallError>((response.status() as u16, out, close))
         };
         match timed(limit, exchange).await {
             Ok(Ok((status, out, close))) => {
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -24,7 +24,7 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Largest request body that is read.
+/// Largest request body that is read, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
 
 /// A socket shared by the two directions of an exchange.
@@ -37,10 +37,11 @@
         Conn(Arc::new(stream))
     }
 
+    /// Connects, within `limit`.
     pub async fn open(addr: SocketAddr, limit: Duration) -> io::Result<Conn> {
-        let s = timed(limit, Async::<TcpStream>::connect(addr)).await??;
-        s.get_ref().set_nodelay(true)?;
-        Ok(Conn::new(s))
+        let stream = timed(limit, Async::<TcpStream>::connect(addr)).await??;
+        stream.get_ref().set_nodelay(true)?;
+        Ok(Conn::new(stream))
     }
 }
 
@@ -62,7 +63,7 @@
     }
 }
 
-/// Runs a future for no longer than `limit`.
+/// Runs a future for no longer than `limit`; fails with `TimedOut`.
 pub async fn timed<T>(limit: Duration, fut: impl Future<Output = T>) -> io::Result<T> {
     async { Ok(fut.await) }
         .or(async {
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -10,8 +10,7 @@
 use http_types::{Method, Request, Response};
 use std::future::Future;
 use std::net::{Shutdown, TcpListener};
-use std::sync::atomic::AtomicUsize;
-use std::sync::{Arc, Mutex};
+use std::sync::Arc;
 use std::time::{Duration, Instant};
 
 /// How long, and how much, is read of a connection after an answer that closes it.
@@ -205,17 +204,12 @@
     F: Fn(Incoming) -> Fut + Send + Sync + 'static,
     Fut: Future<Output = Outgoing> + Send,
 {
-    let admission = Arc::new(Admission {
-        bounds,
-        open: AtomicUsize::new(0),
-        body_bytes: AtomicUsize::new(0),
-        refused: Mutex::default(),
-    });
+    let admission = Arc::new(Admission::new(bounds));
     loop {
         let stream = match listener.accept().await {
             Ok((s, _)) => s,
             Err(e) => {
-                log::warn!("accept: {e}");
+                log::warn!("accept failed error={e}");
                 Timer::after(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -1,5 +1,5 @@
 use super::server::serve;
-use super::*;
+use super::{Bounds, CallError, Client, Conn, Incoming, MAX_BODY, Outgoing, timed};
 use crate::clock;
 use async_io::{Async, Timer};
 use futures_lite::AsyncReadExt;
