--- a/src/state/limits.rs
+++ b/src/state/limits.rs
@@ -1,4 +1,6 @@
 //! The rates at which the state service takes requests and writes, and lower ones that come without notice.
+//!
+//! Owns which of the two seem to hold. It sends nothing and reads no clock.
 
 use std::collections::VecDeque;
 
@@ -14,10 +16,13 @@
 #[derive(Debug)]
 pub(super) struct Limits {
     now: Rates,
+    /// The lower ones that were announced.
     next: Rates,
     /// Our part of either.
     pub(super) share: Rates,
+    /// When requests were refused lately, in seconds.
     refused: VecDeque<f64>,
+    /// The lower ones are kept to until then.
     lowered_until: f64,
     lowered: bool,
 }
@@ -25,7 +30,9 @@
 /// So many refusals within a moment are more than bursts that meet.
 const REFUSALS: usize = 4;
 const REFUSALS_WITHIN_S: f64 = 2.0;
+/// How long the lower limits are kept to before the higher ones are tried again.
 const LOWERED_FOR_S: f64 = 20.0;
+/// The same where a trial has shown that the higher ones are gone.
 const CONFIRMED_FOR_S: f64 = 900.0;
 /// Refusals so soon after the higher limits were tried again confirm the lower ones.
 const TRIED_FOR_S: f64 = 8.0;
@@ -41,8 +48,9 @@
         Limits { now, next, share, refused: VecDeque::new(), lowered_until: f64::MIN, lowered: false }
     }
 
+    /// The service refused a request as one too many.
     pub(super) fn refused(&mut self, now: f64) {
-        self.refused.retain(|t| now - t < REFUSALS_WITHIN_S);
+        self.refused.retain(|refused_at| now - refused_at < REFUSALS_WITHIN_S);
         self.refused.push_back(now);
         if self.refused.len() >= REFUSALS && self.next != self.now {
             // Trying the higher ones costs everybody's submissions some refusals each time:
@@ -60,6 +68,7 @@
         (lowered != std::mem::replace(&mut self.lowered, lowered)).then(|| self.own_rates())
     }
 
+    /// Our part of the rates that seem to hold.
     pub(super) fn own_rates(&self) -> Rates {
         let all = if self.lowered { self.next } else { self.now };
         Rates { requests: all.requests * self.share.requests, writes: all.writes * self.share.writes }
