--- a/crates/recovery/src/chunk.rs
+++ b/crates/recovery/src/chunk.rs
@@ -2,7 +2,8 @@
 //!
 //! Jobs of a class are much alike. A chunk holds a few whole objects, the *patterns*, and of
 //! each record its pattern's number, what differs from it, and what it lacks. It does not
-//! know what the fields mean: one that a later version adds is kept as it is.
+//! know what the fields mean: one that a later version adds is kept as it is. It never decides which records
+//! are open.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
@@ -28,8 +29,9 @@
     jobs: Vec<Entry>,
 }
 
-pub fn key(n: u32) -> String {
-    format!("{}c/{n}", crate::PREFIX)
+/// The key of the chunk of this number.
+pub fn key(number: u32) -> String {
+    format!("{}c/{number}", crate::PREFIX)
 }
 
 /// What `a` has to become to be `b`: fields with other values, objects in turn, null for a
@@ -89,6 +91,7 @@
 }
 
 impl ChunkBuilder {
+    /// An empty chunk of up to `limit` bytes, for this round.
     pub fn new(limit: usize, round: u64) -> ChunkBuilder {
         ChunkBuilder { limit, round, patterns: Vec::new(), jobs: Vec::new(), used: FRAME }
     }
@@ -133,6 +136,7 @@
         self.jobs.is_empty()
     }
 
+    /// The chunk as it is stored.
     pub fn finish(self) -> Chunk {
         Chunk { round: self.round, patterns: self.patterns, jobs: self.jobs }
     }
@@ -144,6 +148,7 @@
 pub struct ChunkError(usize, u32, usize);
 
 impl Chunk {
+    /// How many records it holds.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
@@ -152,6 +157,7 @@
         self.jobs.is_empty()
     }
 
+    /// The ids of its records, in their order.
     pub fn ids(&self) -> impl Iterator<Item = &str> {
         self.jobs.iter().map(|e| e.0.as_str())
     }
--- a/crates/recovery/src/index.rs
+++ b/crates/recovery/src/index.rs
@@ -1,7 +1,7 @@
 //! Which chunks hold, and which of their records are over.
 //!
 //! The index stands in two places in turn, so that the one that the head means is never
-//! written over; the head names the place, and one conditional write switches it.
+//! written over; the head names the place, and one conditional write switches it. It knows no record's value.
 
 use crate::PREFIX;
 use serde::{Deserialize, Serialize};
@@ -11,12 +11,14 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Line(pub u32, pub u64, #[serde(default, skip_serializing_if = "String::is_empty")] pub String);
 
+/// One value of the index.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
 pub struct Part {
     pub round: u64,
     pub chunks: Vec<Line>,
 }
 
+/// The value that says which index holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// The form of everything here; a reader that does not know it reads the records.
@@ -35,8 +37,9 @@
 /// understands of a record, and whoever understands more must not take that for all of it.
 pub const FORM: u32 = 1;
 
-pub fn part_key(place: u32, n: u32) -> String {
-    format!("{PREFIX}i/{place}/{n}")
+/// The key of a part of the index at one of its two places.
+pub fn part_key(place: u32, number: u32) -> String {
+    format!("{PREFIX}i/{place}/{number}")
 }
 
 /// Marks of a chunk's records, true where one is over.
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -9,7 +9,7 @@
 //! - [`index`]: which chunks hold, and which of their records are over, in values that fit;
 //!   the head that one conditional write switches
 //! - [`writer`]: what to write next, and what each outcome means
-//! - [`known`]: up to which revision everything is known
+//! - [`safe_revision`]: up to which revision everything is known
 //! - [`reader`]: what a successor has, or why it must read everything
 //!
 //! A checkpoint is a help and never the truth: whatever is wrong with it is *seen*, and the
@@ -25,12 +25,13 @@
 pub mod writer;
 
 pub use index::Head;
-pub use reader::{Checkpoint, CheckpointError, read};
+pub use reader::{Checkpoint, CheckpointError, ChunkRecord, ReadChunk, read};
 pub use safe_revision::SafeRevision;
 pub use writer::{ValueToWrite, Writer};
 
 /// All of a checkpoint stands under this; earlier versions do not know it.
 pub const PREFIX: &str = "ckpt/";
+/// The key of the head: it says which index holds.
 pub const HEAD: &str = "ckpt/head";
 
 /// Changes that the state service keeps for those who ask what came after a revision.
--- a/crates/recovery/src/reader.rs
+++ b/crates/recovery/src/reader.rs
@@ -1,4 +1,6 @@
 //! What a successor makes of the values that it finds.
+//!
+//! Owns the checks of a checkpoint against itself. It repairs nothing: what is wrong is an error.
 
 use crate::chunk::{Chunk, StoredRecord, key};
 use crate::index::{FORM, Head, Line, Part, marked, part_key};
@@ -7,14 +9,31 @@
 use serde_json::Value;
 use std::collections::{HashMap, HashSet};
 
-/// A chunk for whoever goes on with it: its number, its round, its ids and which are over.
-pub type ReadChunk = (u32, u64, Vec<(String, bool)>);
+/// A record of a chunk.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct ChunkRecord {
+    pub id: String,
+    /// It has ended since the chunk was written.
+    pub over: bool,
+}
+
+/// A chunk for whoever goes on with it.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct ReadChunk {
+    pub number: u32,
+    /// The round in which it was written.
+    pub round: u64,
+    /// In the order in which they stand in it.
+    pub records: Vec<ChunkRecord>,
+}
 
 /// What is open, as of a revision.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Checkpoint {
     pub head: Head,
+    /// The records that are open.
     pub open: Vec<StoredRecord>,
+    /// The chunks that hold them, those that are over included.
     pub chunks: Vec<ReadChunk>,
 }
 
@@ -38,13 +57,13 @@
 }
 
 fn parse<T: DeserializeOwned>(values: &HashMap<&str, &Value>, key: &str) -> Result<T, CheckpointError> {
-    let v = *values.get(key).ok_or_else(|| CheckpointError::Missing(key.to_owned()))?;
-    T::deserialize(v).map_err(|e| CheckpointError::Malformed(key.to_owned(), e.to_string()))
+    let value = *values.get(key).ok_or_else(|| CheckpointError::Missing(key.to_owned()))?;
+    T::deserialize(value).map_err(|error| CheckpointError::Malformed(key.to_owned(), error.to_string()))
 }
 
 /// Reads a checkpoint from everything that stands under its prefix.
 pub fn read<'a>(items: impl Iterator<Item = (&'a str, &'a Value)>) -> Result<Checkpoint, CheckpointError> {
-    let values: HashMap<&str, &Value> = items.filter(|(k, _)| k.starts_with(PREFIX)).collect();
+    let values: HashMap<&str, &Value> = items.filter(|(key, _)| key.starts_with(PREFIX)).collect();
     if !values.contains_key(HEAD) {
         return Err(CheckpointError::None);
     }
@@ -52,38 +71,57 @@
     if head.form != FORM {
         return Err(CheckpointError::Form(head.form));
     }
-    let mut lines: Vec<Line> = Vec::new();
-    for n in 0..head.parts {
-        let k = part_key(head.place, n);
-        let part: Part = parse(&values, &k)?;
-        if part.round != head.round {
-            return Err(CheckpointError::Torn(k, part.round, head.round));
-        }
-        lines.extend(part.chunks);
-    }
     let (mut open, mut chunks, mut seen) = (Vec::new(), Vec::new(), HashSet::new());
-    for Line(n, round, marks) in lines {
-        let k = key(n);
-        let chunk: Chunk = parse(&values, &k)?;
-        if chunk.round != round {
-            return Err(CheckpointError::Torn(k, chunk.round, round));
-        }
-        let records = chunk.unpack().map_err(|e| CheckpointError::Malformed(k.clone(), e.to_string()))?;
-        let mut ids = Vec::with_capacity(records.len());
-        for (i, r) in records.into_iter().enumerate() {
-            let over = marked(&marks, i).ok_or_else(|| CheckpointError::Malformed(k.clone(), "its marks".into()))?;
-            ids.push((r.id.clone(), over));
-            if !over {
-                if !seen.insert(r.id.clone()) {
-                    return Err(CheckpointError::Twice(r.id));
-                }
-                open.push(r);
+    for line in index_lines(&values, &head)? {
+        let (chunk, open_records) = read_chunk(&values, line)?;
+        for record in open_records {
+            if !seen.insert(record.id.clone()) {
+                return Err(CheckpointError::Twice(record.id));
             }
+            open.push(record);
         }
-        chunks.push((n, round, ids));
+        chunks.push(chunk);
     }
     if open.len() as u64 != head.open {
         return Err(CheckpointError::Count(open.len() as u64, head.open));
     }
     Ok(Checkpoint { head, open, chunks })
 }
+
+/// The lines of all parts of the index that the head names.
+fn index_lines(values: &HashMap<&str, &Value>, head: &Head) -> Result<Vec<Line>, CheckpointError> {
+    let mut lines: Vec<Line> = Vec::new();
+    for number in 0..head.parts {
+        let part_key = part_key(head.place, number);
+        let part: Part = parse(values, &part_key)?;
+        if part.round != head.round {
+            return Err(CheckpointError::Torn(part_key, part.round, head.round));
+        }
+        lines.extend(part.chunks);
+    }
+    Ok(lines)
+}
+
+/// A chunk as the index tells of it, and those of its records that are open.
+fn read_chunk(
+    values: &HashMap<&str, &Value>,
+    Line(number, round, marks): Line,
+) -> Result<(ReadChunk, Vec<StoredRecord>), CheckpointError> {
+    let chunk_key = key(number);
+    let chunk: Chunk = parse(values, &chunk_key)?;
+    if chunk.round != round {
+        return Err(CheckpointError::Torn(chunk_key, chunk.round, round));
+    }
+    let malformed = |reason: String| CheckpointError::Malformed(chunk_key.clone(), reason);
+    let stored = chunk.unpack().map_err(|error| malformed(error.to_string()))?;
+    let mut records = Vec::with_capacity(stored.len());
+    let mut open = Vec::new();
+    for (place, record) in stored.into_iter().enumerate() {
+        let over = marked(&marks, place).ok_or_else(|| malformed("its marks".into()))?;
+        records.push(ChunkRecord { id: record.id.clone(), over });
+        if !over {
+            open.push(record);
+        }
+    }
+    Ok((ReadChunk { number, round, records }, open))
+}
--- a/crates/recovery/src/safe_revision.rs
+++ b/crates/recovery/src/safe_revision.rs
@@ -1,4 +1,6 @@
 //! Up to which revision everything is known.
+//!
+//! Owns what a checkpoint may claim, and nothing of what stands in it.
 
 use std::collections::HashMap;
 
@@ -9,8 +11,10 @@
 /// the job for open.
 #[derive(Debug, Default)]
 pub struct SafeRevision {
+    /// All changes up to this revision were taken in.
     watched: u64,
-    on_end_sent: HashMap<String, u64>,
+    /// Of each end that is under way, the revision that was watched when it was sent first.
+    ends_in_flight: HashMap<String, u64>,
 }
 
 impl SafeRevision {
@@ -26,15 +30,16 @@
 
     /// The end of this record was sent, for the first time or again.
     pub fn on_end_sent(&mut self, id: &str) {
-        self.on_end_sent.entry(id.to_owned()).or_insert(self.watched);
+        self.ends_in_flight.entry(id.to_owned()).or_insert(self.watched);
     }
 
     /// Its end is stored, and known here.
     pub fn on_end_settled(&mut self, id: &str) {
-        self.on_end_sent.remove(id);
+        self.ends_in_flight.remove(id);
     }
 
+    /// The revision that a checkpoint may claim.
     pub fn revision(&self) -> u64 {
-        self.on_end_sent.values().copied().fold(self.watched, u64::min)
+        self.ends_in_flight.values().copied().fold(self.watched, u64::min)
     }
 }
--- a/crates/recovery/src/writer.rs
+++ b/crates/recovery/src/writer.rs
@@ -4,10 +4,13 @@
 //! chunk is packed into new ones; then the index is written to the place that the head does
 //! not mean, then the head. A chunk is never written over while the stored head means it, so
 //! that a round may end between any two writes.
+//!
+//! Owns the chunks, the index and the head that are stored or to come. It sends nothing and reads no clock: whoever
+//! holds it puts its values and tells what became of them.
 
 use crate::chunk::{Chunk, ChunkBuilder, StoredRecord, key};
 use crate::index::{FORM, Head, Line, marks, part_key, parts};
-use crate::reader::Checkpoint;
+use crate::reader::{Checkpoint, ChunkRecord};
 use crate::{CHANGES_KEPT, HEAD, PREFIX};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
@@ -23,7 +26,7 @@
 /// Numbers of chunks that are free and kept for use again; the others' values are deleted.
 const KEPT_FREE: usize = 4;
 
-/// One value to be put. Its outcome is told by [`Writer::applied`] or [`Writer::failed`].
+/// One value to be put. Its outcome is told by [`Writer::on_applied`] or [`Writer::on_failed`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct ValueToWrite {
     pub key: String,
@@ -33,8 +36,8 @@
 #[derive(Debug, Clone)]
 struct ChunkState {
     round: u64,
-    /// Its records in their order, and whether each is over.
-    records: Vec<(String, bool)>,
+    /// In the order in which they stand in it.
+    records: Vec<ChunkRecord>,
     open: usize,
 }
 
@@ -45,29 +48,46 @@
     Head(Head),
 }
 
+/// A value whose outcome is not known.
+#[derive(Debug)]
+struct InFlightValue {
+    key: String,
+    /// The number of the chunk that it holds, if it is one.
+    chunk: Option<u32>,
+}
+
+/// A round that is being written.
 #[derive(Debug)]
 struct Round {
+    /// The revision of which it tells.
     at: u64,
     step: RoundStep,
     /// Chunks that the next head will no longer mean.
     dissolved: BTreeSet<u32>,
-    /// The value of the put under way, so that a repeated one is the same.
-    under_way: Option<(ValueToWrite, Option<(u32, Chunk)>)>,
+    /// The put under way.
+    under_way: Option<InFlightValue>,
 }
 
+/// What of the checkpoint is stored, and what is to be written next. Times are seconds of the steady clock.
 #[derive(Debug, Default)]
 pub struct Writer {
+    /// Bytes of a value, at the most.
     limit: usize,
+    /// The number of the last round that was begun.
     round: u64,
     chunks: BTreeMap<u32, ChunkState>,
+    /// The chunk of each open record, and its place there.
     place: HashMap<String, (u32, usize)>,
     /// Open, and in no chunk.
     fresh: BTreeSet<String>,
     /// What the stored head means, if there is one.
     head: Option<Head>,
+    /// The chunks that the stored head means.
     meant: BTreeSet<u32>,
     current: Option<Round>,
+    /// When the last round began.
     began_at: f64,
+    /// When this writer began.
     since: f64,
     /// Values that hold nothing any more.
     free: BTreeSet<u32>,
@@ -76,6 +96,7 @@
     pub counts: Counts,
 }
 
+/// What was written, for reports.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Counts {
     pub puts: u64,
@@ -90,21 +111,23 @@
 
     /// Goes on with what was read. `keys`: all that stands under the prefix.
     pub fn resume(limit: usize, now: f64, read: Option<&Checkpoint>, keys: &[String]) -> Writer {
-        let mut w = Writer::new(limit, now);
-        let number = |k: &String| k.strip_prefix(PREFIX)?.strip_prefix("c/")?.parse::<u32>().ok();
-        w.free = keys.iter().filter_map(number).collect();
-        let Some(r) = read else { return w };
-        (w.head, w.round) = (Some(r.head), r.head.round);
-        for (n, round, records) in &r.chunks {
-            w.free.remove(n);
-            w.meant.insert(*n);
-            let open = records.iter().filter(|(_, over)| !over).count();
-            for (i, (id, _)) in records.iter().enumerate().filter(|(_, (_, over))| !over) {
-                w.place.insert(id.clone(), (*n, i));
+        let mut writer = Writer::new(limit, now);
+        let number = |key: &String| key.strip_prefix(PREFIX)?.strip_prefix("c/")?.parse::<u32>().ok();
+        writer.free = keys.iter().filter_map(number).collect();
+        let Some(checkpoint) = read else { return writer };
+        (writer.head, writer.round) = (Some(checkpoint.head), checkpoint.head.round);
+        for chunk in &checkpoint.chunks {
+            writer.free.remove(&chunk.number);
+            writer.meant.insert(chunk.number);
+            let mut open = 0;
+            for (place, record) in chunk.records.iter().enumerate().filter(|(_, record)| !record.over) {
+                writer.place.insert(record.id.clone(), (chunk.number, place));
+                open += 1;
             }
-            w.chunks.insert(*n, ChunkState { round: *round, records: records.clone(), open });
+            let state = ChunkState { round: chunk.round, records: chunk.records.clone(), open };
+            writer.chunks.insert(chunk.number, state);
         }
-        w
+        writer
     }
 
     /// A record is open: it belongs into the checkpoint.
@@ -119,9 +142,9 @@
         self.fresh.remove(id);
         if let Some((n, i)) = self.place.remove(id)
             && let Some(c) = self.chunks.get_mut(&n)
-            && let Some((_, over)) = c.records.get_mut(i)
+            && let Some(record) = c.records.get_mut(i)
         {
-            *over = true;
+            record.over = true;
             c.open -= 1;
         }
     }
@@ -178,15 +201,21 @@
         let sparse = |c: &ChunkState| c.open * MIN_OPEN_SHARE < c.records.len();
         let dissolved: BTreeSet<u32> = self.chunks.iter().filter(|(_, c)| sparse(c)).map(|(n, _)| *n).collect();
         for n in &dissolved {
-            let Some(c) = self.chunks.remove(n) else { continue };
-            for (id, _) in c.records.into_iter().filter(|(_, over)| !over) {
-                self.place.remove(&id);
-                self.fresh.insert(id);
+            if let Some(chunk) = self.chunks.remove(n) {
+                self.return_open_records(chunk);
             }
         }
         self.current = Some(Round { at, step: RoundStep::Chunks, dissolved, under_way: None });
     }
 
+    /// The open records of a chunk that goes are in none any more.
+    fn return_open_records(&mut self, chunk: ChunkState) {
+        for record in chunk.records.into_iter().filter(|record| !record.over) {
+            self.place.remove(&record.id);
+            self.fresh.insert(record.id);
+        }
+    }
+
     /// A number that no head means, stored or to come.
     fn number(&mut self) -> u32 {
         let taken = |n: &u32| self.meant.contains(n) || self.chunks.contains_key(n);
@@ -201,7 +230,7 @@
             if let Some((n, chunk)) = self.pack(&record) {
                 let value = serde_json::to_value(&chunk).ok()?;
                 let put = ValueToWrite { key: key(n), value };
-                round.under_way = Some((put.clone(), Some((n, chunk))));
+                round.under_way = Some(InFlightValue { key: put.key.clone(), chunk: Some(n) });
                 return Some(put);
             }
             if !self.fresh.is_empty() {
@@ -212,14 +241,14 @@
         if let RoundStep::Index { parts, written, head } = &round.step {
             if let Some((key, value)) = parts.get(*written) {
                 let put = ValueToWrite { key: key.clone(), value: value.clone() };
-                round.under_way = Some((put.clone(), None));
+                round.under_way = Some(InFlightValue { key: put.key.clone(), chunk: None });
                 return Some(put);
             }
             round.step = RoundStep::Head(*head);
         }
         let RoundStep::Head(head) = &round.step else { return None };
         let put = ValueToWrite { key: HEAD.into(), value: serde_json::to_value(head).ok()? };
-        round.under_way = Some((put.clone(), None));
+        round.under_way = Some(InFlightValue { key: put.key.clone(), chunk: None });
         Some(put)
     }
 
@@ -251,14 +280,14 @@
         for (i, id) in taken.iter().enumerate() {
             self.place.insert(id.clone(), (n, i));
         }
-        let records = taken.into_iter().map(|id| (id, false)).collect::<Vec<_>>();
+        let records: Vec<ChunkRecord> = taken.into_iter().map(|id| ChunkRecord { id, over: false }).collect();
         let open = records.len();
         self.chunks.insert(n, ChunkState { round: self.round, records, open });
         Some((n, packer.finish()))
     }
 
     fn index(&self, at: u64) -> RoundStep {
-        let line = |(n, c): (&u32, &ChunkState)| Line(*n, c.round, marks(c.records.iter().map(|r| r.1)));
+        let line = |(n, c): (&u32, &ChunkState)| Line(*n, c.round, marks(c.records.iter().map(|record| record.over)));
         let lines: Vec<Line> = self.chunks.iter().filter(|(_, c)| c.open > 0).map(line).collect();
         let open = self.chunks.values().map(|c| c.open as u64).sum();
         let parts = parts(self.round, lines, self.limit);
@@ -277,7 +306,7 @@
     /// The put under way is stored. Returns keys whose values are of no more use.
     pub fn on_applied(&mut self, key: &str) -> Vec<String> {
         let Some(round) = &mut self.current else { return Vec::new() };
-        if round.under_way.as_ref().is_none_or(|(p, _)| p.key != key) {
+        if round.under_way.as_ref().is_none_or(|in_flight| in_flight.key != key) {
             return Vec::new();
         }
         round.under_way = None;
@@ -314,17 +343,14 @@
     /// anew, since some of it may be over.
     pub fn on_failed(&mut self, key: &str) {
         let Some(round) = &mut self.current else { return };
-        if round.under_way.as_ref().is_none_or(|(p, _)| p.key != key) {
+        if round.under_way.as_ref().is_none_or(|in_flight| in_flight.key != key) {
             return;
         }
-        if let Some((_, Some((n, _)))) = round.under_way.take()
-            && let Some(c) = self.chunks.remove(&n)
+        if let Some(InFlightValue { chunk: Some(number), .. }) = round.under_way.take()
+            && let Some(chunk) = self.chunks.remove(&number)
         {
-            for (id, _) in c.records.into_iter().filter(|(_, over)| !over) {
-                self.place.remove(&id);
-                self.fresh.insert(id);
-            }
-            self.free.insert(n);
+            self.return_open_records(chunk);
+            self.free.insert(number);
         }
     }
 
