--- a/crates/scheduler/src/shard/failover.rs
+++ b/crates/scheduler/src/shard/failover.rs
@@ -259,6 +259,7 @@
             return;
         };
         let zone = self.types.zones.intern(&record.zone);
+        let kind = MachineGroupKind { type_index: ty, zone, spot: record.spot };
         let bytes = serde_json::to_string(&record).map_or(0, |t| t.len());
         let key: Arc<str> = machine_group_key(group_index).into();
         self.write_queue.set_version(key.to_string(), version);
@@ -275,7 +276,7 @@
         if !old {
             let names: Vec<JobIndex> = record.jobs.iter().filter_map(|id| self.jobs.find(id)).collect();
             self.machine_groups
-                .open(group_index, ty, zone, record.spot)
+                .open(group_index, kind)
                 .on_value_built(bytes.saturating_sub(record.image_bytes()), names.into_iter());
         }
         if old && record.machines.is_empty() {
@@ -286,7 +287,7 @@
                 Some(m) if old => self.note_superseding_value(&key, m),
                 Some(m) => {
                     self.machines[m].machine_group = Some(group_index);
-                    self.machine_groups.open(group_index, ty, zone, record.spot).members.insert(m);
+                    self.machine_groups.open(group_index, kind).members.insert(m);
                 }
                 None => {}
             }
--- a/crates/scheduler/src/shard/mod.rs
+++ b/crates/scheduler/src/shard/mod.rs
@@ -50,7 +50,9 @@
 
 use crate::dependency_graph::DependencyGraph;
 use crate::fleet::launch::Launches;
-use crate::fleet::machine_groups::{MachineGroupMember, MachineGroupRecord, MachineGroups, machine_group_key};
+use crate::fleet::machine_groups::{
+    MachineGroupKind, MachineGroupMember, MachineGroupRecord, MachineGroups, machine_group_key,
+};
 use crate::fleet::mixture::{Mixture, Target};
 use crate::fleet::zones::ZoneLists;
 use crate::fleet::{Assignment, CachedImage, MachineRecord, Machines, Phase as MachinePhase, PushUrgency, Types};
--- a/crates/scheduler/src/shard/writes/group_values.rs
+++ b/crates/scheduler/src/shard/writes/group_values.rs
@@ -161,9 +161,9 @@
     fn group_record_builder(&self, group: &MachineGroup) -> GroupRecordBuilder<'_> {
         let record = MachineGroupRecord {
             shard: 0,
-            type_name: self.types.names.name(group.type_index).to_string(),
-            zone: self.types.zones.name(group.zone).to_string(),
-            spot: group.spot,
+            type_name: self.types.names.name(group.kind.type_index).to_string(),
+            zone: self.types.zones.name(group.kind.zone).to_string(),
+            spot: group.kind.spot,
             ..MachineGroupRecord::default()
         };
         GroupRecordBuilder {
