--- a/crates/scheduler/src/shard/failover.rs
+++ b/crates/scheduler/src/shard/failover.rs
@@ -11,7 +11,9 @@
 };
 use crate::dependency_graph::DependencyGraph;
 use crate::fleet::launch::Launches;
-use crate::fleet::machine_groups::{MachineGroupMember, MachineGroupRecord, MachineGroups, machine_group_key};
+use crate::fleet::machine_groups::{
+    MachineGroupKind, MachineGroupMember, MachineGroupRecord, MachineGroups, machine_group_key,
+};
 use crate::fleet::mixture::{Mixture, Target};
 use crate::fleet::zones::ZoneLists;
 use crate::fleet::{CachedImage, MachineRecord, Machines, Phase as MachinePhase, PushUrgency, Types};
@@ -327,6 +329,7 @@
             return;
         };
         let zone = self.types.zones.intern(&record.zone);
+        let kind = MachineGroupKind { type_index, zone, spot: record.spot };
         let bytes = serde_json::to_string(&record).map_or(0, |value| value.len());
         let key: Arc<str> = machine_group_key(group_index).into();
         self.write_queue.set_version(key.to_string(), version);
@@ -344,7 +347,7 @@
         if !is_replaced {
             let names: Vec<JobIndex> = record.jobs.iter().filter_map(|id| self.jobs.find(id)).collect();
             self.machine_groups
-                .open(group_index, type_index, zone, record.spot)
+                .open(group_index, kind)
                 .on_value_built(bytes.saturating_sub(record.image_bytes()), names.into_iter());
         }
         if is_replaced && record.machines.is_empty() {
@@ -356,7 +359,7 @@
                 self.note_superseding_value(&key, machine_index);
             } else {
                 self.machines[machine_index].machine_group = Some(group_index);
-                self.machine_groups.open(group_index, type_index, zone, record.spot).members.insert(machine_index);
+                self.machine_groups.open(group_index, kind).members.insert(machine_index);
             }
         }
         if self.machine_groups.list.get(&group_index).is_some_and(|group| group.members.is_empty() || names_others) {
--- a/crates/scheduler/src/shard/mod.rs
+++ b/crates/scheduler/src/shard/mod.rs
@@ -50,7 +50,7 @@
 
 use crate::dependency_graph::DependencyGraph;
 use crate::fleet::launch::Launches;
-use crate::fleet::machine_groups::{MachineGroupRecord, MachineGroups, machine_group_key};
+use crate::fleet::machine_groups::{MachineGroupRecord, MachineGroups};
 use crate::fleet::mixture::{Mixture, Target};
 use crate::fleet::zones::ZoneLists;
 use crate::fleet::{Assignment, MachineRecord, Machines, Phase as MachinePhase, Types};
@@ -62,7 +62,6 @@
 use lupinspur_service_levels::underserved::Underserved;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
-use std::sync::Arc;
 
 /// What the leader can say of a job that it knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
