--- a/crates/scheduler/src/shard/mod.rs
+++ b/crates/scheduler/src/shard/mod.rs
@@ -31,6 +31,7 @@
 mod summary;
 mod task_failures;
 mod task_reconciliation;
+mod unrecognized_jobs;
 mod writes;
 mod zone_pinned;
 
--- a/crates/scheduler/src/shard/permission.rs
+++ b/crates/scheduler/src/shard/permission.rs
@@ -1,5 +1,7 @@
 //! Whether what was decided may still be done. Between a decision and its sending lie queues, connections that are
 //! opened and pauses of the process: it is asked once more when the bytes are about to leave.
+//!
+//! Owns the one function that every start asks, and the one that every push asks. It changes nothing.
 
 use super::{PushRequest, Shard};
 use crate::fleet::{Assignment, Phase as MachinePhase};
@@ -12,7 +14,7 @@
 pub enum Lapsed {
     #[error("its machine is being returned or gone")]
     Machine,
-    #[error("its machine is in session {now}, and was in {then}")]
+    #[error("its machine is in incarnation {now}, and was in {then}")]
     Session { then: u64, now: u64 },
     #[error("the start of {task}, attempt {attempt}, was withdrawn")]
     Withdrawn { task: String, attempt: u64 },
@@ -23,11 +25,11 @@
 pub enum Forbidden {
     #[error("its job is over, or is being ended")]
     JobOver,
-    #[error("it is held by a machine, or done")]
+    #[error("it is assigned to a machine, or done")]
     NotQueued,
     #[error("a machine that was not heard yet may hold tasks of its job")]
     MayRunElsewhere,
-    #[error("its machine has not shown the token of this owner")]
+    #[error("its machine has not shown the token of this leader")]
     MachineNotReconciled,
     #[error("an earlier start of it may yet arrive there")]
     StartUnacknowledged,
@@ -48,16 +50,17 @@
             return Err(Lapsed::Session { then: send.body.incarnation, now: machine.incarnation });
         }
         for command in send.body.commands.iter().filter(|c| c.kind == CommandKind::Start) {
-            let held = self.key_of(&command.task).and_then(|k| machine.assignments.get(&k));
-            let wanted = |h: &Assignment| h.attempt == command.attempt && h.stop_grace_s.is_none();
-            if !held.is_some_and(wanted) {
+            let assigned = self.key_of(&command.task).and_then(|key| machine.assignments.get(&key));
+            let is_wanted =
+                |assignment: &Assignment| assignment.attempt == command.attempt && assignment.stop_grace_s.is_none();
+            if !assigned.is_some_and(is_wanted) {
                 return Err(Lapsed::Withdrawn { task: command.task.clone(), attempt: command.attempt });
             }
         }
         Ok(())
     }
 
-    /// May this task be started on this machine? What a start rests on, asked once more before it is held.
+    /// May this task be started on this machine? What a start rests on, asked once more before it is assigned.
     pub fn may_start(&self, machine_index: MachineIndex, key: TaskKey) -> Result<(), Forbidden> {
         let (job, machine) = (&self.jobs[key.job], &self.machines[machine_index]);
         if job.phase != Phase::Open || job.desired_phase != Phase::Open || job.moving_away {
@@ -70,7 +73,7 @@
             Err(Forbidden::MachineNotReconciled)
         } else if machine.unacknowledged_starts.contains_key(&key) {
             Err(Forbidden::StartUnacknowledged)
-        } else if self.live_attempts.machine_listing_orphan(&key).is_some() {
+        } else if self.live_attempts.is_occupied(&key) {
             Err(Forbidden::Occupied)
         } else if self.dependencies.is_waiting(key.job) {
             Err(Forbidden::DependenciesUnmet)
