--- a/src/node/merging.rs
+++ b/src/node/merging.rs
@@ -1,9 +1,9 @@
-//! The way back from several shards to one, while serving.
+//! Merging: the way back from several shards to one, while serving.
 //!
 //! 1. All controllers offer a plan of one shard; the leader of shard 0 stores that the shards merge.
-//! 2. Every other shard's leader steps down, and nobody claims them again; the leader of shard 0 puts
-//!    nobody's name in the place of their claims, so that whoever has not heard of it can't either.
-//! 3. It takes its own claim anew, newer than all that the others' machines have seen, and reads what
+//! 2. Every other shard's leader steps down, and nobody campaigns for them again; the leader of shard 0
+//!    puts nobody's name in the place of their leadership records, so that whoever has not heard of it can't either.
+//! 3. It reacquires its own leadership, with a token newer than all that the others' machines have seen, and reads what
 //!    they kept with what it has, as at any failover. What the others stored is replaced by its own.
 //! 4. When nothing of theirs stands any more, and its checkpoint tells of all jobs, the plan goes.
 //!
@@ -11,9 +11,16 @@
 //! that knows of no shards is kept away as before.
 
 use super::shard_exchange::{PRESENT_PREFIX, SHARDS_PREFIX};
-use super::*;
-use crate::fleet::machine_groups::MachineGroupRecord;
+use crate::clock;
+use crate::election::{LEADERSHIP_KEY, LEADERSHIP_PREFIX, LeadershipRecord, shard_leadership_key};
+use crate::fleet::machine_groups::{MACHINE_GROUP_PREFIX, MachineGroupRecord};
+use crate::node::{EXECUTOR, Node, ShardRuntime, lock, parse_items};
+use crate::state::{RequestPriority, StateError};
+use crate::wire::{Compare, KeyValue, Mutation};
 use lupinspur_sharding::activation::{ActivePlan, NOBODY, Presence, all_agree_on, may_absorb_all};
+use lupinspur_sharding::{ShardId, ShardingPlan};
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
 
 /// What the other shards stored, as the shard that takes them in reads it.
 #[derive(Default)]
@@ -32,19 +39,19 @@
 
     /// Does this controller's file ask for the way back?
     pub(super) fn wants_single_shard(&self) -> bool {
-        self.sharding_plan.as_ref().is_some_and(|p| p.cells == 1)
+        self.sharding_plan.as_ref().is_some_and(|plan| plan.cells == 1)
     }
 
     /// The plan as it is stored.
-    pub(super) fn observe_plan(self: &Arc<Self>, f: ActivePlan) {
-        let merging = f.merging;
-        self.enter_sharding(f.plan);
+    pub(super) fn observe_plan(self: &Arc<Self>, active: ActivePlan) {
+        let merging = active.merging;
+        self.enter_sharding(active.plan);
         if !merging || self.merging.swap(true, Ordering::Relaxed) {
             return;
         }
-        log::info!("the cells merge: cell 0 takes in what the others had");
-        for c in self.shards().iter().filter(|c| c.id.0 != 0) {
-            c.resign();
+        log::info!("merging shards into=0");
+        for runtime in self.shards().iter().filter(|runtime| runtime.id.0 != 0) {
+            runtime.resign();
         }
         self.update_rate_shares();
     }
@@ -54,19 +61,20 @@
         if lock(&self.active_plan).take().is_none() {
             return;
         }
-        log::info!("there is one cell from now on");
+        log::info!("sharding ended shards=1");
         self.merging.store(false, Ordering::Relaxed);
         lock(&self.shard_by_job).clear();
         lock(&self.shard_by_machine).clear();
-        let one = ShardRuntime::new(self.clone(), ShardId(0), LEADERSHIP_KEY.into());
-        one.observe_record(None);
-        self.replace_shards(vec![one]);
+        let runtime = ShardRuntime::new(self.clone(), ShardId(0), LEADERSHIP_KEY.into());
+        runtime.observe_record(None);
+        self.replace_shards(vec![runtime]);
         self.update_rate_shares();
     }
 }
 
-fn record_holder(i: &KeyValue) -> &str {
-    i.value.get("node").and_then(serde_json::Value::as_str).unwrap_or_default()
+/// The node that a leadership record names.
+fn record_holder(item: &KeyValue) -> &str {
+    item.value.get("node").and_then(serde_json::Value::as_str).unwrap_or_default()
 }
 
 impl ShardRuntime {
@@ -74,50 +82,51 @@
         self.absorbs_all_shards.load(Ordering::Relaxed)
     }
 
-    /// The claims of all other shards, as they are stored.
-    async fn other_leadership_records(&self, cells: u32) -> Result<Vec<(String, Option<KeyValue>)>, StateError> {
-        let (claims, _) = self.state.list(LEADERSHIP_PREFIX, RequestPriority::Normal).await?;
-        let of = |key: String| {
-            let item = claims.iter().find(|i| i.key == key).cloned();
+    /// The leadership records of all other shards, as they are stored, by key.
+    async fn other_leadership_records(&self, shards: u32) -> Result<Vec<(String, Option<KeyValue>)>, StateError> {
+        let (records, _) = self.state.list(LEADERSHIP_PREFIX, RequestPriority::Normal).await?;
+        let with_record = |key: String| {
+            let item = records.iter().find(|item| item.key == key).cloned();
             (key, item)
         };
-        Ok((1..cells).map(crate::election::shard_leadership_key).map(of).collect())
+        Ok((1..shards).map(shard_leadership_key).map(with_record).collect())
     }
 
-    /// May this claim take in what all the others had?
+    /// May the leader with this token take in what all the others had?
     pub(super) async fn other_shards_are_abandoned(&self, token: u64) -> Result<bool, StateError> {
         let plan = lock(&self.active_plan).clone();
         let Some(plan) = plan.filter(|_| self.is_merging() && self.id.0 == 0) else { return Ok(false) };
-        let claims = self.other_leadership_records(plan.cells).await?;
-        Ok(may_absorb_all(token, claims.iter().map(|(_, i)| i.as_ref().map(|i| (record_holder(i), i.version)))))
+        let records = self.other_leadership_records(plan.cells).await?;
+        let holders = records.iter().map(|(_, item)| item.as_ref().map(|item| (record_holder(item), item.version)));
+        Ok(may_absorb_all(token, holders))
     }
 
-    /// Steps down, so that the claim goes at once.
+    /// Steps down, and revokes the lease, so that the leadership record expires at once.
     pub(super) fn resign(self: &Arc<Self>) {
         let mut lease = None;
-        self.leadership_lost(|o| lease = o.step_down(clock::now()));
-        if let Some(l) = lease {
-            let me = self.clone();
-            EXECUTOR.spawn(async move { _ = me.state.revoke(l).await }).detach();
+        self.leadership_lost(|election| lease = election.step_down(clock::now()));
+        if let Some(lease) = lease {
+            let runtime = self.clone();
+            EXECUTOR.spawn(async move { _ = runtime.state.revoke(lease).await }).detach();
         }
     }
 
     /// The first step: all controllers want one shard.
-    pub(super) async fn begin_merging(&self, token: u64, plan: &lupinspur_sharding::ShardingPlan) {
+    pub(super) async fn begin_merging(&self, token: u64, plan: &ShardingPlan) {
         let Some(wanted) = self.sharding_plan.clone() else { return };
         let Ok((items, _)) = self.state.list(PRESENT_PREFIX, RequestPriority::Normal).await else { return };
-        let present: Vec<Presence> = parse_items(items).map(|(_, p, _)| p).collect();
+        let present: Vec<Presence> = parse_items(items).map(|(_, presence, _)| presence).collect();
         if !all_agree_on(&wanted, &self.settings.nodes(), &present) {
             return;
         }
-        let Ok(Some(stands)) = self.state.get(LEADERSHIP_KEY, RequestPriority::Normal).await else { return };
-        if ShardRuntime::active_plan_in(&stands).is_none_or(|f| f.merging) {
+        let Ok(Some(stored_plan)) = self.state.get(LEADERSHIP_KEY, RequestPriority::Normal).await else { return };
+        if ShardRuntime::active_plan_in(&stored_plan).is_none_or(|active| active.merging) {
             return;
         }
         let Ok(value) = serde_json::to_value(ActivePlan::merging(plan.clone())) else { return };
         let conditions = vec![
             Compare { key: self.leadership_key.clone(), version: token },
-            Compare { key: LEADERSHIP_KEY.into(), version: stands.version },
+            Compare { key: LEADERSHIP_KEY.into(), version: stored_plan.version },
         ];
         let change = Mutation::Put { key: LEADERSHIP_KEY.into(), value, lease: None };
         // Whatever becomes of it, the watch tells.
@@ -125,20 +134,21 @@
     }
 
     /// The next step of a merging, by the leader of shard 0.
-    pub(super) async fn merge(self: &Arc<Self>, token: u64, plan: &lupinspur_sharding::ShardingPlan) {
-        let Ok(claims) = self.other_leadership_records(plan.cells).await else { return };
-        let free: Vec<&String> = claims.iter().filter(|(_, i)| i.is_none()).map(|(k, _)| k).collect();
+    pub(super) async fn merge(self: &Arc<Self>, token: u64, plan: &ShardingPlan) {
+        let Ok(records) = self.other_leadership_records(plan.cells).await else { return };
+        let free: Vec<&String> = records.iter().filter(|(_, item)| item.is_none()).map(|(key, _)| key).collect();
         if !free.is_empty() {
             let Ok(value) = serde_json::to_value(LeadershipRecord::new(NOBODY, "merged")) else { return };
             for keys in free.chunks(self.state.txn_ops) {
                 let mut conditions = vec![Compare { key: self.leadership_key.clone(), version: token }];
-                conditions.extend(keys.iter().map(|k| Compare { key: (*k).clone(), version: 0 }));
-                let put = |k: &&String| Mutation::Put { key: (*k).clone(), value: value.clone(), lease: None };
+                conditions.extend(keys.iter().map(|key| Compare { key: (*key).clone(), version: 0 }));
+                let put = |key: &&String| Mutation::Put { key: (*key).clone(), value: value.clone(), lease: None };
                 let _ = self.state.commit(conditions, keys.iter().map(put).collect(), RequestPriority::Normal).await;
             }
             return;
         }
-        if !claims.iter().all(|(_, i)| i.as_ref().is_some_and(|i| record_holder(i) == NOBODY)) {
+        let abandoned = |item: &KeyValue| record_holder(item) == NOBODY;
+        if !records.iter().all(|(_, item)| item.as_ref().is_some_and(abandoned)) {
             return;
         }
         let loaded_at = *lock(&self.loaded_at);
@@ -148,22 +158,23 @@
         if loaded_at.token != token || !self.others_are_cleared(plan, loaded_at.revision).await {
             return;
         }
-        let Ok(Some(stands)) = self.state.get(LEADERSHIP_KEY, RequestPriority::Normal).await else { return };
-        let gone =
-            [LEADERSHIP_KEY.to_owned(), self.leadership_key.clone()].into_iter().chain(claims.into_iter().map(|c| c.0));
+        let Ok(Some(stored_plan)) = self.state.get(LEADERSHIP_KEY, RequestPriority::Normal).await else { return };
+        let gone = [LEADERSHIP_KEY.to_owned(), self.leadership_key.clone()]
+            .into_iter()
+            .chain(records.into_iter().map(|(key, _)| key));
         let gone: Vec<Mutation> = gone.map(|key| Mutation::Delete { key }).take(self.state.txn_ops).collect();
         let conditions = vec![
             Compare { key: self.leadership_key.clone(), version: token },
-            Compare { key: LEADERSHIP_KEY.into(), version: stands.version },
+            Compare { key: LEADERSHIP_KEY.into(), version: stored_plan.version },
         ];
         // From the moment that it is sent somebody else may own: this one has ended before.
-        self.leadership_lost(|o| o.lease_lost());
+        self.leadership_lost(|election| election.lease_lost());
         let _ = self.state.commit(conditions, gone, RequestPriority::Urgent).await;
     }
 
     /// Does nothing of the others stand any more, and does a checkpoint of since then tell of all jobs?
-    async fn others_are_cleared(&self, plan: &lupinspur_sharding::ShardingPlan, read_at: u64) -> bool {
-        let prefixes = (1..plan.cells).map(|c| format!("c{c}/")).chain([SHARDS_PREFIX.to_owned()]);
+    async fn others_are_cleared(&self, plan: &ShardingPlan, read_at: u64) -> bool {
+        let prefixes = (1..plan.cells).map(|shard| format!("c{shard}/")).chain([SHARDS_PREFIX.to_owned()]);
         for prefix in prefixes {
             match self.state.list(&prefix, RequestPriority::Normal).await {
                 Ok((items, _)) if items.is_empty() => {}
@@ -171,8 +182,8 @@
             }
         }
         let Ok(items) = self.list_own(lupinspur_recovery::PREFIX).await else { return false };
-        let read = lupinspur_recovery::read(items.iter().map(|i| (i.key.as_str(), &i.value)));
-        read.is_ok_and(|r| r.head.at >= read_at)
+        let read = lupinspur_recovery::read(items.iter().map(|item| (item.key.as_str(), &item.value)));
+        read.is_ok_and(|checkpoint| checkpoint.head.at >= read_at)
     }
 
     /// What the other shards kept, while they merge into this one: machine groups, and the rest, which is of
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -1,4 +1,5 @@
-//! The node: sockets, clocks and loops around one shard's decisions.
+//! The node: the controller process around the scheduler. It owns the clients of the state service, the cloud, the
+//! workers and the peers, and a runtime for each shard; it makes no scheduling decision of its own.
 
 mod failover;
 mod leadership;
@@ -13,27 +14,22 @@
 
 use crate::clock;
 use crate::cloud::CloudClient;
-use crate::election::{LEADERSHIP_KEY, LEADERSHIP_PREFIX, LeaderElection, LeadershipRecord};
-use crate::fleet::machine_groups::MACHINE_GROUP_PREFIX;
+use crate::election::{LEADERSHIP_KEY, LeadershipRecord};
 use crate::health::Health;
-use crate::job_status::{JobStatus, Lookup};
-use crate::jobs::{JOB_PREFIX, JobRecord, PART_PREFIX, PROGRESS_PREFIX, Phase};
+use crate::job_status::JobStatus;
 use crate::peer::Peers;
 use crate::settings::Settings;
-use crate::shard::{Shard, parse_job_record};
-use crate::state::{CompareAndSwap, KvClient, RequestPriority, StateError};
+use crate::state::KvClient;
 use crate::tuning::Tuning;
-use crate::wire::{Compare, KeyValue, Kind, MachineType, Mutation};
+use crate::wire::{KeyValue, Kind, MachineType};
 use crate::worker::WorkerClient;
 use async_channel::{Receiver, Sender};
 use async_executor::Executor;
-use async_io::Timer;
 use lru::LruCache;
 use lupinspur_quota::Plan;
 use lupinspur_service_levels::{Reading, ServiceLevelReport as ServiceTold, ServiceLevelTracker};
 use lupinspur_sharding::ShardId;
 use serde::de::DeserializeOwned;
-use std::collections::HashMap;
 use std::num::NonZeroUsize;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -45,7 +41,7 @@
 const GATHER_PAUSE: Duration = Duration::from_millis(20);
 const PLACEMENT_RETRY_S: f64 = 1.0;
 const SUMMARY_INTERVAL_S: f64 = 10.0;
-/// The accounts as a whole go to the log this often; the gate reads the last ones.
+/// The service-level report goes to the log this often; the gate reads the last one.
 const SERVICE_LEVEL_LOG_INTERVAL_S: f64 = 30.0;
 const ALERT_INTERVAL_S: f64 = 1.0;
 /// A submission that is answered later than this was not accepted in time.
@@ -69,7 +65,7 @@
     pub cells: Option<lupinspur_sharding::ShardingPlan>,
 }
 
-/// Who acts, as far as this node knows.
+/// Who leads a shard, as far as this node knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum LeadershipStatus {
     Leading,
@@ -77,14 +73,16 @@
     NoLeader,
 }
 
+/// What wakes the loops of a shard before their interval is over.
 struct Wakes {
     writer: (Sender<()>, Receiver<()>),
     direct: (Sender<()>, Receiver<()>),
     pace: (Sender<()>, Receiver<()>),
-    /// A failover is through, and the records of needs are to be read.
+    /// A failover is complete, and the records of dependencies are to be read.
     dependencies: (Sender<()>, Receiver<()>),
 }
 
+/// The controller process: what it has once, whatever shards it leads.
 pub struct Node {
     pub settings: Settings,
     pub tuning: Tuning,
@@ -96,7 +94,7 @@
     pub cloud: CloudClient,
     pub workers: WorkerClient,
     pub peers: Peers,
-    /// Who this process is, in every claim that it makes.
+    /// Who this process is, in every leadership record that it writes.
     own_record: LeadershipRecord,
     shards: Mutex<ShardRuntimes>,
     /// The operators' file of shards, and the plan that is in force.
@@ -112,15 +110,15 @@
     known_ends: Mutex<LruCache<String, JobStatus>>,
     /// Jobs that this node has seen to be accepted: they stay so.
     accepted_jobs: Mutex<LruCache<String, Kind>>,
-    /// What users were answered at this controller's door, by class and team.
+    /// What users were answered at this controller's ingress, by class and team.
     ingress: Mutex<ServiceLevelTracker>,
     state_answered_at: Mutex<f64>,
     health: Mutex<Health>,
     /// The machine types as the state service has them.
     types_stored: Mutex<Option<StoredTypes>>,
-    /// Whether the cloud itself told the types.
+    /// Whether the cloud itself gave the types.
     types_asked: AtomicBool,
-    /// Reports that were sent on to the leader, and those that could not be answered at all.
+    /// Heartbeats that were redirected to the leader, and those that could not be answered at all.
     heartbeats_redirected: AtomicU64,
     heartbeats_rejected: AtomicU64,
 }
@@ -132,31 +130,35 @@
     version: u64,
 }
 
+/// The runtimes of all shards in force.
 pub type ShardRuntimes = Arc<Vec<Arc<ShardRuntime>>>;
 
-fn lock<T>(m: &Mutex<T>) -> MutexGuard<'_, T> {
-    m.lock().unwrap_or_else(|e| e.into_inner())
+/// Locks, also where another thread panicked while it held the lock.
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(|e| e.into_inner())
 }
 
+/// Parses stored values, each with its key and version. One that cannot be read is logged and left out.
 fn parse_items<T: DeserializeOwned>(items: Vec<KeyValue>) -> impl Iterator<Item = (String, T, u64)> {
-    items.into_iter().filter_map(|i| match serde_json::from_value(i.value) {
-        Ok(v) => Some((i.key, v, i.version)),
-        Err(e) => {
-            log::error!("key {} holds something unknown: {e}", i.key);
+    items.into_iter().filter_map(|item| match serde_json::from_value(item.value) {
+        Ok(value) => Some((item.key, value, item.version)),
+        Err(error) => {
+            log::error!("stored value unreadable key={} reason=\"{error}\"", item.key);
             None
         }
     })
 }
 
 impl Node {
+    /// A node that has not begun: `spawn_loops` sets it going.
     pub fn new(settings: Settings, tuning: Tuning, features: Features) -> Node {
-        let me = LeadershipRecord::new(settings.node.clone(), format!("{:016x}", fastrand::u64(..)));
+        let own_record = LeadershipRecord::new(settings.node.clone(), format!("{:016x}", fastrand::u64(..)));
         Node {
             state: KvClient::new(&settings),
             cloud: CloudClient::new(&settings),
             workers: WorkerClient::new(&settings),
             peers: Peers::new(&EXECUTOR, &settings),
-            own_record: me,
+            own_record,
             shards: Mutex::default(),
             sharding_plan: features.cells,
             active_plan: Mutex::default(),
@@ -183,94 +185,101 @@
 
     /// Sets all loops going.
     pub fn spawn_loops(self: &Arc<Self>) {
-        let n = || self.clone();
-        self.replace_shards(vec![ShardRuntime::new(n(), ShardId(0), LEADERSHIP_KEY.into())]);
-        EXECUTOR.spawn(n().learn_machine_types_loop()).detach();
-        EXECUTOR.spawn(n().watch_leadership()).detach();
-        EXECUTOR.spawn(n().log_ingress_loop()).detach();
-        EXECUTOR.spawn(n().offer_plan_loop()).detach();
+        let node = || self.clone();
+        self.replace_shards(vec![ShardRuntime::new(node(), ShardId(0), LEADERSHIP_KEY.into())]);
+        EXECUTOR.spawn(node().learn_machine_types_loop()).detach();
+        EXECUTOR.spawn(node().watch_leadership()).detach();
+        EXECUTOR.spawn(node().log_ingress_loop()).detach();
+        EXECUTOR.spawn(node().offer_plan_loop()).detach();
     }
 
     /// These shards from now on, in the order of their numbers.
-    fn replace_shards(self: &Arc<Self>, cells: Vec<Arc<ShardRuntime>>) {
-        let before = std::mem::replace(&mut *lock(&self.shards), Arc::new(cells.clone()));
-        for c in before.iter() {
-            c.closed.store(true, Ordering::Relaxed);
-            c.leadership_lost(|o| o.lease_lost());
+    fn replace_shards(self: &Arc<Self>, runtimes: Vec<Arc<ShardRuntime>>) {
+        let before = std::mem::replace(&mut *lock(&self.shards), Arc::new(runtimes.clone()));
+        for runtime in before.iter() {
+            runtime.closed.store(true, Ordering::Relaxed);
+            runtime.leadership_lost(|election| election.lease_lost());
         }
-        cells.iter().for_each(ShardRuntime::spawn_loops);
+        runtimes.iter().for_each(ShardRuntime::spawn_loops);
     }
 
+    /// The runtimes of all shards in force, in the order of their numbers.
     pub fn shards(&self) -> ShardRuntimes {
         lock(&self.shards).clone()
     }
 
-    /// How many shards this process holds a claim of.
+    /// How many shards this process leads.
     fn shards_led(&self) -> usize {
-        self.shards().iter().filter(|c| lock(&c.election).token().is_some()).count()
+        self.shards().iter().filter(|runtime| lock(&runtime.election).token().is_some()).count()
     }
 
-    /// What this process may spend at the services follows from what it owns.
+    /// What this process may spend at the services follows from how many shards it leads.
     fn update_rate_shares(&self) {
-        let of = if self.is_merging() { 1 } else { self.shards().len() };
-        let owned = self.shards_led();
-        self.state.set_share(&self.settings, owned, of);
-        self.cloud.set_share(&self.settings, owned, of);
+        let shards = if self.is_merging() { 1 } else { self.shards().len() };
+        let led = self.shards_led();
+        self.state.set_share(&self.settings, led, shards);
+        self.cloud.set_share(&self.settings, led, shards);
     }
 
-    /// What users were answered at this controller's door.
+    /// What users were answered at this controller's ingress.
     pub fn ingress_report(&self, now: f64) -> ServiceTold {
         lock(&self.ingress).report(now)
     }
 
+    /// The machine types that this node goes by; empty until it knows any.
     pub fn machine_types(&self) -> Arc<Vec<MachineType>> {
         lock(&self.machine_types).clone()
     }
 
+    /// What the health endpoint answers.
     pub fn healthy(&self) -> bool {
         let now = clock::now();
-        let (useful, owns) = (!lock(&self.machine_types).is_empty(), self.leads_any_shard(now));
+        let (knows_types, leads) = (!lock(&self.machine_types).is_empty(), self.leads_any_shard(now));
         let answered = *lock(&self.state_answered_at);
-        lock(&self.health).says(useful, owns, answered, now)
+        lock(&self.health).says(knows_types, leads, answered, now)
     }
 
-    /// Final states never change: any node may tell them once it has learnt them.
+    /// The status of a job that is over. Final states never change: any node may answer with them once it has
+    /// learnt them.
     pub fn known_end(&self, id: &str) -> Option<JobStatus> {
         lock(&self.known_ends).get(id).copied()
     }
 
-    pub fn note_end(&self, id: &str, t: JobStatus) {
-        if t.is_final() {
-            lock(&self.known_ends).put(id.to_owned(), t);
+    /// Remembers a status if it is final.
+    pub fn note_end(&self, id: &str, status: JobStatus) {
+        if status.is_final() {
+            lock(&self.known_ends).put(id.to_owned(), status);
         }
     }
 
+    /// The kind of a job that this node has seen to be accepted.
     pub fn accepted_kind(&self, id: &str) -> Option<Kind> {
         lock(&self.accepted_jobs).get(id).copied()
     }
 
+    /// Remembers that this job is accepted.
     pub fn note_accepted(&self, id: &str, kind: Kind) {
         lock(&self.accepted_jobs).put(id.to_owned(), kind);
     }
 
-    /// A user waited for this answer from `began` on.
-    pub fn note_answer(&self, class: &str, team: &str, what: Reading, served: bool, began: f64) {
+    /// Counts the answer to a user who waited for it from `began_at` on.
+    pub fn note_answer(&self, class: &str, team: &str, reading: Reading, served: bool, began_at: f64) {
         let now = clock::now();
-        let in_time = what != Reading::Accepted || now - began <= ACCEPTANCE_OBJECTIVE_S;
-        lock(&self.ingress).answered(class, team, what, served && in_time, now);
+        let in_time = reading != Reading::Accepted || now - began_at <= ACCEPTANCE_OBJECTIVE_S;
+        lock(&self.ingress).answered(class, team, reading, served && in_time, now);
     }
 
     fn state_answered(&self) {
         *lock(&self.state_answered_at) = clock::now();
     }
 
-    /// Something may be there to place, in some shard that is owned here.
+    /// Something may be there to place, in some shard that is led here.
     pub fn wake(&self) {
-        self.shards().iter().for_each(|c| c.wake());
+        self.shards().iter().for_each(|runtime| runtime.wake());
     }
 
-    /// Does this controller own any shard?
+    /// Does this controller lead any shard?
     fn leads_any_shard(&self, now: f64) -> bool {
-        self.shards().iter().any(|c| c.leadership_status(now) == LeadershipStatus::Leading)
+        self.shards().iter().any(|runtime| runtime.leadership_status(now) == LeadershipStatus::Leading)
     }
 }
--- a/src/node/routing.rs
+++ b/src/node/routing.rs
@@ -1,8 +1,17 @@
-//! Which shard a job or a machine belongs to, where there are several.
+//! Which shard a job or a machine belongs to, where there are several, and under which keys each shard stores what
+//! is its own. It only finds shards; it never moves a job or a machine.
 
-use super::*;
+use crate::clock;
+use crate::job_status::{Lookup, status_of};
+use crate::jobs::{JOB_PREFIX, JobRecord, PART_PREFIX, PROGRESS_PREFIX, Phase, job_key};
+use crate::node::{LeadershipStatus, Node, ShardRuntime, lock};
 use crate::peer::MachineQuestion;
+use crate::shard::{Shard, parse_job_record};
+use crate::state::{RequestPriority, StateError};
+use crate::wire::KeyValue;
+use lupinspur_sharding::ShardId;
 use lupinspur_sharding::activation::{ActivePlan, NOBODY};
+use std::sync::Arc;
 
 /// Where a job is to be asked for.
 pub enum JobLocation {
@@ -13,20 +22,21 @@
 }
 
 impl Node {
-    pub fn shard(&self, ix: ShardId) -> Option<Arc<ShardRuntime>> {
-        self.shards().get(ix.as_usize()).cloned()
+    /// The runtime of this shard, if the plan in force has it.
+    pub fn shard(&self, shard_id: ShardId) -> Option<Arc<ShardRuntime>> {
+        self.shards().get(shard_id.as_usize()).cloned()
     }
 
     /// The one shard that there is, if there is only one.
     fn only_shard(&self) -> Option<Arc<ShardRuntime>> {
-        let cells = self.shards();
-        (cells.len() == 1 || self.is_merging()).then(|| cells[0].clone())
+        let runtimes = self.shards();
+        (runtimes.len() == 1 || self.is_merging()).then(|| runtimes[0].clone())
     }
 
     /// The shard of whatever this record is of.
     pub fn shard_of_record(&self, record: &JobRecord) -> ShardId {
-        let of = self.shards().len();
-        record.shard.filter(|c| (*c as usize) < of).map_or(ShardId(0), ShardId)
+        let shards = self.shards().len();
+        record.shard.filter(|shard| (*shard as usize) < shards).map_or(ShardId(0), ShardId)
     }
 
     /// The home of a team's new jobs; none where there is only one shard.
@@ -35,13 +45,17 @@
         Some(self.home_by(&plan, team))
     }
 
-    /// An owned shard that knows this job.
+    /// A shard led here that knows this job.
     pub fn shard_knowing_job(&self, id: &str, now: f64) -> Option<Arc<ShardRuntime>> {
-        self.shards().iter().find(|c| c.with_shard(now, |s| s.jobs.find(id).is_some()) == Some(true)).cloned()
+        self.shards()
+            .iter()
+            .find(|runtime| runtime.with_shard(now, |shard| shard.jobs.find(id).is_some()) == Some(true))
+            .cloned()
     }
 
-    pub fn note_job_shard(&self, id: &str, cell: ShardId) {
-        lock(&self.shard_by_job).put(id.to_owned(), cell);
+    /// Remembers in which shard this job was found.
+    pub fn note_job_shard(&self, id: &str, shard_id: ShardId) {
+        lock(&self.shard_by_job).put(id.to_owned(), shard_id);
     }
 
     /// The shard turned out to be another one: the next question reads the record again.
@@ -52,41 +66,41 @@
     /// Where this job is to be asked for. One that this node has not met yet is asked for at the
     /// other leaders; only what none of them knows costs a request to the state service. With a
     /// request for each, polls took all that there were of booking's hundred a second.
-    pub async fn locate_job(&self, id: &str, turn: RequestPriority) -> JobLocation {
-        if let Some(c) = self.only_shard() {
-            return JobLocation::In(c);
+    pub async fn locate_job(&self, id: &str, priority: RequestPriority) -> JobLocation {
+        if let Some(runtime) = self.only_shard() {
+            return JobLocation::In(runtime);
         }
-        if let Some(t) = self.known_end(id) {
-            return JobLocation::Answered(Lookup::Known(t));
+        if let Some(status) = self.known_end(id) {
+            return JobLocation::Answered(Lookup::Known(status));
         }
-        if let Some(c) = self.shard_knowing_job(id, clock::now()) {
-            return JobLocation::In(c);
+        if let Some(runtime) = self.shard_knowing_job(id, clock::now()) {
+            return JobLocation::In(runtime);
         }
         let noted = lock(&self.shard_by_job).get(id).copied();
-        if let Some(c) = noted.and_then(|c| self.shard(c)) {
-            return JobLocation::In(c);
+        if let Some(runtime) = noted.and_then(|shard_id| self.shard(shard_id)) {
+            return JobLocation::In(runtime);
         }
         for node in self.other_leaders(clock::now()) {
-            let q = MachineQuestion { machine: String::new(), job: id.to_owned() };
-            if let Some(a) = self.peers.ask_expects(&node, q).await.filter(|a| a.known)
-                && let Some(c) = self.shard(ShardId(a.cell))
+            let question = MachineQuestion { machine: String::new(), job: id.to_owned() };
+            if let Some(answer) = self.peers.ask_expects(&node, question).await.filter(|answer| answer.known)
+                && let Some(runtime) = self.shard(ShardId(answer.cell))
             {
-                self.note_job_shard(id, c.id);
-                return JobLocation::In(c);
+                self.note_job_shard(id, runtime.id);
+                return JobLocation::In(runtime);
             }
         }
-        match self.state.get(&crate::jobs::job_key(id), turn).await {
+        match self.state.get(&job_key(id), priority).await {
             Ok(None) => JobLocation::Answered(Lookup::Absent),
             Ok(Some(item)) => match parse_job_record(&item.key, &item.value) {
-                Ok(r) if r.phase == Phase::Open => {
-                    let cell = self.shard_of_record(&r);
-                    self.note_job_shard(id, cell);
-                    self.shard(cell).map_or(JobLocation::Answered(Lookup::Unavailable), JobLocation::In)
+                Ok(record) if record.phase == Phase::Open => {
+                    let shard_id = self.shard_of_record(&record);
+                    self.note_job_shard(id, shard_id);
+                    self.shard(shard_id).map_or(JobLocation::Answered(Lookup::Unavailable), JobLocation::In)
                 }
-                Ok(r) => {
-                    let told = crate::job_status::status_of(&r);
-                    self.note_end(id, told);
-                    JobLocation::Answered(Lookup::Known(told))
+                Ok(record) => {
+                    let status = status_of(&record);
+                    self.note_end(id, status);
+                    JobLocation::Answered(Lookup::Known(status))
                 }
                 Err(_) => JobLocation::Answered(Lookup::Unavailable),
             },
@@ -94,81 +108,86 @@
         }
     }
 
-    /// The shard of a machine that reports here: the one that knows it, wherever it is owned. One
+    /// The shard of a machine that reports here: the one that knows it, wherever it is led. One
     /// that nobody knows goes to a shard whose token it would obey; none is said before all were
     /// asked.
     pub async fn shard_of_machine(&self, machine: &str, token: u64) -> Option<Arc<ShardRuntime>> {
         // Before shard 0 has read what the others had, it knows nothing of what runs there.
         if self.is_merging() {
-            let knows = |s: &mut Shard| s.machines.find(machine).is_some();
-            let one = self.shard(ShardId(0))?;
-            return Some(one.clone())
-                .filter(|c| c.absorbs_all_shards() || c.with_shard(clock::now(), knows) != Some(false));
+            let knows = |shard: &mut Shard| shard.machines.find(machine).is_some();
+            let absorbing = self.shard(ShardId(0))?;
+            return Some(absorbing.clone()).filter(|runtime| {
+                runtime.absorbs_all_shards() || runtime.with_shard(clock::now(), knows) != Some(false)
+            });
         }
-        if let Some(c) = self.only_shard() {
-            return Some(c);
+        if let Some(runtime) = self.only_shard() {
+            return Some(runtime);
         }
         // Whose it is while it goes from shard to shard is stored.
-        if let Some(c) = self.transfer_destination(machine).and_then(|c| self.shard(c)) {
-            return Some(c);
+        if let Some(runtime) = self.transfer_destination(machine).and_then(|shard_id| self.shard(shard_id)) {
+            return Some(runtime);
         }
         let now = clock::now();
-        let cells = self.shards();
-        let knows = |c: &&Arc<ShardRuntime>| c.with_shard(now, |s| s.machines.find(machine).is_some()) == Some(true);
-        if let Some(c) = cells.iter().find(knows) {
-            return Some(c.clone());
+        let runtimes = self.shards();
+        let knows = |runtime: &&Arc<ShardRuntime>| {
+            runtime.with_shard(now, |shard| shard.machines.find(machine).is_some()) == Some(true)
+        };
+        if let Some(runtime) = runtimes.iter().find(knows) {
+            return Some(runtime.clone());
         }
         let noted = lock(&self.shard_by_machine).get(machine).copied();
-        if let Some(c) = noted.and_then(|c| cells.get(c.as_usize())) {
-            return Some(c.clone());
+        if let Some(runtime) = noted.and_then(|shard_id| runtimes.get(shard_id.as_usize())) {
+            return Some(runtime.clone());
         }
-        let mut looked: Vec<bool> =
-            cells.iter().map(|c| c.leadership_status(now) == LeadershipStatus::Leading).collect();
+        let mut asked: Vec<bool> =
+            runtimes.iter().map(|runtime| runtime.leadership_status(now) == LeadershipStatus::Leading).collect();
         for node in self.other_leaders(now) {
-            let q = MachineQuestion { machine: machine.to_owned(), job: String::new() };
-            let Some(a) = self.peers.ask_expects(&node, q).await else { continue };
-            if a.known {
-                lock(&self.shard_by_machine).put(machine.to_owned(), ShardId(a.cell));
-                return self.shard(ShardId(a.cell));
+            let question = MachineQuestion { machine: machine.to_owned(), job: String::new() };
+            let Some(answer) = self.peers.ask_expects(&node, question).await else { continue };
+            if answer.known {
+                lock(&self.shard_by_machine).put(machine.to_owned(), ShardId(answer.cell));
+                return self.shard(ShardId(answer.cell));
             }
-            for c in a.owned {
-                if let Some(l) = looked.get_mut(c as usize) {
-                    *l = true;
+            for shard in answer.owned {
+                if let Some(asked) = asked.get_mut(shard as usize) {
+                    *asked = true;
                 }
             }
         }
-        if !looked.iter().all(|l| *l) {
+        if !asked.iter().all(|asked| *asked) {
             return None;
         }
         let plan = lock(&self.active_plan).clone()?;
         let first = plan.shard_of_unknown(machine);
-        let obeyed = |c: &&Arc<ShardRuntime>| lock(&c.election).observed_version().is_some_and(|v| v >= token);
-        let cell = cells.get(first.as_usize()).filter(obeyed).or_else(|| cells.iter().find(obeyed))?;
-        lock(&self.shard_by_machine).put(machine.to_owned(), cell.id);
-        Some(cell.clone())
+        let obeyed = |runtime: &&Arc<ShardRuntime>| {
+            lock(&runtime.election).observed_version().is_some_and(|version| version >= token)
+        };
+        let runtime = runtimes.get(first.as_usize()).filter(obeyed).or_else(|| runtimes.iter().find(obeyed))?;
+        lock(&self.shard_by_machine).put(machine.to_owned(), runtime.id);
+        Some(runtime.clone())
     }
 
     /// The same for a machine, which may be on its way from shard to shard.
     pub fn machine_known_by(&self, machine: &str) -> (Option<ShardId>, Vec<u32>) {
-        let (known, looked) = self.known_by(|s| s.machines.find(machine).is_some());
+        let (known, looked) = self.known_by(|shard| shard.machines.find(machine).is_some());
         (self.transfer_destination(machine).or(known), looked)
     }
 
-    /// What another controller asks: which shard that is owned here knows something, and which
+    /// What another controller asks: which shard that is led here knows something, and which
     /// were looked through.
     pub fn known_by(&self, knows: impl Fn(&mut Shard) -> bool) -> (Option<ShardId>, Vec<u32>) {
-        let (now, cells) = (clock::now(), self.shards());
+        let (now, runtimes) = (clock::now(), self.shards());
         let looked: Vec<(ShardId, bool)> =
-            cells.iter().filter_map(|c| Some((c.id, c.with_shard(now, &knows)?))).collect();
-        let known = looked.iter().find(|l| l.1).map(|l| l.0);
-        (known, looked.iter().map(|l| l.0.0).collect())
+            runtimes.iter().filter_map(|runtime| Some((runtime.id, runtime.with_shard(now, &knows)?))).collect();
+        let known = looked.iter().find(|(_, known)| *known).map(|(shard_id, _)| *shard_id);
+        (known, looked.iter().map(|(shard_id, _)| shard_id.0).collect())
     }
 
-    /// The other controllers that own shards.
+    /// The other controllers that lead shards.
     fn other_leaders(&self, now: f64) -> Vec<String> {
         let mut leaders: Vec<String> = Vec::new();
-        for c in self.shards().iter() {
-            if let LeadershipStatus::Following(node) = c.leadership_status(now)
+        for runtime in self.shards().iter() {
+            if let LeadershipStatus::Following(node) = runtime.leadership_status(now)
                 && !leaders.contains(&node)
             {
                 leaders.push(node);
@@ -179,15 +198,10 @@
 }
 
 impl ShardRuntime {
-    /// For people, in the log.
-    pub fn name(&self) -> String {
-        if self.shards().len() > 1 { format!("cell {}", self.id.0) } else { "the shard".into() }
-    }
-
     /// The name of a key of this shard's own, as the state service has it. Jobs and their progress
     /// stand where they always stood, whosever they are.
     pub(super) fn to_stored_key(&self, key: &str) -> String {
-        let shared = [JOB_PREFIX, PROGRESS_PREFIX, PART_PREFIX].iter().any(|p| key.starts_with(p));
+        let shared = [JOB_PREFIX, PROGRESS_PREFIX, PART_PREFIX].iter().any(|prefix| key.starts_with(prefix));
         if shared || self.id.0 == 0 { key.to_owned() } else { format!("c{}/{key}", self.id.0) }
     }
 
@@ -204,7 +218,7 @@
     /// Everything of this shard under a prefix.
     pub(super) async fn list_own(&self, prefix: &str) -> Result<Vec<KeyValue>, StateError> {
         let (items, _) = self.state.list(&self.to_stored_key(prefix), RequestPriority::Normal).await?;
-        Ok(items.into_iter().map(|i| self.strip_stored_prefix(i)).collect())
+        Ok(items.into_iter().map(|item| self.strip_stored_prefix(item)).collect())
     }
 
     /// Does a record concern this shard? One that is over does, since others may wait for it.
@@ -212,7 +226,7 @@
         record.phase != Phase::Open || self.absorbs_all_shards() || self.shard_of_record(record) == self.id
     }
 
-    /// Is this claim nobody's, with the plan in it?
+    /// Is this record nobody's, with the plan in it?
     pub(super) fn active_plan_in(item: &KeyValue) -> Option<ActivePlan> {
         if item.value.get("node").and_then(serde_json::Value::as_str) != Some(NOBODY) {
             return None;
--- a/src/node/shard_exchange/activation.rs
+++ b/src/node/shard_exchange/activation.rs
@@ -1,6 +1,18 @@
-//! How a plan of shards comes into force.
+//! How a sharding plan comes into force. No plan is stored before every controller offers the same one.
 
-use super::*;
+use super::{LEDGER_KEY, OFFER_INTERVAL, PRESENCE_LEASE_MS, PRESENT_PREFIX, SHARD_LEADERSHIP_PREFIX, ShardExchange};
+use crate::clock;
+use crate::election::{LEADERSHIP_KEY, shard_leadership_key};
+use crate::node::{EXECUTOR, Node, ShardRuntime, lock, parse_items};
+use crate::shard::team_limits_by_name;
+use crate::state::{CompareAndSwap, RequestPriority, StateError};
+use crate::wire::{Compare, Mutation};
+use async_io::Timer;
+use lupinspur_sharding::activation::{ActivePlan, Presence, all_agree_on, has_plan_to_offer};
+use lupinspur_sharding::escrow::{Ledger, QuotaTransfer};
+use lupinspur_sharding::{ShardId, ShardingPlan};
+use std::sync::Arc;
+use std::time::Duration;
 
 impl Node {
     /// Offers the plan of this controller's file until it is in force.
@@ -18,11 +30,11 @@
                 continue;
             }
             let renewed = match lease {
-                Some(l) => self.state.renew(l, Duration::from_secs(1)).await.is_ok(),
+                Some(lease) => self.state.renew(lease, Duration::from_secs(1)).await.is_ok(),
                 None => false,
             };
             if !renewed {
-                lease = self.state.grant(PRESENT_MS).await.ok();
+                lease = self.state.grant(PRESENCE_LEASE_MS).await.ok();
                 let key = format!("{PRESENT_PREFIX}{}", self.settings.node);
                 let change = Mutation::Put { key, value: value.clone(), lease };
                 if lease.is_some() && self.state.commit(vec![], vec![change], RequestPriority::Urgent).await.is_err() {
@@ -36,54 +48,54 @@
         }
     }
 
-    /// The leader of the one shard that there is puts the plan in its claim's place, once everybody
+    /// The leader of the one shard that there is puts the plan in its leadership record's place, once everybody
     /// understands it.
-    async fn activate_plan(self: &Arc<Self>, plan: &lupinspur_sharding::ShardingPlan) {
+    async fn activate_plan(self: &Arc<Self>, plan: &ShardingPlan) {
         let Ok((items, _)) = self.state.list(PRESENT_PREFIX, RequestPriority::Urgent).await else { return };
-        let present: Vec<Presence> = parse_items(items).map(|(_, p, _)| p).collect();
+        let present: Vec<Presence> = parse_items(items).map(|(_, presence, _)| presence).collect();
         if !all_agree_on(plan, &self.settings.nodes(), &present) {
             return;
         }
         let Ok(before) = self.state.get(LEDGER_KEY, RequestPriority::Urgent).await else { return };
-        let cells = self.shards();
-        let Some(cell) = cells.first().filter(|_| cells.len() == 1) else { return };
+        let runtimes = self.shards();
+        let Some(runtime) = runtimes.first().filter(|_| runtimes.len() == 1) else { return };
         let now = clock::now();
         // What is in use stays shard 0's, and nothing is added to it from here on; the rest goes to
         // the teams' homes.
-        let made = cell.with_shard(now, |s| {
-            let (token, in_use) = (s.token, s.limit_usage());
+        let made = runtime.with_shard(now, |shard| {
+            let (token, in_use) = (shard.token, shard.limit_usage());
             let mut ledger = Ledger::new(&team_limits_by_name(&self.settings.teams), plan.cells, ShardId(0));
             for (team, used) in &in_use {
                 let Some(own) = ledger.share(team, ShardId(0)) else { continue };
                 let home = plan.home(team);
                 let amount = own.minus(*used);
-                let gift = QuotaTransfer { team: team.clone(), from: ShardId(0), to: home, amount };
+                let transfer = QuotaTransfer { team: team.clone(), from: ShardId(0), to: home, amount };
                 if home != ShardId(0)
-                    && let Some(l) = ledger.apply(&[gift])
+                    && let Some(next) = ledger.apply(&[transfer])
                 {
-                    ledger = l;
+                    ledger = next;
                 }
             }
-            s.set_limit_shares(&self.settings.teams, &ledger, ShardId(0));
+            shard.set_limit_shares(&self.settings.teams, &ledger, ShardId(0));
             (token, ledger)
         });
         let Some((token, ledger)) = made else { return };
-        let (Ok(claim), Ok(shares)) =
+        let (Ok(record), Ok(shares)) =
             (serde_json::to_value(ActivePlan::new(plan.clone())), serde_json::to_value(&ledger))
         else {
             return;
         };
-        let most = self.settings.value_bytes();
-        if claim.to_string().len().max(shares.to_string().len()) > most {
-            log::error!("the plan of cells, or what it parts, does not fit a value of {most} bytes");
+        let max_bytes = self.settings.value_bytes();
+        if record.to_string().len().max(shares.to_string().len()) > max_bytes {
+            log::error!("sharding plan not stored token={token} reason=value_too_large max_bytes={max_bytes}");
             return;
         }
-        // Of a merging in which not all places of claims could be cleared at once.
+        // Of a merging in which not all leadership records could be cleared at once.
         let Ok((left, _)) = self.state.list(SHARD_LEADERSHIP_PREFIX, RequestPriority::Urgent).await else { return };
         for some in left.chunks(self.state.txn_ops) {
             let mut conditions = vec![Compare { key: LEADERSHIP_KEY.into(), version: token }];
-            conditions.extend(some.iter().map(|i| Compare { key: i.key.clone(), version: i.version }));
-            let gone = some.iter().map(|i| Mutation::Delete { key: i.key.clone() }).collect();
+            conditions.extend(some.iter().map(|item| Compare { key: item.key.clone(), version: item.version }));
+            let gone = some.iter().map(|item| Mutation::Delete { key: item.key.clone() }).collect();
             if !matches!(
                 self.state.commit(conditions, gone, RequestPriority::Urgent).await,
                 Ok(CompareAndSwap::Applied(_))
@@ -93,52 +105,53 @@
         }
         let conditions = vec![
             Compare { key: LEADERSHIP_KEY.into(), version: token },
-            Compare { key: LEDGER_KEY.into(), version: before.map_or(0, |i| i.version) },
+            Compare { key: LEDGER_KEY.into(), version: before.map_or(0, |item| item.version) },
         ];
         let changes = vec![
             Mutation::Put { key: LEDGER_KEY.into(), value: shares, lease: None },
-            Mutation::Put { key: LEADERSHIP_KEY.into(), value: claim, lease: None },
+            Mutation::Put { key: LEADERSHIP_KEY.into(), value: record, lease: None },
         ];
-        // From the moment that it is sent the shards may be owned by others, who wait for nobody.
-        lock(&cell.election).suspend(true);
+        // From the moment that it is sent the shards may be led by others, who wait for nobody.
+        lock(&runtime.election).suspend(true);
         match self.state.commit(conditions, changes, RequestPriority::Urgent).await {
             Ok(CompareAndSwap::Applied(_)) => self.enter_sharding(plan.clone()),
-            // It may be stored, now or later. Without this claim it can't be any more.
+            // It may be stored, now or later. Without this leadership record it can't be any more.
             Err(StateError::Unknown) => {
-                log::warn!("nobody knows whether the plan of cells came into force: giving the claim up");
-                cell.resign();
+                log::warn!("leadership resigned token={token} reason=sharding_plan_write_unknown");
+                runtime.resign();
             }
-            // Whoever still holds the claim knows that it was not stored; later it cannot be, since what it
+            // Whoever still holds the record knows that it was not stored; later it cannot be, since what it
             // was conditional on would have to change first.
             outcome => {
-                log::info!("the plan of cells did not come into force: {outcome:?}");
-                lock(&cell.election).suspend(false);
-                cell.read_leadership_record().await;
+                log::info!("sharding plan not activated token={token} reason=\"{outcome:?}\"");
+                lock(&runtime.election).suspend(false);
+                runtime.read_leadership_record().await;
                 let whole = Ledger::new(&team_limits_by_name(&self.settings.teams), 1, ShardId(0));
-                cell.with_shard(clock::now(), |s| s.set_limit_shares(&self.settings.teams, &whole, ShardId(0)));
+                runtime
+                    .with_shard(clock::now(), |shard| shard.set_limit_shares(&self.settings.teams, &whole, ShardId(0)));
             }
         }
     }
 
     /// The plan is in force: this process takes part in its shards from now on.
-    pub(in crate::node) fn enter_sharding(self: &Arc<Self>, plan: lupinspur_sharding::ShardingPlan) {
+    pub(in crate::node) fn enter_sharding(self: &Arc<Self>, plan: ShardingPlan) {
         {
             let mut in_force = lock(&self.active_plan);
             match &*in_force {
-                Some(p) if *p == plan => return,
+                Some(active) if *active == plan => return,
                 Some(_) => {
-                    log::error!("another plan of cells is in force than was: this process keeps to the first");
+                    log::error!("sharding plan ignored reason=another_plan_is_active");
                     return;
                 }
                 None => *in_force = Some(plan.clone()),
             }
         }
-        log::info!("{} cells are in force", plan.cells);
-        let cell = |c| ShardRuntime::new(self.clone(), ShardId(c), crate::election::shard_leadership_key(c));
-        let cells: Vec<Arc<ShardRuntime>> = (0..plan.cells).map(cell).collect();
-        // As far as this process knows nobody has claimed them: what it hears next may say more.
-        cells.iter().for_each(|c| c.observe_record(None));
-        self.replace_shards(cells);
+        log::info!("sharding plan activated shards={}", plan.cells);
+        let new_runtime = |shard| ShardRuntime::new(self.clone(), ShardId(shard), shard_leadership_key(shard));
+        let runtimes: Vec<Arc<ShardRuntime>> = (0..plan.cells).map(new_runtime).collect();
+        // As far as this process knows nobody leads them: what it hears next may say more.
+        runtimes.iter().for_each(|runtime| runtime.observe_record(None));
+        self.replace_shards(runtimes);
         *lock(&self.shard_exchange) = ShardExchange::default();
         EXECUTOR.spawn(self.clone().watch_shard_exchange_loop()).detach();
     }
--- a/src/node/shard_exchange/machine_transfers.rs
+++ b/src/node/shard_exchange/machine_transfers.rs
@@ -1,25 +1,41 @@
-//! Machines that change shards.
+//! Machines that change shards: one stored value for each pair of shards, a step at a time. A machine that is on
+//! its way is never used by two shards.
 
-use super::*;
+use super::HOLD_INTERVALS;
+use crate::clock;
+use crate::node::{Node, ShardRuntime, lock, parse_items};
+use crate::state::{RequestPriority, StateError};
+use crate::wire::{Compare, Mutation};
+use lupinspur_sharding::load_snapshot::LoadSnapshot;
+use lupinspur_sharding::machine_transfer::{
+    self, MAX_BYTES_PER_MACHINE, MachineTransfer, TransferredMachine, next_by_receiver, next_by_sender, next_receiver,
+};
+use lupinspur_sharding::rebalance::must_reacquire;
+use lupinspur_sharding::{ShardId, ShardingPlan};
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
 
 impl Node {
     /// Whose these machines are from now on is known to every controller, so that none sends them back.
-    pub(super) fn observe_handover(&self, key: &str, h: MachineTransfer, version: u64) {
+    pub(super) fn observe_transfer(&self, key: &str, transfer: MachineTransfer, version: u64) {
         {
-            let mut cells = lock(&self.shard_by_machine);
-            h.machines.iter().for_each(|m| _ = cells.put(m.machine.clone(), h.to));
+            let mut shard_by_machine = lock(&self.shard_by_machine);
+            for transferred in &transfer.machines {
+                shard_by_machine.put(transferred.machine.clone(), transfer.to);
+            }
         }
-        let mut b = lock(&self.shard_exchange);
-        if b.hands.get(key).is_none_or(|x| x.1 < version) {
-            b.hands.insert(key.to_owned(), (h, version));
+        let mut exchange = lock(&self.shard_exchange);
+        if exchange.transfers.get(key).is_none_or(|(_, known)| *known < version) {
+            exchange.transfers.insert(key.to_owned(), (transfer, version));
         }
     }
 
     /// The shard to which this machine is on its way.
     pub(in crate::node) fn transfer_destination(&self, machine: &str) -> Option<ShardId> {
-        let b = lock(&self.shard_exchange);
-        let all = b.hands.values().map(|h| &h.0);
-        all.into_iter().find(|h| h.machines.iter().any(|m| m.machine == machine)).map(|h| h.to)
+        let exchange = lock(&self.shard_exchange);
+        let mut transfers = exchange.transfers.values().map(|(transfer, _)| transfer);
+        let carries = |transfer: &&MachineTransfer| transfer.machines.iter().any(|of| of.machine == machine);
+        transfers.find(carries).map(|transfer| transfer.to)
     }
 }
 
@@ -31,79 +47,87 @@
         }
         let (items, _) = self.state.list(machine_transfer::PREFIX, RequestPriority::Normal).await?;
         let mut away = BTreeSet::new();
-        for (key, h, version) in parse_items::<MachineTransfer>(items) {
-            if h.from == self.id {
-                away.extend(h.machines.iter().map(|m| m.machine.clone()));
+        for (key, transfer, version) in parse_items::<MachineTransfer>(items) {
+            if transfer.from == self.id {
+                away.extend(transfer.machines.iter().map(|transferred| transferred.machine.clone()));
             }
-            self.observe_handover(&key, h, version);
+            self.observe_transfer(&key, transfer, version);
         }
         Ok(away)
     }
 
     /// Machines that go to other shards and come from them, a step of each at a time.
-    pub(super) async fn transfer_machines(
-        self: &Arc<Self>,
-        token: u64,
-        plan: &lupinspur_sharding::ShardingPlan,
-        mine: &LoadSnapshot,
-    ) {
-        let (hands, order, raise) = {
-            let b = lock(&self.shard_exchange);
-            let hands = b.hands.clone();
-            let under_way: Vec<MachineTransfer> = hands.values().map(|h| h.0.clone()).collect();
+    pub(super) async fn transfer_machines(self: &Arc<Self>, token: u64, plan: &ShardingPlan, own_load: &LoadSnapshot) {
+        let (transfers, order, reacquire) = {
+            let exchange = lock(&self.shard_exchange);
+            let transfers = exchange.transfers.clone();
+            let under_way: Vec<MachineTransfer> = transfers.values().map(|(transfer, _)| transfer.clone()).collect();
             let bound_s = self.settings.time_bound_s;
-            let orders = b.orders.as_ref().filter(|o| o.0.is_fresh(plan, mine.at_ms, bound_s));
-            let moves = orders.map_or(&[][..], |o| &o.0.moves);
-            let token_of = |c: ShardId| b.pictures.get(&c.0).map(|p| p.token);
+            let orders = exchange.orders.as_ref().filter(|(orders, _)| orders.is_fresh(plan, own_load.at_ms, bound_s));
+            let moves = orders.map_or(&[][..], |(orders, _)| &orders.moves);
+            let token_of = |shard: ShardId| exchange.load_snapshots.get(&shard.0).map(|snapshot| snapshot.token);
             let order = next_receiver(self.id, token, moves.iter(), &under_way, token_of);
-            (hands, order, must_reacquire(self.id, token, moves, token_of))
+            (transfers, order, must_reacquire(self.id, token, moves, token_of))
         };
-        if raise {
+        if reacquire {
             return self.reacquire_leadership(token).await;
         }
-        let hold_s = plan.picture_s * HOLD_PICTURES;
+        let hold_s = plan.picture_s * HOLD_INTERVALS;
         let now = clock::now();
-        let chosen = self.with_shard(now, |s| {
-            s.set_rebalance_order(order, hold_s);
-            s.on_transfers_published(hands.values().filter(|h| h.0.from == self.id).flat_map(|h| &h.0.machines));
-            s.receive_machines(hands.values().filter(|h| h.0.to == self.id).flat_map(|h| &h.0.machines), now);
-            s.pending_transfers()
+        let chosen = self.with_shard(now, |shard| {
+            let all = || transfers.values().map(|(transfer, _)| transfer);
+            shard.set_rebalance_order(order, hold_s);
+            let sent = all().filter(|transfer| transfer.from == self.id);
+            shard.on_transfers_published(sent.flat_map(|transfer| &transfer.machines));
+            let received = all().filter(|transfer| transfer.to == self.id);
+            shard.receive_machines(received.flat_map(|transfer| &transfer.machines), now);
+            shard.pending_transfers()
         });
-        let mut by_shard: std::collections::BTreeMap<ShardId, Vec<TransferredMachine>> = Default::default();
-        for (to, h) in chosen.unwrap_or_default() {
-            by_shard.entry(to).or_default().push(h);
+        let mut by_shard: BTreeMap<ShardId, Vec<TransferredMachine>> = BTreeMap::new();
+        for (to, machine) in chosen.unwrap_or_default() {
+            by_shard.entry(to).or_default().push(machine);
         }
-        let most = (self.settings.value_bytes() / MAX_BYTES_PER_MACHINE).max(1);
+        let max_machines = (self.settings.value_bytes() / MAX_BYTES_PER_MACHINE).max(1);
         for (to, mut machines) in by_shard {
             let key = machine_transfer::key(self.id, to);
-            let version = match hands.get(&key) {
-                Some((h, _)) if !h.is_complete() => continue,
-                Some((_, v)) => *v,
+            let version = match transfers.get(&key) {
+                Some((transfer, _)) if !transfer.is_complete() => continue,
+                Some((_, version)) => *version,
                 None => 0,
             };
-            let stay = machines.split_off(machines.len().min(most));
-            self.with_shard(now, |s| s.on_transfer_outcome(stay.iter(), false));
-            let h = MachineTransfer { from: self.id, to, machines, released_by_sender: false };
-            let names: Vec<&str> = h.machines.iter().map(|m| m.machine.as_str()).collect();
-            log::info!("{} gives {} machines to cell {}: {}", self.name(), names.len(), to.0, names.join(", "));
-            self.put_handover(token, &key, version, h).await;
+            let stay = machines.split_off(machines.len().min(max_machines));
+            self.with_shard(now, |shard| shard.on_transfer_outcome(stay.iter(), false));
+            let transfer = MachineTransfer { from: self.id, to, machines, released_by_sender: false };
+            let names: Vec<&str> = transfer.machines.iter().map(|transferred| transferred.machine.as_str()).collect();
+            log::info!(
+                "machines transferred count={} from={} to={} token={token} machines={}",
+                names.len(),
+                self.id.0,
+                to.0,
+                names.join(",")
+            );
+            self.put_transfer(token, &key, version, transfer).await;
         }
-        for (key, (h, version)) in hands {
-            let next = self.with_shard(clock::now(), |s| match () {
-                () if h.from == self.id => next_by_sender(&h, |m| s.may_be_named_in_records(m)),
-                () if h.to == self.id => next_by_receiver(&h, |m| s.is_recorded_or_gone(m)),
+        for (key, (transfer, version)) in transfers {
+            let next = self.with_shard(clock::now(), |shard| match () {
+                () if transfer.from == self.id => {
+                    next_by_sender(&transfer, |machine| shard.may_be_named_in_records(machine))
+                }
+                () if transfer.to == self.id => {
+                    next_by_receiver(&transfer, |machine| shard.is_recorded_or_gone(machine))
+                }
                 () => None,
             });
             if let Some(next) = next.flatten() {
-                self.put_handover(token, &key, version, next).await;
+                self.put_transfer(token, &key, version, next).await;
             }
         }
     }
 
     /// One step. Whatever became of it, the state service's own word comes before the next: machines
     /// that were set aside for this stay so until it is known whose they are.
-    async fn put_handover(&self, token: u64, key: &str, version: u64, h: MachineTransfer) {
-        let Ok(value) = serde_json::to_value(&h) else { return };
+    async fn put_transfer(&self, token: u64, key: &str, version: u64, transfer: MachineTransfer) {
+        let Ok(value) = serde_json::to_value(&transfer) else { return };
         let conditions = vec![
             Compare { key: self.leadership_key.clone(), version: token },
             Compare { key: key.to_owned(), version },
@@ -115,10 +139,12 @@
             Ok(None) => {}
             Err(_) => return,
         }
-        if h.from == self.id && !h.released_by_sender && stored == Some(false) {
-            let stands = lock(&self.shard_exchange).hands.get(key).map(|x| x.0.machines.clone()).unwrap_or_default();
-            let stay: Vec<TransferredMachine> = h.machines.into_iter().filter(|m| !stands.contains(m)).collect();
-            self.with_shard(clock::now(), |s| s.on_transfer_outcome(stay.iter(), false));
+        if transfer.from == self.id && !transfer.released_by_sender && stored == Some(false) {
+            let known = lock(&self.shard_exchange).transfers.get(key).map(|(known, _)| known.machines.clone());
+            let published = known.unwrap_or_default();
+            let stay: Vec<TransferredMachine> =
+                transfer.machines.into_iter().filter(|machine| !published.contains(machine)).collect();
+            self.with_shard(clock::now(), |shard| shard.on_transfer_outcome(stay.iter(), false));
         }
     }
 }
--- a/src/node/shard_exchange/quota_shares.rs
+++ b/src/node/shard_exchange/quota_shares.rs
@@ -1,23 +1,36 @@
-//! The shards' shares of teams' limits.
+//! The shards' shares of teams' limits. What a shard gives is not counted on by it from before the write is sent.
 
-use super::*;
+use super::LEDGER_KEY;
+use crate::clock;
+use crate::node::{Node, ShardRuntime, lock};
+use crate::shard::team_limits_by_name;
+use crate::state::{RequestPriority, StateError};
+use crate::wire::{Compare, Mutation};
+use async_io::Timer;
+use lupinspur_sharding::escrow::{Amount, Ledger, QuotaTransfer, QuotaUse, quota_transfers};
+use lupinspur_sharding::load_snapshot::LoadSnapshot;
+use lupinspur_sharding::{ShardId, ShardingPlan};
+use std::sync::Arc;
+use std::sync::atomic::Ordering;
+use std::time::Duration;
 
 impl Node {
-    /// A newer word on the shares: every shard that is owned here goes by it, unless it is giving.
+    /// A newer word on the shares: every shard that is led here goes by it, unless it is giving.
     pub(super) fn observe_ledger(&self, ledger: Ledger, version: u64) {
         {
-            let mut b = lock(&self.shard_exchange);
-            if b.ledger.as_ref().is_some_and(|l| l.1 >= version) {
+            let mut exchange = lock(&self.shard_exchange);
+            if exchange.ledger.as_ref().is_some_and(|(_, known)| *known >= version) {
                 return;
             }
-            b.ledger = Some((ledger.clone(), version));
+            exchange.ledger = Some((ledger.clone(), version));
         }
-        for c in self
-            .shards()
-            .iter()
-            .filter(|c| !c.quota_transfer_in_progress.load(Ordering::Relaxed) && !c.absorbs_all_shards())
-        {
-            c.with_shard(clock::now(), |s| s.set_limit_shares(&self.settings.teams, &ledger, c.id));
+        let goes_by_it = |runtime: &&Arc<ShardRuntime>| {
+            !runtime.quota_transfer_in_progress.load(Ordering::Relaxed) && !runtime.absorbs_all_shards()
+        };
+        for runtime in self.shards().iter().filter(goes_by_it) {
+            runtime.with_shard(clock::now(), |shard| {
+                shard.set_limit_shares(&self.settings.teams, &ledger, runtime.id);
+            });
         }
     }
 }
@@ -29,27 +42,28 @@
             return Ok(None);
         }
         let item = self.state.get(LEDGER_KEY, RequestPriority::Normal).await?;
-        let read = item.and_then(|i| Some((serde_json::from_value::<Ledger>(i.value).ok()?, i.version)));
+        let read = item.and_then(|item| Some((serde_json::from_value::<Ledger>(item.value).ok()?, item.version)));
         match read {
-            Some((l, version)) => {
-                self.observe_ledger(l.clone(), version);
-                Ok(Some(l))
+            Some((ledger, version)) => {
+                self.observe_ledger(ledger.clone(), version);
+                Ok(Some(ledger))
             }
             // Where there is none nothing may be used of any limit.
             None => Ok(Some(Ledger::new(&team_limits_by_name(&self.settings.teams), 1, ShardId(u32::MAX)))),
         }
     }
 
-    pub(super) async fn give_quota(&self, token: u64, plan: &lupinspur_sharding::ShardingPlan, mine: &LoadSnapshot) {
+    pub(super) async fn give_quota(&self, token: u64, plan: &ShardingPlan, own_load: &LoadSnapshot) {
         let Some((ledger, version)) = lock(&self.shard_exchange).ledger.clone() else { return };
-        let pictures = self.fresh_pictures(plan, mine.at_ms);
+        let snapshots = self.fresh_load_snapshots(plan, own_load.at_ms);
         let mut all: Vec<QuotaTransfer> = Vec::new();
         for team in ledger.teams.keys() {
-            let of = |c: u32| -> Option<QuotaUse> {
-                let p = if c == self.id.0 { mine } else { pictures.iter().find(|p| p.shard.0 == c)? };
-                Some(p.teams.get(team).copied().unwrap_or_default())
+            let use_of = |shard: u32| -> Option<QuotaUse> {
+                let other = || snapshots.iter().find(|snapshot| snapshot.shard.0 == shard);
+                let snapshot = if shard == self.id.0 { own_load } else { other()? };
+                Some(snapshot.teams.get(team).copied().unwrap_or_default())
             };
-            let uses: Vec<Option<QuotaUse>> = (0..plan.cells).map(of).collect();
+            let uses: Vec<Option<QuotaUse>> = (0..plan.cells).map(use_of).collect();
             all.extend(quota_transfers(self.id, team, &ledger, &uses, self.home_by(plan, team)));
         }
         if !all.is_empty() {
@@ -69,15 +83,16 @@
     ) -> Option<bool> {
         let next = ledger.apply(&given)?;
         self.quota_transfer_in_progress.store(true, Ordering::Relaxed);
-        let fits = self.with_shard(clock::now(), |s| {
-            // What has come into use since the picture is not given after all.
-            let used = s.limit_usage();
-            let ok =
-                s.token == token && used.iter().all(|(t, u)| next.share(t, self.id).is_none_or(|left| u.fits(left)));
-            if ok {
-                s.set_limit_shares(&self.settings.teams, &next, self.id);
+        let fits = self.with_shard(clock::now(), |shard| {
+            // What has come into use since the load snapshot is not given after all.
+            let usage = shard.limit_usage();
+            let fits_share =
+                |(team, used): &(String, Amount)| next.share(team, self.id).is_none_or(|left| used.fits(left));
+            let fits = shard.token == token && usage.iter().all(fits_share);
+            if fits {
+                shard.set_limit_shares(&self.settings.teams, &next, self.id);
             }
-            ok
+            fits
         });
         let mut stored = Some(false);
         if fits == Some(true) {
@@ -90,9 +105,9 @@
             // counted on again.
             while stored != Some(false) && lock(&self.election).token() == Some(token) {
                 if let Ok(Some(item)) = self.state.get(LEDGER_KEY, RequestPriority::Normal).await
-                    && let Ok(l) = serde_json::from_value::<Ledger>(item.value)
+                    && let Ok(ledger) = serde_json::from_value::<Ledger>(item.value)
                 {
-                    self.observe_ledger(l, item.version);
+                    self.observe_ledger(ledger, item.version);
                     break;
                 }
                 Timer::after(Duration::from_millis(300)).await;
@@ -100,8 +115,8 @@
         }
         self.quota_transfer_in_progress.store(false, Ordering::Relaxed);
         let known = lock(&self.shard_exchange).ledger.clone();
-        if let Some((l, _)) = known {
-            self.with_shard(clock::now(), |s| s.set_limit_shares(&self.settings.teams, &l, self.id));
+        if let Some((ledger, _)) = known {
+            self.with_shard(clock::now(), |shard| shard.set_limit_shares(&self.settings.teams, &ledger, self.id));
         }
         stored
     }
--- a/src/node/shard_exchange/rebalance.rs
+++ b/src/node/shard_exchange/rebalance.rs
@@ -1,12 +1,19 @@
 //! What the leader of shard 0 decides for all shards: the homes of teams, and machines that are to change shards.
+//! It only stores its plan; every shard carries it out itself.
 
-use super::*;
+use super::{ORDERS_KEY, Rebalancing};
+use crate::node::{Node, ShardRuntime, lock};
+use crate::state::{CompareAndSwap, RequestPriority};
+use crate::wire::{Compare, KeyValue, Mutation};
+use lupinspur_sharding::load_snapshot::LoadSnapshot;
+use lupinspur_sharding::rebalance::{RebalancePlan, Rebalancer};
+use lupinspur_sharding::{ShardId, ShardingPlan};
 
 impl Node {
     /// A team's home, by the leader's word or else by the plan's.
-    pub(in crate::node) fn home_by(&self, plan: &lupinspur_sharding::ShardingPlan, team: &str) -> ShardId {
+    pub(in crate::node) fn home_by(&self, plan: &ShardingPlan, team: &str) -> ShardId {
         match &lock(&self.shard_exchange).orders {
-            Some((o, _)) => o.home(plan, team),
+            Some((orders, _)) => orders.home(plan, team),
             None => plan.home(team),
         }
     }
@@ -14,13 +21,13 @@
 
 impl ShardRuntime {
     /// The leader's look at all shards: its word is stored, and every shard goes by it.
-    pub(super) async fn rebalance(&self, token: u64, plan: &lupinspur_sharding::ShardingPlan, mine: &LoadSnapshot) {
-        let mut pictures = self.fresh_pictures(plan, mine.at_ms);
-        pictures.retain(|p| p.shard != self.id);
-        pictures.push(mine.clone());
+    pub(super) async fn rebalance(&self, token: u64, plan: &ShardingPlan, own_load: &LoadSnapshot) {
+        let mut snapshots = self.fresh_load_snapshots(plan, own_load.at_ms);
+        snapshots.retain(|snapshot| snapshot.shard != self.id);
+        snapshots.push(own_load.clone());
         let known = lock(&self.shard_exchange).orders.clone();
         let (stored, version) = match known {
-            Some(o) => o,
+            Some(known) => known,
             None => match self.state.get(ORDERS_KEY, RequestPriority::Normal).await {
                 Ok(None) => (RebalancePlan::default(), 0),
                 Ok(Some(item)) => return self.observe(item),
@@ -28,17 +35,17 @@
             },
         };
         let next = {
-            let mut b = lock(&self.shard_exchange);
-            if b.leader.0 != token {
-                b.leader = (token, Rebalancer::default());
+            let rebalancing = &mut lock(&self.shard_exchange).rebalancing;
+            if rebalancing.token != token {
+                *rebalancing = Rebalancing { token, rebalancer: Rebalancer::default() };
             }
-            b.leader.1.plan_round(plan, &pictures, &stored, mine.at_ms)
+            rebalancing.rebalancer.plan_round(plan, &snapshots, &stored, own_load.at_ms)
         };
         if !next.must_be_stored(&stored, plan) {
             return;
         }
-        for (team, home) in next.homes.iter().filter(|(t, c)| stored.home(plan, t) != **c) {
-            log::info!("the home of {team} is cell {} from now on", home.0);
+        for (team, home) in next.homes.iter().filter(|(team, home)| stored.home(plan, team) != **home) {
+            log::info!("home shard changed team={team} shard={} token={token}", home.0);
         }
         let Ok(value) = serde_json::to_value(&next) else { return };
         if value.to_string().len() > self.settings.value_bytes() {
--- a/src/node/shard_exchange/spill.rs
+++ b/src/node/shard_exchange/spill.rs
@@ -1,16 +1,28 @@
-//! Waiting jobs that go to other shards.
+//! Waiting jobs that go to other shards. A job with assigned tasks never moves.
 
-use super::*;
+use crate::clock;
+use crate::jobs::job_key;
+use crate::node::{ShardRuntime, lock};
+use crate::shard::parse_job_record;
+use crate::state::RequestPriority;
+use crate::wire::{Compare, Mutation};
+use async_io::Timer;
+use lupinspur_sharding::ShardingPlan;
+use lupinspur_sharding::escrow::{Amount, QuotaTransfer};
+use lupinspur_sharding::load_snapshot::LoadSnapshot;
+use lupinspur_sharding::spill::plan_spills;
+use std::sync::Arc;
+use std::time::Duration;
 
 impl ShardRuntime {
     /// Is this job another shard's, as its record tells? Asked until there is an answer: one that stays
-    /// here, set aside for the other shard, would be started by nobody. None where the claim is lost, or
+    /// here, set aside for the other shard, would be started by nobody. None where leadership is lost, or
     /// the record can't be read.
     async fn is_elsewhere(&self, token: u64, key: &str) -> Option<bool> {
         while lock(&self.election).token() == Some(token) {
             match self.state.get(key, RequestPriority::Normal).await {
                 Ok(item) => {
-                    let record = item.and_then(|i| parse_job_record(&i.key, &i.value).ok())?;
+                    let record = item.and_then(|item| parse_job_record(&item.key, &item.value).ok())?;
                     return Some(self.shard_of_record(&record) != self.id);
                 }
                 Err(_) => Timer::after(Duration::from_millis(300)).await,
@@ -20,58 +32,54 @@
     }
 
     /// Waiting work goes to shards where it starts sooner, whole and one job at a time.
-    pub(super) async fn spill_over(
-        self: &Arc<Self>,
-        token: u64,
-        plan: &lupinspur_sharding::ShardingPlan,
-        mine: &LoadSnapshot,
-    ) {
-        let others = self.fresh_pictures(plan, mine.at_ms);
+    pub(super) async fn spill_over(self: &Arc<Self>, token: u64, plan: &ShardingPlan, own_load: &LoadSnapshot) {
+        let others = self.fresh_load_snapshots(plan, own_load.at_ms);
         let now = clock::now();
-        let boot_s = self.machine_types().iter().map(|t| t.boot_s).fold(0.0, f64::max);
-        let waiting = self.with_shard(now, |s| s.spillable_jobs(now)).unwrap_or_default();
-        for (j, to) in plan_spills(plan, mine, &others, &waiting, boot_s) {
+        let boot_s = self.machine_types().iter().map(|machine_type| machine_type.boot_s).fold(0.0, f64::max);
+        let waiting = self.with_shard(now, |shard| shard.spillable_jobs(now)).unwrap_or_default();
+        for (job, to) in plan_spills(plan, own_load, &others, &waiting, boot_s) {
             let Some((ledger, version)) = lock(&self.shard_exchange).ledger.clone() else { return };
-            let gone = self.with_shard(clock::now(), |s| {
+            let gone = self.with_shard(clock::now(), |shard| {
                 // It may have been started, or ended, since it was offered.
-                let still = s.jobs.get(j).is_some_and(|x| x.is_open() && x.assigned == 0 && !x.moving_away);
-                if !still || s.token != token {
+                let waiting =
+                    shard.jobs.get(job).is_some_and(|job| job.is_open() && job.assigned == 0 && !job.moving_away);
+                if !waiting || shard.token != token {
                     return None;
                 }
-                let (record, version, team, takes) = s.begin_move(j, to)?;
-                Some((record, version, s.team_name(team).to_owned(), takes))
+                let (record, version, team, takes) = shard.begin_move(job, to)?;
+                Some((record, version, shard.team_name(team).to_owned(), takes))
             });
-            let Some((record, at, team, takes)) = gone.flatten() else { continue };
+            let Some((record, record_version, team, takes)) = gone.flatten() else { continue };
             let id = record.job.id.clone();
-            let key = crate::jobs::job_key(&id);
+            let key = job_key(&id);
             let Ok(value) = serde_json::to_value(&record) else { continue };
             // Its part of the limit goes with it, as far as this shard has it to spare.
             let given: Vec<QuotaTransfer> = ledger
                 .share(&team, self.id)
                 .map(|own| {
-                    let used = self.with_shard(clock::now(), |s| s.limit_usage()).unwrap_or_default();
-                    let used = used.into_iter().find(|u| u.0 == team).map_or(own, |u| u.1);
+                    let used = self.with_shard(clock::now(), |shard| shard.limit_usage()).unwrap_or_default();
+                    let used = used.into_iter().find(|(name, _)| *name == team).map_or(own, |(_, used)| used);
                     let spare = own.minus(used);
                     let amount = Amount::new(takes.cpus.min(spare.cpus), takes.accelerators.min(spare.accelerators));
                     QuotaTransfer { team: team.clone(), from: self.id, to, amount }
                 })
                 .into_iter()
                 .collect();
-            let conditions = vec![Compare { key: key.clone(), version: at }];
+            let conditions = vec![Compare { key: key.clone(), version: record_version }];
             let changes = vec![Mutation::Put { key: key.clone(), value, lease: None }];
             let stored = self.part_with(token, (ledger, version), given, conditions, changes).await;
             // Its own record has the last word on whose it is.
-            let theirs = match stored {
+            let moved = match stored {
                 Some(true) | None => self.is_elsewhere(token, &key).await,
                 Some(false) => Some(false),
             };
-            match theirs {
+            match moved {
                 Some(true) => {
-                    log::info!("{id} goes from {} to cell {}", self.name(), to.0);
+                    log::info!("job moved job={id} from={} to={} token={token}", self.id.0, to.0);
                     self.note_job_shard(&id, to);
-                    self.with_shard(clock::now(), |s| s.on_job_moved(&id, clock::now()));
+                    self.with_shard(clock::now(), |shard| shard.on_job_moved(&id, clock::now()));
                 }
-                Some(false) => _ = self.with_shard(clock::now(), |s| s.cancel_move(&id)),
+                Some(false) => _ = self.with_shard(clock::now(), |shard| shard.cancel_move(&id)),
                 // It waits here, started by nobody, until its record comes by the watch.
                 None => {}
             }
--- a/src/node/shard_runtime.rs
+++ b/src/node/shard_runtime.rs
@@ -1,9 +1,17 @@
-//! One shard in this process: its claim, its shard while it is owned here, and its loops.
+//! The runtime of one shard in this process: its election, the scheduler's shard while it is led here, and its
+//! loops. It lets nobody act on the shard without a valid token.
 
-use super::*;
+use crate::clock;
+use crate::election::LeaderElection;
+use crate::node::{EXECUTOR, LeadershipStatus, Node, WATCH_TIMEOUT, Wakes, lock};
+use crate::shard::{Shard, parse_job_record};
+use crate::wire::KeyValue;
+use lupinspur_sharding::ShardId;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex};
 
-/// One leader's place in this process: its claim, its shard while it is owned here, its loops.
-/// Everything that the process has once it finds in its node.
+/// A shard's runtime: its election, its shard while it is led here, its loops. Everything that the process has
+/// once it finds in its node.
 pub struct ShardRuntime {
     pub(super) node: Arc<Node>,
     pub id: ShardId,
@@ -40,23 +48,23 @@
 /// in doubt would be missing afterwards. One that is another shard's is not, or no longer, ours.
 pub(super) fn apply_job_record(runtime: &ShardRuntime, shard: &mut Shard, item: &KeyValue, now: f64) {
     match parse_job_record(&item.key, &item.value) {
-        Ok(r) if runtime.is_relevant(&r) => _ = shard.add_job(r, item.version, now),
-        Ok(r) => shard.on_job_moved(&r.job.id, now),
-        Err(e) => {
-            log::error!("{} {e}", item.key);
+        Ok(record) if runtime.is_relevant(&record) => _ = shard.add_job(record, item.version, now),
+        Ok(record) => shard.on_job_moved(&record.job.id, now),
+        Err(error) => {
+            log::error!("job record unreadable key={} reason=\"{error}\"", item.key);
             shard.mark_unreadable_record(&item.key);
         }
     }
 }
 
 impl ShardRuntime {
-    pub(super) fn new(node: Arc<Node>, ix: ShardId, leadership_key: String) -> Arc<ShardRuntime> {
-        let own = LeaderElection::new(node.own_record.clone(), node.tuning.leader_lease_s);
+    pub(super) fn new(node: Arc<Node>, id: ShardId, leadership_key: String) -> Arc<ShardRuntime> {
+        let election = LeaderElection::new(node.own_record.clone(), node.tuning.leader_lease_s);
         Arc::new(ShardRuntime {
             node,
-            id: ix,
+            id,
             leadership_key,
-            election: Mutex::new(own),
+            election: Mutex::new(election),
             shard: Mutex::new(None),
             wakes: Wakes {
                 writer: async_channel::bounded(1),
@@ -74,37 +82,39 @@
     }
 
     pub(super) fn spawn_loops(self: &Arc<Self>) {
-        let c = || self.clone();
-        EXECUTOR.spawn(c().store_machine_types_loop()).detach();
-        EXECUTOR.spawn(c().renew_lease_loop()).detach();
-        EXECUTOR.spawn(c().tick_loop()).detach();
-        EXECUTOR.spawn(c().write_loop()).detach();
-        EXECUTOR.spawn(c().push_loop()).detach();
-        EXECUTOR.spawn(c().rental_loop()).detach();
-        EXECUTOR.spawn(c().deletion_loop()).detach();
-        EXECUTOR.spawn(c().machine_list_loop()).detach();
-        EXECUTOR.spawn(c().look_up_dependencies()).detach();
-        EXECUTOR.spawn(c().exchange_round_loop()).detach();
+        let runtime = || self.clone();
+        EXECUTOR.spawn(runtime().store_machine_types_loop()).detach();
+        EXECUTOR.spawn(runtime().renew_lease_loop()).detach();
+        EXECUTOR.spawn(runtime().tick_loop()).detach();
+        EXECUTOR.spawn(runtime().write_loop()).detach();
+        EXECUTOR.spawn(runtime().push_loop()).detach();
+        EXECUTOR.spawn(runtime().rental_loop()).detach();
+        EXECUTOR.spawn(runtime().deletion_loop()).detach();
+        EXECUTOR.spawn(runtime().machine_list_loop()).detach();
+        EXECUTOR.spawn(runtime().look_up_dependencies()).detach();
+        EXECUTOR.spawn(runtime().exchange_round_loop()).detach();
     }
 
     pub(super) fn is_open(&self) -> bool {
         !self.closed.load(Ordering::Relaxed)
     }
 
-    /// Lets `f` see the shard while this node surely owns it.
-    pub fn with_shard<T>(&self, now: f64, f: impl FnOnce(&mut Shard) -> T) -> Option<T> {
+    /// Lets `visit` see the shard while this node holds a valid token for it.
+    pub fn with_shard<T>(&self, now: f64, visit: impl FnOnce(&mut Shard) -> T) -> Option<T> {
         let token = lock(&self.election).valid_token(now)?;
         let mut guard = lock(&self.shard);
-        guard.as_mut().filter(|s| s.token == token).map(f)
+        guard.as_mut().filter(|shard| shard.token == token).map(visit)
     }
 
+    /// Who leads this shard, as far as this node knows.
     pub fn leadership_status(&self, now: f64) -> LeadershipStatus {
-        let own = lock(&self.election);
-        if own.valid_token(now).is_some() {
-            drop(own);
+        let election = lock(&self.election);
+        if election.valid_token(now).is_some() {
+            drop(election);
             return if lock(&self.shard).is_some() { LeadershipStatus::Leading } else { LeadershipStatus::NoLeader };
         }
-        own.other_leader().map_or(LeadershipStatus::NoLeader, |n| LeadershipStatus::Following(n.to_owned()))
+        let following = |leader: &str| LeadershipStatus::Following(leader.to_owned());
+        election.other_leader().map_or(LeadershipStatus::NoLeader, following)
     }
 
     /// Something may be there to place: the next tick comes soon.
@@ -122,19 +132,19 @@
     /// open again by an older record.
     pub fn apply_job(&self, token: u64, item: &KeyValue) {
         let now = clock::now();
-        if let Some(s) = lock(&self.shard).as_mut().filter(|s| s.token == token) {
-            apply_job_record(self, s, item, now);
+        if let Some(shard) = lock(&self.shard).as_mut().filter(|shard| shard.token == token) {
+            apply_job_record(self, shard, item, now);
         }
         self.wake();
     }
 
-    /// Until when what is made up now may be said.
+    /// Until when the lease is valid: what is decided now may be sent until then.
     pub fn lease_valid_until(&self) -> Option<f64> {
         lock(&self.election).lease_valid_until()
     }
 
-    /// How a report is answered that this controller cannot take. Who has not heard from the state
-    /// service for longer than a claim lasts does not know who owns: sent on to a leader that is
+    /// The leader to which a heartbeat is redirected that this controller cannot take. Who has not heard from the
+    /// state service for longer than a lease lasts does not know who leads: sent on to a leader that is
     /// gone, a worker waits for 4 s and more, and may be sent back here.
     pub fn redirect_target(&self, now: f64) -> Option<String> {
         let known = now - *lock(&self.state_answered_at) < self.tuning.leader_lease_s + WATCH_TIMEOUT.as_secs_f64();
