--- a/src/peer_server.rs
+++ b/src/peer_server.rs
@@ -1,4 +1,5 @@
-//! What other controllers and operators are answered, by gRPC.
+//! The gRPC service for other controllers and operators. Answers as the leader of a shard, or passes an operator's
+//! question on to the leader once; decides nothing.
 
 use crate::clock;
 use crate::job_status::{Lookup, valid_id};
@@ -7,128 +8,125 @@
     JobAnswer, JobQuestion, MachineAnswer, MachineQuestion, Outcome, Owner, QuotaAnswer, QuotaQuestion, ServiceAnswer,
     ServiceQuestion,
 };
-use lupinspur_service_levels::{Reading, ServiceLevelReport as ServiceTold};
+use lupinspur_service_levels::{Reading, ServiceLevelReport};
 use lupinspur_sharding::ShardId;
+use serde::Serialize;
 use std::sync::Arc;
+use tonic::{Request, Response, Status};
 
+/// This node, as other controllers and operators call it.
 pub struct LeaderService(pub Arc<Node>);
 
 impl LeaderService {
-    fn cell(&self, ix: u32) -> Result<Arc<ShardRuntime>, tonic::Status> {
-        self.0.shard(ShardId(ix)).ok_or_else(|| tonic::Status::not_found(format!("there is no cell {ix}")))
+    fn shard(&self, number: u32) -> Result<Arc<ShardRuntime>, Status> {
+        self.0.shard(ShardId(number)).ok_or_else(|| Status::not_found(format!("there is no shard {number}")))
     }
 }
 
+fn no_leader() -> Status {
+    Status::unavailable("the shard has no leader now")
+}
+
+fn check_id(id: &str) -> Result<(), Status> {
+    if valid_id(id) { Ok(()) } else { Err(Status::invalid_argument("job id is malformed")) }
+}
+
+fn encode(report: &impl Serialize) -> Result<String, Status> {
+    serde_json::to_string(report).map_err(|error| Status::internal(error.to_string()))
+}
+
+fn job_answer(lookup: Lookup) -> JobAnswer {
+    let mut answer = JobAnswer::default();
+    match lookup {
+        Lookup::Known(status) => {
+            answer.set_outcome(Outcome::Known);
+            answer.state = status.state.as_str().to_owned();
+            answer.done = status.done;
+            answer.running = status.running;
+        }
+        Lookup::Absent => answer.set_outcome(Outcome::Unknown),
+        Lookup::Unavailable => answer.set_outcome(Outcome::Unable),
+    }
+    answer
+}
+
 #[tonic::async_trait]
 impl Owner for LeaderService {
-    async fn expects(
-        &self,
-        request: tonic::Request<MachineQuestion>,
-    ) -> Result<tonic::Response<MachineAnswer>, tonic::Status> {
-        let q = request.into_inner();
-        let (cell, owned) = match q.job.as_str() {
-            "" => self.0.machine_known_by(&q.machine),
-            job => self.0.known_by(|s| s.jobs.find(job).is_some()),
+    async fn expects(&self, request: Request<MachineQuestion>) -> Result<Response<MachineAnswer>, Status> {
+        let question = request.into_inner();
+        let (shard, owned) = match question.job.as_str() {
+            "" => self.0.machine_known_by(&question.machine),
+            job => self.0.known_by(|state| state.jobs.find(job).is_some()),
         };
-        let cell_ix = cell.unwrap_or_default().0;
-        Ok(tonic::Response::new(MachineAnswer { known: cell.is_some(), cell: cell_ix, owned }))
+        let number = shard.unwrap_or_default().0;
+        Ok(Response::new(MachineAnswer { known: shard.is_some(), cell: number, owned }))
     }
 
-    async fn quotas(
-        &self,
-        request: tonic::Request<QuotaQuestion>,
-    ) -> Result<tonic::Response<QuotaAnswer>, tonic::Status> {
-        let q = request.into_inner();
-        if !q.job.is_empty() && !valid_id(&q.job) {
-            return Err(tonic::Status::invalid_argument("job id is malformed"));
+    async fn quotas(&self, request: Request<QuotaQuestion>) -> Result<Response<QuotaAnswer>, Status> {
+        let question = request.into_inner();
+        if !question.job.is_empty() {
+            check_id(&question.job)?;
         }
         let now = clock::now();
-        let cell = self.cell(q.cell)?;
-        let told = match cell.leadership_status(now) {
-            LeadershipStatus::Leading => cell.with_shard(now, |s| s.quota_report(&q.job)),
-            LeadershipStatus::Following(node) if !q.passed_on => {
-                let passed_on = QuotaQuestion { passed_on: true, ..q };
-                return match self.0.peers.ask_quotas(&node, passed_on).await {
-                    Some(a) => Ok(tonic::Response::new(a)),
-                    None => Err(tonic::Status::unavailable("the owner does not answer")),
-                };
+        let shard = self.shard(question.cell)?;
+        let report = match shard.leadership_status(now) {
+            LeadershipStatus::Leading => shard.with_shard(now, |state| state.quota_report(&question.job)),
+            LeadershipStatus::Following(leader) if !question.passed_on => {
+                let passed_on = QuotaQuestion { passed_on: true, ..question };
+                let answer = self.0.peers.ask_quotas(&leader, passed_on).await;
+                let no_answer = || Status::unavailable("the leader does not answer");
+                return answer.map(Response::new).ok_or_else(no_answer);
             }
             _ => None,
         };
-        let Some(told) = told else { return Err(tonic::Status::unavailable("nobody owns the shard now")) };
-        let json = told.map(|t| serde_json::to_string(&t)).transpose();
-        let json = json.map_err(|e| tonic::Status::internal(e.to_string()))?;
-        Ok(tonic::Response::new(QuotaAnswer { enabled: json.is_some(), json: json.unwrap_or_default() }))
+        let json = report.ok_or_else(no_leader)?.map(|report| encode(&report)).transpose()?;
+        Ok(Response::new(QuotaAnswer { enabled: json.is_some(), json: json.unwrap_or_default() }))
     }
 
-    async fn service(
-        &self,
-        request: tonic::Request<ServiceQuestion>,
-    ) -> Result<tonic::Response<ServiceAnswer>, tonic::Status> {
+    async fn service(&self, request: Request<ServiceQuestion>) -> Result<Response<ServiceAnswer>, Status> {
         let now = clock::now();
-        let q = request.into_inner();
-        let cell = self.cell(q.cell)?;
-        let told = match cell.leadership_status(now) {
-            LeadershipStatus::Leading => cell.with_shard(now, |s| s.service_level_report(now)),
-            LeadershipStatus::Following(node) if !q.passed_on => {
-                let answer = self.0.peers.ask_service(&node, q.cell).await;
-                answer.and_then(|a| serde_json::from_str::<ServiceTold>(&a.json).ok())
+        let question = request.into_inner();
+        let shard = self.shard(question.cell)?;
+        let report = match shard.leadership_status(now) {
+            LeadershipStatus::Leading => shard.with_shard(now, |state| state.service_level_report(now)),
+            LeadershipStatus::Following(leader) if !question.passed_on => {
+                let answer = self.0.peers.ask_service(&leader, question.cell).await;
+                answer.and_then(|answer| serde_json::from_str::<ServiceLevelReport>(&answer.json).ok())
             }
             _ => None,
         };
-        let Some(mut told) = told else { return Err(tonic::Status::unavailable("nobody owns the shard now")) };
-        // What users were answered is known to whoever answered them.
-        told.rows.retain(|r| !matches!(r.reading, Reading::Accepted | Reading::Cancelled));
-        told.rows.extend(self.0.ingress_report(now).rows);
-        let json = serde_json::to_string(&told).map_err(|e| tonic::Status::internal(e.to_string()))?;
-        Ok(tonic::Response::new(ServiceAnswer { json }))
+        let mut report = report.ok_or_else(no_leader)?;
+        // Answers to users are counted by the node that gave them.
+        report.rows.retain(|row| !matches!(row.reading, Reading::Accepted | Reading::Cancelled));
+        report.rows.extend(self.0.ingress_report(now).rows);
+        Ok(Response::new(ServiceAnswer { json: encode(&report)? }))
     }
 
-    async fn elastic(
-        &self,
-        request: tonic::Request<ServiceQuestion>,
-    ) -> Result<tonic::Response<ServiceAnswer>, tonic::Status> {
+    async fn elastic(&self, request: Request<ServiceQuestion>) -> Result<Response<ServiceAnswer>, Status> {
         let now = clock::now();
-        let q = request.into_inner();
-        let cell = self.cell(q.cell)?;
-        let json = match cell.leadership_status(now) {
-            LeadershipStatus::Leading => cell
-                .with_shard(now, |s| s.elastic_report())
-                .map(|t| t.map(|t| serde_json::to_string(&t)).transpose().map(Option::unwrap_or_default)),
-            LeadershipStatus::Following(node) if !q.passed_on => {
-                self.0.peers.ask_elastic(&node, q.cell).await.map(|a| Ok(a.json))
+        let question = request.into_inner();
+        let shard = self.shard(question.cell)?;
+        let json = match shard.leadership_status(now) {
+            LeadershipStatus::Leading => {
+                let report = shard.with_shard(now, |state| state.elastic_report()).ok_or_else(no_leader)?;
+                report.map(|report| encode(&report)).transpose()?.unwrap_or_default()
             }
-            _ => None,
+            LeadershipStatus::Following(leader) if !question.passed_on => {
+                self.0.peers.ask_elastic(&leader, question.cell).await.ok_or_else(no_leader)?.json
+            }
+            _ => return Err(no_leader()),
         };
-        match json {
-            Some(Ok(json)) => Ok(tonic::Response::new(ServiceAnswer { json })),
-            Some(Err(e)) => Err(tonic::Status::internal(e.to_string())),
-            None => Err(tonic::Status::unavailable("nobody owns the shard now")),
-        }
+        Ok(Response::new(ServiceAnswer { json }))
     }
 
-    async fn ask(&self, request: tonic::Request<JobQuestion>) -> Result<tonic::Response<JobAnswer>, tonic::Status> {
-        let q = request.into_inner();
-        if !valid_id(&q.job) {
-            return Err(tonic::Status::invalid_argument("job id is malformed"));
-        }
-        let verb = q.verb();
-        let cell = self.cell(q.cell)?;
-        let lookup = match cell.leadership_status(clock::now()) {
-            LeadershipStatus::Leading => cell.look_up_as_leader(verb, &q.job).await,
+    async fn ask(&self, request: Request<JobQuestion>) -> Result<Response<JobAnswer>, Status> {
+        let question = request.into_inner();
+        check_id(&question.job)?;
+        let shard = self.shard(question.cell)?;
+        let lookup = match shard.leadership_status(clock::now()) {
+            LeadershipStatus::Leading => shard.look_up_as_leader(question.verb(), &question.job).await,
             _ => Lookup::Unavailable,
         };
-        let mut a = JobAnswer::default();
-        match lookup {
-            Lookup::Known(t) => {
-                a.set_outcome(Outcome::Known);
-                a.state = t.state.as_str().to_owned();
-                a.done = t.done;
-                a.running = t.running;
-            }
-            Lookup::Absent => a.set_outcome(Outcome::Unknown),
-            Lookup::Unavailable => a.set_outcome(Outcome::Unable),
-        }
-        Ok(tonic::Response::new(a))
+        Ok(Response::new(job_answer(lookup)))
     }
 }
--- a/src/responses.rs
+++ b/src/responses.rs
@@ -1,5 +1,5 @@
-//! What is answered to a question about a job, or to a worker's report, given what is known at that
-//! moment. Decisions alone: `api` asks, and sends what comes out.
+//! Answers to questions about jobs and to workers' heartbeats, from what is known at that moment. Decides alone:
+//! `api` reads what is known, and sends the answer.
 
 use crate::http::Outgoing;
 use crate::job_status::{JobStatus, Lookup, status_of_item};
@@ -8,20 +8,20 @@
 use crate::shard::{HeartbeatOutcome, JobView};
 use crate::wire::{JobAnswer, KeyValue, Redirect};
 
-/// The answer of whoever cannot or may not act.
+/// The answer of a node that cannot or may not act.
 pub fn unavailable() -> Outgoing {
     Outgoing::error(503, "not able to act now")
 }
 
-/// A job as its user is told about it; `counts`: with how many tasks are done and running.
+/// A job as its user sees it; `counts`: with how many tasks are done and running.
 pub fn job_answer(status: u16, id: &str, job: JobStatus, counts: bool) -> Outgoing {
-    let count = |n| counts.then_some(n);
+    let count = |tasks| counts.then_some(tasks);
     let answer = JobAnswer { id, state: job.state, done: count(job.done), running: count(job.running) };
     Outgoing::json(status, &answer)
 }
 
 /// What is known of a job. What may yet change is sent only until `lease_valid_until`, the end of this
-/// controller's lease if it owns the job; ends never change.
+/// controller's lease if it leads the job's shard; final states never change.
 fn known_answer(id: &str, job: JobStatus, counts: bool, lease_valid_until: Option<f64>) -> Outgoing {
     let answer = job_answer(200, id, job, counts);
     if job.is_final() { answer } else { answer.until(lease_valid_until) }
@@ -44,15 +44,15 @@
     }
 }
 
-/// The answer to a worker's report. `heard`: what the shard makes of it, none where this controller may not
+/// The answer to a worker's heartbeat. `outcome`: what the shard makes of it, none where this controller may not
 /// act; `lease_valid_until`: the end of its lease, after which the answer is not sent any more; `leader`: the
-/// controller to report to instead, asked for only where this one does not take the report.
+/// controller to report to instead, looked up only where this one does not take the heartbeat.
 pub fn report_answer(
-    heard: Option<HeartbeatOutcome>,
+    outcome: Option<HeartbeatOutcome>,
     lease_valid_until: Option<f64>,
     leader: impl FnOnce() -> Option<String>,
 ) -> Outgoing {
-    match heard {
+    match outcome {
         Some(HeartbeatOutcome::Reply(reply)) => Outgoing::json(200, &reply).until(lease_valid_until),
         Some(HeartbeatOutcome::Stale) => unavailable(),
         Some(HeartbeatOutcome::Superseded) | None => match leader() {
@@ -62,10 +62,10 @@
     }
 }
 
-/// What the leader tells of a job that it knows; none: not yet. A cancellation is confirmed only once it is
-/// stored, and until then there is nothing to say to it.
-pub fn status_from_leader(verb: Verb, shown: JobView) -> Option<JobStatus> {
-    match shown {
+/// What the leader reports of a job that it knows; none: not yet. A cancellation is confirmed only once it is
+/// stored, and is not answered until then.
+pub fn status_from_leader(verb: Verb, view: JobView) -> Option<JobStatus> {
+    match view {
         JobView::Visible(state, done, running) => {
             let job = JobStatus { state, done, running };
             (verb == Verb::Show || job.is_final()).then_some(job)
@@ -74,10 +74,10 @@
     }
 }
 
-/// What a stored record allows to tell where the leader cannot be asked. Ends are stored before anybody is
-/// told of them, so that an open record was true when it was read, unless the job may be cancelled together
-/// with one that it needs: that is stored for the needed one first. A cancellation is confirmed by nobody
-/// who cannot store it.
+/// What a stored record allows to report where the leader cannot be asked. Final states are stored before they
+/// are reported, so that an open record was true when it was read, unless the job may be cancelled together
+/// with one of its dependencies: that is stored for the dependency first. A cancellation is confirmed by no node
+/// that cannot store it.
 pub fn status_from_record(verb: Verb, item: &KeyValue) -> Lookup {
     match status_of_item(item) {
         Some(job) if job.is_final() => Lookup::Known(job),
@@ -89,5 +89,5 @@
 /// Is this an open record of a job that waits or waited for others?
 fn may_be_cancelled_by_dependency(item: &KeyValue) -> bool {
     serde_json::from_value::<JobRecord>(item.value.clone())
-        .is_ok_and(|r| r.phase == Phase::Open && !r.job.dependencies().is_empty())
+        .is_ok_and(|record| record.phase == Phase::Open && !record.job.dependencies().is_empty())
 }
