--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,8 +1,10 @@
-//! Client of the cloud: machine types, rentals, deletions, the machine list.
+//! Client of the cloud: machine types, rentals, deletions, the machine list. Keeps within this controller's share of
+//! the rate limit; never repeats a call.
 
 use crate::clock;
 use crate::http::{CallError, Client};
 use crate::rate_limiter::RateLimiter;
+use crate::settings::Settings;
 use crate::wire::{self, ListedMachine, MachineList, MachineNames, MachineType, RentRequest, Types};
 use async_io::Timer;
 use http_types::Method;
@@ -10,19 +12,38 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
+/// The fractions of the cloud's rate limit that all leaders and all followers take.
+const LEADERS_FRACTION: f64 = 0.8;
+const FOLLOWERS_FRACTION: f64 = 0.1;
+const CALL_TIMEOUT: Duration = Duration::from_secs(4);
+/// How often a call that waits looks at the rate limit.
+const RATE_POLL_INTERVAL: Duration = Duration::from_millis(25);
+/// Machines on a page of the list.
+const LIST_PAGE_SIZE: usize = 500;
+/// What the body of a 503 says where the cloud has no machine of a type.
+const NO_CAPACITY: &[u8] = b"no capacity";
+
+fn is_no_capacity(body: &[u8]) -> bool {
+    body.windows(NO_CAPACITY.len()).any(|window| window == NO_CAPACITY)
+}
+
+/// Why a call to the cloud has no result.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CloudError {
     #[error("no capacity")]
     NoCapacity,
+    /// With the HTTP status; 0 where it could not be sent.
     #[error("refused ({0})")]
     Refused(u16),
+    /// It may or may not have been executed.
     #[error("no answer")]
     NoAnswer,
-    /// Not asked: whoever wanted to may not act any more.
+    /// Not sent: the caller may not act any more.
     #[error("withheld")]
     Withheld,
 }
 
+/// Client of the cloud's API.
 pub struct CloudClient {
     addr: SocketAddr,
     http: Client,
@@ -30,32 +51,34 @@
 }
 
 impl CloudClient {
-    pub fn new(settings: &crate::settings::Settings) -> CloudClient {
-        let c = CloudClient {
+    /// A client with the share of a follower.
+    pub fn new(settings: &Settings) -> CloudClient {
+        let client = CloudClient {
             addr: settings.cloud,
             http: Client::new(3, 3),
             rate_limiter: Mutex::new(RateLimiter::new(1.0, 1.0)),
         };
-        c.set_share(settings, 0, 1);
-        c
+        client.set_share(settings, 0, 1);
+        client
     }
 
-    /// Leaders make nearly all calls, each by its part of the shards; the others only read the machine types.
-    pub fn set_share(&self, settings: &crate::settings::Settings, owned: usize, of: usize) {
-        let leader = owned > 0;
-        let rate = if leader {
-            settings.cloud_rps * 0.8 * owned as f64 / of.max(1) as f64
+    /// Leaders make nearly all calls, each by its part of the shards (`led` of `shards`); followers only read the machine
+    /// types.
+    pub fn set_share(&self, settings: &Settings, led: usize, shards: usize) {
+        let is_leader = led > 0;
+        let rate = if is_leader {
+            settings.cloud_rps * LEADERS_FRACTION * led as f64 / shards.max(1) as f64
         } else {
-            settings.cloud_rps * 0.1 / (settings.peers.len().max(1) as f64)
+            settings.cloud_rps * FOLLOWERS_FRACTION / (settings.peers.len().max(1) as f64)
         };
-        *self.lock() = RateLimiter::new(rate, if leader { rate * 1.5 } else { 1.0 });
+        *self.lock() = RateLimiter::new(rate, if is_leader { rate * 1.5 } else { 1.0 });
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, RateLimiter> {
         self.rate_limiter.lock().unwrap_or_else(|e| e.into_inner())
     }
 
-    /// Waits for its turn, which may take long.
+    /// Waits until the rate limit allows the call, which may take long.
     async fn call(
         &self,
         may_be_sent: impl FnOnce() -> bool,
@@ -64,7 +87,7 @@
         body: Option<Vec<u8>>,
     ) -> Result<(u16, Vec<u8>), CloudError> {
         while !self.lock().try_acquire(clock::now(), 1) {
-            Timer::after(Duration::from_millis(25)).await;
+            Timer::after(RATE_POLL_INTERVAL).await;
         }
         self.call_now(may_be_sent, method, path, body).await
     }
@@ -76,20 +99,20 @@
         path: &str,
         body: Option<Vec<u8>>,
     ) -> Result<(u16, Vec<u8>), CloudError> {
-        match self.http.call_if(may_be_sent, self.addr, method, path, body, Duration::from_secs(4)).await {
+        match self.http.call_if(may_be_sent, self.addr, method, path, body, CALL_TIMEOUT).await {
             Err(CallError::Withheld) => Err(CloudError::Withheld),
             Ok((429, _)) => {
                 self.lock().drain(clock::now());
                 Err(CloudError::Refused(429))
             }
-            Ok(r) => Ok(r),
+            Ok(response) => Ok(response),
             Err(CallError::NotSent) => Err(CloudError::Refused(0)),
             Err(CallError::NoAnswer) => Err(CloudError::NoAnswer),
         }
     }
 
-    /// `first`: nothing can be done before the types are known, so this one does not
-    /// wait for a share.
+    /// The machine types. `first`: nothing can be done before they are known, so this call does not
+    /// wait for the rate limit.
     pub async fn types(&self, first: bool) -> Result<Vec<MachineType>, CloudError> {
         let outcome = if first {
             self.call_now(|| true, Method::Get, wire::TYPES_PATH, None).await
@@ -97,46 +120,53 @@
             self.call(|| true, Method::Get, wire::TYPES_PATH, None).await
         };
         match outcome? {
-            (200, b) => serde_json::from_slice::<Types>(&b).map(|t| t.types).map_err(|_| CloudError::NoAnswer),
-            (s, _) => Err(CloudError::Refused(s)),
+            (200, body) => {
+                serde_json::from_slice::<Types>(&body).map(|answer| answer.types).map_err(|_| CloudError::NoAnswer)
+            }
+            (status, _) => Err(CloudError::Refused(status)),
         }
     }
 
-    /// Rents machines, if that may be done still when its turn has come.
-    pub async fn rent(&self, r: &RentRequest, may_be_sent: impl FnOnce() -> bool) -> Result<Vec<String>, CloudError> {
-        let body = serde_json::to_vec(r).map_err(|_| CloudError::Refused(400))?;
+    /// Rents machines, if that may still be done when the call is sent. The names of the machines.
+    pub async fn rent(
+        &self,
+        request: &RentRequest,
+        may_be_sent: impl FnOnce() -> bool,
+    ) -> Result<Vec<String>, CloudError> {
+        let body = serde_json::to_vec(request).map_err(|_| CloudError::Refused(400))?;
         match self.call(may_be_sent, Method::Post, wire::MACHINES_PATH, Some(body)).await? {
-            (200, b) => {
-                serde_json::from_slice::<MachineNames>(&b).map(|m| m.machines).map_err(|_| CloudError::NoAnswer)
-            }
-            (503, b) if b.windows(11).any(|w| w == b"no capacity") => Err(CloudError::NoCapacity),
-            (s, _) => Err(CloudError::Refused(s)),
+            (200, body) => serde_json::from_slice::<MachineNames>(&body)
+                .map(|answer| answer.machines)
+                .map_err(|_| CloudError::NoAnswer),
+            (503, body) if is_no_capacity(&body) => Err(CloudError::NoCapacity),
+            (status, _) => Err(CloudError::Refused(status)),
         }
     }
 
-    /// Returns machines, if that may be done still when its turn has come.
+    /// Deletes machines, if that may still be done when the call is sent.
     pub async fn delete(&self, machines: Vec<String>, may_be_sent: impl FnOnce() -> bool) -> Result<(), CloudError> {
         let body = serde_json::to_vec(&MachineNames { machines }).map_err(|_| CloudError::Refused(400))?;
         match self.call(may_be_sent, Method::Post, wire::MACHINES_DELETE_PATH, Some(body)).await? {
             (200, _) => Ok(()),
-            (s, _) => Err(CloudError::Refused(s)),
+            (status, _) => Err(CloudError::Refused(status)),
         }
     }
 
+    /// All machines that the cloud lists, page by page. Fails as a whole if a page fails.
     pub async fn list(&self) -> Result<Vec<ListedMachine>, CloudError> {
         let mut all: Vec<ListedMachine> = Vec::new();
         loop {
-            let after = all.last().map(|m| m.id.clone()).unwrap_or_default();
-            match self.call(|| true, Method::Get, &wire::machines_query(&after, 500), None).await? {
-                (200, b) => {
-                    let page: MachineList = serde_json::from_slice(&b).map_err(|_| CloudError::NoAnswer)?;
-                    let more = page.more && !page.machines.is_empty();
+            let after = all.last().map(|machine| machine.id.clone()).unwrap_or_default();
+            match self.call(|| true, Method::Get, &wire::machines_query(&after, LIST_PAGE_SIZE), None).await? {
+                (200, body) => {
+                    let page: MachineList = serde_json::from_slice(&body).map_err(|_| CloudError::NoAnswer)?;
+                    let has_more = page.more && !page.machines.is_empty();
                     all.extend(page.machines);
-                    if !more {
+                    if !has_more {
                         return Ok(all);
                     }
                 }
-                (s, _) => return Err(CloudError::Refused(s)),
+                (status, _) => return Err(CloudError::Refused(status)),
             }
         }
     }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,6 +1,8 @@
-//! gRPC between controllers: tonic's code over hyper's HTTP/2 on async-io sockets.
+//! gRPC between controllers: tonic's code over hyper's HTTP/2 on async-io sockets. Carries questions and answers;
+//! what is answered is made in `peer_server`.
 
 use crate::http::timed;
+use crate::settings::Settings;
 use async_executor::Executor;
 use async_io::Async;
 use http_body_util::BodyExt;
@@ -64,20 +66,22 @@
     open: Mutex<HashMap<String, Channel>>,
 }
 
-const CONNECT: Duration = Duration::from_millis(700);
-const ASK: Duration = Duration::from_millis(1300);
+/// How long a connection may take to open.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
+/// How long a controller has for an answer to another; an operator waits twice as long.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(1300);
 /// A failure within this is a connection that is over, not a question that was lost.
-const AT_ONCE: Duration = Duration::from_millis(200);
+const CLOSED_CONNECTION_WITHIN: Duration = Duration::from_millis(200);
 
 fn origin() -> http::Uri {
     http::Uri::from_static("http://owner")
 }
 
 async fn connect(ex: &'static Executor<'static>, addr: SocketAddr) -> Option<Channel> {
-    let stream = timed(CONNECT, Async::<TcpStream>::connect(addr)).await.ok()?.ok()?;
+    let stream = timed(CONNECT_TIMEOUT, Async::<TcpStream>::connect(addr)).await.ok()?.ok()?;
     let _ = stream.get_ref().set_nodelay(true);
     let shake = hyper::client::conn::http2::handshake(Spawn(ex), FuturesIo::new(stream));
-    let (send, conn) = timed(CONNECT, shake).await.ok()?.ok()?;
+    let (send, conn) = timed(CONNECT_TIMEOUT, shake).await.ok()?.ok()?;
     ex.spawn(async move {
         let _ = conn.await;
     })
@@ -110,7 +114,7 @@
     addr: SocketAddr,
     call: impl Future<Output = Result<tonic::Response<Answer>, tonic::Status>>,
 ) -> Result<Answer, PeerQueryError> {
-    match timed(ASK * 2, call).await {
+    match timed(ANSWER_TIMEOUT * 2, call).await {
         Ok(Ok(response)) => Ok(response.into_inner()),
         Ok(Err(status)) => Err(PeerQueryError::Refused(status.message().to_owned())),
         Err(_) => Err(PeerQueryError::NoAnswer(addr)),
@@ -148,8 +152,13 @@
 }
 
 impl Peers {
-    pub fn new(ex: &'static Executor<'static>, settings: &crate::settings::Settings) -> Peers {
-        Peers { ex, addrs: settings.peers.iter().map(|p| (p.node.clone(), p.addr)).collect(), open: Mutex::default() }
+    /// No connection is opened before the first question.
+    pub fn new(ex: &'static Executor<'static>, settings: &Settings) -> Peers {
+        Peers {
+            ex,
+            addrs: settings.peers.iter().map(|peer| (peer.node.clone(), peer.addr)).collect(),
+            open: Mutex::default(),
+        }
     }
 
     async fn channel(&self, node: &str) -> Option<Channel> {
@@ -164,13 +173,13 @@
     }
 
     /// The leader's answer to one question; without one, the next question opens a new connection.
-    async fn asked<A>(
+    async fn call<Answer>(
         &self,
         node: &str,
-        question: impl AsyncFnOnce(OwnerClient<Channel>) -> Result<tonic::Response<A>, tonic::Status>,
-    ) -> Option<A> {
+        question: impl AsyncFnOnce(OwnerClient<Channel>) -> Result<tonic::Response<Answer>, tonic::Status>,
+    ) -> Option<Answer> {
         let client = OwnerClient::with_origin(self.channel(node).await?, origin());
-        let answer = timed(ASK, question(client)).await;
+        let answer = timed(ANSWER_TIMEOUT, question(client)).await;
         if !matches!(answer, Ok(Ok(_))) {
             self.drop_channel(node);
         }
@@ -178,27 +187,27 @@
     }
 
     /// Asks the leader about quotas.
-    pub async fn ask_quotas(&self, node: &str, q: QuotaQuestion) -> Option<QuotaAnswer> {
-        self.asked(node, async |mut c| c.quotas(q).await).await
+    pub async fn ask_quotas(&self, node: &str, question: QuotaQuestion) -> Option<QuotaAnswer> {
+        self.call(node, async |mut client| client.quotas(question).await).await
     }
 
     /// Asks the leader about elastic jobs.
     pub async fn ask_elastic(&self, node: &str, cell: u32) -> Option<ServiceAnswer> {
-        self.asked(node, async |mut c| c.elastic(ServiceQuestion { passed_on: true, cell }).await).await
+        self.call(node, async |mut client| client.elastic(ServiceQuestion { passed_on: true, cell }).await).await
     }
 
-    /// Asks the leader about the accounts of service.
+    /// Asks the leader about service levels.
     pub async fn ask_service(&self, node: &str, cell: u32) -> Option<ServiceAnswer> {
-        self.asked(node, async |mut c| c.service(ServiceQuestion { passed_on: true, cell }).await).await
+        self.call(node, async |mut client| client.service(ServiceQuestion { passed_on: true, cell }).await).await
     }
 
     /// Asks a leader whether one of its shards knows this machine, or this job.
-    pub async fn ask_expects(&self, node: &str, q: MachineQuestion) -> Option<MachineAnswer> {
-        self.asked(node, async |mut c| c.expects(q).await).await
+    pub async fn ask_expects(&self, node: &str, question: MachineQuestion) -> Option<MachineAnswer> {
+        self.call(node, async |mut client| client.expects(question).await).await
     }
 
     /// Asks the leader about a job. None when it cannot be reached or cannot act. A connection
-    /// to a process that has ended meanwhile is told at once, and a new one is tried.
+    /// to a process that has ended meanwhile fails at once, and a new one is tried.
     pub async fn ask(
         &self,
         node: &str,
@@ -206,18 +215,20 @@
         (job, cell): (&str, u32),
         limit: Option<Duration>,
     ) -> Option<JobAnswer> {
-        let mut again = true;
+        let mut may_retry = true;
         loop {
-            let c = self.channel(node).await?;
-            let mut client = OwnerClient::with_origin(c, origin());
-            let q = JobQuestion { verb: verb.into(), job: job.to_owned(), cell };
-            let began = Instant::now();
-            match timed(limit.unwrap_or(ASK), client.ask(q)).await {
-                Ok(Ok(a)) => return Some(a.into_inner()).filter(|a| a.outcome() != Outcome::Unable),
-                Ok(Err(s)) => {
-                    log::debug!("asking {node}: {s}");
+            let channel = self.channel(node).await?;
+            let mut client = OwnerClient::with_origin(channel, origin());
+            let question = JobQuestion { verb: verb.into(), job: job.to_owned(), cell };
+            let asked_at = Instant::now();
+            match timed(limit.unwrap_or(ANSWER_TIMEOUT), client.ask(question)).await {
+                Ok(Ok(response)) => {
+                    return Some(response.into_inner()).filter(|answer| answer.outcome() != Outcome::Unable);
+                }
+                Ok(Err(status)) => {
+                    log::debug!("job question failed node={node} status={status}");
                     self.drop_channel(node);
-                    if !std::mem::take(&mut again) || began.elapsed() > AT_ONCE {
+                    if !std::mem::take(&mut may_retry) || asked_at.elapsed() > CLOSED_CONNECTION_WITHIN {
                         return None;
                     }
                 }
@@ -241,7 +252,7 @@
         let stream = match listener.accept().await {
             Ok((s, _)) => s,
             Err(e) => {
-                log::warn!("accept from peers: {e}");
+                log::warn!("accept from peers failed error={e}");
                 async_io::Timer::after(Duration::from_millis(100)).await;
                 continue;
             }
