--- a/crates/scheduler/src/jobs/mod.rs
+++ b/crates/scheduler/src/jobs/mod.rs
@@ -1,4 +1,7 @@
 //! Jobs and their tasks: what is kept at the state service, and what is known.
+//!
+//! Owns all jobs of a shard by their index and id, and which of their tasks are done. It decides no start, and a
+//! job's end only where its last task is done.
 
 mod job;
 mod records;
@@ -17,14 +20,16 @@
 pub struct Jobs {
     pub list: Pages<JobIndex, Job>,
     by_id: HashMap<std::sync::Arc<str>, JobIndex>,
+    /// The names of images that jobs want or machines have.
     pub images: Names<ImageIndex>,
     /// Jobs that have something to do now. Those that wait for others are not among them:
     /// they cost nothing.
     pub live: BTreeSet<JobIndex>,
-    /// Tasks whose progress is stored in one value, by us and by 0.1.0, which knows only
-    /// the limit that holds now.
+    /// Tasks whose progress is stored in one value.
     pub chunk_tasks: u32,
+    /// The same by 0.1.0, which knows only the limit that holds now.
     pub legacy_chunk_tasks: u32,
+    /// How many zones a job's tasks are counted by.
     pub zones: usize,
 }
 
@@ -49,10 +54,12 @@
 }
 
 impl Jobs {
-    pub fn new(chunk: u32, earlier_chunk: u32, zones: usize) -> Jobs {
-        Jobs { chunk_tasks: chunk, legacy_chunk_tasks: earlier_chunk, zones, ..Jobs::default() }
+    /// No jobs. `chunk_tasks`, `legacy_chunk_tasks`: tasks in one value of progress, here and by 0.1.0.
+    pub fn new(chunk_tasks: u32, legacy_chunk_tasks: u32, zones: usize) -> Jobs {
+        Jobs { chunk_tasks, legacy_chunk_tasks, zones, ..Jobs::default() }
     }
 
+    /// The job of this id, if it is known here.
     pub fn find(&self, id: &str) -> Option<JobIndex> {
         self.by_id.get(id).copied()
     }
@@ -165,19 +172,20 @@
         earlier.chain(parts)
     }
 
+    /// Which tasks of a chunk are done, as it is stored.
     pub fn progress(&self, job_index: JobIndex, chunk: u32) -> ProgressRecord {
         let job = &self[job_index];
         let from = (chunk * self.chunk_tasks) as usize;
         let to = (from + self.chunk_tasks as usize).min(job.tasks.len());
         let mut done = String::with_capacity((to - from).div_ceil(4));
         for four in job.tasks[from..to].chunks(4) {
-            let mut d = 0;
-            for (i, s) in four.iter().enumerate() {
-                if matches!(s, TaskSlot::Done { .. }) {
-                    d |= 1 << i;
+            let mut digit = 0;
+            for (bit, slot) in four.iter().enumerate() {
+                if matches!(slot, TaskSlot::Done { .. }) {
+                    digit |= 1 << bit;
                 }
             }
-            done.push(char::from_digit(d, 16).unwrap_or('0'));
+            done.push(char::from_digit(digit, 16).unwrap_or('0'));
         }
         ProgressRecord { done }
     }
@@ -244,6 +252,7 @@
     }
 }
 
+/// Values of tasks, in the order of their keys.
 pub type TaskMap<V> = BTreeMap<TaskKey, V>;
 
 #[cfg(test)]
--- a/crates/scheduler/src/jobs/records.rs
+++ b/crates/scheduler/src/jobs/records.rs
@@ -1,12 +1,18 @@
 //! What is kept of jobs at the state service, and under which keys.
+//!
+//! Owns the stored form, which earlier versions read too. It never reads or writes anything.
 
 use crate::wire::JobRequest;
 use serde::{Deserialize, Serialize};
 
+/// Jobs are stored under this, each by its id.
 pub const JOB_PREFIX: &str = "job/";
+/// Progress of jobs that fit one value, and all that 0.1.0 wrote.
 pub const PROGRESS_PREFIX: &str = "prog/";
+/// Progress of larger jobs.
 pub const PART_PREFIX: &str = "part/";
 
+/// The key of a job's record.
 pub fn job_key(id: &str) -> String {
     format!("{JOB_PREFIX}{id}")
 }
@@ -22,11 +28,14 @@
 pub fn part_key(id: &str, from: u32) -> String {
     format!("{PART_PREFIX}{id}/{from}")
 }
+
 /// How a job stands in the state service.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Debug)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
+    /// Not over.
     Open,
+    /// All of its tasks are done.
     Done,
     Cancelled,
 }
@@ -51,6 +60,7 @@
 }
 
 impl JobRecord {
+    /// A job that is open, as its acceptance stores it.
     pub fn accepted(job: JobRequest, at_ms: u64) -> JobRecord {
         JobRecord { job, accepted_at_ms: at_ms, phase: Phase::Open, ended_ms: None, shard: None, moves: 0 }
     }
@@ -59,14 +69,14 @@
     /// accepted may be larger than a value may be by now; whoever asks after its end needs
     /// none of what is left out.
     pub fn ended(job: &JobRequest, at_ms: u64, phase: Phase, ended_ms: u64, value_bytes: usize) -> JobRecord {
-        let mut r = JobRecord { phase, ended_ms: Some(ended_ms), ..JobRecord::accepted(job.clone(), at_ms) };
+        let mut record = JobRecord { phase, ended_ms: Some(ended_ms), ..JobRecord::accepted(job.clone(), at_ms) };
         // It is kept for ever: where it might have run is asked by nobody afterwards.
-        let j = &mut r.job;
-        (j.types, j.zone, j.image, j.dependencies) = (None, None, None, None);
-        if serde_json::to_string(&r).is_ok_and(|t| t.len() > value_bytes) {
-            r.job.class = String::new();
+        let job = &mut record.job;
+        (job.types, job.zone, job.image, job.dependencies) = (None, None, None, None);
+        if serde_json::to_string(&record).is_ok_and(|text| text.len() > value_bytes) {
+            record.job.class = String::new();
         }
-        r
+        record
     }
 }
 
