--- a/crates/scheduler/src/shard/responsiveness.rs
+++ b/crates/scheduler/src/shard/responsiveness.rs
@@ -1,5 +1,8 @@
 //! What is heard of the machines, and whether it is a machine or this leader that is cut off where
 //! nothing is heard.
+//!
+//! Owns the counts of who was heard, by zone and in all, and what they allow to conclude. It gives no machine up and
+//! probes none: `machine_monitor` does.
 
 use super::Shard;
 use super::sizing::HEARTBEAT_JITTER;
@@ -7,9 +10,9 @@
 use crate::intern::ZoneIndex;
 use std::collections::BTreeMap;
 
-/// Beyond half a report's interval, what counts as just now.
+/// Beyond half of a heartbeat interval, what counts as just now, in seconds.
 const RECENT_MARGIN_S: f64 = 0.25;
-/// So long after ticks came late, an answer that is missing may stand in our own queue.
+/// So many seconds after ticks came late, an answer that is missing may stand in our own queue.
 const LATE_TICK_MEMORY_S: f64 = 2.5;
 /// So many unresponsive machines, and one in so many of a zone, make the rest of it suspect.
 const MIN_UNRESPONSIVE: usize = 3;
@@ -27,26 +30,26 @@
     heard_recently: usize,
     /// Asked directly, without an answer.
     pub(super) unresponsive: usize,
-    /// Responses, and what we say does not reach them.
+    /// Heard, and what we say does not reach them.
     unreached: usize,
 }
 
 impl Responsiveness {
-    fn add(&mut self, o: &Responsiveness) {
-        self.up += o.up;
-        self.heard_lately += o.heard_lately;
-        self.heard_recently += o.heard_recently;
-        self.unresponsive += o.unresponsive;
-        self.unreached += o.unreached;
+    fn add(&mut self, other: &Responsiveness) {
+        self.up += other.up;
+        self.heard_lately += other.heard_lately;
+        self.heard_recently += other.heard_recently;
+        self.unresponsive += other.unresponsive;
+        self.unreached += other.unreached;
     }
 
-    fn less(&self, o: &Responsiveness) -> Responsiveness {
+    fn less(&self, other: &Responsiveness) -> Responsiveness {
         Responsiveness {
-            up: self.up - o.up,
-            heard_lately: self.heard_lately - o.heard_lately,
-            heard_recently: self.heard_recently - o.heard_recently,
-            unresponsive: self.unresponsive - o.unresponsive,
-            unreached: self.unreached - o.unreached,
+            up: self.up - other.up,
+            heard_lately: self.heard_lately - other.heard_lately,
+            heard_recently: self.heard_recently - other.heard_recently,
+            unresponsive: self.unresponsive - other.unresponsive,
+            unreached: self.unreached - other.unreached,
         }
     }
 
@@ -58,7 +61,7 @@
     }
 
     /// Where what we say reaches few of them, it is rather this leader whose words are lost.
-    fn heeded(&self) -> bool {
+    fn is_acknowledged(&self) -> bool {
         self.up >= MIN_WITNESSES && self.unreached * 2 <= self.up
     }
 
@@ -101,7 +104,7 @@
 
     /// Does what we say reach most of the others?
     pub(super) fn acknowledged_around(&self, zone: ZoneIndex) -> bool {
-        self.whole.heeded() || self.elsewhere(zone).heeded()
+        self.whole.is_acknowledged() || self.elsewhere(zone).is_acknowledged()
     }
 
     /// Is it rather this leader that is cut off?
@@ -112,13 +115,14 @@
 }
 
 impl Shard {
+    /// How many machines that are up were heard, and how many answer no probe, at this moment.
     pub(super) fn responses(&self, now: f64) -> FleetResponsiveness {
         let mut whole = Responsiveness::default();
         let mut by_zone: BTreeMap<ZoneIndex, Responsiveness> = BTreeMap::new();
-        for (_, m) in self.machines.iter().filter(|(_, m)| m.phase == Phase::Up) {
-            let one = self.responsiveness_of(m, now);
+        for (_, machine) in self.machines.iter().filter(|(_, machine)| machine.phase == Phase::Up) {
+            let one = self.responsiveness_of(machine, now);
             whole.add(&one);
-            by_zone.entry(m.zone).or_default().add(&one);
+            by_zone.entry(machine.zone).or_default().add(&one);
         }
         FleetResponsiveness { whole, by_zone, punctual: now - self.late_tick_at > LATE_TICK_MEMORY_S }
     }
@@ -126,7 +130,8 @@
     fn responsiveness_of(&self, machine: &Machine, now: f64) -> Responsiveness {
         let recent_heartbeat_s = self.report_s / 2.0 + RECENT_MARGIN_S;
         // One that is recorded and was never heard by this leader tells nothing.
-        let heard_within = |s: f64| usize::from(machine.incarnation > 0 && self.heartbeat_age(machine, now) < s);
+        let heard_within =
+            |within_s: f64| usize::from(machine.incarnation > 0 && self.heartbeat_age(machine, now) < within_s);
         Responsiveness {
             up: 1,
             heard_lately: heard_within(self.report_s * HEARTBEAT_JITTER + 1.0),
