--- a/src/node/shard_exchange/activation.rs
+++ b/src/node/shard_exchange/activation.rs
@@ -51,35 +51,13 @@
     /// The leader of the one shard that there is puts the plan in its leadership record's place, once everybody
     /// understands it.
     async fn activate_plan(self: &Arc<Self>, plan: &ShardingPlan) {
-        let Ok((items, _)) = self.state.list(PRESENT_PREFIX, RequestPriority::Urgent).await else { return };
-        let present: Vec<Presence> = parse_items(items).map(|(_, presence, _)| presence).collect();
-        if !all_agree_on(plan, &self.settings.nodes(), &present) {
+        if !self.is_agreed(plan).await {
             return;
         }
-        let Ok(before) = self.state.get(LEDGER_KEY, RequestPriority::Urgent).await else { return };
+        let Ok(stored_ledger) = self.state.get(LEDGER_KEY, RequestPriority::Urgent).await else { return };
         let runtimes = self.shards();
         let Some(runtime) = runtimes.first().filter(|_| runtimes.len() == 1) else { return };
-        let now = clock::now();
-        // What is in use stays shard 0's, and nothing is added to it from here on; the rest goes to
-        // the teams' homes.
-        let made = runtime.with_shard(now, |shard| {
-            let (token, in_use) = (shard.token, shard.limit_usage());
-            let mut ledger = Ledger::new(&team_limits_by_name(&self.settings.teams), plan.cells, ShardId(0));
-            for (team, used) in &in_use {
-                let Some(own) = ledger.share(team, ShardId(0)) else { continue };
-                let home = plan.home(team);
-                let amount = own.minus(*used);
-                let transfer = QuotaTransfer { team: team.clone(), from: ShardId(0), to: home, amount };
-                if home != ShardId(0)
-                    && let Some(next) = ledger.apply(&[transfer])
-                {
-                    ledger = next;
-                }
-            }
-            shard.set_limit_shares(&self.settings.teams, &ledger, ShardId(0));
-            (token, ledger)
-        });
-        let Some((token, ledger)) = made else { return };
+        let Some((token, ledger)) = runtime.divide_limits(plan) else { return };
         let (Ok(record), Ok(shares)) =
             (serde_json::to_value(ActivePlan::new(plan.clone())), serde_json::to_value(&ledger))
         else {
@@ -90,30 +68,20 @@
             log::error!("sharding plan not stored token={token} reason=value_too_large max_bytes={max_bytes}");
             return;
         }
-        // Of a merging in which not all leadership records could be cleared at once.
-        let Ok((left, _)) = self.state.list(SHARD_LEADERSHIP_PREFIX, RequestPriority::Urgent).await else { return };
-        for some in left.chunks(self.state.txn_ops) {
-            let mut conditions = vec![Compare { key: LEADERSHIP_KEY.into(), version: token }];
-            conditions.extend(some.iter().map(|item| Compare { key: item.key.clone(), version: item.version }));
-            let gone = some.iter().map(|item| Mutation::Delete { key: item.key.clone() }).collect();
-            if !matches!(
-                self.state.commit(conditions, gone, RequestPriority::Urgent).await,
-                Ok(CompareAndSwap::Applied(_))
-            ) {
-                return;
-            }
+        if !self.clear_shard_records(token).await {
+            return;
         }
         let conditions = vec![
             Compare { key: LEADERSHIP_KEY.into(), version: token },
-            Compare { key: LEDGER_KEY.into(), version: before.map_or(0, |item| item.version) },
+            Compare { key: LEDGER_KEY.into(), version: stored_ledger.map_or(0, |item| item.version) },
         ];
-        let changes = vec![
+        let mutations = vec![
             Mutation::Put { key: LEDGER_KEY.into(), value: shares, lease: None },
             Mutation::Put { key: LEADERSHIP_KEY.into(), value: record, lease: None },
         ];
         // From the moment that it is sent the shards may be led by others, who wait for nobody.
         lock(&runtime.election).suspend(true);
-        match self.state.commit(conditions, changes, RequestPriority::Urgent).await {
+        match self.state.commit(conditions, mutations, RequestPriority::Urgent).await {
             Ok(CompareAndSwap::Applied(_)) => self.enter_sharding(plan.clone()),
             // It may be stored, now or later. Without this leadership record it can't be any more.
             Err(StateError::Unknown) => {
@@ -124,15 +92,34 @@
             // was conditional on would have to change first.
             outcome => {
                 log::info!("sharding plan not activated token={token} reason=\"{outcome:?}\"");
-                lock(&runtime.election).suspend(false);
-                runtime.read_leadership_record().await;
-                let whole = Ledger::new(&team_limits_by_name(&self.settings.teams), 1, ShardId(0));
-                runtime
-                    .with_shard(clock::now(), |shard| shard.set_limit_shares(&self.settings.teams, &whole, ShardId(0)));
+                runtime.lead_on_alone().await;
             }
         }
     }
 
+    /// Do all controllers offer this plan?
+    async fn is_agreed(&self, plan: &ShardingPlan) -> bool {
+        let Ok((items, _)) = self.state.list(PRESENT_PREFIX, RequestPriority::Urgent).await else { return false };
+        let present: Vec<Presence> = parse_items(items).map(|(_, presence, _)| presence).collect();
+        all_agree_on(plan, &self.settings.nodes(), &present)
+    }
+
+    /// Deletes the records of a merging in which not all leadership records could be cleared at once.
+    async fn clear_shard_records(&self, token: u64) -> bool {
+        let list = self.state.list(SHARD_LEADERSHIP_PREFIX, RequestPriority::Urgent).await;
+        let Ok((records, _)) = list else { return false };
+        for some in records.chunks(self.state.txn_ops) {
+            let mut conditions = vec![Compare { key: LEADERSHIP_KEY.into(), version: token }];
+            conditions.extend(some.iter().map(|item| Compare { key: item.key.clone(), version: item.version }));
+            let deletions = some.iter().map(|item| Mutation::Delete { key: item.key.clone() }).collect();
+            let outcome = self.state.commit(conditions, deletions, RequestPriority::Urgent).await;
+            if !matches!(outcome, Ok(CompareAndSwap::Applied(_))) {
+                return false;
+            }
+        }
+        true
+    }
+
     /// The plan is in force: this process takes part in its shards from now on.
     pub(in crate::node) fn enter_sharding(self: &Arc<Self>, plan: ShardingPlan) {
         {
@@ -156,3 +143,35 @@
         EXECUTOR.spawn(self.clone().watch_shard_exchange_loop()).detach();
     }
 }
+
+impl ShardRuntime {
+    /// Divides the teams' limits among the shards of this plan, under the token that is returned. What is in use
+    /// stays shard 0's, and nothing is added to it from here on; the rest goes to the teams' homes.
+    fn divide_limits(&self, plan: &ShardingPlan) -> Option<(u64, Ledger)> {
+        self.with_shard(clock::now(), |shard| {
+            let (token, in_use) = (shard.token, shard.limit_usage());
+            let mut ledger = Ledger::new(&team_limits_by_name(&self.settings.teams), plan.cells, ShardId(0));
+            for (team, used) in &in_use {
+                let Some(own) = ledger.share(team, ShardId(0)) else { continue };
+                let home = plan.home(team);
+                let amount = own.minus(*used);
+                let transfer = QuotaTransfer { team: team.clone(), from: ShardId(0), to: home, amount };
+                if home != ShardId(0)
+                    && let Some(next) = ledger.apply(&[transfer])
+                {
+                    ledger = next;
+                }
+            }
+            shard.set_limit_shares(&self.settings.teams, &ledger, ShardId(0));
+            (token, ledger)
+        })
+    }
+
+    /// No plan was stored: the one shard has the whole limits again.
+    async fn lead_on_alone(&self) {
+        lock(&self.election).suspend(false);
+        self.read_leadership_record().await;
+        let whole = Ledger::new(&team_limits_by_name(&self.settings.teams), 1, ShardId(0));
+        self.with_shard(clock::now(), |shard| shard.set_limit_shares(&self.settings.teams, &whole, ShardId(0)));
+    }
+}
--- a/src/node/shard_exchange/machine_transfers.rs
+++ b/src/node/shard_exchange/machine_transfers.rs
@@ -1,7 +1,7 @@
 //! Machines that change shards: one stored value for each pair of shards, a step at a time. A machine that is on
 //! its way is never used by two shards.
 
-use super::HOLD_INTERVALS;
+use super::{HOLD_INTERVALS, SettledWrite};
 use crate::clock;
 use crate::node::{Node, ShardRuntime, lock, parse_items};
 use crate::state::{RequestPriority, StateError};
@@ -139,7 +139,7 @@
             Ok(None) => {}
             Err(_) => return,
         }
-        if transfer.from == self.id && !transfer.released_by_sender && stored == Some(false) {
+        if transfer.from == self.id && !transfer.released_by_sender && stored == SettledWrite::NotStored {
             let known = lock(&self.shard_exchange).transfers.get(key).map(|(known, _)| known.machines.clone());
             let published = known.unwrap_or_default();
             let stay: Vec<TransferredMachine> =
--- a/src/node/shard_exchange/mod.rs
+++ b/src/node/shard_exchange/mod.rs
@@ -54,6 +54,15 @@
     rebalancing: Rebalancing,
 }
 
+/// What became of a write, as far as it can be known.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(in crate::node) enum SettledWrite {
+    Stored,
+    NotStored,
+    /// It may be stored, which a reading tells.
+    Unknown,
+}
+
 /// What an event of a watch stores; none where it deletes.
 fn stored_item(event: WatchEvent) -> Option<KeyValue> {
     let value = event.value.unwrap_or_default();
@@ -164,25 +173,26 @@
     }
 
     /// Sends a write until it is certain that it will not be applied later: one whose answer was lost
-    /// goes again, and finds what it is conditional on as it was or changed. True: it is stored;
-    /// none: it may be, which a reader tells; false: it is not.
+    /// goes again, and finds what it is conditional on as it was or changed.
     pub(super) async fn commit_until_settled(
         &self,
         token: u64,
         conditions: Vec<Compare>,
         changes: Vec<Mutation>,
-    ) -> Option<bool> {
+    ) -> SettledWrite {
         let mut lost = false;
         loop {
             match self.state.commit(conditions.clone(), changes.clone(), RequestPriority::Normal).await {
-                Ok(CompareAndSwap::Applied(_)) => return Some(true),
-                Ok(CompareAndSwap::Conflict(_)) => return if lost { None } else { Some(false) },
-                Err(StateError::NotExecuted(_)) if !lost => return Some(false),
+                Ok(CompareAndSwap::Applied(_)) => return SettledWrite::Stored,
+                Ok(CompareAndSwap::Conflict(_)) => {
+                    return if lost { SettledWrite::Unknown } else { SettledWrite::NotStored };
+                }
+                Err(StateError::NotExecuted(_)) if !lost => return SettledWrite::NotStored,
                 Err(StateError::Unknown) => lost = true,
                 Err(_) => {}
             }
             if lock(&self.election).token() != Some(token) {
-                return None;
+                return SettledWrite::Unknown;
             }
             Timer::after(Duration::from_millis(300)).await;
         }
--- a/src/node/shard_exchange/quota_shares.rs
+++ b/src/node/shard_exchange/quota_shares.rs
@@ -1,6 +1,6 @@
 //! The shards' shares of teams' limits. What a shard gives is not counted on by it from before the write is sent.
 
-use super::LEDGER_KEY;
+use super::{LEDGER_KEY, SettledWrite};
 use crate::clock;
 use crate::node::{Node, ShardRuntime, lock};
 use crate::shard::team_limits_by_name;
@@ -80,8 +80,8 @@
         given: Vec<QuotaTransfer>,
         mut conditions: Vec<Compare>,
         mut changes: Vec<Mutation>,
-    ) -> Option<bool> {
-        let next = ledger.apply(&given)?;
+    ) -> SettledWrite {
+        let Some(next) = ledger.apply(&given) else { return SettledWrite::Unknown };
         self.quota_transfer_in_progress.store(true, Ordering::Relaxed);
         let fits = self.with_shard(clock::now(), |shard| {
             // What has come into use since the load snapshot is not given after all.
@@ -94,7 +94,7 @@
             }
             fits
         });
-        let mut stored = Some(false);
+        let mut stored = SettledWrite::NotStored;
         if fits == Some(true) {
             let value = serde_json::to_value(&next).unwrap_or_default();
             conditions.push(Compare { key: self.leadership_key.clone(), version: token });
@@ -103,7 +103,7 @@
             stored = self.commit_until_settled(token, conditions, changes).await;
             // Whatever became of it: the state service's own word on the shares, before anything is
             // counted on again.
-            while stored != Some(false) && lock(&self.election).token() == Some(token) {
+            while stored != SettledWrite::NotStored && lock(&self.election).token() == Some(token) {
                 if let Ok(Some(item)) = self.state.get(LEDGER_KEY, RequestPriority::Normal).await
                     && let Ok(ledger) = serde_json::from_value::<Ledger>(item.value)
                 {
--- a/src/node/shard_exchange/spill.rs
+++ b/src/node/shard_exchange/spill.rs
@@ -1,5 +1,6 @@
 //! Waiting jobs that go to other shards. A job with assigned tasks never moves.
 
+use super::SettledWrite;
 use crate::clock;
 use crate::jobs::job_key;
 use crate::node::{ShardRuntime, lock};
@@ -70,8 +71,8 @@
             let stored = self.part_with(token, (ledger, version), given, conditions, changes).await;
             // Its own record has the last word on whose it is.
             let moved = match stored {
-                Some(true) | None => self.is_elsewhere(token, &key).await,
-                Some(false) => Some(false),
+                SettledWrite::Stored | SettledWrite::Unknown => self.is_elsewhere(token, &key).await,
+                SettledWrite::NotStored => Some(false),
             };
             match moved {
                 Some(true) => {
