--- a/crates/scheduler/src/shard/failover.rs
+++ b/crates/scheduler/src/shard/failover.rs
@@ -485,7 +485,7 @@
         let Some(first) = stages.first_start else { return };
         stages.told = true;
         log::info!(
-            "failover complete first_start_s={first:.2} reconciled_s={resolved:.2} adopted_attempts={} orphaned_attempts={}",
+            "failover settled first_start_s={first:.2} reconciled_s={resolved:.2} adopted_attempts={} orphaned_attempts={}",
             self.counts.adopted,
             self.counts.orphaned
         );
