--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -109,7 +109,7 @@
 
 impl ShardRuntime {
     /// Shows or cancels a job as its leader. Waits until a final state or a cancellation is stored, for up to
-    /// [`SHOW_TIMEOUT_S`] or [`CANCEL_TIMEOUT_S`].
+    /// `SHOW_TIMEOUT_S` or `CANCEL_TIMEOUT_S`.
     pub async fn look_up_as_leader(&self, verb: Verb, id: &str) -> Lookup {
         let started_at = clock::now();
         let mut has_read_record = false;
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -3,9 +3,9 @@
 //! Owns the connections, this controller's share of the service's rates, and what is known of its answers. It
 //! never decides what is written, and it repeats nothing whose outcome is unknown.
 //!
-//! - [`operations`]: what it is asked, and what each status means
-//! - [`requests`]: how a request reaches it
-//! - [`limits`]: the rates that seem to hold
+//! - `operations`: what it is asked, and what each status means
+//! - `requests`: how a request reaches it
+//! - `limits`: the rates that seem to hold
 
 mod limits;
 mod operations;
