--- a/crates/scheduler/src/shard/writes/outcome.rs
+++ b/crates/scheduler/src/shard/writes/outcome.rs
@@ -1,7 +1,7 @@
 //! What came of writes: applied, not applied, or told by the state service afterwards.
 
 use super::{What, Write};
-use crate::fleet::{HeldState, Phase as MachinePhase};
+use crate::fleet::{AssignmentState, Phase as MachinePhase};
 use crate::intern::{Index, JobIx, MachineIx};
 use crate::jobs::Phase;
 use crate::shard::Shard;
@@ -66,22 +66,22 @@
         self.recorded_or_gone(m);
         let machine = &mut self.machines.list[m.ix()];
         machine.record_stored = true;
-        if machine.resolved() {
+        if machine.is_reconciled() {
             // What is over may have been given back since this write was made.
             machine.stored_jobs = jobs.into_iter().filter(|j| self.jobs.get(*j).is_some()).collect();
         }
-        if retiring && machine.phase == MachinePhase::Retiring {
+        if retiring && machine.phase == MachinePhase::Terminating {
             self.deletes.insert(m);
         }
         if machine.phase != MachinePhase::Up {
             return;
         }
         let mut again = false;
-        for (k, h) in &mut machine.tasks {
-            if h.state == HeldState::Planned {
+        for (k, h) in &mut machine.assignments {
+            if h.state == AssignmentState::Planned {
                 if machine.stored_jobs.contains(&k.0) {
-                    h.state = HeldState::Commanded;
-                    self.machines.direct_due.insert(m);
+                    h.state = AssignmentState::Commanded;
+                    self.machines.push_due.insert(m);
                 } else {
                     again = true;
                 }
@@ -102,7 +102,7 @@
                 What::Rack(r, _) => self.rack_due(r),
                 What::Progress(j, c, _) => {
                     if self.jobs.get(j).is_some_and(|j| j.phase == Phase::Open) {
-                        self.jobs.at_mut(j).dirty_chunks.insert(c);
+                        self.jobs[j].dirty_chunks.insert(c);
                         self.progress_due.insert(j);
                     }
                 }
--- a/crates/scheduler/src/shard/zone_pinned.rs
+++ b/crates/scheduler/src/shard/zone_pinned.rs
@@ -60,15 +60,16 @@
         let mut needs: BTreeMap<(TypeIx, ZoneIx), Need> = BTreeMap::new();
         let left = |max: f64, used: f64| if max > 0.0 { (max - used).max(0.0) } else { f64::INFINITY };
         let mut room: Vec<f64> = self.teams.iter().map(|t| left(t.spec.cpus_max, t.cpus_used)).collect();
-        for job in self.jobs.live.iter().map(|&j| self.jobs.at(j)) {
-            let held_up = job.shadowed_by > 0 || job.leaving || job.at_fault() || now - job.since < WAITS_BEFORE_S;
+        for job in self.jobs.live.iter().map(|&j| &self.jobs[j]) {
+            let held_up =
+                job.unreconciled_machines > 0 || job.leaving || job.at_fault() || now - job.since < WAITS_BEFORE_S;
             if !job.open() || held_up {
                 continue;
             }
             let Some(zone) = self.only_zone(job) else { continue };
             let Some(ty) = self.type_in_zone(job, zone) else { continue };
             let left = &mut room[job.team.ix()];
-            let mut tasks = f64::from(job.unfinished().saturating_sub(job.held));
+            let mut tasks = f64::from(job.unfinished().saturating_sub(job.assigned));
             if job.spec.cpus > 0.0 {
                 tasks = tasks.min((*left / job.spec.cpus).floor());
                 *left -= tasks * job.spec.cpus;
@@ -105,7 +106,7 @@
         let all = self.launches.pending.iter().filter(|l| (l.ty, l.zone) == (ty, zone));
         all.for_each(|l| add(l.spot, l.count as f64));
         let size = self.types.get(ty).cpus;
-        let here = |m: &&Machine| (m.ty, m.zone) == (ty, zone) && staying(m, now) && !m.base;
+        let here = |m: &&Machine| (m.machine_type, m.zone) == (ty, zone) && staying(m, now) && !m.in_on_demand_base;
         let machines = self.machines.iter().map(|(_, m)| m).filter(here);
         machines.for_each(|m| add(m.spot, ((size - m.cpus_used) / size).max(0.0)));
         room
@@ -113,7 +114,7 @@
 
     /// What was to be returned is used again first.
     fn rent_in_zone(&mut self, sort: (TypeIx, ZoneIx, bool), mut short: usize, now: f64) {
-        let cordoned = self.cordoned(|m| (m.ty, m.zone, m.spot) == sort);
+        let cordoned = self.cordoned(|m| (m.machine_type, m.zone, m.spot) == sort);
         short -= self.use_again(cordoned.into_iter().take(short));
         let (ty, zone, spot) = sort;
         if short > 0 && self.launches.may_ask(ty, zone, spot, now) {
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 #[derive(Deserialize, Serialize, Clone, Debug)]
-pub struct Report {
+pub struct Heartbeat {
     #[serde(rename = "plot")]
     pub machine: String,
     pub addr: String,
@@ -14,9 +14,9 @@
     #[serde(rename = "fallow")]
     pub spot: bool,
     #[serde(rename = "season")]
-    pub session: u64,
+    pub incarnation: u64,
     #[serde(rename = "tally")]
-    pub seq: u64,
+    pub sequence: u64,
     #[serde(rename = "warrant")]
     pub token: u64,
     #[serde(rename = "reclaim_s", default)]
@@ -41,7 +41,7 @@
 }
 
 #[derive(Deserialize, Serialize, Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Why {
+pub enum ExitReason {
     #[serde(rename = "done")]
     Done,
     #[serde(rename = "stopped")]
@@ -49,9 +49,9 @@
     #[serde(rename = "error")]
     Error,
     #[serde(rename = "full")]
-    NoRoom,
+    NoCapacity,
     #[serde(rename = "in_use")]
-    Busy,
+    TaskInUse,
     #[serde(rename = "unknown")]
     Unknown,
     #[serde(other)]
@@ -67,13 +67,13 @@
     #[serde(rename = "bloom")]
     pub state: TaskState,
     #[serde(rename = "wilt", default, skip_serializing_if = "Option::is_none")]
-    pub why: Option<Why>,
+    pub exit_reason: Option<ExitReason>,
     #[serde(rename = "stored", default, skip_serializing_if = "Option::is_none")]
     pub saved: Option<bool>,
 }
 
 #[derive(Deserialize, Serialize, Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Op {
+pub enum CommandKind {
     #[serde(rename = "run")]
     Start,
     #[serde(rename = "halt")]
@@ -85,7 +85,7 @@
 #[derive(Deserialize, Serialize, Clone, PartialEq, Debug)]
 pub struct Command {
     #[serde(rename = "tiding")]
-    pub op: Op,
+    pub kind: CommandKind,
     #[serde(rename = "seed")]
     pub task: String,
     #[serde(rename = "sowing")]
@@ -95,7 +95,7 @@
 }
 
 #[derive(Deserialize, Serialize, Clone, Debug)]
-pub struct ReportReply {
+pub struct HeartbeatReply {
     #[serde(rename = "warrant")]
     pub token: u64,
     #[serde(rename = "tidings")]
@@ -103,11 +103,11 @@
 }
 
 #[derive(Deserialize, Serialize, Clone, Debug)]
-pub struct DirectCommands {
+pub struct PushedCommands {
     #[serde(rename = "warrant")]
     pub token: u64,
     #[serde(rename = "season")]
-    pub session: u64,
+    pub incarnation: u64,
     #[serde(rename = "tidings")]
     pub commands: Vec<Command>,
 }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -10,7 +10,7 @@
 use crate::node::Node;
 use crate::peer::Verb;
 use crate::responses::{about_answer, report_answer, unable};
-use crate::shard::Heard;
+use crate::shard::HeartbeatOutcome;
 use crate::state::RequestPriority;
 use crate::wire;
 use http_types::Method;
@@ -88,8 +88,8 @@
         };
         let Some(cell) = self.cell_of_machine(&r.machine, r.token).await else { return unable() };
         let now = clock::now();
-        let heard = cell.with_shard(now, |s| s.on_report(&r, now));
-        if matches!(heard, Some(Heard::Reply(_))) {
+        let heard = cell.with_shard(now, |s| s.on_heartbeat(&r, now));
+        if matches!(heard, Some(HeartbeatOutcome::Reply(_))) {
             cell.wake();
         }
         report_answer(heard, cell.lease_valid_until(), || cell.elsewhere(now))
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -204,7 +204,7 @@
             Kind::Service => Need::Wrong("a service is never done"),
         };
         let now = clock::now();
-        let kind = |s: &mut crate::shard::Shard| s.jobs.find(need).map(|j| s.jobs.at(j).spec.kind);
+        let kind = |s: &mut crate::shard::Shard| s.jobs.find(need).map(|j| s.jobs[j].spec.kind);
         let here = self.knows_job(need, now).and_then(|c| c.with_shard(now, kind).flatten());
         if let Some(kind) = here.or_else(|| self.accepted_kind(need)) {
             return of_kind(kind);
--- a/src/node/loops.rs
+++ b/src/node/loops.rs
@@ -38,7 +38,7 @@
                 }
                 s.writable = self.state.is_responsive(now);
                 s.tick(now);
-                s.deaf(now)
+                s.is_partitioned_from_workers(now)
             });
             match deaf {
                 Some(true) if !self.settings.peers.is_empty() => {
@@ -173,16 +173,16 @@
             }
             while running < most {
                 let now = clock::now();
-                let Some(Some(send)) = self.with_shard(now, |s| s.next_direct(now)) else { break };
+                let Some(Some(send)) = self.with_shard(now, |s| s.next_push(now)) else { break };
                 running += 1;
                 let me = self.clone();
                 let done = done_tx.clone();
                 EX.spawn(async move {
-                    let outcome = me.workers.commands(send.addr, &send.body, || me.may_still_send(&send)).await;
+                    let outcome = me.workers.commands(send.addr, &send.body, || me.may_still_push(&send)).await;
                     let now = clock::now();
                     // Only the shard that sent it may learn of it.
                     if let Some(s) = lock(&me.shard).as_mut().filter(|s| s.token == send.body.token) {
-                        s.on_direct(&send, outcome, now);
+                        s.on_push_outcome(&send, outcome, now);
                     }
                     let _ = done.send(()).await;
                     me.wake();
@@ -194,15 +194,15 @@
     }
 
     /// May these commands leave now? The lease, the token, the machine's session and each start are looked at again.
-    fn may_still_send(&self, send: &DirectSend) -> bool {
+    fn may_still_push(&self, send: &PushRequest) -> bool {
         let (now, token) = (clock::now(), send.body.token);
-        let permitted = self.with_shard(now, |s| (s.token == token).then(|| s.still_permits(send))).flatten();
+        let permitted = self.with_shard(now, |s| (s.token == token).then(|| s.check_push_still_valid(send))).flatten();
         let left = self.lease_valid_until().map_or(0.0, |until| until - now);
-        let (commands, session) = (send.body.commands.len(), send.body.session);
+        let (commands, incarnation) = (send.body.commands.len(), send.body.incarnation);
         match permitted {
             Some(Ok(())) => {
                 log::debug!(
-                    "{commands} commands go to {}: token {token}, session {session}, lease {left:.2} s",
+                    "{commands} commands go to {}: token {token}, session {incarnation}, lease {left:.2} s",
                     send.addr
                 );
                 true
@@ -256,7 +256,7 @@
             if let Some(s) = lock(&self.shard).as_mut().filter(|s| s.token == token) {
                 match outcome {
                     Ok(names) => s.on_rented(&l, &names, now),
-                    Err(CloudError::NoCapacity) => s.refused(&l, now),
+                    Err(CloudError::NoCapacity) => s.on_rental_refused(&l, now),
                     // No word yet: the same name is asked again, which rents nothing twice.
                     Err(e) => {
                         log::debug!("renting {}: {e}", l.name);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -25,7 +25,7 @@
 use crate::jobs::{JOB_PREFIX, JobRecord, PART_PREFIX, PROGRESS_PREFIX, Phase};
 use crate::peer::Peers;
 use crate::settings::Settings;
-use crate::shard::{CloudCall, Counts, DirectSend, Found, Loaded, LoadedQuotas, Shard, job_of};
+use crate::shard::{CloudCall, Counts, Found, Loaded, LoadedQuotas, PushRequest, Shard, job_of};
 use crate::state::{CompareAndSwap, KvClient, MAX_TRANSACTION_BYTES, RequestPriority, StateError};
 use crate::tuning::Tuning;
 use crate::wire::{Compare, KeyValue, Kind, MachineType, Mutation, RentRequest};
--- a/src/node/shard_exchange/spill.rs
+++ b/src/node/shard_exchange/spill.rs
@@ -29,7 +29,7 @@
             let Some((ledger, version)) = lock(&self.cell_exchange).ledger.clone() else { return };
             let gone = self.with_shard(clock::now(), |s| {
                 // It may have been started, or ended, since it was offered.
-                let still = s.jobs.get(j).is_some_and(|x| x.open() && x.held == 0 && !x.leaving);
+                let still = s.jobs.get(j).is_some_and(|x| x.open() && x.assigned == 0 && !x.leaving);
                 if !still || s.token != token {
                     return None;
                 }
--- a/src/responses.rs
+++ b/src/responses.rs
@@ -5,7 +5,7 @@
 use crate::job_status::{JobStatus, Lookup, status_of_item};
 use crate::jobs::{JobRecord, Phase};
 use crate::peer::Verb;
-use crate::shard::{Heard, Shown};
+use crate::shard::{HeartbeatOutcome, Shown};
 use crate::wire::{JobAnswer, KeyValue, Redirect};
 
 /// The answer of whoever cannot or may not act.
@@ -48,14 +48,14 @@
 /// act; `lease_valid_until`: the end of its lease, after which the answer is not sent any more; `owner`: the
 /// controller to report to instead, asked for only where this one does not take the report.
 pub fn report_answer(
-    heard: Option<Heard>,
+    heard: Option<HeartbeatOutcome>,
     lease_valid_until: Option<f64>,
     owner: impl FnOnce() -> Option<String>,
 ) -> Outgoing {
     match heard {
-        Some(Heard::Reply(reply)) => Outgoing::json(200, &reply).until(lease_valid_until),
-        Some(Heard::Stale) => unable(),
-        Some(Heard::Superseded) | None => match owner() {
+        Some(HeartbeatOutcome::Reply(reply)) => Outgoing::json(200, &reply).until(lease_valid_until),
+        Some(HeartbeatOutcome::Stale) => unable(),
+        Some(HeartbeatOutcome::Superseded) | None => match owner() {
             Some(node) => Outgoing::json(421, &Redirect { report_to: Some(node) }),
             None => unable(),
         },
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -1,8 +1,8 @@
 //! Client of the workers' direct interface.
 
 use crate::http::{CallError, Client};
-use crate::shard::Direct;
-use crate::wire::{self, DirectCommands, Report};
+use crate::shard::PushOutcome;
+use crate::wire::{self, Heartbeat, PushedCommands};
 use http_types::Method;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,19 +22,24 @@
     }
 
     /// Sends commands straight to a worker, if that may be done still at that moment.
-    pub async fn commands(&self, addr: SocketAddr, c: &DirectCommands, may_be_sent: impl FnOnce() -> bool) -> Direct {
-        let Ok(body) = serde_json::to_vec(c) else { return Direct::NotSent };
+    pub async fn commands(
+        &self,
+        addr: SocketAddr,
+        c: &PushedCommands,
+        may_be_sent: impl FnOnce() -> bool,
+    ) -> PushOutcome {
+        let Ok(body) = serde_json::to_vec(c) else { return PushOutcome::NotSent };
         // A mere question is asked again; a command that is given up may still arrive.
         let limit = if c.commands.is_empty() { QUESTION } else { COMMAND };
         match self.http.call_if(may_be_sent, addr, Method::Post, wire::COMMANDS_PATH, Some(body), limit).await {
-            Ok((s, b)) => Direct::Answered { executed: s == 200, report: serde_json::from_slice(&b).ok() },
-            Err(CallError::NotSent) => Direct::NotSent,
-            Err(CallError::Withheld) => Direct::Withheld,
-            Err(CallError::NoAnswer) => Direct::Unknown,
+            Ok((s, b)) => PushOutcome::Answered { executed: s == 200, report: serde_json::from_slice(&b).ok() },
+            Err(CallError::NotSent) => PushOutcome::NotSent,
+            Err(CallError::Withheld) => PushOutcome::Withheld,
+            Err(CallError::NoAnswer) => PushOutcome::Unknown,
         }
     }
 
-    pub async fn status(&self, addr: SocketAddr) -> Option<Report> {
+    pub async fn status(&self, addr: SocketAddr) -> Option<Heartbeat> {
         match self.http.call(addr, Method::Get, wire::STATUS_PATH, None, Duration::from_millis(2000)).await {
             Ok((200, b)) => serde_json::from_slice(&b).ok(),
             _ => None,
