--- a/crates/scheduler/src/shard/task_failures.rs
+++ b/crates/scheduler/src/shard/task_failures.rs
@@ -9,12 +9,12 @@
 use super::*;
 
 /// So many machines on which a job failed, with no success since, show that it is at fault.
-const AT_FAULT_ON: usize = 3;
+const FAILED_MACHINES_LIMIT: usize = 3;
 /// So many machines are remembered that a job failed on: its next try goes elsewhere.
-const MOST_REMEMBERED: usize = 8;
+const MAX_REMEMBERED: usize = 8;
 /// Seconds until a job at fault is tried again, doubling so many times.
-const TRIED_AGAIN_S: f64 = 8.0;
-const DOUBLINGS: u32 = 3;
+const RETRY_BACKOFF_S: f64 = 8.0;
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 /// Failures on a machine tell something of it for so long, in seconds.
 const TELLS_FOR_S: f64 = 60.0;
 /// So many failures of a job that succeeds elsewhere are enough to set a machine aside.
@@ -23,84 +23,85 @@
 /// turn out to be at fault.
 pub(super) const QUARANTINE_S: f64 = 12.0;
 /// A replica that runs for so long, in seconds, runs well.
-pub(super) const RUNS_WELL_S: f64 = 10.0;
+pub(super) const HEALTHY_RUN_S: f64 = 10.0;
 
 impl Job {
     /// Does it fail wherever it runs?
-    pub fn at_fault(&self) -> bool {
-        self.failed_on.len() >= AT_FAULT_ON
+    pub fn is_failing_everywhere(&self) -> bool {
+        self.failed_on.len() >= FAILED_MACHINES_LIMIT
     }
 
     /// Tasks that could use a machine now. Of a job at fault one at a time is tried.
-    pub fn wants(&self) -> u32 {
-        if self.at_fault() { self.assigned.max(1).min(self.unfinished()) } else { self.unfinished() }
+    pub fn wanted_tasks(&self) -> u32 {
+        if self.is_failing_everywhere() { self.assigned.max(1).min(self.unfinished()) } else { self.unfinished() }
     }
 }
 
 impl Shard {
-    pub(super) fn task_failed(&mut self, m: MachineIndex, k: TaskKey, now: f64) {
+    pub(super) fn on_task_failed(&mut self, m: MachineIndex, k: TaskKey, now: f64) {
         // What fails on a machine that is faulty by others' failures says nothing of the job.
-        if self.machines[m].is_quarantined() && self.fails_its_tasks(m, Some(k.0)) {
+        if self.machines[m].is_quarantined() && self.is_failing(m, Some(k.0)) {
             return;
         }
         let job = &mut self.jobs[k.0];
         job.failed_at = now;
-        let before = job.at_fault();
+        let before = job.is_failing_everywhere();
         if !job.failed_on.contains(&m) {
             job.failed_on.push(m);
         }
-        if !job.at_fault() {
-            self.machine_failed(m, k.0, now);
+        if !job.is_failing_everywhere() {
+            self.on_machine_failure(m, k.0, now);
             return;
         }
         if !before {
-            self.blame_job(k.0, now);
+            self.record_job_failure(k.0, now);
         }
         let job = &mut self.jobs[k.0];
-        let excess = job.failed_on.len().saturating_sub(MOST_REMEMBERED);
+        let excess = job.failed_on.len().saturating_sub(MAX_REMEMBERED);
         job.failed_on.drain(..excess);
         // Tasks that were started together fail together: that is one try.
         if now >= job.not_before {
-            job.not_before = now + TRIED_AGAIN_S * f64::from(1 << job.attempts_since_fault.min(DOUBLINGS));
+            job.not_before =
+                now + RETRY_BACKOFF_S * f64::from(1 << job.attempts_since_fault.min(MAX_BACKOFF_DOUBLINGS));
             job.attempts_since_fault += 1;
         }
     }
 
     /// The job has shown that it is at fault: the machines that it failed on get their standing back.
-    fn blame_job(&mut self, j: JobIndex, now: f64) {
+    fn record_job_failure(&mut self, j: JobIndex, now: f64) {
         log::info!("{} fails on every machine: tried again now and then", self.jobs[j].id);
         for m in self.jobs[j].failed_on.clone() {
             // One that is long gone has left the memory.
             let Some(machine) = self.machines.get_mut(m) else { continue };
             machine.recent_failures.retain(|f| f.0 != j);
-            if machine.is_quarantined() && machine.phase == MachinePhase::Up && !self.fails_its_tasks(m, None) {
+            if machine.is_quarantined() && machine.phase == MachinePhase::Up && !self.is_failing(m, None) {
                 log::info!("machine {} was not at fault", self.machines[m].name);
                 self.machines[m].quarantined_until = now;
                 self.request_record(m);
             }
         }
         // Users' mistakes are no service that was owed.
-        self.account_end(j, Phase::Cancelled, now);
+        self.track_end(j, Phase::Cancelled, now);
         self.placement_due = true;
     }
 
     /// The job has succeeded somewhere, or what it failed on was at fault.
-    pub(super) fn absolve(&mut self, j: JobIndex) {
+    pub(super) fn clear_failures(&mut self, j: JobIndex) {
         let job = &mut self.jobs[j];
-        let was = job.at_fault();
+        let was = job.is_failing_everywhere();
         job.failed_on.clear();
         if was {
             (job.attempts_since_fault, job.not_before) = (0, 0.0);
-            self.account_due(j);
+            self.track_later(j);
             self.placement_due = true;
         }
     }
 
-    fn machine_failed(&mut self, m: MachineIndex, j: JobIndex, now: f64) {
+    fn on_machine_failure(&mut self, m: MachineIndex, j: JobIndex, now: f64) {
         let machine = &mut self.machines[m];
         machine.recent_failures.retain(|f| now - f.1 < TELLS_FOR_S);
         machine.recent_failures.push((j, now));
-        if !self.fails_its_tasks(m, None) {
+        if !self.is_failing(m, None) {
             return;
         }
         let machine = &mut self.machines[m];
@@ -110,22 +111,22 @@
             machine.quarantined_since = now;
             self.request_record(m);
         }
-        let failed_here = |j: &&JobIndex| self.jobs[**j].failed_on.contains(&m) && self.fails_its_tasks(m, Some(**j));
+        let failed_here = |j: &&JobIndex| self.jobs[**j].failed_on.contains(&m) && self.is_failing(m, Some(**j));
         let cleared: Vec<JobIndex> = self.jobs.live.iter().filter(failed_here).copied().collect();
         for j in cleared {
             let job = &mut self.jobs[j];
-            let was = job.at_fault();
+            let was = job.is_failing_everywhere();
             job.failed_on.retain(|f| *f != m);
-            if was && !job.at_fault() {
-                self.absolve(j);
+            if was && !job.is_failing_everywhere() {
+                self.clear_failures(j);
             }
         }
     }
 
     /// Do failures of jobs that are not at fault speak against this machine, of others than this one?
-    fn fails_its_tasks(&self, m: MachineIndex, but: Option<JobIndex>) -> bool {
+    fn is_failing(&self, m: MachineIndex, but: Option<JobIndex>) -> bool {
         let fails = &self.machines[m].recent_failures;
-        let speak = |j: JobIndex| Some(j) != but && self.jobs.get(j).is_some_and(|j| !j.at_fault());
+        let speak = |j: JobIndex| Some(j) != but && self.jobs.get(j).is_some_and(|j| !j.is_failing_everywhere());
         let mut jobs: Vec<JobIndex> = fails.iter().map(|f| f.0).filter(|j| speak(*j)).collect();
         let of_one = |j: &JobIndex| self.jobs[*j].done > 0 && fails.iter().filter(|f| f.0 == *j).count() >= OF_ONE_JOB;
         jobs.sort_unstable();
--- a/crates/scheduler/src/shard/task_reconciliation.rs
+++ b/crates/scheduler/src/shard/task_reconciliation.rs
@@ -4,7 +4,7 @@
 use super::dependencies::DependencyState;
 use super::heartbeats::HeartbeatSource;
 use super::starts::ATTEMPT_COUNTER_BITS;
-use super::task_failures::RUNS_WELL_S;
+use super::task_failures::HEALTHY_RUN_S;
 use crate::fleet::{
     Assignment, AssignmentState, MAX_MISSED_ACKNOWLEDGEMENTS, PushUrgency, UnassignedAttempt, UnrecognizedAttempt,
 };
@@ -24,7 +24,7 @@
     #[error("adopted, the needs of its job were not read yet")]
     AdoptedUnread,
     #[error("held and stopped, its job waits for others")]
-    StoppedForNeeds,
+    StoppedForDependencies,
     #[error("orphaned, its job is over")]
     JobOver,
     #[error("orphaned, another attempt is held")]
@@ -38,7 +38,9 @@
     fn is_held(self) -> bool {
         matches!(
             self,
-            AttemptDisposition::Adopted | AttemptDisposition::AdoptedUnread | AttemptDisposition::StoppedForNeeds
+            AttemptDisposition::Adopted
+                | AttemptDisposition::AdoptedUnread
+                | AttemptDisposition::StoppedForDependencies
         )
     }
 }
@@ -214,7 +216,7 @@
             AttemptDisposition::Adopted | AttemptDisposition::AdoptedUnread => {
                 self.adopt_attempt(m, k, (attempt, state), None, now)
             }
-            AttemptDisposition::StoppedForNeeds => self.adopt_attempt(m, k, (attempt, state), Some(0.0), now),
+            AttemptDisposition::StoppedForDependencies => self.adopt_attempt(m, k, (attempt, state), Some(0.0), now),
             _ if known => {}
             _ => {
                 self.note_unassigned(m, k, attempt, UnassignedAttempt::Orphaned(state));
@@ -246,7 +248,7 @@
                 DependencyState::Met => AttemptDisposition::Adopted,
                 DependencyState::Unread => AttemptDisposition::AdoptedUnread,
                 // Of a job that waits for others nothing may run, whoever started it.
-                DependencyState::Open => AttemptDisposition::StoppedForNeeds,
+                DependencyState::Open => AttemptDisposition::StoppedForDependencies,
             },
             Some(TaskSlot::Assigned(_)) => AttemptDisposition::HeldAlready,
             _ => AttemptDisposition::TaskDone,
@@ -359,14 +361,14 @@
         job.running = job.running + u32::from(runs) - u32::from(was_running);
         job.started += u32::from(!had_begun);
         if runs != was_running || !had_begun {
-            self.account_runs(k.0, now);
+            self.track_progress(k.0, now);
         }
         if runs {
             self.image_seen(m, k);
         }
         let job = &self.jobs[k.0];
-        if runs && now - since > RUNS_WELL_S && job.is_service() && !job.failed_on.is_empty() {
-            self.absolve(k.0);
+        if runs && now - since > HEALTHY_RUN_S && job.is_service() && !job.failed_on.is_empty() {
+            self.clear_failures(k.0);
         }
     }
 
@@ -404,10 +406,10 @@
             Some(ExitReason::Done) => {
                 let machine = &mut self.machines[m];
                 machine.recent_failures.clear();
-                self.absolve(k.0);
+                self.clear_failures(k.0);
                 self.on_task_done(k);
             }
-            Some(ExitReason::Error) => self.task_failed(m, k, now),
+            Some(ExitReason::Error) => self.on_task_failed(m, k, now),
             Some(ExitReason::NoCapacity) => {
                 // It counts something that is not known here: look again after its next report.
                 let until = now + self.report_s;
--- a/crates/scheduler/src/shard/writes/batch.rs
+++ b/crates/scheduler/src/shard/writes/batch.rs
@@ -64,7 +64,7 @@
         if self.checkpoint_is_overdue(now) {
             batch.push(self.checkpoint_write(false, now))?;
         }
-        while let Some(w) = self.accounts_write(false, now) {
+        while let Some(w) = self.service_levels_write(false, now) {
             batch.push(Some(w))?;
         }
         // Another tree of quotas: it holds once it is stored.
@@ -74,7 +74,7 @@
         self.write_racks(batch, now)?;
         self.write_fleet(batch, now)?;
         self.write_progress(batch, now)?;
-        while let Some(w) = self.accounts_write(batch.has_spare(), now) {
+        while let Some(w) = self.service_levels_write(batch.has_spare(), now) {
             batch.push(Some(w))?;
         }
         // What a successor would read instead of everything comes after all that must be stored.
--- a/crates/scheduler/src/shard/writes/outcome.rs
+++ b/crates/scheduler/src/shard/writes/outcome.rs
@@ -38,7 +38,7 @@
                 }
                 WritePurpose::Fleet(r) => self.fleet_stored = r,
                 WritePurpose::Quota(step) => self.quota_applied(step),
-                WritePurpose::ServiceLevels(round, place) => self.accounts_applied(round, place),
+                WritePurpose::ServiceLevels(round, place) => self.on_service_levels_stored(round, place),
             }
             self.versions.insert(w.key, revision);
         }
@@ -54,7 +54,7 @@
         self.pending_ends.remove(&j);
         self.progress_due.remove(&j);
         self.jobs.on_end_committed(j, phase);
-        self.account_end(j, phase, now);
+        self.track_end(j, phase, now);
         self.on_end_stored(j, now);
         self.on_dependency_ended(j, phase, now);
     }
--- a/crates/scheduler/src/shard/zone_pinned.rs
+++ b/crates/scheduler/src/shard/zone_pinned.rs
@@ -44,7 +44,7 @@
     fn only_zone(&self, job: &Job) -> Option<ZoneIndex> {
         match &job.spec.zone {
             Some(name) => self.types.zones.find(name),
-            None if job.spec.one_zone => job.zone_counts.iter().position(|n| *n > 0).map(ZoneIndex::new),
+            None if job.spec.zone_affinity => job.zone_counts.iter().position(|n| *n > 0).map(ZoneIndex::new),
             None => None,
         }
     }
@@ -63,7 +63,7 @@
         for job in self.jobs.live.iter().map(|&j| &self.jobs[j]) {
             let held_up = job.unreconciled_machines > 0
                 || job.moving_away
-                || job.at_fault()
+                || job.is_failing_everywhere()
                 || now - job.known_since < WAITS_BEFORE_S;
             if !job.is_open() || held_up {
                 continue;
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -13,7 +13,7 @@
     pub name: String,
     pub cpus: f64,
     #[serde(rename = "cards", default)]
-    pub cards: f64,
+    pub accelerators: f64,
     pub memory_gb: f64,
     #[serde(rename = "local_gb", default)]
     pub cache_gb: f64,
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -38,16 +38,16 @@
     pub tasks: u32,
     pub cpus: f64,
     #[serde(rename = "cards")]
-    pub cards: f64,
+    pub accelerators: f64,
     pub memory_gb: f64,
     #[serde(rename = "strains", default)]
     pub types: Option<Vec<String>>,
     #[serde(rename = "field", default)]
     pub zone: Option<String>,
     #[serde(rename = "same_place")]
-    pub one_zone: bool,
+    pub zone_affinity: bool,
     #[serde(rename = "scatter")]
-    pub spread: bool,
+    pub zone_anti_affinity: bool,
     #[serde(rename = "fallow")]
     pub spot: bool,
     #[serde(rename = "bulb", default)]
@@ -65,7 +65,7 @@
     /// Jobs that must be done before any task of this one starts. Left out where there are
     /// none, so that such a job's record is to the letter what earlier versions wrote.
     #[serde(rename = "awaits", default, skip_serializing_if = "Option::is_none")]
-    pub needs: Option<Vec<String>>,
+    pub dependencies: Option<Vec<String>>,
     /// Tasks held at one time, where elastic jobs are enabled. Left out where there are none.
     #[serde(rename = "elastic", default, skip_serializing_if = "Option::is_none")]
     pub elastic: Option<Sizes>,
@@ -75,8 +75,8 @@
 pub const ELASTIC_FIELD: &str = "elastic";
 
 impl JobRequest {
-    pub fn needs(&self) -> &[String] {
-        self.needs.as_deref().unwrap_or_default()
+    pub fn dependencies(&self) -> &[String] {
+        self.dependencies.as_deref().unwrap_or_default()
     }
 }
 
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -14,7 +14,7 @@
 use lupinspur_elastic::Sizes;
 use std::time::Duration;
 
-const MOST_TASKS: u32 = 100_000;
+const MAX_TASKS: u32 = 100_000;
 const ACCEPT_WITHIN_S: f64 = 4.0;
 /// An acceptance without an answer for so long is sent again, then after twice as long each time: it is
 /// conditional on the record's absence, so that it may be. The state service mostly answers within
@@ -45,8 +45,8 @@
     if !valid_id(&r.id) {
         return Err("id is malformed".into());
     }
-    if r.tasks == 0 || r.tasks > MOST_TASKS {
-        return Err(format!("the number of tasks must be from 1 to {MOST_TASKS}"));
+    if r.tasks == 0 || r.tasks > MAX_TASKS {
+        return Err(format!("the number of tasks must be from 1 to {MAX_TASKS}"));
     }
     // Stored records of earlier versions may lack it, a submission may not.
     if r.image.is_none() {
@@ -54,7 +54,7 @@
     }
     let amounts = [
         ("cpus", r.cpus),
-        ("cards", r.cards),
+        ("cards", r.accelerators),
         ("memory_gb", r.memory_gb),
         ("image size", r.image_gb),
         ("run time", r.estimate_s),
@@ -70,11 +70,11 @@
     }
     // A name given twice counts once, and an empty list is as none.
     let mut seen = std::collections::HashSet::new();
-    r.needs = r.needs.take().map(|mut n| {
+    r.dependencies = r.dependencies.take().map(|mut n| {
         n.retain(|id| seen.insert(id.clone()));
         n
     });
-    r.needs = r.needs.take().filter(|n| !n.is_empty());
+    r.dependencies = r.dependencies.take().filter(|n| !n.is_empty());
     match amounts.iter().find(|(_, v)| !v.is_finite() || *v < 0.0) {
         Some((what, v)) => Err(format!("{what}: {v} is out of range")),
         None => Ok(r),
@@ -90,7 +90,7 @@
 
 impl Node {
     pub(super) async fn submit_counted(&self, body: &[u8], began: f64) -> Outgoing {
-        let job = match parse_job(body, self.elastic.is_some()) {
+        let job = match parse_job(body, self.elastic_plan.is_some()) {
             Ok(j) => j,
             Err(e) => return Outgoing::error(400, &e),
         };
@@ -121,19 +121,19 @@
         }
         let mut record = JobRecord::accepted(job, clock::wall_ms());
         let home = self.home_shard(&record.job.team);
-        record.cell = home.map(|c| c.0).filter(|c| *c != 0);
+        record.shard = home.map(|c| c.0).filter(|c| *c != 0);
         let key = job_key(&id);
         let Ok(value) = serde_json::to_value(&record) else { return unavailable() };
         if value.to_string().len() + RECORD_GROWS_BY > self.settings.value_bytes() {
             return self.never(&id, "the job's description is too long").await;
         }
-        for need in record.job.needs() {
+        for dependency in record.job.dependencies() {
             if clock::now() - began > ACCEPT_WITHIN_S {
                 return unavailable();
             }
-            match self.need(need, &id).await {
+            match self.dependency(dependency, &id).await {
                 Need::Accepted => {}
-                Need::Wrong(why) => return self.never(&id, &format!("{need}: {why}")).await,
+                Need::Wrong(why) => return self.never(&id, &format!("{dependency}: {why}")).await,
                 Need::CannotTell => return unavailable(),
             }
         }
@@ -192,11 +192,11 @@
 
     /// May a submission name this job as one to wait for? Whether it was accepted is the
     /// state service's word; its failure to answer is not.
-    async fn need(&self, need: &str, by: &str) -> Need {
-        if need == by {
+    async fn dependency(&self, dependency: &str, by: &str) -> Need {
+        if dependency == by {
             return Need::Wrong("a job cannot wait for itself");
         }
-        if !valid_id(need) {
+        if !valid_id(dependency) {
             return Need::Wrong("no such job was accepted");
         }
         let of_kind = |k: Kind| match k {
@@ -204,16 +204,16 @@
             Kind::Service => Need::Wrong("a service is never done"),
         };
         let now = clock::now();
-        let kind = |s: &mut crate::shard::Shard| s.jobs.find(need).map(|j| s.jobs[j].spec.kind);
-        let here = self.shard_knowing_job(need, now).and_then(|c| c.with_shard(now, kind).flatten());
-        if let Some(kind) = here.or_else(|| self.accepted_kind(need)) {
+        let kind = |s: &mut crate::shard::Shard| s.jobs.find(dependency).map(|j| s.jobs[j].spec.kind);
+        let here = self.shard_knowing_job(dependency, now).and_then(|c| c.with_shard(now, kind).flatten());
+        if let Some(kind) = here.or_else(|| self.accepted_kind(dependency)) {
             return of_kind(kind);
         }
-        match self.state.get(&job_key(need), RequestPriority::Normal).await {
+        match self.state.get(&job_key(dependency), RequestPriority::Normal).await {
             Ok(None) => Need::Wrong("no such job was accepted"),
             Ok(Some(item)) => match serde_json::from_value::<JobRecord>(item.value) {
                 Ok(r) => {
-                    self.note_accepted(need, r.job.kind);
+                    self.note_accepted(dependency, r.job.kind);
                     of_kind(r.job.kind)
                 }
                 Err(_) => Need::CannotTell,
--- a/src/http/admission.rs
+++ b/src/http/admission.rs
@@ -22,7 +22,7 @@
     pub(super) refused: Mutex<(u64, Option<Instant>)>,
 }
 
-const REFUSALS_TOLD_EVERY: Duration = Duration::from_secs(10);
+const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
 /// A part of what connections may take together, given back when dropped.
 pub(super) struct Reservation<'a>(&'a AtomicUsize, usize);
@@ -109,7 +109,7 @@
         if refused {
             let mut told = self.refused.lock().unwrap_or_else(|e| e.into_inner());
             told.0 += 1;
-            if told.1.is_none_or(|t| t.elapsed() >= REFUSALS_TOLD_EVERY) {
+            if told.1.is_none_or(|t| t.elapsed() >= REFUSAL_LOG_INTERVAL) {
                 log::warn!("connections run short: {} requests of users refused since this was last said", told.0);
                 *told = (0, Some(Instant::now()));
             }
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -46,7 +46,7 @@
 /// Where sockets run short, polls are refused first, then whatever else users ask; reports
 /// are heard all the while, and the load balancer is answered.
 #[test]
-fn polls_go_first_then_users_and_reports_never() {
+fn polls_go_first_then_users_and_heartbeats_never() {
     use crate::wire::{HEALTH_PATH, JOBS_PATH, REPORT_PATH};
     let addr = listening(Bounds { connections: 64, body_bytes: 1 << 20 });
     async_io::block_on(EX.run(async {
--- a/src/node/failover.rs
+++ b/src/node/failover.rs
@@ -55,7 +55,7 @@
             let (taken_in, stale) = self.read_merged().await?;
             let shares = self.read_shares().await?;
             let away = self.read_away().await?;
-            let quotas = match &self.quotas {
+            let quotas = match &self.quota_plan {
                 Some(_) => self.state.list(PREFIX, RequestPriority::Normal).await?.0,
                 None => Vec::new(),
             };
@@ -90,7 +90,7 @@
                 let loaded = LoadedState {
                     jobs: records.jobs.into_values().collect(),
                     checkpoint: records.found,
-                    elastic: self.elastic.clone(),
+                    elastic: self.elastic_plan.clone(),
                     transferred_away: away,
                     merged_groups: taken_in,
                     stale_keys: stale,
@@ -104,7 +104,7 @@
                         .filter_map(|(k, r, v)| Some((MachineGroupIndex::new(number(&k)?), r, v)))
                         .collect(),
                     fleet: fleet.and_then(|i| parse_items(vec![i]).next()).map(|(_, r, v)| (r, v)),
-                    quotas: self.quotas.clone().map(|file| {
+                    quotas: self.quota_plan.clone().map(|file| {
                         let (head, parts): (Vec<KeyValue>, Vec<KeyValue>) =
                             quotas.into_iter().partition(|i| i.key == HEAD);
                         let head = parse_items(head).next().map(|(_, h, v)| (h, v));
@@ -140,12 +140,12 @@
                 if let Some(l) = shares {
                     shard.set_limit_shares(&self.settings.teams, &l, self.id);
                 }
-                shard.carry_accounts(handed, now);
+                shard.inherit_service_levels(handed, now);
                 shard.tick(now);
                 *lock(&self.shard) = Some(shard);
                 *lock(&self.loaded_at) = (token, revision);
                 self.wake();
-                let _ = self.wakes.needs.0.try_send(());
+                let _ = self.wakes.dependencies.0.try_send(());
                 EXECUTOR.spawn(self.clone().watch_jobs(token, revision)).detach();
             }
             Err(e) => log::warn!("loading (after {:.1} s): {e}", clock::now() - began),
@@ -158,7 +158,7 @@
         let mut records = FailoverRecords::default();
         let items = self.list_own(lupinspur_recovery::PREFIX).await?;
         records.found.keys = items.iter().map(|i| (i.key.clone(), i.version)).collect();
-        records.handed = crate::shard::handed(items.iter().map(|i| (i.key.as_str(), &i.value)));
+        records.handed = crate::shard::inherited_totals(items.iter().map(|i| (i.key.as_str(), &i.value)));
         // Before a merging is through, its own checkpoint knows nothing of what the others had.
         let whole = !self.absorbs_all_shards();
         let read = lupinspur_recovery::read(items.iter().filter(|_| whole).map(|i| (i.key.as_str(), &i.value)));
@@ -266,7 +266,7 @@
 
     /// Was a takeover through within this time?
     async fn wait_for_failover(&self, time: Duration) -> bool {
-        let taken_over = async { self.wakes.needs.1.recv().await.is_ok() };
+        let taken_over = async { self.wakes.dependencies.1.recv().await.is_ok() };
         let time_out = async {
             Timer::after(time).await;
             false
--- a/src/node/loops.rs
+++ b/src/node/loops.rs
@@ -318,7 +318,7 @@
         loop {
             Timer::after(Duration::from_secs_f64(ALERT_INTERVAL_S)).await;
             let now = clock::now();
-            let alarms = lock(&self.ingress).alarms(now);
+            let alarms = lock(&self.ingress).alerts(now);
             self.log_alerts(&alarms, "this controller's door");
             if now - reports_at >= SUMMARY_INTERVAL_S {
                 let taken = |n: &AtomicU64| n.swap(0, Ordering::Relaxed);
--- a/src/node/merging.rs
+++ b/src/node/merging.rs
@@ -25,13 +25,13 @@
 
     /// Does this controller's file ask for the way back?
     pub(super) fn wants_single_shard(&self) -> bool {
-        self.plan.as_ref().is_some_and(|p| p.cells == 1)
+        self.sharding_plan.as_ref().is_some_and(|p| p.cells == 1)
     }
 
     /// The plan as it is stored.
     pub(super) fn observe_plan(self: &Arc<Self>, f: ActivePlan) {
         let merging = f.merging;
-        self.enter_sharding(f.cells);
+        self.enter_sharding(f.plan);
         if !merging || self.merging.swap(true, Ordering::Relaxed) {
             return;
         }
@@ -97,7 +97,7 @@
 
     /// The first step: all controllers want one cell.
     pub(super) async fn begin_merging(&self, token: u64, plan: &lupinspur_cells::ShardingPlan) {
-        let Some(wanted) = self.plan.clone() else { return };
+        let Some(wanted) = self.sharding_plan.clone() else { return };
         let Ok((items, _)) = self.state.list(PRESENT_PREFIX, RequestPriority::Normal).await else { return };
         let present: Vec<Presence> = parse_items(items).map(|(_, p, _)| p).collect();
         if !all_agree_on(&wanted, &self.settings.nodes(), &present) {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -93,16 +93,16 @@
     direct: (Sender<()>, Receiver<()>),
     pace: (Sender<()>, Receiver<()>),
     /// A takeover is through, and the records of needs are to be read.
-    needs: (Sender<()>, Receiver<()>),
+    dependencies: (Sender<()>, Receiver<()>),
 }
 
 pub struct Node {
     pub settings: Settings,
     pub tuning: Tuning,
     /// The operators' file of quotas that nest.
-    quotas: Option<Plan>,
+    quota_plan: Option<Plan>,
     /// The operators' file of elastic jobs.
-    pub elastic: Option<lupinspur_elastic::Plan>,
+    pub elastic_plan: Option<lupinspur_elastic::Plan>,
     pub state: KvClient,
     pub cloud: CloudClient,
     pub workers: WorkerClient,
@@ -111,7 +111,7 @@
     own_record: LeadershipRecord,
     shards: Mutex<ShardRuntimes>,
     /// The operators' file of cells, and the plan that is in force.
-    plan: Option<lupinspur_cells::ShardingPlan>,
+    sharding_plan: Option<lupinspur_cells::ShardingPlan>,
     active_plan: Mutex<Option<lupinspur_cells::ShardingPlan>>,
     /// The cells in force are on their way back to one.
     merging: AtomicBool,
@@ -169,7 +169,7 @@
             peers: Peers::new(&EXECUTOR, &settings),
             own_record: me,
             shards: Mutex::default(),
-            plan: features.cells,
+            sharding_plan: features.cells,
             active_plan: Mutex::default(),
             merging: AtomicBool::new(false),
             shard_exchange: Mutex::default(),
@@ -187,8 +187,8 @@
             heartbeats_rejected: AtomicU64::new(0),
             settings,
             tuning,
-            quotas: features.quotas,
-            elastic: features.elastic,
+            quota_plan: features.quotas,
+            elastic_plan: features.elastic,
         }
     }
 
@@ -231,7 +231,7 @@
 
     /// What users were answered at this controller's door.
     pub fn ingress_report(&self, now: f64) -> ServiceTold {
-        lock(&self.ingress).told(now)
+        lock(&self.ingress).report(now)
     }
 
     pub fn machine_types(&self) -> Arc<Vec<MachineType>> {
--- a/src/node/routing.rs
+++ b/src/node/routing.rs
@@ -26,7 +26,7 @@
     /// The cell of whatever this record is of.
     pub fn shard_of_record(&self, r: &JobRecord) -> ShardId {
         let of = self.shards().len();
-        r.cell.filter(|c| (*c as usize) < of).map_or(ShardId(0), ShardId)
+        r.shard.filter(|c| (*c as usize) < of).map_or(ShardId(0), ShardId)
     }
 
     /// The home of a team's new jobs; none where there is only one cell.
@@ -141,7 +141,7 @@
             return None;
         }
         let plan = lock(&self.active_plan).clone()?;
-        let first = plan.cell_of_stranger(machine);
+        let first = plan.shard_of_unknown(machine);
         let obeyed = |c: &&Arc<ShardRuntime>| lock(&c.election).observed_version().is_some_and(|v| v >= token);
         let cell = cells.get(first.ix()).filter(obeyed).or_else(|| cells.iter().find(obeyed))?;
         lock(&self.shard_by_machine).put(machine.to_owned(), cell.id);
@@ -166,15 +166,15 @@
 
     /// The other controllers that own cells.
     fn other_leaders(&self, now: f64) -> Vec<String> {
-        let mut owners: Vec<String> = Vec::new();
+        let mut leaders: Vec<String> = Vec::new();
         for c in self.shards().iter() {
             if let LeadershipStatus::Following(node) = c.leadership_status(now)
-                && !owners.contains(&node)
+                && !leaders.contains(&node)
             {
-                owners.push(node);
+                leaders.push(node);
             }
         }
-        owners
+        leaders
     }
 }
 
--- a/src/node/shard_exchange/activation.rs
+++ b/src/node/shard_exchange/activation.rs
@@ -5,7 +5,7 @@
 impl Node {
     /// Offers the plan of this controller's file until it is in force.
     pub(in crate::node) async fn offer_plan_loop(self: Arc<Self>) {
-        let Some(plan) = self.plan.clone() else { return };
+        let Some(plan) = self.sharding_plan.clone() else { return };
         let present = Presence { node: self.settings.node.clone(), plan: Some(plan.clone()) };
         let Ok(value) = serde_json::to_value(&present) else { return };
         let mut lease = None;
@@ -14,7 +14,7 @@
             let in_force = lock(&self.active_plan).clone();
             if !has_plan_to_offer(&plan, in_force.as_ref()) {
                 lease = None;
-                Timer::after(OFFER_EVERY).await;
+                Timer::after(OFFER_INTERVAL).await;
                 continue;
             }
             let renewed = match lease {
@@ -32,7 +32,7 @@
             if in_force.is_none() && self.leads_any_shard(clock::now()) {
                 self.activate_plan(&plan).await;
             }
-            Timer::after(OFFER_EVERY).await;
+            Timer::after(OFFER_INTERVAL).await;
         }
     }
 
@@ -52,14 +52,14 @@
         // the teams' homes.
         let made = cell.with_shard(now, |s| {
             let (token, in_use) = (s.token, s.limit_usage());
-            let mut ledger = Ledger::begin(&team_limits_by_name(&self.settings.teams), plan.cells, ShardId(0));
+            let mut ledger = Ledger::new(&team_limits_by_name(&self.settings.teams), plan.cells, ShardId(0));
             for (team, used) in &in_use {
                 let Some(own) = ledger.share(team, ShardId(0)) else { continue };
                 let home = plan.home(team);
-                let amount = own.less(*used);
+                let amount = own.minus(*used);
                 let gift = QuotaTransfer { team: team.clone(), from: ShardId(0), to: home, amount };
                 if home != ShardId(0)
-                    && let Some(l) = ledger.after(&[gift])
+                    && let Some(l) = ledger.apply(&[gift])
                 {
                     ledger = l;
                 }
@@ -114,7 +114,7 @@
                 log::info!("the plan of cells did not come into force: {outcome:?}");
                 lock(&cell.election).suspend(false);
                 cell.read_leadership_record().await;
-                let whole = Ledger::begin(&team_limits_by_name(&self.settings.teams), 1, ShardId(0));
+                let whole = Ledger::new(&team_limits_by_name(&self.settings.teams), 1, ShardId(0));
                 cell.with_shard(clock::now(), |s| s.set_limit_shares(&self.settings.teams, &whole, ShardId(0)));
             }
         }
--- a/src/node/shard_exchange/machine_transfers.rs
+++ b/src/node/shard_exchange/machine_transfers.rs
@@ -52,7 +52,7 @@
             let hands = b.hands.clone();
             let under_way: Vec<MachineTransfer> = hands.values().map(|h| h.0.clone()).collect();
             let bound_s = self.settings.time_bound_s;
-            let orders = b.orders.as_ref().filter(|o| o.0.fresh(plan, mine.at_ms, bound_s));
+            let orders = b.orders.as_ref().filter(|o| o.0.is_fresh(plan, mine.at_ms, bound_s));
             let moves = orders.map_or(&[][..], |o| &o.0.moves);
             let token_of = |c: ShardId| b.pictures.get(&c.0).map(|p| p.token);
             let order = next_receiver(self.id, token, moves.iter(), &under_way, token_of);
@@ -77,13 +77,13 @@
         for (to, mut machines) in by_cell {
             let key = machine_transfer::key(self.id, to);
             let version = match hands.get(&key) {
-                Some((h, _)) if !h.over() => continue,
+                Some((h, _)) if !h.is_complete() => continue,
                 Some((_, v)) => *v,
                 None => 0,
             };
             let stay = machines.split_off(machines.len().min(most));
             self.with_shard(now, |s| s.on_transfer_outcome(stay.iter(), false));
-            let h = MachineTransfer { from: self.id, to, machines, left: false };
+            let h = MachineTransfer { from: self.id, to, machines, released_by_sender: false };
             let names: Vec<&str> = h.machines.iter().map(|m| m.machine.as_str()).collect();
             log::info!("{} gives {} machines to cell {}: {}", self.name(), names.len(), to.0, names.join(", "));
             self.put_handover(token, &key, version, h).await;
@@ -115,7 +115,7 @@
             Ok(None) => {}
             Err(_) => return,
         }
-        if h.from == self.id && !h.left && stored == Some(false) {
+        if h.from == self.id && !h.released_by_sender && stored == Some(false) {
             let stands = lock(&self.shard_exchange).hands.get(key).map(|x| x.0.machines.clone()).unwrap_or_default();
             let stay: Vec<TransferredMachine> = h.machines.into_iter().filter(|m| !stands.contains(m)).collect();
             self.with_shard(clock::now(), |s| s.on_transfer_outcome(stay.iter(), false));
--- a/src/node/shard_exchange/mod.rs
+++ b/src/node/shard_exchange/mod.rs
@@ -30,7 +30,7 @@
 pub(in crate::node) const PRESENT_PREFIX: &str = "own/node/";
 const CELL_CLAIMS: &str = "own/c/";
 const PRESENT_MS: u64 = 15_000;
-const OFFER_EVERY: Duration = Duration::from_millis(700);
+const OFFER_INTERVAL: Duration = Duration::from_millis(700);
 
 /// What a node knows of the cells together.
 #[derive(Default)]
@@ -84,7 +84,7 @@
             }
         } else if item.key.starts_with(PICTURES) {
             if let Ok(p) = serde_json::from_value::<LoadSnapshot>(item.value) {
-                lock(&self.shard_exchange).pictures.insert(p.cell.0, p);
+                lock(&self.shard_exchange).pictures.insert(p.shard.0, p);
             }
         } else if item.key == ORDERS_KEY {
             match serde_json::from_value::<RebalancePlan>(item.value) {
@@ -145,7 +145,7 @@
     pub(super) fn fresh_pictures(&self, plan: &lupinspur_cells::ShardingPlan, now_ms: u64) -> Vec<LoadSnapshot> {
         let b = lock(&self.shard_exchange);
         let bound_s = 2.0 * self.settings.time_bound_s;
-        b.pictures.values().filter(|p| p.fresh(now_ms, plan.picture_s, bound_s)).cloned().collect()
+        b.pictures.values().filter(|p| p.is_fresh(now_ms, plan.picture_s, bound_s)).cloned().collect()
     }
 
     /// Sends a write until it is certain that it will not be applied later: one whose answer was lost
--- a/src/node/shard_exchange/quota_shares.rs
+++ b/src/node/shard_exchange/quota_shares.rs
@@ -36,7 +36,7 @@
                 Ok(Some(l))
             }
             // Where there is none nothing may be used of any limit.
-            None => Ok(Some(Ledger::begin(&team_limits_by_name(&self.settings.teams), 1, ShardId(u32::MAX)))),
+            None => Ok(Some(Ledger::new(&team_limits_by_name(&self.settings.teams), 1, ShardId(u32::MAX)))),
         }
     }
 
@@ -46,7 +46,7 @@
         let mut all: Vec<QuotaTransfer> = Vec::new();
         for team in ledger.teams.keys() {
             let of = |c: u32| -> Option<QuotaUse> {
-                let p = if c == self.id.0 { mine } else { pictures.iter().find(|p| p.cell.0 == c)? };
+                let p = if c == self.id.0 { mine } else { pictures.iter().find(|p| p.shard.0 == c)? };
                 Some(p.teams.get(team).copied().unwrap_or_default())
             };
             let uses: Vec<Option<QuotaUse>> = (0..plan.cells).map(of).collect();
@@ -67,7 +67,7 @@
         mut conditions: Vec<Compare>,
         mut changes: Vec<Mutation>,
     ) -> Option<bool> {
-        let next = ledger.after(&given)?;
+        let next = ledger.apply(&given)?;
         self.quota_transfer_in_progress.store(true, Ordering::Relaxed);
         let fits = self.with_shard(clock::now(), |s| {
             // What has come into use since the picture is not given after all.
--- a/src/node/shard_exchange/rebalance.rs
+++ b/src/node/shard_exchange/rebalance.rs
@@ -16,7 +16,7 @@
     /// The leader's look at all cells: its word is stored, and every cell goes by it.
     pub(super) async fn rebalance(&self, token: u64, plan: &lupinspur_cells::ShardingPlan, mine: &LoadSnapshot) {
         let mut pictures = self.fresh_pictures(plan, mine.at_ms);
-        pictures.retain(|p| p.cell != self.id);
+        pictures.retain(|p| p.shard != self.id);
         pictures.push(mine.clone());
         let known = lock(&self.shard_exchange).orders.clone();
         let (stored, version) = match known {
@@ -32,9 +32,9 @@
             if b.leader.0 != token {
                 b.leader = (token, Rebalancer::default());
             }
-            b.leader.1.look(plan, &pictures, &stored, mine.at_ms)
+            b.leader.1.plan_round(plan, &pictures, &stored, mine.at_ms)
         };
-        if !next.differ(&stored, plan) {
+        if !next.must_be_stored(&stored, plan) {
             return;
         }
         for (team, home) in next.homes.iter().filter(|(t, c)| stored.home(plan, t) != **c) {
--- a/src/node/shard_exchange/spill.rs
+++ b/src/node/shard_exchange/spill.rs
@@ -51,8 +51,8 @@
                 .map(|own| {
                     let used = self.with_shard(clock::now(), |s| s.limit_usage()).unwrap_or_default();
                     let used = used.into_iter().find(|u| u.0 == team).map_or(own, |u| u.1);
-                    let spare = own.less(used);
-                    let amount = Amount::new(takes.cpus.min(spare.cpus), takes.cards.min(spare.cards));
+                    let spare = own.minus(used);
+                    let amount = Amount::new(takes.cpus.min(spare.cpus), takes.accelerators.min(spare.accelerators));
                     QuotaTransfer { team: team.clone(), from: self.id, to, amount }
                 })
                 .into_iter()
--- a/src/node/shard_runtime.rs
+++ b/src/node/shard_runtime.rs
@@ -56,7 +56,7 @@
                 writer: async_channel::bounded(1),
                 direct: async_channel::bounded(1),
                 pace: async_channel::bounded(1),
-                needs: async_channel::bounded(1),
+                dependencies: async_channel::bounded(1),
             },
             campaign_in_progress: AtomicBool::new(false),
             failover_in_progress: AtomicBool::new(false),
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -212,7 +212,7 @@
 }
 
 /// Serves the owner's side for ever.
-pub async fn serve<T: Owner>(ex: &'static Executor<'static>, listener: Async<TcpListener>, owner: std::sync::Arc<T>) {
+pub async fn serve<T: Owner>(ex: &'static Executor<'static>, listener: Async<TcpListener>, leader: std::sync::Arc<T>) {
     loop {
         let stream = match listener.accept().await {
             Ok((s, _)) => s,
@@ -223,7 +223,7 @@
             }
         };
         let _ = stream.get_ref().set_nodelay(true);
-        let server = OwnerServer::from_arc(owner.clone());
+        let server = OwnerServer::from_arc(leader.clone());
         let service = hyper::service::service_fn(move |req: http::Request<hyper::body::Incoming>| {
             let mut server = server.clone();
             async move {
--- a/src/query.rs
+++ b/src/query.rs
@@ -100,11 +100,11 @@
 }
 
 /// More at once gain nothing: each run keeps one processor busy.
-const MOST_THREADS: usize = 32;
+const MAX_THREADS: usize = 32;
 
 fn simulate(path: &Path, first: u64, seeds: u64, json: bool) -> Result<(String, bool), String> {
     let scenario = lupinspur_files::load(path, Scenario::parse)?;
-    let threads = std::thread::available_parallelism().map_or(1, usize::from).min(MOST_THREADS);
+    let threads = std::thread::available_parallelism().map_or(1, usize::from).min(MAX_THREADS);
     let runs = lupinspur_model::simulate(&scenario, first, seeds, threads);
     let text = if json { serde_json::to_string(&runs).map_err(|e| e.to_string())? } else { runs_table(&runs) };
     Ok((text, runs.iter().all(|r| r.broken.is_none())))
--- a/src/responses.rs
+++ b/src/responses.rs
@@ -45,17 +45,17 @@
 }
 
 /// The answer to a worker's report. `heard`: what the shard makes of it, none where this controller may not
-/// act; `lease_valid_until`: the end of its lease, after which the answer is not sent any more; `owner`: the
+/// act; `lease_valid_until`: the end of its lease, after which the answer is not sent any more; `leader`: the
 /// controller to report to instead, asked for only where this one does not take the report.
 pub fn report_answer(
     heard: Option<HeartbeatOutcome>,
     lease_valid_until: Option<f64>,
-    owner: impl FnOnce() -> Option<String>,
+    leader: impl FnOnce() -> Option<String>,
 ) -> Outgoing {
     match heard {
         Some(HeartbeatOutcome::Reply(reply)) => Outgoing::json(200, &reply).until(lease_valid_until),
         Some(HeartbeatOutcome::Stale) => unavailable(),
-        Some(HeartbeatOutcome::Superseded) | None => match owner() {
+        Some(HeartbeatOutcome::Superseded) | None => match leader() {
             Some(node) => Outgoing::json(421, &Redirect { report_to: Some(node) }),
             None => unavailable(),
         },
@@ -89,5 +89,5 @@
 /// Is this an open record of a job that waits or waited for others?
 fn may_be_cancelled_by_dependency(item: &KeyValue) -> bool {
     serde_json::from_value::<JobRecord>(item.value.clone())
-        .is_ok_and(|r| r.phase == Phase::Open && !r.job.needs().is_empty())
+        .is_ok_and(|r| r.phase == Phase::Open && !r.job.dependencies().is_empty())
 }
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -187,8 +187,8 @@
                 name: name("cluster.teams.name", t.name)?,
                 cpus: amount("cluster.teams.cpus", t.cpus)?,
                 cpus_max: amount("cluster.teams.cpus_max", t.cpus_max)?,
-                cards: amount("cluster.teams.gpus", t.gpus)?,
-                cards_max: amount("cluster.teams.gpus_max", t.gpus_max)?,
+                accelerators: amount("cluster.teams.gpus", t.gpus)?,
+                accelerators_max: amount("cluster.teams.gpus_max", t.gpus_max)?,
             });
         }
         if teams.is_empty() {
