--- a/crates/cells/tests/spill.rs
+++ b/crates/sharding/tests/spill.rs
@@ -1,14 +1,14 @@
-//! Work that goes to a cell that is short of room itself.
+//! Work that goes to a shard that is short of room itself.
 
-use lupinspur_cells::load_snapshot::{LoadSnapshot, UnusableCapacity};
-use lupinspur_cells::spill::{SpillCandidate, plan_spills};
-use lupinspur_cells::{ShardId, ShardingPlan};
+use lupinspur_sharding::load_snapshot::{LoadSnapshot, UnusableCapacity};
+use lupinspur_sharding::spill::{SpillCandidate, plan_spills};
+use lupinspur_sharding::{ShardId, ShardingPlan};
 
 const BOOT_S: f64 = 15.0;
 /// A boot and twice the plan's `spill_after_s`.
 const LONG_S: f64 = 25.0;
 
-/// A cell in which more waits than there is room for, though some of the room is of no use to what waits.
+/// A shard in which more waits than there is room for, though some of the room is of no use to what waits.
 fn short(cell: u32, on_demand: f64, any_kind: f64) -> LoadSnapshot {
     let unusable = UnusableCapacity { on_demand, any_kind };
     LoadSnapshot {
@@ -30,7 +30,7 @@
     plan_spills(&ShardingPlan::of(3), &mine, others, waiting, BOOT_S)
 }
 
-/// Where every cell was short a job waited without end in a cell without machines, beside room of others that
+/// Where every shard was short a job waited without end in a shard without machines, beside room of others that
 /// was of no use to what waited there.
 #[test]
 fn a_job_that_waits_long_takes_room_of_a_short_cell_that_is_of_no_use_there() {
--- a/examples/history.rs
+++ b/examples/history.rs
@@ -1,9 +1,9 @@
-//! What a long history costs: a successor that reads, and an owner that lives through it.
+//! What a long history costs: a successor that reads, and a leader that lives through it.
 //!
 //!     cargo run --release --example history
 //!
 //! For each length a process of its own, so that its peak of memory is its own: `records` takes
-//! every record in, as owners did before there were checkpoints; `checkpoint` takes in what is
+//! every record in, as leaders did before there were checkpoints; `checkpoint` takes in what is
 //! open; `leader` sees that many jobs come and go. Requests and bytes are counted, times are of
 //! this machine: their ratios count.
 
@@ -129,7 +129,7 @@
     (pages, bytes, began.elapsed().as_secs_f64(), shard.memory_footprint()[0])
 }
 
-/// An owner that sees so many jobs come, wait for half a minute, and be cancelled.
+/// A leader that sees so many jobs come, wait for half a minute, and be cancelled.
 fn life(jobs: u64) -> (u64, usize, f64, usize) {
     let mut s = leader(LoadedState::default());
     let (mut revision, mut puts, mut bytes) = (10, 0, 0);
--- a/examples/own_site.rs
+++ b/examples/own_site.rs
@@ -266,7 +266,7 @@
         let count = |part: f64| (self.machines * part).round();
         let mut days = Vec::new();
 
-        // The owner, then all of them, three times in 3 s; a quick roll; all in an outage; all
+        // The leader, then all of them, three times in 3 s; a quick roll; all in an outage; all
         // in a cut; many machines that hang.
         let mut quick: Vec<String> = (0..3).map(|i| crash(w + 5.0 + f64::from(i), LEADER)).collect();
         quick.extend((0..3).map(|i| crash(w + 45.0 + f64::from(i), &all)));
@@ -324,7 +324,7 @@
         days.push(("own-all", every));
 
         // Controllers that stand still: from well under a lease to several, twice in a row, all at
-        // once, while a takeover from one is under way, with an end in between.
+        // once, while a failover from one is under way, with an end in between.
         let still = |at: f64, whom: &str, for_s: f64| fault(at, "node_freeze", &format!("{whom}, for_s = {for_s:.1}"));
         let mut stills: Vec<String> =
             [1.2, 2.5, 3.9, 5.0].into_iter().enumerate().map(|(i, s)| still(w + 12.0 * i as f64, LEADER, s)).collect();
@@ -338,8 +338,8 @@
         stills.push(still(w + 215.6, LEADER, 5.0));
         days.push(("own-still", stills));
 
-        // Users ask ten times as often; the owner is silent for more than a minute, another one loses
-        // the state service, and it is down for all; the owner ends.
+        // Users ask ten times as often; the leader is silent for more than a minute, another one loses
+        // the state service, and it is down for all; the leader ends.
         let mut asked = vec![fault(w, "poll_storm", "factor = 10.0, for_s = 220.0")];
         asked.push(fault(w + 15.0, "node_down", &format!("{LEADER}, for_s = 75.0")));
         asked.push(fault(
@@ -354,7 +354,7 @@
         days.push(("own-asked", asked));
 
         // Guests and mistakes beside the rest, machines that fail whatever they start, boots that never
-        // come, and ends of the owner.
+        // come, and ends of the leader.
         let mut guests = vec![fault(w + 20.0, "machine_sick", &format!("count = {}, for_s = 120.0", count(0.01)))];
         guests.push(fault(w + 60.0, "boot_trouble", "fail = 0.3, factor = 2.0, for_s = 60.0"));
         guests.push(crash(w + 90.0, LEADER));
--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -1,4 +1,4 @@
-//! Questions about jobs and cancellations: by the owner, by asking it, or by the stored record alone.
+//! Questions about jobs and cancellations: by the leader, by asking it, or by the stored record alone.
 
 use super::turn;
 use crate::clock;
@@ -15,7 +15,7 @@
 const CANCELS_WITHIN_S: f64 = 3.2;
 
 impl Node {
-    /// Shows or cancels a job, here if this is its owner, else by asking the owner.
+    /// Shows or cancels a job, here if this is its leader, else by asking the leader.
     pub async fn about(&self, verb: Verb, id: &str) -> Lookup {
         let cell = match self.locate_job(id, turn(verb)).await {
             JobLocation::In(c) => c,
@@ -53,9 +53,9 @@
         }
     }
 
-    /// Without the owner: what the record says. One that is open was open when it was read, which
+    /// Without the leader: what the record says. One that is open was open when it was read, which
     /// was after the question: ends are stored before anybody is told of them. Questions about open
-    /// jobs once got no answer by nodes that could not reach the owner, for as long as that lasted.
+    /// jobs once got no answer by nodes that could not reach the leader, for as long as that lasted.
     async fn about_stored(&self, verb: Verb, id: &str) -> Lookup {
         if let Some(t) = self.known_end(id) {
             return Lookup::Known(t);
@@ -75,7 +75,7 @@
 }
 
 impl ShardRuntime {
-    /// The owner's own answer.
+    /// The leader's own answer.
     pub async fn about_here(&self, verb: Verb, id: &str) -> Lookup {
         let began = clock::now();
         let mut looked = false;
@@ -114,7 +114,7 @@
                                 return Lookup::Known(t);
                             }
                             _ => {
-                                // Another cell's is not taken in, and nothing can be said of it here.
+                                // Another shard's is not taken in, and nothing can be said of it here.
                                 looked = true;
                                 self.apply_job(token, &item);
                             }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -14,7 +14,7 @@
 use crate::state::RequestPriority;
 use crate::wire;
 use http_types::Method;
-use lupinspur_accounts::Reading;
+use lupinspur_service_levels::Reading;
 
 /// A poll comes again anyway; a cancellation is what its user waits for.
 fn turn(verb: Verb) -> RequestPriority {
@@ -69,7 +69,7 @@
                 let lookup = self.about(verb, id).await;
                 if verb == Verb::Cancel && lookup != Lookup::Absent {
                     let job = |s: &mut crate::shard::Shard| s.class_and_team(id);
-                    // Elsewhere than at the owner nobody knows whose job it is.
+                    // Elsewhere than at the leader nobody knows whose job it is.
                     let unknown = || ("(unknown)".to_owned(), "(unknown)".to_owned());
                     let here = self.shard_knowing_job(id, began).and_then(|c| c.with_shard(began, job).flatten());
                     let (class, team) = here.unwrap_or_else(unknown);
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -10,8 +10,8 @@
 use crate::shard::{AdmissionError, check_admission};
 use crate::state::{COMMIT_TIMEOUT, CompareAndSwap, RequestPriority, StateError};
 use crate::wire::{self, Compare, JobRequest, JobState, Kind, Mutation};
-use lupinspur_accounts::Reading;
 use lupinspur_elastic::Sizes;
+use lupinspur_service_levels::Reading;
 use std::time::Duration;
 
 const MAX_TASKS: u32 = 100_000;
@@ -138,7 +138,7 @@
             }
         }
         let cell = self.shard(home.unwrap_or_default());
-        // Another owner may have ended the job by the time of the answer: only the shard of this moment takes it in.
+        // Another leader may have ended the job by the time of the answer: only the shard of this moment takes it in.
         let token = cell.as_ref().and_then(|c| c.with_shard(began, |s| s.token));
         let mut limit = ACCEPT_FIRST_TIMEOUT;
         loop {
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -41,7 +41,7 @@
     pub kinds: BTreeMap<String, Size>,
     pub faults: Vec<Fault>,
     pub faults_not_told: u64,
-    /// What is left over and will be deleted by the owner in time: no fault.
+    /// What is left over and will be deleted by the leader in time: no fault.
     pub left_over: u64,
 }
 
@@ -68,14 +68,14 @@
     open: HashSet<String>,
 }
 
-/// Is this a value of a cell other than the first?
-fn of_other_cell(key: &str) -> bool {
+/// Is this a value of a shard other than the first?
+fn of_other_shard(key: &str) -> bool {
     let number = key.strip_prefix('c').and_then(|k| k.split_once('/')).map(|k| k.0);
     number.is_some_and(|n| !n.is_empty() && n.bytes().all(|b| b.is_ascii_digit()))
 }
 
 fn kind(key: &str) -> &'static str {
-    if of_other_cell(key) {
+    if of_other_shard(key) {
         return "cells";
     }
     let starts = [
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -30,23 +30,23 @@
 }
 
 impl CloudClient {
-    pub fn new(s: &crate::settings::Settings) -> CloudClient {
+    pub fn new(settings: &crate::settings::Settings) -> CloudClient {
         let c = CloudClient {
-            addr: s.cloud,
+            addr: settings.cloud,
             http: Client::new(3, 3),
             rate_limiter: Mutex::new(RateLimiter::new(1.0, 1.0)),
         };
-        c.set_share(s, 0, 1);
+        c.set_share(settings, 0, 1);
         c
     }
 
-    /// Owners make nearly all calls, each by its part of the cells; the others only read the machine types.
-    pub fn set_share(&self, s: &crate::settings::Settings, owned: usize, of: usize) {
+    /// Leaders make nearly all calls, each by its part of the shards; the others only read the machine types.
+    pub fn set_share(&self, settings: &crate::settings::Settings, owned: usize, of: usize) {
         let leader = owned > 0;
         let rate = if leader {
-            s.cloud_rps * 0.8 * owned as f64 / of.max(1) as f64
+            settings.cloud_rps * 0.8 * owned as f64 / of.max(1) as f64
         } else {
-            s.cloud_rps * 0.1 / (s.peers.len().max(1) as f64)
+            settings.cloud_rps * 0.1 / (settings.peers.len().max(1) as f64)
         };
         *self.lock() = RateLimiter::new(rate, if leader { rate * 1.5 } else { 1.0 });
     }
--- a/src/heartbeat.rs
+++ b/src/heartbeat.rs
@@ -3,7 +3,7 @@
 use crate::wire::Heartbeat;
 use std::net::SocketAddr;
 
-/// Sessions of workers are counted from this.
+/// Incarnations of workers are counted from this.
 const FIRST_INCARNATION: u64 = 1;
 
 /// Reads a report, or says why it is none.
--- a/src/job_status.rs
+++ b/src/job_status.rs
@@ -40,10 +40,10 @@
     Some(status_of(&r))
 }
 
-pub fn status_of(r: &JobRecord) -> JobStatus {
-    match r.phase {
+pub fn status_of(record: &JobRecord) -> JobStatus {
+    match record.phase {
         Phase::Open => JobStatus { state: JobState::Queued, done: 0, running: 0 },
-        Phase::Done => JobStatus { state: JobState::Done, done: u64::from(r.job.tasks), running: 0 },
+        Phase::Done => JobStatus { state: JobState::Done, done: u64::from(record.job.tasks), running: 0 },
         Phase::Cancelled => JobStatus { state: JobState::Cancelled, done: 0, running: 0 },
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -27,7 +27,7 @@
     /// File of elastic jobs (TOML); without it every array is as large as there is room.
     #[arg(long, env = "LUPINSPUR_ELASTIC", value_name = "FILE")]
     elastic: Option<PathBuf>,
-    /// File of cells (TOML): machines and teams parted among owners; without it there is one.
+    /// File of shards (TOML): machines and teams parted among leaders; without it there is one.
     #[arg(long, env = "LUPINSPUR_CELLS", value_name = "FILE")]
     cells: Option<PathBuf>,
     #[command(flatten)]
@@ -51,10 +51,10 @@
         .map(|()| plan)
 }
 
-/// The file of cells, if nothing in it is wrong; or each fault on a line of its own.
-fn cells(path: &Path, settings: &Settings) -> Result<lupinspur_cells::ShardingPlan, String> {
+/// The file of shards, if nothing in it is wrong; or each fault on a line of its own.
+fn cells(path: &Path, settings: &Settings) -> Result<lupinspur_sharding::ShardingPlan, String> {
     let teams: Vec<String> = settings.teams.iter().map(|t| t.name.clone()).collect();
-    load(path, |text| lupinspur_cells::ShardingPlan::parse(text, &teams))
+    load(path, |text| lupinspur_sharding::ShardingPlan::parse(text, &teams))
 }
 
 fn run(args: Args) -> Result<(), String> {
--- a/src/node/failover.rs
+++ b/src/node/failover.rs
@@ -1,4 +1,4 @@
-//! A takeover: what is read, in which order, and what came meanwhile.
+//! A failover: what is read, in which order, and what came meanwhile.
 
 use super::*;
 
@@ -8,16 +8,16 @@
     jobs: HashMap<String, (JobRecord, u64)>,
     over: u64,
     found: LoadedCheckpoint,
-    /// The accounts of the owner before.
+    /// The accounts of the leader before.
     handed: Option<(InheritedTotals, u8)>,
 }
 
 impl FailoverRecords {
     /// One record; one that is over is dropped, unless it ended since the checkpoint.
-    fn take(&mut self, cell: &ShardRuntime, key: &str, value: &serde_json::Value, version: u64, keep_over: bool) {
+    fn take(&mut self, runtime: &ShardRuntime, key: &str, value: &serde_json::Value, version: u64, keep_over: bool) {
         match parse_job_record(key, value) {
-            // Another cell's, or another's by now.
-            Ok(r) if !cell.is_relevant(&r) => {
+            // Another shard's, or another's by now.
+            Ok(r) if !runtime.is_relevant(&r) => {
                 self.jobs.remove(&r.job.id);
                 if keep_over {
                     self.found.gone.push(r.job.id);
@@ -60,7 +60,7 @@
                 None => Vec::new(),
             };
             if self.shards().len() > 1 && !self.absorbs_all_shards() {
-                // What is known of other cells' jobs is theirs to tidy up.
+                // What is known of other shards' jobs is theirs to tidy up.
                 progress.retain(|i| i.key.split('/').nth(1).is_some_and(|id| records.jobs.contains_key(id)));
             }
             Ok::<_, StateError>((
@@ -198,7 +198,7 @@
         Ok((records, revision))
     }
 
-    /// Jobs that other nodes accepted reach the owner by watching.
+    /// Jobs that other nodes accepted reach the leader by watching.
     pub(super) async fn watch_jobs(self: Arc<Self>, token: u64, mut from: u64) {
         let mine = |n: &ShardRuntime| lock(&n.shard).as_ref().is_some_and(|s| s.token == token);
         while mine(&self) {
@@ -211,8 +211,8 @@
                         }
                     }
                     self.on_watch_progress(token, from);
-                    // Every owner watches, and each change ends all their watches: requests are for
-                    // all cells together.
+                    // Every leader watches, and each change ends all their watches: requests are for
+                    // all shards together.
                     if self.shards().len() > 1 {
                         Timer::after(WATCH_BATCH_PAUSE).await;
                     }
@@ -243,7 +243,7 @@
         }
     }
 
-    /// Jobs that others here need and that nobody has told of: mostly they ended long ago. Those that a takeover
+    /// Jobs that others here need and that nobody has told of: mostly they ended long ago. Those that a failover
     /// has not met are read at once: until then nothing starts of the jobs that wait for them.
     pub(super) async fn look_up_dependencies(self: Arc<Self>) {
         let mut before: Vec<String> = Vec::new();
@@ -264,7 +264,7 @@
         }
     }
 
-    /// Was a takeover through within this time?
+    /// Was a failover through within this time?
     async fn wait_for_failover(&self, time: Duration) -> bool {
         let taken_over = async { self.wakes.dependencies.1.recv().await.is_ok() };
         let time_out = async {
@@ -274,7 +274,7 @@
         taken_over.or(time_out).await
     }
 
-    /// Reads what a takeover has not met, as long as the state service answers.
+    /// Reads what a failover has not met, as long as the state service answers.
     async fn read_unread_dependencies(&self) {
         loop {
             let unread = self.with_shard(clock::now(), |s| (s.token, s.unread_dependencies()));
--- a/src/node/leadership.rs
+++ b/src/node/leadership.rs
@@ -1,7 +1,7 @@
 //! The lease, the claim, and what stands beside it at the state service.
 
 use super::*;
-use lupinspur_cells::activation::campaign_delay_s;
+use lupinspur_sharding::activation::campaign_delay_s;
 
 /// What a watch or a list tells of one key.
 enum WatchedKey {
@@ -96,7 +96,7 @@
         if self.machine_types().is_empty() {
             return;
         }
-        // Before the lock: it looks at the claims of all cells.
+        // Before the lock: it looks at the claims of all shards.
         let campaign_delay_s = self.campaign_delay_s();
         let others = !self.settings.peers.is_empty();
         let next = || lock(&self.election).next_step(clock::now(), clock::wall_ms(), others, campaign_delay_s);
@@ -146,8 +146,8 @@
         self.state.commit(vec![condition], vec![change], RequestPriority::Urgent).await
     }
 
-    /// Takes its own claim anew: its token is newer than those of all other cells then, and what it
-    /// knew is read again as at any takeover.
+    /// Takes its own claim anew: its token is newer than those of all other shards then, and what it
+    /// knew is read again as at any failover.
     pub(super) async fn reacquire_leadership(self: &Arc<Self>, token: u64) {
         if self.campaign_in_progress.swap(true, Ordering::Relaxed) {
             return;
@@ -171,7 +171,7 @@
         self.campaign_in_progress.store(false, Ordering::Relaxed);
     }
 
-    /// Where there are several cells, each controller leaves to others what is not its turn.
+    /// Where there are several shards, each controller leaves to others what is not its turn.
     fn campaign_delay_s(&self) -> f64 {
         let of = self.shards().len();
         if of < 2 {
@@ -200,7 +200,7 @@
         }
     }
 
-    /// The owner stores the machine types where every controller reads first. Prices move all
+    /// The leader stores the machine types where every controller reads first. Prices move all
     /// the time and are asked for anyway.
     pub(super) async fn store_machine_types_loop(self: Arc<Self>) {
         let sizes = |t: &[MachineType]| -> Vec<MachineType> {
@@ -255,7 +255,7 @@
     }
 
     pub(super) fn observe_record(&self, item: Option<KeyValue>) {
-        // Nobody's claim, with a plan in it: there are several cells from now on.
+        // Nobody's claim, with a plan in it: there are several shards from now on.
         if let Some(plan) = item.as_ref().and_then(ShardRuntime::active_plan_in) {
             return self.node.observe_plan(plan);
         }
@@ -362,7 +362,7 @@
 
     /// A key under the claims' prefix has this value now, or is gone.
     fn saw(self: &Arc<Self>, key: String, news: WatchedKey) {
-        // Where there are several cells this key is no cell's claim, but the plan.
+        // Where there are several shards this key is no shard's claim, but the plan.
         if key == LEADERSHIP_KEY && self.shards().len() > 1 {
             return match news.item().and_then(ShardRuntime::active_plan_in) {
                 Some(plan) => self.observe_plan(plan),
--- a/src/node/loops.rs
+++ b/src/node/loops.rs
@@ -145,7 +145,7 @@
         }
     }
 
-    /// These writes of the owner with this token stand at the state service, by this revision.
+    /// These writes of the leader with this token stand at the state service, by this revision.
     fn on_writes_stored(&self, token: u64, writes: Vec<crate::shard::PendingWrite>, revision: u64) {
         let now = clock::now();
         let mut ended = Vec::new();
@@ -195,7 +195,7 @@
         }
     }
 
-    /// May these commands leave now? The lease, the token, the machine's session and each start are looked at again.
+    /// May these commands leave now? The lease, the token, the machine's incarnation and each start are looked at again.
     fn may_still_push(&self, send: &PushRequest) -> bool {
         let (now, token) = (clock::now(), send.body.token);
         let permitted = self.with_shard(now, |s| (s.token == token).then(|| s.check_push_still_valid(send))).flatten();
@@ -223,7 +223,7 @@
         }
     }
 
-    /// Does the owner with this token own still, now that its call to the cloud is about to leave?
+    /// Does the leader with this token own still, now that its call to the cloud is about to leave?
     fn may_still_call_cloud(&self, token: u64, what: &str) -> bool {
         let owns = self.with_shard(clock::now(), |s| s.token == token) == Some(true);
         if owns {
@@ -246,7 +246,7 @@
             };
             let request = self.with_shard(now, |s| RentRequest {
                 request: l.name.clone(),
-                type_name: s.types.names.name(l.ty).to_string(),
+                type_name: s.types.names.name(l.type_index).to_string(),
                 zone: s.types.zones.name(l.zone).to_string(),
                 spot: l.spot,
                 count: l.count,
@@ -290,7 +290,7 @@
 
     pub(super) async fn machine_list_loop(self: Arc<Self>) {
         while self.is_open() {
-            // The cloud's calls are for all cells together.
+            // The cloud's calls are for all shards together.
             let of = self.shards().len();
             Timer::after(Duration::from_secs_f64(MACHINE_LIST_INTERVAL_S * of as f64)).await;
             let now = clock::now();
@@ -347,7 +347,7 @@
                         mine |= c.with_shard(now, |s| s.on_types(t.clone(), now)).is_some();
                     }
                     *lock(&self.machine_types) = Arc::new(t);
-                    // Prices matter to the owner; the others judge submissions by sizes.
+                    // Prices matter to the leader; the others judge submissions by sizes.
                     if mine { MACHINE_TYPES_INTERVAL_S } else { MACHINE_TYPES_INTERVAL_S * 3.0 }
                 }
                 _ if first => campaign_delay_s.min(2.0),
--- a/src/node/merging.rs
+++ b/src/node/merging.rs
@@ -1,24 +1,24 @@
-//! The way back from several cells to one, while serving.
+//! The way back from several shards to one, while serving.
 //!
-//! 1. All controllers offer a plan of one cell; the owner of cell 0 stores that the cells merge.
-//! 2. Every other cell's owner steps down, and nobody claims them again; the owner of cell 0 puts
+//! 1. All controllers offer a plan of one shard; the leader of shard 0 stores that the shards merge.
+//! 2. Every other shard's leader steps down, and nobody claims them again; the leader of shard 0 puts
 //!    nobody's name in the place of their claims, so that whoever has not heard of it can't either.
 //! 3. It takes its own claim anew, newer than all that the others' machines have seen, and reads what
-//!    they kept with what it has, as at any takeover. What the others stored is replaced by its own.
+//!    they kept with what it has, as at any failover. What the others stored is replaced by its own.
 //! 4. When nothing of theirs stands any more, and its checkpoint tells of all jobs, the plan goes.
 //!
-//! Each step is stored, and whoever owns cell 0 goes on with the next. Until the last one a version
-//! that knows of no cells is kept away as before.
+//! Each step is stored, and whoever owns shard 0 goes on with the next. Until the last one a version
+//! that knows of no shards is kept away as before.
 
-use super::shard_exchange::{CELLS_PREFIX, PRESENT_PREFIX};
+use super::shard_exchange::{PRESENT_PREFIX, SHARDS_PREFIX};
 use super::*;
 use crate::fleet::machine_groups::MachineGroupRecord;
-use lupinspur_cells::activation::{ActivePlan, NOBODY, Presence, all_agree_on, may_absorb_all};
+use lupinspur_sharding::activation::{ActivePlan, NOBODY, Presence, all_agree_on, may_absorb_all};
 
 type TakenIn = (Vec<(String, MachineGroupRecord, u64)>, Vec<(String, u64)>);
 
 impl Node {
-    /// Are the cells that are in force on their way back to one?
+    /// Are the shards that are in force on their way back to one?
     pub(super) fn is_merging(&self) -> bool {
         self.merging.load(Ordering::Relaxed)
     }
@@ -42,7 +42,7 @@
         self.update_rate_shares();
     }
 
-    /// No plan is in force any more: there is one cell, as if there had never been others.
+    /// No plan is in force any more: there is one shard, as if there had never been others.
     pub(super) fn leave_sharding(self: &Arc<Self>) {
         if lock(&self.active_plan).take().is_none() {
             return;
@@ -67,7 +67,7 @@
         self.absorbs_all_shards.load(Ordering::Relaxed)
     }
 
-    /// The claims of all other cells, as they are stored.
+    /// The claims of all other shards, as they are stored.
     async fn other_leadership_records(&self, cells: u32) -> Result<Vec<(String, Option<KeyValue>)>, StateError> {
         let (claims, _) = self.state.list(LEADERSHIP_PREFIX, RequestPriority::Normal).await?;
         let of = |key: String| {
@@ -95,8 +95,8 @@
         }
     }
 
-    /// The first step: all controllers want one cell.
-    pub(super) async fn begin_merging(&self, token: u64, plan: &lupinspur_cells::ShardingPlan) {
+    /// The first step: all controllers want one shard.
+    pub(super) async fn begin_merging(&self, token: u64, plan: &lupinspur_sharding::ShardingPlan) {
         let Some(wanted) = self.sharding_plan.clone() else { return };
         let Ok((items, _)) = self.state.list(PRESENT_PREFIX, RequestPriority::Normal).await else { return };
         let present: Vec<Presence> = parse_items(items).map(|(_, p, _)| p).collect();
@@ -117,8 +117,8 @@
         let _ = self.state.commit(conditions, vec![change], RequestPriority::Normal).await;
     }
 
-    /// The next step of a merging, by the owner of cell 0.
-    pub(super) async fn merge(self: &Arc<Self>, token: u64, plan: &lupinspur_cells::ShardingPlan) {
+    /// The next step of a merging, by the leader of shard 0.
+    pub(super) async fn merge(self: &Arc<Self>, token: u64, plan: &lupinspur_sharding::ShardingPlan) {
         let Ok(claims) = self.other_leadership_records(plan.cells).await else { return };
         let free: Vec<&String> = claims.iter().filter(|(_, i)| i.is_none()).map(|(k, _)| k).collect();
         if !free.is_empty() {
@@ -155,8 +155,8 @@
     }
 
     /// Does nothing of the others stand any more, and does a checkpoint of since then tell of all jobs?
-    async fn others_are_cleared(&self, plan: &lupinspur_cells::ShardingPlan, read_at: u64) -> bool {
-        let prefixes = (1..plan.cells).map(|c| format!("c{c}/")).chain([CELLS_PREFIX.to_owned()]);
+    async fn others_are_cleared(&self, plan: &lupinspur_sharding::ShardingPlan, read_at: u64) -> bool {
+        let prefixes = (1..plan.cells).map(|c| format!("c{c}/")).chain([SHARDS_PREFIX.to_owned()]);
         for prefix in prefixes {
             match self.state.list(&prefix, RequestPriority::Normal).await {
                 Ok((items, _)) if items.is_empty() => {}
@@ -168,7 +168,7 @@
         read.is_ok_and(|r| r.head.at >= read_at)
     }
 
-    /// What the other cells kept, while they merge into this one: racks, and the rest, which is of
+    /// What the other shards kept, while they merge into this one: machine groups, and the rest, which is of
     /// no use any more. So is what passed between them.
     pub(super) async fn read_merged(&self) -> Result<TakenIn, StateError> {
         let (mut machine_groups, mut stale) = (Vec::new(), Vec::new());
@@ -182,7 +182,7 @@
             stale.extend(rest.into_iter().map(|i| (i.key, i.version)));
             machine_groups.extend(parse_items::<MachineGroupRecord>(of_racks));
         }
-        let (items, _) = self.state.list(CELLS_PREFIX, RequestPriority::Normal).await?;
+        let (items, _) = self.state.list(SHARDS_PREFIX, RequestPriority::Normal).await?;
         stale.extend(items.into_iter().map(|i| (i.key, i.version)));
         Ok((machine_groups, stale))
     }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -20,7 +20,7 @@
 use crate::fleet::machine_groups::MACHINE_GROUP_PREFIX;
 use crate::fleet::{FLEET_KEY, MACHINE_PREFIX};
 use crate::health::Health;
-use crate::intern::{Index, MachineGroupIndex};
+use crate::intern::{DenseIndex, MachineGroupIndex};
 use crate::job_status::{JobStatus, Lookup};
 use crate::jobs::{JOB_PREFIX, JobRecord, PART_PREFIX, PROGRESS_PREFIX, Phase};
 use crate::peer::Peers;
@@ -37,12 +37,12 @@
 use async_io::Timer;
 use futures_lite::FutureExt;
 use lru::LruCache;
-use lupinspur_accounts::gate::LOG_MARK;
-use lupinspur_accounts::inheritance::InheritedTotals;
-use lupinspur_accounts::{Alert, Reading, ServiceLevelReport as ServiceTold, ServiceLevelTracker};
-use lupinspur_cells::ShardId;
 use lupinspur_quota::Plan;
 use lupinspur_quota::stored::{HEAD, PREFIX};
+use lupinspur_service_levels::gate::LOG_MARK;
+use lupinspur_service_levels::inheritance::InheritedTotals;
+use lupinspur_service_levels::{Alert, Reading, ServiceLevelReport as ServiceTold, ServiceLevelTracker};
+use lupinspur_sharding::ShardId;
 use serde::de::DeserializeOwned;
 use std::collections::HashMap;
 use std::num::NonZeroUsize;
@@ -68,7 +68,7 @@
 const MACHINE_TYPES_INTERVAL_S: f64 = 20.0;
 const STORE_TYPES_INTERVAL: Duration = Duration::from_secs(1);
 const DEPENDENCY_LOOKUP_INTERVAL: Duration = Duration::from_secs(1);
-/// Where there are several cells, what changes is read together.
+/// Where there are several shards, what changes is read together.
 const WATCH_BATCH_PAUSE: Duration = Duration::from_millis(150);
 const WATCH_TIMEOUT: Duration = Duration::from_millis(1500);
 
@@ -77,7 +77,7 @@
 pub struct Features {
     pub quotas: Option<Plan>,
     pub elastic: Option<lupinspur_elastic::Plan>,
-    pub cells: Option<lupinspur_cells::ShardingPlan>,
+    pub cells: Option<lupinspur_sharding::ShardingPlan>,
 }
 
 /// Who acts, as far as this node knows.
@@ -92,7 +92,7 @@
     writer: (Sender<()>, Receiver<()>),
     direct: (Sender<()>, Receiver<()>),
     pace: (Sender<()>, Receiver<()>),
-    /// A takeover is through, and the records of needs are to be read.
+    /// A failover is through, and the records of needs are to be read.
     dependencies: (Sender<()>, Receiver<()>),
 }
 
@@ -110,13 +110,13 @@
     /// Who this process is, in every claim that it makes.
     own_record: LeadershipRecord,
     shards: Mutex<ShardRuntimes>,
-    /// The operators' file of cells, and the plan that is in force.
-    sharding_plan: Option<lupinspur_cells::ShardingPlan>,
-    active_plan: Mutex<Option<lupinspur_cells::ShardingPlan>>,
-    /// The cells in force are on their way back to one.
+    /// The operators' file of shards, and the plan that is in force.
+    sharding_plan: Option<lupinspur_sharding::ShardingPlan>,
+    active_plan: Mutex<Option<lupinspur_sharding::ShardingPlan>>,
+    /// The shards in force are on their way back to one.
     merging: AtomicBool,
     shard_exchange: Mutex<shard_exchange::ShardExchange>,
-    /// Which cell a job, or a machine, was last found in.
+    /// Which shard a job, or a machine, was last found in.
     shard_by_job: Mutex<LruCache<String, ShardId>>,
     shard_by_machine: Mutex<LruCache<String, ShardId>>,
     machine_types: Mutex<Arc<Vec<MachineType>>>,
@@ -131,7 +131,7 @@
     types_stored: Mutex<Option<StoredTypes>>,
     /// Whether the cloud itself told the types.
     types_asked: AtomicBool,
-    /// Reports that were sent on to the owner, and those that could not be answered at all.
+    /// Reports that were sent on to the leader, and those that could not be answered at all.
     heartbeats_redirected: AtomicU64,
     heartbeats_rejected: AtomicU64,
 }
@@ -202,7 +202,7 @@
         EXECUTOR.spawn(n().offer_plan_loop()).detach();
     }
 
-    /// These cells from now on, in the order of their numbers.
+    /// These shards from now on, in the order of their numbers.
     fn replace_shards(self: &Arc<Self>, cells: Vec<Arc<ShardRuntime>>) {
         let before = std::mem::replace(&mut *lock(&self.shards), Arc::new(cells.clone()));
         for c in before.iter() {
@@ -216,7 +216,7 @@
         lock(&self.shards).clone()
     }
 
-    /// How many cells this process holds a claim of.
+    /// How many shards this process holds a claim of.
     fn shards_led(&self) -> usize {
         self.shards().iter().filter(|c| lock(&c.election).token().is_some()).count()
     }
@@ -275,12 +275,12 @@
         *lock(&self.state_answered_at) = clock::now();
     }
 
-    /// Something may be there to place, in some cell that is owned here.
+    /// Something may be there to place, in some shard that is owned here.
     pub fn wake(&self) {
         self.shards().iter().for_each(|c| c.wake());
     }
 
-    /// Does this controller own any cell?
+    /// Does this controller own any shard?
     fn leads_any_shard(&self, now: f64) -> bool {
         self.shards().iter().any(|c| c.leadership_status(now) == LeadershipStatus::Leading)
     }
--- a/src/node/routing.rs
+++ b/src/node/routing.rs
@@ -1,41 +1,41 @@
-//! Which cell a job or a machine belongs to, where there are several.
+//! Which shard a job or a machine belongs to, where there are several.
 
 use super::*;
 use crate::peer::MachineQuestion;
-use lupinspur_cells::activation::{ActivePlan, NOBODY};
+use lupinspur_sharding::activation::{ActivePlan, NOBODY};
 
 /// Where a job is to be asked for.
 pub enum JobLocation {
-    /// This cell has it, or would have it.
+    /// This shard has it, or would have it.
     In(Arc<ShardRuntime>),
-    /// What can be said without any cell.
+    /// What can be said without any shard.
     Answered(Lookup),
 }
 
 impl Node {
     pub fn shard(&self, ix: ShardId) -> Option<Arc<ShardRuntime>> {
-        self.shards().get(ix.ix()).cloned()
+        self.shards().get(ix.as_usize()).cloned()
     }
 
-    /// The one cell that there is, if there is only one.
+    /// The one shard that there is, if there is only one.
     fn only_shard(&self) -> Option<Arc<ShardRuntime>> {
         let cells = self.shards();
         (cells.len() == 1 || self.is_merging()).then(|| cells[0].clone())
     }
 
-    /// The cell of whatever this record is of.
-    pub fn shard_of_record(&self, r: &JobRecord) -> ShardId {
+    /// The shard of whatever this record is of.
+    pub fn shard_of_record(&self, record: &JobRecord) -> ShardId {
         let of = self.shards().len();
-        r.shard.filter(|c| (*c as usize) < of).map_or(ShardId(0), ShardId)
+        record.shard.filter(|c| (*c as usize) < of).map_or(ShardId(0), ShardId)
     }
 
-    /// The home of a team's new jobs; none where there is only one cell.
+    /// The home of a team's new jobs; none where there is only one shard.
     pub fn home_shard(&self, team: &str) -> Option<ShardId> {
         let plan = lock(&self.active_plan).clone()?;
         Some(self.home_by(&plan, team))
     }
 
-    /// An owned cell that knows this job.
+    /// An owned shard that knows this job.
     pub fn shard_knowing_job(&self, id: &str, now: f64) -> Option<Arc<ShardRuntime>> {
         self.shards().iter().find(|c| c.with_shard(now, |s| s.jobs.find(id).is_some()) == Some(true)).cloned()
     }
@@ -44,13 +44,13 @@
         lock(&self.shard_by_job).put(id.to_owned(), cell);
     }
 
-    /// The cell turned out to be another one: the next question reads the record again.
+    /// The shard turned out to be another one: the next question reads the record again.
     pub fn forget_job_shard(&self, id: &str) {
         lock(&self.shard_by_job).pop(id);
     }
 
     /// Where this job is to be asked for. One that this node has not met yet is asked for at the
-    /// other owners; only what none of them knows costs a request to the state service. With a
+    /// other leaders; only what none of them knows costs a request to the state service. With a
     /// request for each, polls took all that there were of booking's hundred a second.
     pub async fn locate_job(&self, id: &str, turn: RequestPriority) -> JobLocation {
         if let Some(c) = self.only_shard() {
@@ -94,11 +94,11 @@
         }
     }
 
-    /// The cell of a machine that reports here: the one that knows it, wherever it is owned. One
-    /// that nobody knows goes to a cell whose token it would obey; none is said before all were
+    /// The shard of a machine that reports here: the one that knows it, wherever it is owned. One
+    /// that nobody knows goes to a shard whose token it would obey; none is said before all were
     /// asked.
     pub async fn shard_of_machine(&self, machine: &str, token: u64) -> Option<Arc<ShardRuntime>> {
-        // Before cell 0 has read what the others had, it knows nothing of what runs there.
+        // Before shard 0 has read what the others had, it knows nothing of what runs there.
         if self.is_merging() {
             let knows = |s: &mut Shard| s.machines.find(machine).is_some();
             let one = self.shard(ShardId(0))?;
@@ -108,7 +108,7 @@
         if let Some(c) = self.only_shard() {
             return Some(c);
         }
-        // Whose it is while it goes from cell to cell is stored.
+        // Whose it is while it goes from shard to shard is stored.
         if let Some(c) = self.transfer_destination(machine).and_then(|c| self.shard(c)) {
             return Some(c);
         }
@@ -119,7 +119,7 @@
             return Some(c.clone());
         }
         let noted = lock(&self.shard_by_machine).get(machine).copied();
-        if let Some(c) = noted.and_then(|c| cells.get(c.ix())) {
+        if let Some(c) = noted.and_then(|c| cells.get(c.as_usize())) {
             return Some(c.clone());
         }
         let mut looked: Vec<bool> =
@@ -143,18 +143,18 @@
         let plan = lock(&self.active_plan).clone()?;
         let first = plan.shard_of_unknown(machine);
         let obeyed = |c: &&Arc<ShardRuntime>| lock(&c.election).observed_version().is_some_and(|v| v >= token);
-        let cell = cells.get(first.ix()).filter(obeyed).or_else(|| cells.iter().find(obeyed))?;
+        let cell = cells.get(first.as_usize()).filter(obeyed).or_else(|| cells.iter().find(obeyed))?;
         lock(&self.shard_by_machine).put(machine.to_owned(), cell.id);
         Some(cell.clone())
     }
 
-    /// The same for a machine, which may be on its way from cell to cell.
+    /// The same for a machine, which may be on its way from shard to shard.
     pub fn machine_known_by(&self, machine: &str) -> (Option<ShardId>, Vec<u32>) {
         let (known, looked) = self.known_by(|s| s.machines.find(machine).is_some());
         (self.transfer_destination(machine).or(known), looked)
     }
 
-    /// What another controller asks: which cell that is owned here knows something, and which
+    /// What another controller asks: which shard that is owned here knows something, and which
     /// were looked through.
     pub fn known_by(&self, knows: impl Fn(&mut Shard) -> bool) -> (Option<ShardId>, Vec<u32>) {
         let (now, cells) = (clock::now(), self.shards());
@@ -164,7 +164,7 @@
         (known, looked.iter().map(|l| l.0.0).collect())
     }
 
-    /// The other controllers that own cells.
+    /// The other controllers that own shards.
     fn other_leaders(&self, now: f64) -> Vec<String> {
         let mut leaders: Vec<String> = Vec::new();
         for c in self.shards().iter() {
@@ -184,7 +184,7 @@
         if self.shards().len() > 1 { format!("cell {}", self.id.0) } else { "the shard".into() }
     }
 
-    /// The name of a key of this cell's own, as the state service has it. Jobs and their progress
+    /// The name of a key of this shard's own, as the state service has it. Jobs and their progress
     /// stand where they always stood, whosever they are.
     pub(super) fn to_stored_key(&self, key: &str) -> String {
         let shared = [JOB_PREFIX, PROGRESS_PREFIX, PART_PREFIX].iter().any(|p| key.starts_with(p));
@@ -201,15 +201,15 @@
         item
     }
 
-    /// Everything of this cell under a prefix.
+    /// Everything of this shard under a prefix.
     pub(super) async fn list_own(&self, prefix: &str) -> Result<Vec<KeyValue>, StateError> {
         let (items, _) = self.state.list(&self.to_stored_key(prefix), RequestPriority::Normal).await?;
         Ok(items.into_iter().map(|i| self.from_stored_key(i)).collect())
     }
 
-    /// Does a record concern this cell? One that is over does, since others may wait for it.
-    pub(super) fn is_relevant(&self, r: &JobRecord) -> bool {
-        r.phase != Phase::Open || self.absorbs_all_shards() || self.shard_of_record(r) == self.id
+    /// Does a record concern this shard? One that is over does, since others may wait for it.
+    pub(super) fn is_relevant(&self, record: &JobRecord) -> bool {
+        record.phase != Phase::Open || self.absorbs_all_shards() || self.shard_of_record(record) == self.id
     }
 
     /// Is this claim nobody's, with the plan in it?
--- a/src/node/shard_exchange/activation.rs
+++ b/src/node/shard_exchange/activation.rs
@@ -1,4 +1,4 @@
-//! How a plan of cells comes into force.
+//! How a plan of shards comes into force.
 
 use super::*;
 
@@ -36,9 +36,9 @@
         }
     }
 
-    /// The owner of the one cell that there is puts the plan in its claim's place, once everybody
+    /// The leader of the one shard that there is puts the plan in its claim's place, once everybody
     /// understands it.
-    async fn activate_plan(self: &Arc<Self>, plan: &lupinspur_cells::ShardingPlan) {
+    async fn activate_plan(self: &Arc<Self>, plan: &lupinspur_sharding::ShardingPlan) {
         let Ok((items, _)) = self.state.list(PRESENT_PREFIX, RequestPriority::Urgent).await else { return };
         let present: Vec<Presence> = parse_items(items).map(|(_, p, _)| p).collect();
         if !all_agree_on(plan, &self.settings.nodes(), &present) {
@@ -48,7 +48,7 @@
         let cells = self.shards();
         let Some(cell) = cells.first().filter(|_| cells.len() == 1) else { return };
         let now = clock::now();
-        // What is in use stays cell 0's, and nothing is added to it from here on; the rest goes to
+        // What is in use stays shard 0's, and nothing is added to it from here on; the rest goes to
         // the teams' homes.
         let made = cell.with_shard(now, |s| {
             let (token, in_use) = (s.token, s.limit_usage());
@@ -79,7 +79,7 @@
             return;
         }
         // Of a merging in which not all places of claims could be cleared at once.
-        let Ok((left, _)) = self.state.list(CELL_CLAIMS, RequestPriority::Urgent).await else { return };
+        let Ok((left, _)) = self.state.list(SHARD_LEADERSHIP_PREFIX, RequestPriority::Urgent).await else { return };
         for some in left.chunks(self.state.txn_ops) {
             let mut conditions = vec![Compare { key: LEADERSHIP_KEY.into(), version: token }];
             conditions.extend(some.iter().map(|i| Compare { key: i.key.clone(), version: i.version }));
@@ -99,7 +99,7 @@
             Mutation::Put { key: LEDGER_KEY.into(), value: shares, lease: None },
             Mutation::Put { key: LEADERSHIP_KEY.into(), value: claim, lease: None },
         ];
-        // From the moment that it is sent the cells may be owned by others, who wait for nobody.
+        // From the moment that it is sent the shards may be owned by others, who wait for nobody.
         lock(&cell.election).suspend(true);
         match self.state.commit(conditions, changes, RequestPriority::Urgent).await {
             Ok(CompareAndSwap::Applied(_)) => self.enter_sharding(plan.clone()),
@@ -120,8 +120,8 @@
         }
     }
 
-    /// The plan is in force: this process takes part in its cells from now on.
-    pub(in crate::node) fn enter_sharding(self: &Arc<Self>, plan: lupinspur_cells::ShardingPlan) {
+    /// The plan is in force: this process takes part in its shards from now on.
+    pub(in crate::node) fn enter_sharding(self: &Arc<Self>, plan: lupinspur_sharding::ShardingPlan) {
         {
             let mut in_force = lock(&self.active_plan);
             match &*in_force {
@@ -140,6 +140,6 @@
         cells.iter().for_each(|c| c.observe_record(None));
         self.replace_shards(cells);
         *lock(&self.shard_exchange) = ShardExchange::default();
-        EXECUTOR.spawn(self.clone().watch_cells()).detach();
+        EXECUTOR.spawn(self.clone().watch_shard_exchange_loop()).detach();
     }
 }
--- a/src/node/shard_exchange/machine_transfers.rs
+++ b/src/node/shard_exchange/machine_transfers.rs
@@ -1,4 +1,4 @@
-//! Machines that change cells.
+//! Machines that change shards.
 
 use super::*;
 
@@ -15,7 +15,7 @@
         }
     }
 
-    /// The cell to which this machine is on its way.
+    /// The shard to which this machine is on its way.
     pub(in crate::node) fn transfer_destination(&self, machine: &str) -> Option<ShardId> {
         let b = lock(&self.shard_exchange);
         let all = b.hands.values().map(|h| &h.0);
@@ -24,7 +24,7 @@
 }
 
 impl ShardRuntime {
-    /// Machines that went to other cells, whatever this cell's own records still say.
+    /// Machines that went to other shards, whatever this shard's own records still say.
     pub(in crate::node) async fn read_away(&self) -> Result<BTreeSet<String>, StateError> {
         if lock(&self.active_plan).is_none() {
             return Ok(BTreeSet::new());
@@ -40,11 +40,11 @@
         Ok(away)
     }
 
-    /// Machines that go to other cells and come from them, a step of each at a time.
+    /// Machines that go to other shards and come from them, a step of each at a time.
     pub(super) async fn transfer_machines(
         self: &Arc<Self>,
         token: u64,
-        plan: &lupinspur_cells::ShardingPlan,
+        plan: &lupinspur_sharding::ShardingPlan,
         mine: &LoadSnapshot,
     ) {
         let (hands, order, raise) = {
@@ -69,12 +69,12 @@
             s.receive_machines(hands.values().filter(|h| h.0.to == self.id).flat_map(|h| &h.0.machines), now);
             s.pending_transfers()
         });
-        let mut by_cell: std::collections::BTreeMap<ShardId, Vec<TransferredMachine>> = Default::default();
+        let mut by_shard: std::collections::BTreeMap<ShardId, Vec<TransferredMachine>> = Default::default();
         for (to, h) in chosen.unwrap_or_default() {
-            by_cell.entry(to).or_default().push(h);
+            by_shard.entry(to).or_default().push(h);
         }
         let most = (self.settings.value_bytes() / MAX_BYTES_PER_MACHINE).max(1);
-        for (to, mut machines) in by_cell {
+        for (to, mut machines) in by_shard {
             let key = machine_transfer::key(self.id, to);
             let version = match hands.get(&key) {
                 Some((h, _)) if !h.is_complete() => continue,
--- a/src/node/shard_exchange/mod.rs
+++ b/src/node/shard_exchange/mod.rs
@@ -1,5 +1,5 @@
-//! What cells exchange through the state service: the plan that comes into force, what each cell reports of
-//! itself, shares of limits, jobs and machines that change cells.
+//! What shards exchange through the state service: the plan that comes into force, what each shard reports of
+//! itself, shares of limits, jobs and machines that change shards.
 
 mod activation;
 mod machine_transfers;
@@ -11,28 +11,28 @@
 
 use super::*;
 use crate::shard::team_limits_by_name;
-use lupinspur_cells::activation::{ActivePlan, Presence, all_agree_on, has_plan_to_offer};
-use lupinspur_cells::escrow::{Amount, Ledger, QuotaTransfer, QuotaUse, quota_transfers};
-use lupinspur_cells::load_snapshot::LoadSnapshot;
-use lupinspur_cells::machine_transfer::{
+use lupinspur_sharding::activation::{ActivePlan, Presence, all_agree_on, has_plan_to_offer};
+use lupinspur_sharding::escrow::{Amount, Ledger, QuotaTransfer, QuotaUse, quota_transfers};
+use lupinspur_sharding::load_snapshot::LoadSnapshot;
+use lupinspur_sharding::machine_transfer::{
     self, MAX_BYTES_PER_MACHINE, MachineTransfer, TransferredMachine, next_by_receiver, next_by_sender, next_receiver,
 };
-use lupinspur_cells::rebalance::{RebalancePlan, Rebalancer, must_reacquire};
-use lupinspur_cells::spill::plan_spills;
+use lupinspur_sharding::rebalance::{RebalancePlan, Rebalancer, must_reacquire};
+use lupinspur_sharding::spill::plan_spills;
 use std::collections::BTreeSet;
 
-pub(in crate::node) const CELLS_PREFIX: &str = "cells/";
+pub(in crate::node) const SHARDS_PREFIX: &str = "cells/";
 const LEDGER_KEY: &str = "cells/escrow";
 const PICTURES: &str = "cells/pic/";
 const ORDERS_KEY: &str = "cells/orders";
-/// What is not needed is kept for other cells for so many pictures.
+/// What is not needed is kept for other shards for so many pictures.
 const HOLD_PICTURES: f64 = 3.0;
 pub(in crate::node) const PRESENT_PREFIX: &str = "own/node/";
-const CELL_CLAIMS: &str = "own/c/";
+const SHARD_LEADERSHIP_PREFIX: &str = "own/c/";
 const PRESENT_MS: u64 = 15_000;
 const OFFER_INTERVAL: Duration = Duration::from_millis(700);
 
-/// What a node knows of the cells together.
+/// What a node knows of the shards together.
 #[derive(Default)]
 pub(in crate::node) struct ShardExchange {
     ledger: Option<(Ledger, u64)>,
@@ -40,18 +40,18 @@
     orders: Option<(RebalancePlan, u64)>,
     /// Machines on their way, by their value's key, with its version.
     hands: HashMap<String, (MachineTransfer, u64)>,
-    /// What the leader remembers, while cell 0 is owned here, and by which claim.
+    /// What the leader remembers, while shard 0 is owned here, and by which claim.
     leader: (u64, Rebalancer),
 }
 
 impl Node {
     /// Shares and pictures, as they are stored.
-    pub(super) async fn watch_cells(self: Arc<Self>) {
+    pub(super) async fn watch_shard_exchange_loop(self: Arc<Self>) {
         let mut from: Option<u64> = None;
         while lock(&self.active_plan).is_some() {
             let heard = match from {
-                None => self.state.list(CELLS_PREFIX, RequestPriority::Normal).await,
-                Some(r) => self.state.watch(CELLS_PREFIX, r, WATCH_TIMEOUT).await.map(|ev| {
+                None => self.state.list(SHARDS_PREFIX, RequestPriority::Normal).await,
+                Some(r) => self.state.watch(SHARDS_PREFIX, r, WATCH_TIMEOUT).await.map(|ev| {
                     let item = |e: crate::wire::WatchEvent| {
                         Some(KeyValue {
                             key: e.put?,
@@ -106,7 +106,7 @@
 }
 
 impl ShardRuntime {
-    /// Tells the others of this cell, gives what it does not need, and lets waiting work go.
+    /// Tells the others of this shard, gives what it does not need, and lets waiting work go.
     pub(in crate::node) async fn exchange_round_loop(self: Arc<Self>) {
         while self.is_open() {
             let Some(plan) = lock(&self.active_plan).clone() else { return };
@@ -142,7 +142,7 @@
         }
     }
 
-    pub(super) fn fresh_pictures(&self, plan: &lupinspur_cells::ShardingPlan, now_ms: u64) -> Vec<LoadSnapshot> {
+    pub(super) fn fresh_pictures(&self, plan: &lupinspur_sharding::ShardingPlan, now_ms: u64) -> Vec<LoadSnapshot> {
         let b = lock(&self.shard_exchange);
         let bound_s = 2.0 * self.settings.time_bound_s;
         b.pictures.values().filter(|p| p.is_fresh(now_ms, plan.picture_s, bound_s)).cloned().collect()
--- a/src/node/shard_exchange/quota_shares.rs
+++ b/src/node/shard_exchange/quota_shares.rs
@@ -1,9 +1,9 @@
-//! The cells' shares of teams' limits.
+//! The shards' shares of teams' limits.
 
 use super::*;
 
 impl Node {
-    /// A newer word on the shares: every cell that is owned here goes by it, unless it is giving.
+    /// A newer word on the shares: every shard that is owned here goes by it, unless it is giving.
     pub(super) fn observe_ledger(&self, ledger: Ledger, version: u64) {
         {
             let mut b = lock(&self.shard_exchange);
@@ -23,7 +23,7 @@
 }
 
 impl ShardRuntime {
-    /// The shares that this cell begins with. Nothing is begun before they are known.
+    /// The shares that this shard begins with. Nothing is begun before they are known.
     pub(in crate::node) async fn read_shares(&self) -> Result<Option<Ledger>, StateError> {
         if lock(&self.active_plan).is_none() || self.absorbs_all_shards() {
             return Ok(None);
@@ -40,7 +40,7 @@
         }
     }
 
-    pub(super) async fn give_quota(&self, token: u64, plan: &lupinspur_cells::ShardingPlan, mine: &LoadSnapshot) {
+    pub(super) async fn give_quota(&self, token: u64, plan: &lupinspur_sharding::ShardingPlan, mine: &LoadSnapshot) {
         let Some((ledger, version)) = lock(&self.shard_exchange).ledger.clone() else { return };
         let pictures = self.fresh_pictures(plan, mine.at_ms);
         let mut all: Vec<QuotaTransfer> = Vec::new();
--- a/src/node/shard_exchange/rebalance.rs
+++ b/src/node/shard_exchange/rebalance.rs
@@ -1,10 +1,10 @@
-//! What the owner of cell 0 decides for all cells: the homes of teams, and machines that are to change cells.
+//! What the leader of shard 0 decides for all shards: the homes of teams, and machines that are to change shards.
 
 use super::*;
 
 impl Node {
     /// A team's home, by the leader's word or else by the plan's.
-    pub(in crate::node) fn home_by(&self, plan: &lupinspur_cells::ShardingPlan, team: &str) -> ShardId {
+    pub(in crate::node) fn home_by(&self, plan: &lupinspur_sharding::ShardingPlan, team: &str) -> ShardId {
         match &lock(&self.shard_exchange).orders {
             Some((o, _)) => o.home(plan, team),
             None => plan.home(team),
@@ -13,8 +13,8 @@
 }
 
 impl ShardRuntime {
-    /// The leader's look at all cells: its word is stored, and every cell goes by it.
-    pub(super) async fn rebalance(&self, token: u64, plan: &lupinspur_cells::ShardingPlan, mine: &LoadSnapshot) {
+    /// The leader's look at all shards: its word is stored, and every shard goes by it.
+    pub(super) async fn rebalance(&self, token: u64, plan: &lupinspur_sharding::ShardingPlan, mine: &LoadSnapshot) {
         let mut pictures = self.fresh_pictures(plan, mine.at_ms);
         pictures.retain(|p| p.shard != self.id);
         pictures.push(mine.clone());
--- a/src/node/shard_exchange/spill.rs
+++ b/src/node/shard_exchange/spill.rs
@@ -1,10 +1,10 @@
-//! Waiting jobs that go to other cells.
+//! Waiting jobs that go to other shards.
 
 use super::*;
 
 impl ShardRuntime {
-    /// Is this job another cell's, as its record tells? Asked until there is an answer: one that stays
-    /// here, set aside for the other cell, would be started by nobody. None where the claim is lost, or
+    /// Is this job another shard's, as its record tells? Asked until there is an answer: one that stays
+    /// here, set aside for the other shard, would be started by nobody. None where the claim is lost, or
     /// the record can't be read.
     async fn is_elsewhere(&self, token: u64, key: &str) -> Option<bool> {
         while lock(&self.election).token() == Some(token) {
@@ -19,11 +19,11 @@
         None
     }
 
-    /// Waiting work goes to cells where it starts sooner, whole and one job at a time.
+    /// Waiting work goes to shards where it starts sooner, whole and one job at a time.
     pub(super) async fn spill_over(
         self: &Arc<Self>,
         token: u64,
-        plan: &lupinspur_cells::ShardingPlan,
+        plan: &lupinspur_sharding::ShardingPlan,
         mine: &LoadSnapshot,
     ) {
         let others = self.fresh_pictures(plan, mine.at_ms);
@@ -45,7 +45,7 @@
             let id = record.job.id.clone();
             let key = crate::jobs::job_key(&id);
             let Ok(value) = serde_json::to_value(&record) else { continue };
-            // Its part of the limit goes with it, as far as this cell has it to spare.
+            // Its part of the limit goes with it, as far as this shard has it to spare.
             let given: Vec<QuotaTransfer> = ledger
                 .share(&team, self.id)
                 .map(|own| {
--- a/src/node/shard_runtime.rs
+++ b/src/node/shard_runtime.rs
@@ -1,8 +1,8 @@
-//! One cell in this process: its claim, its shard while it is owned here, and its loops.
+//! One shard in this process: its claim, its shard while it is owned here, and its loops.
 
 use super::*;
 
-/// One owner's place in this process: its claim, its shard while it is owned here, its loops.
+/// One leader's place in this process: its claim, its shard while it is owned here, its loops.
 /// Everything that the process has once it finds in its node.
 pub struct ShardRuntime {
     pub(super) node: Arc<Node>,
@@ -13,13 +13,13 @@
     pub(super) wakes: Wakes,
     pub(super) campaign_in_progress: AtomicBool,
     pub(super) failover_in_progress: AtomicBool,
-    /// A part of its share is on its way to another cell.
+    /// A part of its share is on its way to another shard.
     pub(super) quota_transfer_in_progress: AtomicBool,
-    /// Another set of cells has taken its place: its loops end.
+    /// Another set of shards has taken its place: its loops end.
     pub(super) closed: AtomicBool,
     /// By which claim, and up to which revision, everything was read.
     pub(super) loaded_at: Mutex<(u64, u64)>,
-    /// Cell 0, at the end of a merging: whatever the others had is its own.
+    /// Shard 0, at the end of a merging: whatever the others had is its own.
     pub(super) absorbs_all_shards: AtomicBool,
 }
 
@@ -31,14 +31,14 @@
 }
 
 /// Takes a job's record in. Knowing of it needs no right to act: what came while the lease was
-/// in doubt would be missing afterwards. One that is another cell's is not, or no longer, ours.
-pub(super) fn apply_job_record(cell: &ShardRuntime, s: &mut Shard, item: &KeyValue, now: f64) {
+/// in doubt would be missing afterwards. One that is another shard's is not, or no longer, ours.
+pub(super) fn apply_job_record(runtime: &ShardRuntime, shard: &mut Shard, item: &KeyValue, now: f64) {
     match parse_job_record(&item.key, &item.value) {
-        Ok(r) if cell.is_relevant(&r) => _ = s.add_job(r, item.version, now),
-        Ok(r) => s.on_job_moved(&r.job.id, now),
+        Ok(r) if runtime.is_relevant(&r) => _ = shard.add_job(r, item.version, now),
+        Ok(r) => shard.on_job_moved(&r.job.id, now),
         Err(e) => {
             log::error!("{} {e}", item.key);
-            s.mark_unreadable_record(&item.key);
+            shard.mark_unreadable_record(&item.key);
         }
     }
 }
@@ -128,7 +128,7 @@
     }
 
     /// How a report is answered that this controller cannot take. Who has not heard from the state
-    /// service for longer than a claim lasts does not know who owns: sent on to an owner that is
+    /// service for longer than a claim lasts does not know who owns: sent on to a leader that is
     /// gone, a worker waits for 4 s and more, and may be sent back here.
     pub fn redirect_target(&self, now: f64) -> Option<String> {
         let known = now - *lock(&self.state_answered_at) < self.tuning.leader_lease_s + WATCH_TIMEOUT.as_secs_f64();
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -124,8 +124,8 @@
 }
 
 impl Peers {
-    pub fn new(ex: &'static Executor<'static>, s: &crate::settings::Settings) -> Peers {
-        Peers { ex, addrs: s.peers.iter().map(|p| (p.node.clone(), p.addr)).collect(), open: Mutex::default() }
+    pub fn new(ex: &'static Executor<'static>, settings: &crate::settings::Settings) -> Peers {
+        Peers { ex, addrs: settings.peers.iter().map(|p| (p.node.clone(), p.addr)).collect(), open: Mutex::default() }
     }
 
     async fn channel(&self, node: &str) -> Option<Channel> {
@@ -139,7 +139,7 @@
         Some(c)
     }
 
-    /// The owner's answer to one question; without one, the next question opens a new connection.
+    /// The leader's answer to one question; without one, the next question opens a new connection.
     async fn asked<A>(
         &self,
         node: &str,
@@ -153,27 +153,27 @@
         Some(answer.ok()?.ok()?.into_inner())
     }
 
-    /// Asks the owner about quotas.
+    /// Asks the leader about quotas.
     pub async fn ask_quotas(&self, node: &str, q: QuotaQuestion) -> Option<QuotaAnswer> {
         self.asked(node, async |mut c| c.quotas(q).await).await
     }
 
-    /// Asks the owner about elastic jobs.
+    /// Asks the leader about elastic jobs.
     pub async fn ask_elastic(&self, node: &str, cell: u32) -> Option<ServiceAnswer> {
         self.asked(node, async |mut c| c.elastic(ServiceQuestion { passed_on: true, cell }).await).await
     }
 
-    /// Asks the owner about the accounts of service.
+    /// Asks the leader about the accounts of service.
     pub async fn ask_service(&self, node: &str, cell: u32) -> Option<ServiceAnswer> {
         self.asked(node, async |mut c| c.service(ServiceQuestion { passed_on: true, cell }).await).await
     }
 
-    /// Asks an owner whether one of its cells knows this machine, or this job.
+    /// Asks a leader whether one of its shards knows this machine, or this job.
     pub async fn ask_expects(&self, node: &str, q: MachineQuestion) -> Option<MachineAnswer> {
         self.asked(node, async |mut c| c.expects(q).await).await
     }
 
-    /// Asks the owner about a job. None when it cannot be reached or cannot act. A connection
+    /// Asks the leader about a job. None when it cannot be reached or cannot act. A connection
     /// to a process that has ended meanwhile is told at once, and a new one is tried.
     pub async fn ask(
         &self,
@@ -211,7 +211,7 @@
     }
 }
 
-/// Serves the owner's side for ever.
+/// Serves the leader's side for ever.
 pub async fn serve<T: Owner>(ex: &'static Executor<'static>, listener: Async<TcpListener>, leader: std::sync::Arc<T>) {
     loop {
         let stream = match listener.accept().await {
--- a/src/peer_server.rs
+++ b/src/peer_server.rs
@@ -7,8 +7,8 @@
     JobAnswer, JobQuestion, MachineAnswer, MachineQuestion, Outcome, Owner, QuotaAnswer, QuotaQuestion, ServiceAnswer,
     ServiceQuestion,
 };
-use lupinspur_accounts::{Reading, ServiceLevelReport as ServiceTold};
-use lupinspur_cells::ShardId;
+use lupinspur_service_levels::{Reading, ServiceLevelReport as ServiceTold};
+use lupinspur_sharding::ShardId;
 use std::sync::Arc;
 
 pub struct LeaderService(pub Arc<Node>);
--- a/src/query.rs
+++ b/src/query.rs
@@ -4,8 +4,8 @@
 use crate::shard::{ElasticReport, QuotaReport, QuotaRow};
 use async_executor::Executor;
 use clap::Subcommand;
-use lupinspur_accounts::ServiceLevelReport;
 use lupinspur_model::{Run, Scenario};
+use lupinspur_service_levels::ServiceLevelReport;
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -29,7 +29,7 @@
         /// Where any controller listens for its peers (peer_listen in its settings).
         #[arg(long, value_name = "ADDRESS")]
         peer: SocketAddr,
-        /// Of this cell, where there are several.
+        /// Of this shard, where there are several.
         #[arg(long, default_value_t = 0)]
         cell: u32,
         /// JSON instead of a table.
@@ -60,7 +60,7 @@
         /// and cancellations are those that this controller answered.
         #[arg(long, value_name = "ADDRESS")]
         peer: SocketAddr,
-        /// Of this cell, where there are several.
+        /// Of this shard, where there are several.
         #[arg(long, default_value_t = 0)]
         cell: u32,
         /// JSON instead of a table.
@@ -254,7 +254,7 @@
     out
 }
 
-/// Cpus, level by level; cards too where there are any.
+/// Cpus, level by level; accelerators too where there are any.
 pub fn table(report: &QuotaReport) -> String {
     let cards = report.levels.iter().any(|r| r.guarantee_gpus + r.limit_gpus + r.used_gpus > 0.0);
     let mut head = vec!["level", "guaranteed", "limit", "used", "lends", "borrows", "waits"];
--- a/src/responses.rs
+++ b/src/responses.rs
@@ -62,7 +62,7 @@
     }
 }
 
-/// What the owner tells of a job that it knows; none: not yet. A cancellation is confirmed only once it is
+/// What the leader tells of a job that it knows; none: not yet. A cancellation is confirmed only once it is
 /// stored, and until then there is nothing to say to it.
 pub fn status_from_leader(verb: Verb, shown: JobView) -> Option<JobStatus> {
     match shown {
@@ -74,7 +74,7 @@
     }
 }
 
-/// What a stored record allows to tell where the owner cannot be asked. Ends are stored before anybody is
+/// What a stored record allows to tell where the leader cannot be asked. Ends are stored before anybody is
 /// told of them, so that an open record was true when it was read, unless the job may be cancelled together
 /// with one that it needs: that is stored for the needed one first. A cancellation is confirmed by nobody
 /// who cannot store it.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,9 +1,9 @@
 //! The settings file that the platform hands over, read and checked.
 
 use crate::wire;
-use lupinspur_accounts::{CompletionObjective, ServiceLevelObjectives};
 use lupinspur_scheduler::params::Params;
 pub use lupinspur_scheduler::params::Team;
+use lupinspur_service_levels::{CompletionObjective, ServiceLevelObjectives};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -288,7 +288,7 @@
     }
 
     /// Guards against a field that is looked for where it does not stand: every controller
-    /// once kept to the 1,000 sockets that are assumed where none are named, and so no owner
+    /// once kept to the 1,000 sockets that are assumed where none are named, and so no leader
     /// heard more than 800 machines, users included.
     #[test]
     fn the_sockets_are_those_of_the_platform_s_limits() {
--- a/src/state/limits.rs
+++ b/src/state/limits.rs
@@ -31,10 +31,12 @@
 const TRIED_FOR_S: f64 = 8.0;
 
 impl Limits {
-    pub(super) fn new(s: &crate::settings::Settings) -> Limits {
-        let now = Rates { requests: s.state_rps, writes: s.write_rps };
-        let next =
-            Rates { requests: s.state_next.rps.min(now.requests), writes: s.state_next.write_rps.min(now.writes) };
+    pub(super) fn new(settings: &crate::settings::Settings) -> Limits {
+        let now = Rates { requests: settings.state_rps, writes: settings.write_rps };
+        let next = Rates {
+            requests: settings.state_next.rps.min(now.requests),
+            writes: settings.state_next.write_rps.min(now.writes),
+        };
         let share = Rates { requests: 1.0, writes: 1.0 };
         Limits { now, next, share, refused: VecDeque::new(), lowered_until: f64::MIN, lowered: false }
     }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -32,8 +32,8 @@
 }
 
 /// Who goes first where requests are short. Polls once took all of a node's share while
-/// there was no owner: submissions waited behind them, and the node could not read who the
-/// new owner was, so that it went on asking the state service for every poll.
+/// there was no leader: submissions waited behind them, and the node could not read who the
+/// new leader was, so that it went on asking the state service for every poll.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestPriority {
     /// Leases, claims and watches: they cannot wait.
@@ -73,37 +73,37 @@
 }
 
 impl KvClient {
-    pub fn new(s: &crate::settings::Settings) -> KvClient {
+    pub fn new(settings: &crate::settings::Settings) -> KvClient {
         let client = KvClient {
-            addr: s.state,
+            addr: settings.state,
             http: Client::new(8, 8),
             watches: Client::new(2, 2),
             requests: Mutex::new(RateLimiter::new(1.0, 1.0)),
             writes: Mutex::new(RateLimiter::new(1.0, 1.0)),
             last_outcomes: Mutex::new((-100.0, -100.0)),
-            txn_ops: s.least_txn_ops(),
-            limits: Mutex::new(Limits::new(s)),
+            txn_ops: settings.least_txn_ops(),
+            limits: Mutex::new(Limits::new(settings)),
         };
-        let ours = client.own_rates(s, 0, 1);
+        let ours = client.own_rates(settings, 0, 1);
         *lock(&client.requests) = RateLimiter::new_after_restart(ours.requests, ours.requests);
         *lock(&client.writes) = RateLimiter::new_after_restart(ours.writes, ours.writes);
         client
     }
 
-    /// The owner writes most; the others only accept jobs. Together the shares are
+    /// The leader writes most; the others only accept jobs. Together the shares are
     /// more than the whole, since bursts seldom meet: the service's own 429 is the
-    /// last word, and whoever gets one pauses. `owned` of so many cells are this controller's.
-    pub fn set_share(&self, s: &crate::settings::Settings, owned: usize, of: usize) {
-        let ours = self.own_rates(s, owned, of);
+    /// last word, and whoever gets one pauses. `owned` of so many shards are this controller's.
+    pub fn set_share(&self, settings: &crate::settings::Settings, owned: usize, of: usize) {
+        let ours = self.own_rates(settings, owned, of);
         *lock(&self.requests) = RateLimiter::new(ours.requests, ours.requests);
         *lock(&self.writes) = RateLimiter::new(ours.writes, ours.writes);
     }
 
-    fn own_rates(&self, s: &crate::settings::Settings, owned: usize, of: usize) -> Rates {
-        let others = s.peers.len().max(1) as f64;
+    fn own_rates(&self, settings: &crate::settings::Settings, owned: usize, of: usize) -> Rates {
+        let others = settings.peers.len().max(1) as f64;
         let part = owned as f64 / of.max(1) as f64;
         let (requests, writes) = match owned {
-            _ if s.peers.is_empty() => (0.9, 0.9),
+            _ if settings.peers.is_empty() => (0.9, 0.9),
             0 => (0.4 / others, 0.9 / others),
             _ => ((0.6 * part).max(0.4 / others), (0.8 * part).max(0.9 / others)),
         };
@@ -255,7 +255,7 @@
         }
     }
 
-    /// Acceptances and claims go first; the owner's own writes, of which there are always
+    /// Acceptances and claims go first; the leader's own writes, of which there are always
     /// more, take what those leave.
     pub async fn commit(
         &self,
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -17,8 +17,8 @@
 impl WorkerClient {
     /// Idle connections take no more than a part of the sockets: the workers' own
     /// reports and the users need the rest.
-    pub fn new(s: &crate::settings::Settings) -> WorkerClient {
-        WorkerClient { http: Client::new(1, s.sockets / 8) }
+    pub fn new(settings: &crate::settings::Settings) -> WorkerClient {
+        WorkerClient { http: Client::new(1, settings.sockets / 8) }
     }
 
     /// Sends commands straight to a worker, if that may be done still at that moment.
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -57,7 +57,7 @@
     json!({"plots": names.iter().map(machine).collect::<Vec<_>>(), "has_next": more}).to_string()
 }
 
-/// Guards against jobs that were accepted and are missing after a takeover: all pages are read, and what changed
+/// Guards against jobs that were accepted and are missing after a failover: all pages are read, and what changed
 /// while they were is told by a watch from the first of them on.
 #[test]
 fn a_list_of_the_state_service_is_read_to_its_end() {
--- a/tests/fencing/main.rs
+++ b/tests/fencing/main.rs
@@ -188,7 +188,7 @@
 }
 
 /// Guards the fencing of late transactions: a claim replaces just the version that was seen, a job is accepted
-/// only where there is none, and all that an owner writes holds only under its claim and over the value that
+/// only where there is none, and all that a leader writes holds only under its claim and over the value that
 /// it knows.
 #[test]
 fn every_write_is_conditional() {
@@ -216,7 +216,7 @@
     assert!(by_leader > ids.len(), "records of machines and ends of jobs: {by_leader}");
 }
 
-/// Guards against an owner that acts when its lease may be over. A renewal counts from when it was sent: its
+/// Guards against a leader that acts when its lease may be over. A renewal counts from when it was sent: its
 /// answers here come most of a second later. From then on nobody is served, and the controller answers no report
 /// after the lease that the last of them gave it.
 #[test]
@@ -283,7 +283,7 @@
     address
 }
 
-/// Guards against commands of an owner that may not act any more. The machine stops reporting, so that it is
+/// Guards against commands of a leader that may not act any more. The machine stops reporting, so that it is
 /// asked directly again and again; after the lease nobody asks it.
 #[test]
 fn no_command_is_sent_after_the_lease() {
--- a/tests/fencing/reclaim.rs
+++ b/tests/fencing/reclaim.rs
@@ -1,6 +1,6 @@
-//! A controller loses its claim and gains a new one while an answer to its earlier self's owner is on its way: what
+//! A controller loses its claim and gains a new one while an answer to its earlier self's leader is on its way: what
 //! was asked under the earlier claim changes nothing under the new one. Records, commands and deletions name jobs and
-//! machines by places in the earlier owner's tables, which are other jobs' and machines' places in the new ones.
+//! machines by places in the earlier leader's tables, which are other jobs' and machines' places in the new ones.
 
 use super::*;
 use crate::gate::Gate;
@@ -37,7 +37,7 @@
     controller.until_called("req-000001", "done");
 }
 
-/// What was read for a takeover under an earlier claim answers nobody under the new one: meanwhile another
+/// What was read for a failover under an earlier claim answers nobody under the new one: meanwhile another
 /// controller may have owned, and confirmed a cancellation.
 #[test]
 fn what_was_read_under_an_earlier_claim_answers_nobody() {
@@ -56,7 +56,7 @@
     record["phase"] = json!("cancelled");
     services.write("job/req-000001", &record);
     services.until_elected_after(second);
-    // The watch of the first owner is held back, too.
+    // The watch of the first leader is held back, too.
     for _ in 0..4 {
         services.gate.release();
         let answered = controller.never_says("req-000001", &["queued", "running"], Duration::from_millis(400));
@@ -65,7 +65,7 @@
 }
 
 /// A change of a job that was watched under an earlier claim is told late, when the job is long over and the new
-/// owner has no need to know of it: it is not open once more.
+/// leader has no need to know of it: it is not open once more.
 #[test]
 fn a_late_change_of_an_earlier_claim_opens_no_job_again() {
     let (services, controller) = start("watch");
@@ -92,7 +92,7 @@
 }
 
 /// Guards against machines that are taken for gone, with the tasks that run on them, by the confirmation of another
-/// machine's deletion: it stood at their place in the tables of the earlier owner.
+/// machine's deletion: it stood at their place in the tables of the earlier leader.
 #[test]
 fn the_confirmed_deletion_of_an_earlier_claim_takes_no_other_machine_away() {
     let (services, controller) = start("deletion");
@@ -136,7 +136,7 @@
     }
 }
 
-/// The answer to a command of an earlier claim: what it says is of no machine of the new owner's tables.
+/// The answer to a command of an earlier claim: what it says is of no machine of the new leader's tables.
 #[test]
 fn the_answer_to_a_command_of_an_earlier_claim_is_not_heard() {
     let (services, controller) = start("command");
--- a/tests/fencing/services.rs
+++ b/tests/fencing/services.rs
@@ -3,7 +3,7 @@
 use crate::stand_ins::{Services, is_list_of, start, until, writes};
 use crate::*;
 
-/// Guards against a job that was accepted and never known to the owner: the changes by which it would have come are
+/// Guards against a job that was accepted and never known to the leader: the changes by which it would have come are
 /// gone, so that all records are read again.
 #[test]
 fn changes_that_are_gone_are_read_again() {
@@ -167,7 +167,7 @@
 }
 
 /// A job that another controller accepted, and that ended, is not accepted once more: a repeated submission hears
-/// how it ended, also before this owner knows of it.
+/// how it ended, also before this leader knows of it.
 #[test]
 fn a_repeated_submission_hears_the_end_that_is_stored() {
     let (services, controller) = start("repeated");
@@ -187,7 +187,7 @@
     }
 }
 
-/// The machine types that an owner stores are fenced as all that it writes: late, they replace no newer ones.
+/// The machine types that a leader stores are fenced as all that it writes: late, they replace no newer ones.
 #[test]
 fn machine_types_are_stored_under_the_claim_and_over_their_version() {
     let (services, _controller) = start("types");
@@ -199,7 +199,7 @@
 }
 
 /// Whoever has not heard from the state service for longer than a claim lasts does not know who owns: it sends
-/// machines to nobody, who would wait in vain for an owner that is gone.
+/// machines to nobody, who would wait in vain for a leader that is gone.
 #[test]
 fn who_does_not_hear_the_state_service_sends_machines_to_nobody() {
     let services: Arc<Services> = Arc::default();
--- a/tests/golden/keys.rs
+++ b/tests/golden/keys.rs
@@ -3,13 +3,13 @@
 use lupinspur::election::{LEADERSHIP_KEY, LEADERSHIP_PREFIX, MACHINE_TYPES_KEY, backoff_key, shard_leadership_key};
 use lupinspur::fleet::machine_groups::{MACHINE_GROUP_PREFIX, machine_group_key};
 use lupinspur::fleet::{FLEET_KEY, MACHINE_PREFIX, machine_key};
-use lupinspur::intern::{Index, MachineGroupIndex};
+use lupinspur::intern::{DenseIndex, MachineGroupIndex};
 use lupinspur::jobs::{JOB_PREFIX, PART_PREFIX, PROGRESS_PREFIX, job_key, part_key, progress_key};
 use lupinspur::shard::ACCOUNTS_PREFIX;
 use lupinspur::wire;
-use lupinspur_cells::{ShardId, activation, machine_transfer};
 use lupinspur_quota::stored as quota;
 use lupinspur_recovery as checkpoint;
+use lupinspur_sharding::{ShardId, activation, machine_transfer};
 
 #[test]
 fn keys_of_leadership() {
--- a/tests/golden/reports.rs
+++ b/tests/golden/reports.rs
@@ -2,9 +2,9 @@
 
 use crate::{Samples, sent_and_received};
 use lupinspur::shard::{ElasticReport, QuotaReport, QuotaRow};
-use lupinspur_accounts::gate::LOG_MARK;
-use lupinspur_accounts::{READINGS, Reading, Row, ServiceLevelReport, Subject};
 use lupinspur_elastic::{Bound, pool};
+use lupinspur_service_levels::gate::LOG_MARK;
+use lupinspur_service_levels::{READINGS, Reading, Row, ServiceLevelReport, Subject};
 
 const SAMPLES: Samples = Samples(include_str!("reports.txt"));
 
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -1,4 +1,4 @@
-//! Values at the state service, but for those that cells exchange.
+//! Values at the state service, but for those that shards exchange.
 
 use crate::{Samples, as_stored};
 use lupinspur::election::LeadershipRecord;
@@ -7,11 +7,11 @@
 use lupinspur::jobs::{JobRecord, Phase, ProgressRecord};
 use lupinspur::shard::{FleetRecord, PoolRecord};
 use lupinspur::wire::{JobRequest, MachineType};
-use lupinspur_accounts::inheritance;
 use lupinspur_quota::plan::Organisation;
 use lupinspur_quota::stored as quota;
 use lupinspur_recovery::chunk::{Chunk, ChunkBuilder, StoredRecord};
 use lupinspur_recovery::index::{Head, Line, Part};
+use lupinspur_service_levels::inheritance;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -185,7 +185,7 @@
     assert_eq!((carried.round, carried.as_of, carried.chain), (5, 1234.5, 41));
     let sums = vec![inheritance::ReadingTotals(8.0, 7.5, 1, 2.0, 1.5), inheritance::ReadingTotals::default()];
     let line = |side, name: &str| inheritance::IndicatorTotals(side, name.into(), sums.clone());
-    use lupinspur_accounts::Subject;
+    use lupinspur_service_levels::Subject;
     let expected = [line(Subject::Class, "train"), line(Subject::Team, "vision"), line(Subject::Level, "all.research")];
     assert_eq!(carried.lines, expected);
 }
--- a/tests/golden/stored_by_cells.rs
+++ b/tests/golden/stored_by_cells.rs
@@ -1,13 +1,13 @@
-//! Values at the state service that cells exchange.
+//! Values at the state service that shards exchange.
 
 use crate::stored::{SAMPLES, same};
-use lupinspur_cells::activation::{ActivePlan, Presence};
-use lupinspur_cells::escrow::{Amount, Ledger, QuotaUse};
-use lupinspur_cells::load_snapshot::{LoadSnapshot, UnusableCapacity};
-use lupinspur_cells::machine_transfer::{MachineTransfer, TransferredMachine};
-use lupinspur_cells::plan::TeamHome;
-use lupinspur_cells::rebalance::{MachineMove, RebalancePlan};
-use lupinspur_cells::{ShardId, ShardingPlan};
+use lupinspur_sharding::activation::{ActivePlan, Presence};
+use lupinspur_sharding::escrow::{Amount, Ledger, QuotaUse};
+use lupinspur_sharding::load_snapshot::{LoadSnapshot, UnusableCapacity};
+use lupinspur_sharding::machine_transfer::{MachineTransfer, TransferredMachine};
+use lupinspur_sharding::plan::TeamHome;
+use lupinspur_sharding::rebalance::{MachineMove, RebalancePlan};
+use lupinspur_sharding::{ShardId, ShardingPlan};
 use std::collections::BTreeMap;
 
 fn plan() -> ShardingPlan {
--- a/tests/leadership/main.rs
+++ b/tests/leadership/main.rs
@@ -1,5 +1,5 @@
 //! Controllers against a stand-in for the state service whose answers can be lost: what claims and leases
-//! cost a controller, and how soon an owner knows what it has stored.
+//! cost a controller, and how soon a leader knows what it has stored.
 
 mod controllers;
 #[allow(dead_code)]
@@ -10,7 +10,7 @@
 use controllers::Controllers;
 use http::lock;
 use http_types::Method;
-use lupinspur::intern::{Index, JobIndex};
+use lupinspur::intern::{DenseIndex, JobIndex};
 use lupinspur::jobs::Phase;
 use lupinspur::shard::{PendingWrite, WritePurpose};
 use lupinspur::wire::{KeyValue, Mutation};
@@ -18,7 +18,7 @@
 use state_service::{Conflict, Store, TOLD_BY_TEST};
 use std::time::{Duration, Instant};
 
-/// Whoever came too late with its claim holds a lease all the same. Renewing it as often as an owner
+/// Whoever came too late with its claim holds a lease all the same. Renewing it as often as a leader
 /// whose lease is in doubt took more requests than such a controller's share of a small state service:
 /// it could accept nothing any more, for as long as it lived.
 #[test]
@@ -37,7 +37,7 @@
     assert!(renewals <= leases * 7, "{renewals} renewals of {leases} leases in four seconds");
 }
 
-/// Only the answers of an owner's transactions are lost. Its user is told of the cancellation as soon as
+/// Only the answers of a leader's transactions are lost. Its user is told of the cancellation as soon as
 /// the watch shows it to be stored: once this took a second transaction, whose answer was lost as well.
 #[test]
 fn a_cancellation_is_confirmed_though_the_answers_of_its_transactions_are_lost() {
@@ -59,7 +59,7 @@
 }
 
 /// A start waits until the machine's record is stored. Where only the answers are lost, that it stands
-/// there is what the owner finds when it looks: once it was written again, and that answer was lost too.
+/// there is what the leader finds when it looks: once it was written again, and that answer was lost too.
 #[test]
 fn a_task_starts_though_the_answers_of_the_record_s_transactions_are_lost() {
     let controllers = Controllers::start("lost-record-answers", 2, 200.0);
@@ -86,7 +86,7 @@
     assert!(started, "no start in {:?}", began.elapsed());
 }
 
-/// A job goes to another cell; the transaction is lost, is sent again and fails, and the look that would
+/// A job goes to another shard; the transaction is lost, is sent again and fails, and the look that would
 /// tell whose the job is gets no answer. The job once stayed set aside for good: nobody started it.
 #[test]
 fn a_job_whose_way_to_another_cell_is_in_doubt_is_not_set_aside_for_good() {
@@ -103,7 +103,7 @@
     };
     in_time("both cells are owned", &|s| s.values.contains_key("own/c/0") && s.values.contains_key("own/c/1"));
     lock(&controllers.store).conflict = Some(Conflict { key: KEY, lost: false, refused: false });
-    // Without machines it waits in its own cell; the other one has room.
+    // Without machines it waits in its own shard; the other one has room.
     assert_eq!(controllers.submit(0, "req-000009"), 201);
     let moved = |s: &mut Store| {
         let at_ms = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).expect("a time").as_millis();
@@ -117,8 +117,8 @@
     assert!(met, "the trouble was met");
 }
 
-/// The owner of all brings a plan of cells into force, and in the same moment loses the state service. The
-/// cells' owners wait for nobody: what it said from then on once contradicted what they had told, for as
+/// The leader of all brings a plan of shards into force, and in the same moment loses the state service. The
+/// shards' leaders wait for nobody: what it said from then on once contradicted what they had told, for as
 /// long as its lease seemed to last.
 #[test]
 fn whoever_brings_cells_into_force_says_nothing_until_it_knows_of_it() {
--- a/tests/leadership/state_service.rs
+++ b/tests/leadership/state_service.rs
@@ -32,10 +32,10 @@
     pub leases: BTreeMap<u64, Lease>,
     events: Vec<Value>,
     revision: u64,
-    /// Transactions of owners are carried out, and their answers are lost.
+    /// Transactions of leaders are carried out, and their answers are lost.
     pub loses_answers: bool,
     pub conflict: Option<Conflict>,
-    /// Whoever brings a plan of cells into force loses the state service in the same moment.
+    /// Whoever brings a plan of shards into force loses the state service in the same moment.
     pub cuts_off_planner: bool,
     pub cut_off: Option<usize>,
 }
@@ -49,16 +49,16 @@
 }
 
 pub const SHARES_KEY: &str = "cells/escrow";
-/// The test itself tells how it stands with the second cell.
+/// The test itself tells how it stands with the second shard.
 pub const TOLD_BY_TEST: &str = "cells/pic/1";
 
-/// Does this transaction bring a plan of cells into force?
+/// Does this transaction bring a plan of shards into force?
 pub fn is_plan(transaction: &Value) -> bool {
     let writes = transaction["writes"].as_array().into_iter().flatten();
     writes.into_iter().any(|w| w["set"] == LEADERSHIP_KEY && w["v"]["node"] == "(cells)")
 }
 
-/// Is this transaction an owner's? Those are conditional on its claim.
+/// Is this transaction a leader's? Those are conditional on its claim.
 pub fn is_fenced(transaction: &Value) -> bool {
     let conditions = transaction["if"].as_array().into_iter().flatten();
     let claim = |c: &Value| c["path"].as_str().is_some_and(|p| p == LEADERSHIP_KEY || p.starts_with("own/c/"));
--- a/tests/loopback/answers_across_nodes.rs
+++ b/tests/loopback/answers_across_nodes.rs
@@ -231,8 +231,8 @@
     assert!((0..4).all(|number| traffic.answers.known(&long_id(number)) == Known::Ended(JobState::Cancelled)));
 }
 
-/// Three cells, with a running job in each. Each controller ends and is started again in turn: it remembers neither
-/// ends nor whose cell a job is in. After each a job is cancelled, and all controllers tell so.
+/// Three shards, with a running job in each. Each controller ends and is started again in turn: it remembers neither
+/// ends nor whose shard a job is in. After each a job is cancelled, and all controllers tell so.
 #[test]
 fn no_answer_is_older_across_three_cells_while_each_controller_is_started_again() {
     const CELLS: &str = "cells = 3\npicture_s = 0.5\nspill_after_s = 0.5\nspill_gain_s = 1.0\n\
--- a/tests/loopback/cells.rs
+++ b/tests/loopback/cells.rs
@@ -1,4 +1,4 @@
-//! Several cells beside one another.
+//! Several shards beside one another.
 
 use crate::cluster::Cluster;
 use crate::http::lock;
@@ -10,8 +10,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Three cells over twelve workers: each owner's end touches its own cell only, a team's limit
-/// holds over all cells together, and what finds no room at home starts elsewhere.
+/// Three shards over twelve workers: each leader's end touches its own shard only, a team's limit
+/// holds over all shards together, and what finds no room at home starts elsewhere.
 #[test]
 fn cells_go_on_beside_one_another_and_take_each_other_s_work() {
     const LIMIT: usize = 10;
@@ -68,7 +68,7 @@
         services.push((format!("{SERVICES}{i:02}"), 2));
     }
     whole(&cluster, &services, Duration::from_secs(40));
-    // Whichever controller is asked, it finds the job's cell.
+    // Whichever controller is asked, it finds the job's shard.
     for a in &listen {
         for (id, n) in &services {
             user.until(&[*a], Method::Get, &format!("/work/{id}"), None, |s, v| s == 200 && v["running"] == *n);
@@ -76,13 +76,13 @@
         assert_eq!(user.ask(*a, Method::Get, "/work/req-0404", None).0, 404);
     }
 
-    // Red wants three times its limit; the owner of another team's cell ends meanwhile.
+    // Red wants three times its limit; the leader of another team's shard ends meanwhile.
     submit("req-0501", "red", "batch", 30);
     for round in 0..3 {
         let gone = leader_of(&cluster, 1).expect("an owner");
         let others: Vec<SocketAddr> = (0..3).filter(|i| *i != gone).map(|i| listen[i]).collect();
         cluster.kill(gone);
-        // The others' cells go on starting while this one has no owner.
+        // The others' shards go on starting while this one has no leader.
         let began = Instant::now();
         let id = format!("req-060{round}");
         let mut j = job(&id, "batch", 4);
@@ -105,7 +105,7 @@
         s == 200 && v["bloom"] == "done"
     });
 
-    // More than one cell's machines can take: the rest goes to the others, jobs whole.
+    // More than one shard's machines can take: the rest goes to the others, jobs whole.
     for i in 10..48 {
         submit(&format!("{SERVICES}{i}"), "n1", "standing", 1);
         services.push((format!("{SERVICES}{i}"), 1));
@@ -132,7 +132,7 @@
     cluster.nothing_broken();
 
     // The way back to one, while everything runs: the controllers are started anew one after another with
-    // another file. Those that own end in the middle of it; what the cells kept is one owner's then.
+    // another file. Those that own end in the middle of it; what the shards kept is one leader's then.
     let merging = |c: &Cluster| lock(&c.store).keys.get("own/0").is_some_and(|k| k.0["merging"] == true);
     let change = |c: &mut Cluster, text: &str| {
         std::fs::write(c.dir.join("cells.toml"), text).expect("a file of cells");
@@ -175,9 +175,9 @@
     cluster.nothing_broken();
 }
 
-/// Two cells, and only one has work: more than its own machines can take. What the other does not need
-/// goes there, through ends of both owners in the middle of it; no machine is two cells', and nothing
-/// runs twice. Machines obey the highest token that they have seen: the cell that is short has the older
+/// Two shards, and only one has work: more than its own machines can take. What the other does not need
+/// goes there, through ends of both leaders in the middle of it; no machine is two shards', and nothing
+/// runs twice. Machines obey the highest token that they have seen: the shard that is short has the older
 /// claim, and takes it anew first.
 #[test]
 fn idle_machines_go_to_the_cell_that_is_short() {
@@ -214,7 +214,7 @@
         let of = |k: &&String| k.starts_with("cells/hand/");
         store.keys.keys().filter(of).map(|k| store.keys[k].0["machines"].as_array().map_or(0, Vec::len)).sum::<usize>()
     };
-    // In the middle of it both owners end.
+    // In the middle of it both leaders end.
     until(&cluster, "no machine goes", 60, &|c| going(c) > 0);
     cluster.restart_all();
     let took = until(&cluster, "not all services run", 90, &|c| running(c) == services.len());
--- a/tests/loopback/cluster.rs
+++ b/tests/loopback/cluster.rs
@@ -29,7 +29,7 @@
 }
 
 /// Not all clusters at once: with a dozen of them on a few cores controllers lose their leases to one another,
-/// and a test waited for what a takeover had put off.
+/// and a test waited for what a failover had put off.
 const CLUSTERS_AT_ONCE: usize = 2;
 const CLUSTERS_AT_ONCE_ON_MANY_CORES: usize = 3;
 const MANY_CORES: usize = 8;
--- a/tests/loopback/direct.rs
+++ b/tests/loopback/direct.rs
@@ -25,7 +25,7 @@
 /// Tasks of starts that were held up, by what the worker made of them when they came.
 #[derive(Default, Debug)]
 pub struct Delivered {
-    /// Token and session matched.
+    /// Token and incarnation matched.
     pub executed: Vec<String>,
     pub refused: Vec<String>,
 }
@@ -63,7 +63,7 @@
     Outgoing::json(if ok { 200 } else { 409 }, &report)
 }
 
-/// Executes commands if token and session match.
+/// Executes commands if token and incarnation match.
 fn execute(all: &Workers, w: usize, commands: &Value, twice: &Mutex<Vec<String>>) -> bool {
     let ours = commands["season"].as_u64().is_none_or(|s| s == lock(all)[w].incarnation);
     ours && obey(all, w, commands, twice)
@@ -98,7 +98,7 @@
     delivered
 }
 
-/// Executes commands that were held up on their way, if token and session still match. Whoever
+/// Executes commands that were held up on their way, if token and incarnation still match. Whoever
 /// sent them has given up by then.
 async fn execute_late(
     all: Workers,
--- a/tests/loopback/fault_combinations_dependencies.rs
+++ b/tests/loopback/fault_combinations_dependencies.rs
@@ -1,4 +1,4 @@
-//! Jobs that wait for a cancelled one, where the owner cannot be asked and cannot store.
+//! Jobs that wait for a cancelled one, where the leader cannot be asked and cannot store.
 
 use crate::cluster::Cluster;
 use crate::http::lock;
@@ -12,9 +12,9 @@
 const CANCEL: Duration = Duration::from_secs(3);
 const DEPENDENT: &str = "req-0402";
 
-/// The owner is cut from the other controllers, and its write of a cancellation that follows from
+/// The leader is cut from the other controllers, and its write of a cancellation that follows from
 /// another one is refused for longer than `cancel_s`. The others read a record that is still open:
-/// none of them may then call the job queued, nor may the owner.
+/// none of them may then call the job queued, nor may the leader.
 #[test]
 fn a_job_after_a_cancelled_one_is_not_called_queued_by_whoever_cannot_ask() {
     let size = Size { cancel: CANCEL, cuttable: true, ..Size::of(3, 2, 4) };
--- a/tests/loopback/fault_combinations_odd_requests.rs
+++ b/tests/loopback/fault_combinations_odd_requests.rs
@@ -120,7 +120,7 @@
 
 /// Guards against a repetition that hears of a refusal: the job was accepted, and its team's limit is
 /// lower since. Controllers that are started with the lower limit, of which one is asked before the
-/// owner of the job is known to it, once said that it could never run.
+/// leader of the job is known to it, once said that it could never run.
 #[test]
 fn a_lower_limit_does_not_refuse_what_was_accepted() {
     let mut cluster = Cluster::start("lower-limit", Size { cpus_max: LIMIT_CPUS, ..Size::of(3, 2, 4) });
--- a/tests/loopback/faults.rs
+++ b/tests/loopback/faults.rs
@@ -35,9 +35,9 @@
     pub slow_only_for: Option<usize>,
     /// Requests that were slowed down so far.
     pub slowed: usize,
-    /// Transactions by which a job goes to another cell are held up until this is over.
+    /// Transactions by which a job goes to another shard are held up until this is over.
     pub hold_moves: bool,
-    /// Keys of jobs whose way to another cell was held up.
+    /// Keys of jobs whose way to another shard was held up.
     pub held_moves: BTreeSet<String>,
     /// Transactions so far.
     transactions: usize,
--- a/tests/loopback/held_up_starts.rs
+++ b/tests/loopback/held_up_starts.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 const WORKERS: usize = 10;
-/// No session ends within a test: a start that was sent may arrive until then.
+/// No incarnation ends within a test: a start that was sent may arrive until then.
 const LEASE_S: u64 = 60;
 const CANCEL: Duration = Duration::from_secs(4);
 const SERVICE_COUNT: usize = 8;
@@ -118,7 +118,7 @@
 
 /// Starts to half of the workers are held up, and carried out by the others with their answers lost. Half of the
 /// jobs are cancelled meanwhile. Long after their tasks have to be gone the held up starts arrive, in the
-/// same session and with the same token: nothing of what was cancelled starts then, and the others run once.
+/// same incarnation and with the same token: nothing of what was cancelled starts then, and the others run once.
 #[test]
 fn starts_held_up_until_their_jobs_are_cancelled_start_nothing() {
     let scene = Scene::start("held-cancelled", |w| if w % 2 == 0 { Starts::HeldUp } else { Starts::Unanswered });
@@ -144,7 +144,7 @@
 }
 
 /// A machine with starts on their way to it is under notice before it has carried them out: its tasks move. The
-/// starts arrive when these run elsewhere, in the same session and with the same token, and nothing runs
+/// starts arrive when these run elsewhere, in the same incarnation and with the same token, and nothing runs
 /// twice.
 #[test]
 fn starts_held_up_until_their_tasks_have_moved_start_nothing() {
--- a/tests/loopback/history.rs
+++ b/tests/loopback/history.rs
@@ -1,4 +1,4 @@
-//! A takeover in front of a long history.
+//! A failover in front of a long history.
 
 use crate::cluster::Cluster;
 use crate::http::lock;
@@ -10,7 +10,7 @@
 use serde_json::{Value, json};
 use std::time::{Duration, Instant};
 
-/// Guards against takeovers that grow with all that ever ran. The first owner finds 20,000 jobs
+/// Guards against failovers that grow with all that ever ran. The first leader finds 20,000 jobs
 /// that are over and no checkpoint: it reads them page by page, in bounded memory. By the time
 /// that it ends there are 200,000; its successor reads what is open, and nothing of the rest. What is over is
 /// answered all the same: polls, repetitions, cancellations, and jobs that name it.
--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -1,6 +1,6 @@
 //! The real program over loopback, against stand-ins for the state service, the
 //! cloud and the workers that are written here: starts, bad input, an array, a
-//! service with its cancellation, and the end of the owner in between.
+//! service with its cancellation, and the end of the leader in between.
 
 mod answers;
 mod answers_across_nodes;
--- a/tests/loopback/malformed.rs
+++ b/tests/loopback/malformed.rs
@@ -148,7 +148,7 @@
     }
     let settings = |i: usize| Settings::load(&cluster.dir.join(format!("n{i}.toml"))).expect("settings");
     let (all, leader) = (settings(0), format!("n{}", cluster.until_led()));
-    // From wherever the owner is one of the others.
+    // From wherever the leader is one of the others.
     let peers = if leader == "n0" { Peers::new(&EX, &settings(1)) } else { Peers::new(&EX, &all) };
     let ask = |verb, job: &str, cell| async_io::block_on(peers.ask(&leader, verb, (job, cell), None));
     for job in ["", "no job", "req-", "../own/0", &"9".repeat(9000)] {
--- a/tests/loopback/rented_machines.rs
+++ b/tests/loopback/rented_machines.rs
@@ -15,7 +15,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// No session ends within the test.
+/// No incarnation ends within the test.
 const LEASE_S: u64 = 60;
 const CLAIM: Duration = Duration::from_secs(2);
 const CANCEL: Duration = Duration::from_secs(10);
--- a/tests/loopback/restarts.rs
+++ b/tests/loopback/restarts.rs
@@ -55,7 +55,7 @@
 
 /// A controller that ends less than half a second after each of its beginnings. It takes its claim
 /// back at first, since nobody can be sooner; then it leaves it to another, which goes on owning
-/// through all further ends. Without that it claimed each time, and no owner lived for long
+/// through all further ends. Without that it claimed each time, and no leader lived for long
 /// enough to serve anybody.
 #[test]
 fn a_controller_that_keeps_ending_leaves_its_claim_to_another() {
@@ -97,14 +97,14 @@
     assert!(claimed[flaps] <= 2, "it claimed {} times: {claimed:?}", claimed[flaps]);
     assert!(claimed.iter().sum::<usize>() <= 3, "{claimed:?}");
     assert_ne!(cluster.until_led(), flaps);
-    // Each worker is sent on or turned away a few times for each change of owner, not all the time.
+    // Each worker is sent on or turned away a few times for each change of leader, not all the time.
     let turned = elsewhere(&cluster) - turned;
     assert!(turned <= 12 * 8, "{turned} reports were sent on or turned away");
     whole(&cluster);
     cluster.nothing_broken();
 
     // Users are served all the while, by whoever is asked, the one that was just started included:
-    // it knows the machine types, and asks the owner through a new connection.
+    // it knows the machine types, and asks the leader through a new connection.
     let array = job("req-0103", "batch", 4);
     user.until(&[listen[flaps]], Method::Post, "/work", Some(&array), |s, _| s == 201 || s == 200);
     let done = |s: u16, v: &Value| s == 200 && v["bloom"] == "done";
--- a/tests/loopback/settings.rs
+++ b/tests/loopback/settings.rs
@@ -57,14 +57,14 @@
     pub quotas: Option<String>,
     /// The operators' file of elastic jobs, if there are some.
     pub elastic: Option<String>,
-    /// The operators' file of cells, if there are several.
+    /// The operators' file of shards, if there are several.
     pub cells: Option<String>,
     /// The ways between controllers can be cut.
     pub cuttable: bool,
 }
 
 impl Size {
-    /// Of one cell, without limits and files of features.
+    /// Of one shard, without limits and files of features.
     pub fn of(nodes: usize, workers: usize, lease_s: u64) -> Size {
         let lease = Duration::from_secs(lease_s);
         Size {
--- a/tests/loopback/starts_of_ended_sessions.rs
+++ b/tests/loopback/starts_of_ended_sessions.rs
@@ -13,13 +13,13 @@
 use std::time::Duration;
 
 const NODES: usize = 3;
-/// An owner that hears none of three gives way: it has not to be deaf before the workers are heard again.
+/// A leader that hears none of three gives way: it has not to be deaf before the workers are heard again.
 const WORKERS: usize = 2;
 const LEASE_S: u64 = 4;
-/// The same controller goes on as the owner, with all that it remembers.
+/// The same controller goes on as the leader, with all that it remembers.
 const CLAIM: Duration = Duration::from_secs(60);
 const CANCEL: Duration = Duration::from_secs(6);
-/// Commands come long after the session that they are for.
+/// Commands come long after the incarnation that they are for.
 const HELD_UP: Duration = Duration::from_secs(120);
 const WITHIN: Duration = Duration::from_secs(40);
 const TEAM: &str = "blue";
@@ -43,7 +43,7 @@
 }
 
 /// A job takes all of its team's limit, and its starts are held up on their way. It is cancelled, and the controllers
-/// stand still until all workers have begun another session. What was sent to the session before counts no more: the
+/// stand still until all workers have begun another incarnation. What was sent to the incarnation before counts no more: the
 /// team's next job has room.
 #[test]
 fn starts_for_an_incarnation_that_ended_while_all_controllers_stood_still_count_no_more() {
--- a/tests/loopback/starts_of_former_leaders.rs
+++ b/tests/loopback/starts_of_former_leaders.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 const WORKERS: usize = 12;
-/// No session ends within a test: a start that was sent may arrive until then.
+/// No incarnation ends within a test: a start that was sent may arrive until then.
 const LEASE_S: u64 = 60;
 const CLAIM: Duration = Duration::from_secs(2);
 const CANCEL: Duration = Duration::from_secs(12);
--- a/tests/loopback/state_service.rs
+++ b/tests/loopback/state_service.rs
@@ -29,7 +29,7 @@
     pub events: Vec<Value>,
     /// Jobs that ended long ago, by number: too many to be kept here one by one.
     pub ended: u32,
-    /// Changes that were not conditional on a claim, though only an owner may make them.
+    /// Changes that were not conditional on a claim, though only a leader may make them.
     pub unfenced: Vec<String>,
     pub pages: Pages,
     pub faults: Faults,
@@ -103,7 +103,7 @@
         self.leases.values_mut().for_each(|l| l.0 = Instant::now());
     }
 
-    /// Does this transaction make a job another cell's, and is it to wait?
+    /// Does this transaction make a job another shard's, and is it to wait?
     fn holds_move(&mut self, transaction: &Value) -> bool {
         if !self.faults.hold_moves {
             return false;
--- a/tests/loopback/unreachable_machines.rs
+++ b/tests/loopback/unreachable_machines.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 const WORKERS: usize = 8;
-/// Long enough that the leases of machines that fall silent as the leader ends outlive a slow takeover.
+/// Long enough that the leases of machines that fall silent as the leader ends outlive a slow failover.
 const LEASE_S: u64 = 12;
 /// Over half of the lease.
 const SILENT_BEFORE_THE_CHANGE: Duration = Duration::from_millis(6300);
--- a/tests/loopback/users.rs
+++ b/tests/loopback/users.rs
@@ -1,4 +1,4 @@
-//! A user's requests, through the end of the owner.
+//! A user's requests, through the end of the leader.
 
 use crate::cluster::Cluster;
 use crate::http::lock;
@@ -124,7 +124,7 @@
         user.until(&listen, Method::Get, &format!("/work/{id}"), None, cancelled);
     }
 
-    // A service goes on while the owner ends, and the other node takes over.
+    // A service goes on while the leader ends, and the other node takes over.
     user.until(&listen, Method::Get, "/work/req-0007", None, |s, v| s == 200 && v["running"] == 2);
     let leader = lock(&cluster.store).keys.get("own/0").expect("a claim").0["node"].as_str() == Some("n1");
     let (dead, left) = (usize::from(leader), usize::from(!leader));
--- a/tests/loopback/workers.rs
+++ b/tests/loopback/workers.rs
@@ -193,7 +193,7 @@
         self.dropped_seq = report["tally"].as_u64().unwrap_or(0);
     }
 
-    /// When its lease is over, it ends all its tasks and goes on with the next session.
+    /// When its lease is over, it ends all its tasks and goes on with the next incarnation.
     pub fn look_at_lease(&mut self) {
         if self.renewed.elapsed() > self.lease {
             self.tasks.clear();
@@ -333,7 +333,7 @@
                     me.look_at_lease();
                     me.incarnation == incarnation && !me.hangs && !me.deleted
                 };
-                // Answers to an earlier session, and those of an earlier owner, renew nothing.
+                // Answers to an earlier incarnation, and those of an earlier leader, renew nothing.
                 if in_time && obey(&all, w, &reply, &twice) {
                     lock(&all)[w].renewed = sent;
                 }
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -7,7 +7,7 @@
 use lupinspur::election::LeadershipRecord;
 use lupinspur::fleet::machine_groups::{MachineGroupMember, MachineGroupRecord};
 use lupinspur::fleet::{FLEET_KEY, MachineRecord};
-use lupinspur::intern::{Index, TeamIndex};
+use lupinspur::intern::{DenseIndex, TeamIndex};
 use lupinspur::jobs::{self, JobRecord, Jobs, Phase, ProgressRecord, TaskSlot};
 use lupinspur::shard::{FleetRecord, PoolRecord};
 use lupinspur::wire::JobRequest;
@@ -199,7 +199,7 @@
     let ended = JobRecord::ended(&waiting, 5, Phase::Cancelled, 77, 4096);
     let there: frozen::JobRecord = read(&serde_json::to_value(&ended).expect("JSON"));
     assert_eq!((there.phase, there.job.seeds), (frozen::Phase::Cancelled, 16));
-    // An old owner never writes a final record again, so that nothing is lost by the fields
+    // An old leader never writes a final record again, so that nothing is lost by the fields
     // that it drops; and a job that needs others is not submitted while there is one.
 
     let machine_group = MachineGroupRecord {
--- a/tests/responses.rs
+++ b/tests/responses.rs
@@ -31,7 +31,7 @@
 }
 
 /// Guards against a final state that goes back: a submission that is repeated while
-/// the owner cannot be asked is answered by the record, and the record says how it ended.
+/// the leader cannot be asked is answered by the record, and the record says how it ended.
 #[test]
 fn a_repeated_submission_hears_what_the_record_says() {
     let told = |phase| status_of_item(&stored(phase, &[])).map(|t| t.state);
@@ -57,7 +57,7 @@
     assert_eq!(status_from_record(Verb::Cancel, &stored("cancelled", &[])), Lookup::Known(CANCELLED));
 }
 
-/// The owner confirms a cancellation once it is stored, and tells nothing while an end is being stored.
+/// The leader confirms a cancellation once it is stored, and tells nothing while an end is being stored.
 #[test]
 fn the_leader_confirms_a_cancellation_only_once_it_is_stored() {
     let queued = JobView::Visible(JobState::Queued, 0, 0);
@@ -78,7 +78,7 @@
     assert_eq!((answer.status, answer.good_until), (200, Some(LEASE_ENDS)));
 }
 
-/// An old report renews nothing, and one that shows a newer token is sent on to the newer owner.
+/// An old report renews nothing, and one that shows a newer token is sent on to the newer leader.
 #[test]
 fn who_is_not_entitled_to_act_answers_421_or_503() {
     let elsewhere = || Some("n1".to_owned());
@@ -91,7 +91,7 @@
 }
 
 /// What may yet change is told only until the lease ends, to a question as to a repeated submission: a
-/// process that stood still once had "queued" ready for a job that was cancelled through the next owner.
+/// process that stood still once had "queued" ready for a job that was cancelled through the next leader.
 #[test]
 fn what_may_change_is_told_until_the_lease_ends() {
     let until = |word| {
--- a/tests/soak/plan.rs
+++ b/tests/soak/plan.rs
@@ -75,7 +75,7 @@
 /// Leaders end in quick series, or after a calm, in which they write a checkpoint: not in their first five seconds.
 const NEXT_END_AFTER_S: (f64, f64) = (3.0, 7.0);
 const CALM_S: (f64, f64) = (8.0, 10.0);
-/// The checkpoint is written so long before the end, and needs of jobs are read only a while after the takeover.
+/// The checkpoint is written so long before the end, and needs of jobs are read only a while after the failover.
 const CHECKPOINT_BEFORE_S: f64 = 2.0;
 const TAKEN_OVER_AFTER_S: f64 = 1.5;
 const READS_HELD_S: (f64, f64) = (0.5, 2.5);
--- a/tests/soak/play.rs
+++ b/tests/soak/play.rs
@@ -38,7 +38,7 @@
     takeovers: usize,
     /// Messages with commands that were held up, or whose answers were lost.
     held_up: usize,
-    /// Tasks that were started once more after an end that no owner came to know.
+    /// Tasks that were started once more after an end that no leader came to know.
     repeated: usize,
     took: Duration,
     problems: Vec<String>,
--- a/tests/traces/cells.rs
+++ b/tests/traces/cells.rs
@@ -1,14 +1,14 @@
-//! One cell beside others: jobs that go to another, and shares of a limit.
+//! One shard beside others: jobs that go to another, and shares of a limit.
 
 use crate::world::{World, world};
 use lupinspur::jobs::Phase;
 use lupinspur::shard::JobView;
-use lupinspur_cells::ShardId;
-use lupinspur_cells::escrow::{Amount, Ledger, QuotaTransfer};
+use lupinspur_sharding::ShardId;
+use lupinspur_sharding::escrow::{Amount, Ledger, QuotaTransfer};
 
-/// A job on its way to another cell is started by nobody until it is known whose it is: not here
+/// A job on its way to another shard is started by nobody until it is known whose it is: not here
 /// while the write may still be applied, and never again once it is. A user hears nothing that
-/// the other cell could contradict.
+/// the other shard could contradict.
 #[test]
 fn a_job_that_goes_to_another_cell_is_started_by_one() {
     let mut w = world();
@@ -33,7 +33,7 @@
     assert_eq!((held(&mut w, one), held(&mut w, two)), (Some(0), Some(0)));
     assert_eq!(w.shard().job_view("req-1"), Some(JobView::Committing));
     assert!(w.shard().cancel("req-1"), "it is cancelled by whoever has it then");
-    // One is stored as the other cell's, the other write came to nothing.
+    // One is stored as the other shard's, the other write came to nothing.
     w.shard().on_job_moved("req-2", 6.0);
     w.shard().cancel_move("req-1");
     assert_eq!(w.shard().jobs.find("req-2"), None);
@@ -42,7 +42,7 @@
     assert_eq!(held(&mut w, one), Some(1), "its cancellation is asked again, and finds it here");
 }
 
-/// A cell starts no more than its part of a team's limit, and nothing where it has none.
+/// A shard starts no more than its part of a team's limit, and nothing where it has none.
 #[test]
 fn a_cell_keeps_to_its_share_of_a_limit() {
     let mut w = world();
--- a/tests/traces/events/jobs.rs
+++ b/tests/traces/events/jobs.rs
@@ -24,7 +24,7 @@
                 };
                 self.say(&format!("{first}: {text}"));
             }
-            // Another node accepts a job; the owner does not hear of it yet.
+            // Another node accepts a job; the leader does not hear of it yet.
             "accepted" => _ = self.accept(first, args, now),
             // The watch brings it.
             "heard-of" => {
--- a/tests/traces/events/leader.rs
+++ b/tests/traces/events/leader.rs
@@ -1,4 +1,4 @@
-//! Events of the owner itself: takeovers, its time, and whether the state service answers.
+//! Events of the leader itself: failovers, its time, and whether the state service answers.
 
 use crate::words::{argument, number};
 use crate::world::World;
@@ -24,7 +24,7 @@
                 if let Some(what) = what {
                     self.say(&what);
                 }
-                // One that has become another cell's since the checkpoint.
+                // One that has become another shard's since the checkpoint.
                 if let Some(id) = argument(args, "gone") {
                     loaded.jobs.retain(|(r, _)| r.job.id != id);
                     loaded.checkpoint.gone.push(id.into());
--- a/tests/traces/events/stored.rs
+++ b/tests/traces/events/stored.rs
@@ -25,7 +25,7 @@
                 self.revision += 1;
                 self.store.insert(format!("mach/{first}"), (value, self.revision));
             }
-            // A rack of one machine, as an owner of the version in production leaves it.
+            // A machine group of one machine, as a leader of the version in production leaves it.
             "old-rack" => {
                 let jobs: Vec<&str> = argument(args, "jobs").map_or(Vec::new(), |j| j.split(',').collect());
                 let places: Vec<usize> = (0..jobs.len()).collect();
@@ -34,12 +34,12 @@
                 self.revision += 1;
                 self.store.insert(first.to_owned(), (value, self.revision));
             }
-            // Something under a rack's key that no version wrote.
+            // Something under a machine group's key that no version wrote.
             "unreadable" => {
                 self.revision += 1;
                 self.store.insert(first.to_owned(), (json!({"what": 1}), self.revision));
             }
-            // An owner of the version in production ends a job, and knows of no checkpoint.
+            // A leader of the version in production ends a job, and knows of no checkpoint.
             "old-end" => {
                 let (mut value, _) = self.store[&job_key(first)].clone();
                 value["phase"] = json!("done");
--- a/tests/traces/words.rs
+++ b/tests/traces/words.rs
@@ -36,7 +36,7 @@
     format!("{op} {}@{}{grace}", c.task, attempt_text(c.attempt))
 }
 
-/// Each machine of a stored rack, with the jobs that it may hold.
+/// Each machine of a stored machine group, with the jobs that it may hold.
 pub fn rack_text(value: &Value) -> String {
     let r: MachineGroupRecord = serde_json::from_value(value.clone()).expect("a rack");
     let machine = |m: &MachineGroupMember| {
--- a/tests/unanswered.rs
+++ b/tests/unanswered.rs
@@ -90,7 +90,7 @@
     }));
 }
 
-/// permission-when-sent: guards against commands of an owner whose right has lapsed while it opened the connection.
+/// permission-when-sent: guards against commands of a leader whose right has lapsed while it opened the connection.
 #[test]
 fn a_command_that_may_not_be_sent_any_more_is_withheld() {
     let executor = Executor::new();
