--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -54,7 +54,7 @@
 
     /// Asks the leader; where it does not answer, the stored record.
     async fn look_up_at_leader(&self, leader: &str, shard: &ShardRuntime, verb: Verb, id: &str) -> Lookup {
-        if let Some(status) = self.known_end(id) {
+        if let Some(status) = self.final_status(id) {
             return Lookup::Known(status);
         }
         let timeout = (verb == Verb::Cancel).then_some(FORWARDED_CANCEL_TIMEOUT);
@@ -68,7 +68,7 @@
         match (answer.outcome(), JobState::parse(&answer.state)) {
             (Outcome::Known, Some(state)) => {
                 let status = JobStatus { state, done: answer.done, running: answer.running };
-                self.note_end(id, status);
+                self.remember_final_status(id, status);
                 Lookup::Known(status)
             }
             (Outcome::Unknown, _) => Lookup::Absent,
@@ -89,7 +89,7 @@
     }
 
     async fn stored_job(&self, verb: Verb, id: &str) -> StoredJob {
-        if let Some(status) = self.known_end(id) {
+        if let Some(status) = self.final_status(id) {
             return StoredJob::Final(status);
         }
         let item = match self.state.get(&job_key(id), request_priority(verb)).await {
@@ -99,7 +99,7 @@
         };
         match status_of_item(&item) {
             Some(status) if status.is_final() => {
-                self.note_end(id, status);
+                self.remember_final_status(id, status);
                 StoredJob::Final(status)
             }
             _ => StoredJob::NotFinal(item),
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -87,7 +87,7 @@
             .and_then(|shard| shard.with_shard(received_at, class_and_team).flatten());
         let (class, team) = known.unwrap_or_else(|| (UNKNOWN.to_owned(), UNKNOWN.to_owned()));
         let served = lookup != Lookup::Unavailable;
-        self.note_answer(&class, &team, Reading::Cancelled, served, received_at);
+        self.record_response(&class, &team, Reading::Cancelled, served, received_at);
     }
 
     /// The end of this controller's lease if it leads this job's shard, in seconds of the steady clock.
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -70,7 +70,7 @@
         // A job that can never run was answered correctly, and demands nothing of the cluster.
         if answer.status != 422 {
             let served = matches!(answer.status, 200 | 201);
-            self.note_answer(&class, &team, Reading::Accepted, served, received_at);
+            self.record_response(&class, &team, Reading::Accepted, served, received_at);
         }
         answer
     }
@@ -94,7 +94,7 @@
             let lookup = shard.look_up_as_leader(Verb::Show, id).await;
             return Some(resubmission_answer(id, lookup, shard.lease_valid_until()));
         }
-        self.known_end(id).map(|status| job_answer(200, id, status, false))
+        self.final_status(id).map(|status| job_answer(200, id, status, false))
     }
 
     /// Checks whether the job can ever run, and makes the record of its acceptance.
@@ -165,7 +165,7 @@
         version: u64,
     ) -> Outgoing {
         let now = clock::now();
-        self.note_job_shard(acceptance.id(), acceptance.shard_id());
+        self.remember_job_shard(acceptance.id(), acceptance.shard_id());
         let add_job = |state: &mut Shard| {
             let is_same_leader = Some(state.token) == token;
             is_same_leader.then(|| state.add_job(acceptance.record.clone(), version, now)).flatten()
@@ -215,7 +215,7 @@
             Ok(None) => Dependency::Invalid("no such job was accepted"),
             Ok(Some(item)) => match serde_json::from_value::<JobRecord>(item.value) {
                 Ok(record) => {
-                    self.note_accepted(dependency, record.job.kind);
+                    self.remember_accepted(dependency, record.job.kind);
                     dependency_of_kind(record.job.kind)
                 }
                 Err(_) => Dependency::Undecided,
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -58,13 +58,13 @@
             http: Client::new(3, 3),
             rate_limiter: Mutex::new(RateLimiter::new(1.0, 1.0)),
         };
-        client.set_share(settings, 0, 1);
+        client.set_rate_share(settings, 0, 1);
         client
     }
 
     /// Leaders make nearly all calls, each by its part of the shards (`led` of `shards`); followers only read the machine
     /// types.
-    pub fn set_share(&self, settings: &Settings, led: usize, shards: usize) {
+    pub fn set_rate_share(&self, settings: &Settings, led: usize, shards: usize) {
         let is_leader = led > 0;
         let rate = if is_leader {
             settings.cloud_rps * LEADERS_FRACTION * led as f64 / shards.max(1) as f64
--- a/src/node/failover/mod.rs
+++ b/src/node/failover/mod.rs
@@ -49,7 +49,7 @@
             loaded.jobs.len(),
             now - began_at
         );
-        self.note_ends(&loaded);
+        self.remember_final_statuses(&loaded);
         let mut shard = self.build_shard(token, loaded, now);
         if let Some(ledger) = limit_shares {
             shard.set_limit_shares(&self.settings.teams, &ledger, self.id);
@@ -63,9 +63,9 @@
         EXECUTOR.spawn(self.clone().watch_jobs(token, revision)).detach();
     }
 
-    fn note_ends(&self, loaded: &LoadedState) {
+    fn remember_final_statuses(&self, loaded: &LoadedState) {
         for (record, _) in loaded.jobs.iter().filter(|(record, _)| record.phase != Phase::Open) {
-            self.note_end(&record.job.id, status_of(record));
+            self.remember_final_status(&record.job.id, status_of(record));
         }
     }
 
--- a/src/node/failover/stored_state.rs
+++ b/src/node/failover/stored_state.rs
@@ -96,8 +96,8 @@
         let machine_groups = self.list_own(MACHINE_GROUP_PREFIX).await?;
         let fleet = self.read_fleet().await?;
         let merged = self.read_merged().await?;
-        let limit_shares = self.read_shares().await?;
-        let transferred_away = self.read_away().await?;
+        let limit_shares = self.read_limit_shares().await?;
+        let transferred_away = self.read_transferred_machines().await?;
         let quotas = self.read_quotas().await?;
         if self.shards().len() > 1 && !self.absorbs_all_shards() {
             // What is known of other shards' jobs is theirs to tidy up.
--- a/src/node/leadership/lease.rs
+++ b/src/node/leadership/lease.rs
@@ -38,7 +38,7 @@
     async fn renew_lease(&self, lease: u64, sent_at: f64) {
         match self.state.renew(lease, RENEWAL_TIMEOUT).await {
             Ok(()) => {
-                self.state_answered();
+                self.record_state_response();
                 let mut election = lock(&self.election);
                 if election.lease() == Some(lease) {
                     election.lease_renewed(lease, sent_at);
--- a/src/node/leadership/machine_types.rs
+++ b/src/node/leadership/machine_types.rs
@@ -29,7 +29,7 @@
         let types = self.machine_types();
         let stored = lock(&self.types_stored).clone();
         let known = stored.as_ref().is_some_and(|stored| without_prices(&stored.types) == without_prices(&types));
-        if known || !self.types_asked.load(Ordering::Relaxed) {
+        if known || !self.types_from_cloud.load(Ordering::Relaxed) {
             return;
         }
         let Ok(value) = serde_json::to_value(&*types) else { return };
--- a/src/node/leadership/watch.rs
+++ b/src/node/leadership/watch.rs
@@ -30,7 +30,7 @@
 impl ShardRuntime {
     pub(in crate::node) async fn read_leadership_record(&self) {
         if let Ok(item) = self.state.get(&self.leadership_key, RequestPriority::Urgent).await {
-            self.state_answered();
+            self.record_state_response();
             self.observe_record(item);
         }
     }
@@ -71,7 +71,7 @@
     async fn list_leadership_keys(self: &Arc<Self>) -> Option<u64> {
         match self.state.list(LEADERSHIP_PREFIX, RequestPriority::Urgent).await {
             Ok((items, revision)) => {
-                self.state_answered();
+                self.record_state_response();
                 self.observe_leadership_list(items, revision);
                 // A record of its own earlier process, or none: there is nothing to wait for.
                 self.campaign_for_all().await;
@@ -109,7 +109,7 @@
     async fn watch_leadership_keys(self: &Arc<Self>, revision: u64) -> Option<u64> {
         match self.state.watch(LEADERSHIP_PREFIX, revision, WATCH_TIMEOUT).await {
             Ok(reply) => {
-                self.state_answered();
+                self.record_state_response();
                 reply.events.into_iter().for_each(|event| self.observe_leadership_event(event));
                 self.campaign_for_all().await;
                 Some(reply.revision.max(revision))
--- a/src/node/loops/cloud.rs
+++ b/src/node/loops/cloud.rs
@@ -134,7 +134,7 @@
 
     /// Returns the pause before the types are asked for again.
     fn on_machine_types(&self, types: Vec<MachineType>) -> f64 {
-        self.types_asked.store(true, Ordering::Relaxed);
+        self.types_from_cloud.store(true, Ordering::Relaxed);
         let now = clock::now();
         let mut leading = false;
         for runtime in self.shards().iter() {
--- a/src/node/loops/pushes.rs
+++ b/src/node/loops/pushes.rs
@@ -20,7 +20,7 @@
         let (done_sender, done_receiver) = async_channel::bounded::<()>(max_concurrent);
         let mut running = 0;
         while self.is_open() {
-            Self::wait_for_wake(&self.wakes.direct.1).await;
+            Self::wait_for_wake(&self.wakes.pushes.1).await;
             while done_receiver.try_recv().is_ok() {
                 running -= 1;
             }
@@ -37,7 +37,7 @@
         self.push(request).await;
         let _ = done.send(()).await;
         self.wake();
-        let _ = self.wakes.direct.0.try_send(());
+        let _ = self.wakes.pushes.0.try_send(());
     }
 
     async fn push(&self, request: PushRequest) {
--- a/src/node/loops/tick.rs
+++ b/src/node/loops/tick.rs
@@ -80,7 +80,7 @@
         while self.is_open() {
             // What heartbeats and submissions bring is placed together, a little later.
             Timer::after(GATHER_PAUSE).await;
-            Self::wait_for_wake(&self.wakes.pace.1).await;
+            Self::wait_for_wake(&self.wakes.ticks.1).await;
             let now = clock::now();
             let partitioned = self.with_shard(now, |shard| self.tick_shard(shard, &mut history, now));
             match partitioned {
--- a/src/node/loops/writes.rs
+++ b/src/node/loops/writes.rs
@@ -143,9 +143,9 @@
         }
         // These are told from here on without the state service, when the shard has given them back.
         for (id, state, done) in ended {
-            self.note_end(&id, JobStatus { state, done, running: 0 });
+            self.remember_final_status(&id, JobStatus { state, done, running: 0 });
         }
-        let _ = self.wakes.direct.0.try_send(());
+        let _ = self.wakes.pushes.0.try_send(());
         // What waited for a job that is stored as done may start.
         self.wake();
     }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -76,8 +76,8 @@
 /// What wakes the loops of a shard before their interval is over.
 struct Wakes {
     writer: (Sender<()>, Receiver<()>),
-    direct: (Sender<()>, Receiver<()>),
-    pace: (Sender<()>, Receiver<()>),
+    pushes: (Sender<()>, Receiver<()>),
+    ticks: (Sender<()>, Receiver<()>),
     /// A failover is complete, and the records of dependencies are to be read.
     dependencies: (Sender<()>, Receiver<()>),
 }
@@ -107,17 +107,17 @@
     shard_by_job: Mutex<LruCache<String, ShardId>>,
     shard_by_machine: Mutex<LruCache<String, ShardId>>,
     machine_types: Mutex<Arc<Vec<MachineType>>>,
-    known_ends: Mutex<LruCache<String, JobStatus>>,
+    final_statuses: Mutex<LruCache<String, JobStatus>>,
     /// Jobs that this node has seen to be accepted: they stay so.
     accepted_jobs: Mutex<LruCache<String, Kind>>,
     /// What users were answered at this controller's ingress, by class and team.
     ingress: Mutex<ServiceLevelTracker>,
-    state_answered_at: Mutex<f64>,
+    state_responded_at: Mutex<f64>,
     health: Mutex<Health>,
     /// The machine types as the state service has them.
     types_stored: Mutex<Option<StoredTypes>>,
     /// Whether the cloud itself gave the types.
-    types_asked: AtomicBool,
+    types_from_cloud: AtomicBool,
     /// Heartbeats that were redirected to the leader, and those that could not be answered at all.
     heartbeats_redirected: AtomicU64,
     heartbeats_rejected: AtomicU64,
@@ -167,13 +167,13 @@
             shard_by_job: Mutex::new(LruCache::new(CACHED_JOBS)),
             shard_by_machine: Mutex::new(LruCache::new(CACHED_JOBS)),
             machine_types: Mutex::default(),
-            known_ends: Mutex::new(LruCache::new(CACHED_JOBS)),
+            final_statuses: Mutex::new(LruCache::new(CACHED_JOBS)),
             accepted_jobs: Mutex::new(LruCache::new(CACHED_JOBS)),
             ingress: Mutex::new(ServiceLevelTracker::new(settings.terms.clone())),
-            state_answered_at: Mutex::new(-100.0),
+            state_responded_at: Mutex::new(-100.0),
             health: Mutex::default(),
             types_stored: Mutex::default(),
-            types_asked: AtomicBool::new(false),
+            types_from_cloud: AtomicBool::new(false),
             heartbeats_redirected: AtomicU64::new(0),
             heartbeats_rejected: AtomicU64::new(0),
             settings,
@@ -217,8 +217,8 @@
     fn update_rate_shares(&self) {
         let shards = if self.is_merging() { 1 } else { self.shards().len() };
         let led = self.shards_led();
-        self.state.set_share(&self.settings, led, shards);
-        self.cloud.set_share(&self.settings, led, shards);
+        self.state.set_rate_share(&self.settings, led, shards);
+        self.cloud.set_rate_share(&self.settings, led, shards);
     }
 
     /// What users were answered at this controller's ingress.
@@ -235,20 +235,20 @@
     pub fn healthy(&self) -> bool {
         let now = clock::now();
         let (knows_types, leads) = (!lock(&self.machine_types).is_empty(), self.leads_any_shard(now));
-        let answered = *lock(&self.state_answered_at);
+        let answered = *lock(&self.state_responded_at);
         lock(&self.health).says(knows_types, leads, answered, now)
     }
 
     /// The status of a job that is over. Final states never change: any node may answer with them once it has
     /// learnt them.
-    pub fn known_end(&self, id: &str) -> Option<JobStatus> {
-        lock(&self.known_ends).get(id).copied()
+    pub fn final_status(&self, id: &str) -> Option<JobStatus> {
+        lock(&self.final_statuses).get(id).copied()
     }
 
     /// Remembers a status if it is final.
-    pub fn note_end(&self, id: &str, status: JobStatus) {
+    pub fn remember_final_status(&self, id: &str, status: JobStatus) {
         if status.is_final() {
-            lock(&self.known_ends).put(id.to_owned(), status);
+            lock(&self.final_statuses).put(id.to_owned(), status);
         }
     }
 
@@ -258,19 +258,19 @@
     }
 
     /// Remembers that this job is accepted.
-    pub fn note_accepted(&self, id: &str, kind: Kind) {
+    pub fn remember_accepted(&self, id: &str, kind: Kind) {
         lock(&self.accepted_jobs).put(id.to_owned(), kind);
     }
 
     /// Counts the answer to a user who waited for it from `began_at` on.
-    pub fn note_answer(&self, class: &str, team: &str, reading: Reading, served: bool, began_at: f64) {
+    pub fn record_response(&self, class: &str, team: &str, reading: Reading, served: bool, began_at: f64) {
         let now = clock::now();
         let in_time = reading != Reading::Accepted || now - began_at <= ACCEPTANCE_OBJECTIVE_S;
         lock(&self.ingress).answered(class, team, reading, served && in_time, now);
     }
 
-    fn state_answered(&self) {
-        *lock(&self.state_answered_at) = clock::now();
+    fn record_state_response(&self) {
+        *lock(&self.state_responded_at) = clock::now();
     }
 
     /// Something may be there to place, in some shard that is led here.
--- a/src/node/routing.rs
+++ b/src/node/routing.rs
@@ -42,7 +42,7 @@
     /// The home of a team's new jobs; none where there is only one shard.
     pub fn home_shard(&self, team: &str) -> Option<ShardId> {
         let plan = lock(&self.active_plan).clone()?;
-        Some(self.home_by(&plan, team))
+        Some(self.home_shard_in_plan(&plan, team))
     }
 
     /// A shard led here that knows this job.
@@ -54,7 +54,7 @@
     }
 
     /// Remembers in which shard this job was found.
-    pub fn note_job_shard(&self, id: &str, shard_id: ShardId) {
+    pub fn remember_job_shard(&self, id: &str, shard_id: ShardId) {
         lock(&self.shard_by_job).put(id.to_owned(), shard_id);
     }
 
@@ -70,7 +70,7 @@
         if let Some(runtime) = self.only_shard() {
             return JobLocation::In(runtime);
         }
-        if let Some(status) = self.known_end(id) {
+        if let Some(status) = self.final_status(id) {
             return JobLocation::Answered(Lookup::Known(status));
         }
         if let Some(runtime) = self.shard_knowing_job(id, clock::now()) {
@@ -85,7 +85,7 @@
             if let Some(answer) = self.peers.ask_expects(&node, question).await.filter(|answer| answer.known)
                 && let Some(runtime) = self.shard(ShardId(answer.cell))
             {
-                self.note_job_shard(id, runtime.id);
+                self.remember_job_shard(id, runtime.id);
                 return JobLocation::In(runtime);
             }
         }
@@ -94,12 +94,12 @@
             Ok(Some(item)) => match parse_job_record(&item.key, &item.value) {
                 Ok(record) if record.phase == Phase::Open => {
                     let shard_id = self.shard_of_record(&record);
-                    self.note_job_shard(id, shard_id);
+                    self.remember_job_shard(id, shard_id);
                     self.shard(shard_id).map_or(JobLocation::Answered(Lookup::Unavailable), JobLocation::In)
                 }
                 Ok(record) => {
                     let status = status_of(&record);
-                    self.note_end(id, status);
+                    self.remember_final_status(id, status);
                     JobLocation::Answered(Lookup::Known(status))
                 }
                 Err(_) => JobLocation::Answered(Lookup::Unavailable),
@@ -168,14 +168,14 @@
     }
 
     /// The same for a machine, which may be on its way from shard to shard.
-    pub fn machine_known_by(&self, machine: &str) -> (Option<ShardId>, Vec<u32>) {
-        let (known, looked) = self.known_by(|shard| shard.machines.find(machine).is_some());
+    pub fn find_machine_shard(&self, machine: &str) -> (Option<ShardId>, Vec<u32>) {
+        let (known, looked) = self.find_led_shard(|shard| shard.machines.find(machine).is_some());
         (self.transfer_destination(machine).or(known), looked)
     }
 
     /// What another controller asks: which shard that is led here knows something, and which
     /// were looked through.
-    pub fn known_by(&self, knows: impl Fn(&mut Shard) -> bool) -> (Option<ShardId>, Vec<u32>) {
+    pub fn find_led_shard(&self, knows: impl Fn(&mut Shard) -> bool) -> (Option<ShardId>, Vec<u32>) {
         let (now, runtimes) = (clock::now(), self.shards());
         let looked: Vec<(ShardId, bool)> =
             runtimes.iter().filter_map(|runtime| Some((runtime.id, runtime.with_shard(now, &knows)?))).collect();
--- a/src/node/shard_exchange/activation.rs
+++ b/src/node/shard_exchange/activation.rs
@@ -92,7 +92,7 @@
             // was conditional on would have to change first.
             outcome => {
                 log::info!("sharding plan not activated token={token} reason=\"{outcome:?}\"");
-                runtime.lead_on_alone().await;
+                runtime.resume_as_single_shard().await;
             }
         }
     }
@@ -168,7 +168,7 @@
     }
 
     /// No plan was stored: the one shard has the whole limits again.
-    async fn lead_on_alone(&self) {
+    async fn resume_as_single_shard(&self) {
         lock(&self.election).suspend(false);
         self.read_leadership_record().await;
         let whole = Ledger::new(&team_limits_by_name(&self.settings.teams), 1, ShardId(0));
--- a/src/node/shard_exchange/machine_transfers.rs
+++ b/src/node/shard_exchange/machine_transfers.rs
@@ -41,7 +41,7 @@
 
 impl ShardRuntime {
     /// Machines that went to other shards, whatever this shard's own records still say.
-    pub(in crate::node) async fn read_away(&self) -> Result<BTreeSet<String>, StateError> {
+    pub(in crate::node) async fn read_transferred_machines(&self) -> Result<BTreeSet<String>, StateError> {
         if lock(&self.active_plan).is_none() {
             return Ok(BTreeSet::new());
         }
@@ -135,7 +135,7 @@
         let changes = vec![Mutation::Put { key: key.to_owned(), value, lease: None }];
         let stored = self.commit_until_settled(token, conditions, changes).await;
         match self.state.get(key, RequestPriority::Normal).await {
-            Ok(Some(item)) => self.observe(item),
+            Ok(Some(item)) => self.observe_exchange_item(item),
             Ok(None) => {}
             Err(_) => return,
         }
--- a/src/node/shard_exchange/mod.rs
+++ b/src/node/shard_exchange/mod.rs
@@ -82,7 +82,7 @@
             };
             match heard {
                 Ok((items, revision)) => {
-                    items.into_iter().for_each(|item| self.observe(item));
+                    items.into_iter().for_each(|item| self.observe_exchange_item(item));
                     from = Some(revision);
                     Timer::after(WATCH_BATCH_PAUSE * 4).await;
                 }
@@ -94,7 +94,7 @@
         }
     }
 
-    pub(super) fn observe(&self, item: KeyValue) {
+    pub(super) fn observe_exchange_item(&self, item: KeyValue) {
         if item.key == LEDGER_KEY {
             if let Ok(ledger) = serde_json::from_value::<Ledger>(item.value) {
                 self.observe_ledger(ledger, item.version);
@@ -150,7 +150,7 @@
                 if self.wants_single_shard() && self.id.0 == 0 {
                     self.begin_merging(token, &plan).await;
                 }
-                self.give_quota(token, &plan, &own_load).await;
+                self.transfer_spare_quota(token, &plan, &own_load).await;
                 self.spill_over(token, &plan, &own_load).await;
                 if self.id.0 == 0 {
                     self.rebalance(token, &plan, &own_load).await;
--- a/src/node/shard_exchange/quota_shares.rs
+++ b/src/node/shard_exchange/quota_shares.rs
@@ -37,7 +37,7 @@
 
 impl ShardRuntime {
     /// The shares that this shard begins with. Nothing is begun before they are known.
-    pub(in crate::node) async fn read_shares(&self) -> Result<Option<Ledger>, StateError> {
+    pub(in crate::node) async fn read_limit_shares(&self) -> Result<Option<Ledger>, StateError> {
         if lock(&self.active_plan).is_none() || self.absorbs_all_shards() {
             return Ok(None);
         }
@@ -53,7 +53,7 @@
         }
     }
 
-    pub(super) async fn give_quota(&self, token: u64, plan: &ShardingPlan, own_load: &LoadSnapshot) {
+    pub(super) async fn transfer_spare_quota(&self, token: u64, plan: &ShardingPlan, own_load: &LoadSnapshot) {
         let Some((ledger, version)) = lock(&self.shard_exchange).ledger.clone() else { return };
         let snapshots = self.fresh_load_snapshots(plan, own_load.at_ms);
         let mut all: Vec<QuotaTransfer> = Vec::new();
@@ -64,16 +64,16 @@
                 Some(snapshot.teams.get(team).copied().unwrap_or_default())
             };
             let uses: Vec<Option<QuotaUse>> = (0..plan.cells).map(use_of).collect();
-            all.extend(quota_transfers(self.id, team, &ledger, &uses, self.home_by(plan, team)));
+            all.extend(quota_transfers(self.id, team, &ledger, &uses, self.home_shard_in_plan(plan, team)));
         }
         if !all.is_empty() {
-            self.part_with(token, (ledger, version), all, Vec::new(), Vec::new()).await;
+            self.store_quota_transfers(token, (ledger, version), all, Vec::new(), Vec::new()).await;
         }
     }
 
     /// Stores gifts, and what goes with them, in one write. What is given is not counted on from
     /// before the write is sent until it is known what became of it.
-    pub(super) async fn part_with(
+    pub(super) async fn store_quota_transfers(
         &self,
         token: u64,
         (ledger, version): (Ledger, u64),
--- a/src/node/shard_exchange/rebalance.rs
+++ b/src/node/shard_exchange/rebalance.rs
@@ -11,7 +11,7 @@
 
 impl Node {
     /// A team's home, by the leader's word or else by the plan's.
-    pub(in crate::node) fn home_by(&self, plan: &ShardingPlan, team: &str) -> ShardId {
+    pub(in crate::node) fn home_shard_in_plan(&self, plan: &ShardingPlan, team: &str) -> ShardId {
         match &lock(&self.shard_exchange).orders {
             Some((orders, _)) => orders.home(plan, team),
             None => plan.home(team),
@@ -30,7 +30,7 @@
             Some(known) => known,
             None => match self.state.get(ORDERS_KEY, RequestPriority::Normal).await {
                 Ok(None) => (RebalancePlan::default(), 0),
-                Ok(Some(item)) => return self.observe(item),
+                Ok(Some(item)) => return self.observe_exchange_item(item),
                 Err(_) => return,
             },
         };
@@ -59,7 +59,7 @@
         if let Ok(CompareAndSwap::Applied(version)) =
             self.state.commit(conditions, changes, RequestPriority::Normal).await
         {
-            self.observe(KeyValue { key: ORDERS_KEY.into(), value, version, lease: None });
+            self.observe_exchange_item(KeyValue { key: ORDERS_KEY.into(), value, version, lease: None });
         }
     }
 }
--- a/src/node/shard_exchange/spill.rs
+++ b/src/node/shard_exchange/spill.rs
@@ -19,7 +19,7 @@
     /// Is this job another shard's, as its record tells? Asked until there is an answer: one that stays
     /// here, set aside for the other shard, would be started by nobody. None where leadership is lost, or
     /// the record can't be read.
-    async fn is_elsewhere(&self, token: u64, key: &str) -> Option<bool> {
+    async fn belongs_to_another_shard(&self, token: u64, key: &str) -> Option<bool> {
         while lock(&self.election).token() == Some(token) {
             match self.state.get(key, RequestPriority::Normal).await {
                 Ok(item) => {
@@ -68,16 +68,16 @@
                 .collect();
             let conditions = vec![Compare { key: key.clone(), version: record_version }];
             let changes = vec![Mutation::Put { key: key.clone(), value, lease: None }];
-            let stored = self.part_with(token, (ledger, version), given, conditions, changes).await;
+            let stored = self.store_quota_transfers(token, (ledger, version), given, conditions, changes).await;
             // Its own record has the last word on whose it is.
             let moved = match stored {
-                SettledWrite::Stored | SettledWrite::Unknown => self.is_elsewhere(token, &key).await,
+                SettledWrite::Stored | SettledWrite::Unknown => self.belongs_to_another_shard(token, &key).await,
                 SettledWrite::NotStored => Some(false),
             };
             match moved {
                 Some(true) => {
                     log::info!("job moved job={id} from={} to={} token={token}", self.id.0, to.0);
-                    self.note_job_shard(&id, to);
+                    self.remember_job_shard(&id, to);
                     self.with_shard(clock::now(), |shard| shard.on_job_moved(&id, clock::now()));
                 }
                 Some(false) => _ = self.with_shard(clock::now(), |shard| shard.cancel_move(&id)),
--- a/src/node/shard_runtime.rs
+++ b/src/node/shard_runtime.rs
@@ -68,8 +68,8 @@
             shard: Mutex::new(None),
             wakes: Wakes {
                 writer: async_channel::bounded(1),
-                direct: async_channel::bounded(1),
-                pace: async_channel::bounded(1),
+                pushes: async_channel::bounded(1),
+                ticks: async_channel::bounded(1),
                 dependencies: async_channel::bounded(1),
             },
             campaign_in_progress: AtomicBool::new(false),
@@ -119,12 +119,12 @@
 
     /// Something may be there to place: the next tick comes soon.
     pub fn wake(&self) {
-        let _ = self.wakes.pace.0.try_send(());
+        let _ = self.wakes.ticks.0.try_send(());
     }
 
     pub(super) fn wake_writers(&self) {
         let _ = self.wakes.writer.0.try_send(());
-        let _ = self.wakes.direct.0.try_send(());
+        let _ = self.wakes.pushes.0.try_send(());
     }
 
     /// A stored job that the shard did not know of yet. `token`: of the shard for which it was read. A later
@@ -147,7 +147,7 @@
     /// state service for longer than a lease lasts does not know who leads: sent on to a leader that is
     /// gone, a worker waits for 4 s and more, and may be sent back here.
     pub fn redirect_target(&self, now: f64) -> Option<String> {
-        let known = now - *lock(&self.state_answered_at) < self.tuning.leader_lease_s + WATCH_TIMEOUT.as_secs_f64();
+        let known = now - *lock(&self.state_responded_at) < self.tuning.leader_lease_s + WATCH_TIMEOUT.as_secs_f64();
         match self.leadership_status(now) {
             LeadershipStatus::Following(node) if known => {
                 self.heartbeats_redirected.fetch_add(1, Ordering::Relaxed);
--- a/src/peer_server.rs
+++ b/src/peer_server.rs
@@ -55,8 +55,8 @@
     async fn expects(&self, request: Request<MachineQuestion>) -> Result<Response<MachineAnswer>, Status> {
         let question = request.into_inner();
         let (shard, owned) = match question.job.as_str() {
-            "" => self.0.machine_known_by(&question.machine),
-            job => self.0.known_by(|state| state.jobs.find(job).is_some()),
+            "" => self.0.find_machine_shard(&question.machine),
+            job => self.0.find_led_shard(|state| state.jobs.find(job).is_some()),
         };
         let number = shard.unwrap_or_default().0;
         Ok(Response::new(MachineAnswer { known: shard.is_some(), cell: number, owned }))
--- a/src/state/requests.rs
+++ b/src/state/requests.rs
@@ -17,7 +17,7 @@
     /// The leader writes most; the others only accept jobs. Together the shares are
     /// more than the whole, since bursts seldom meet: the service's own 429 is the
     /// last word, and whoever gets one pauses. `owned` of so many shards are this controller's.
-    pub fn set_share(&self, settings: &Settings, owned: usize, of: usize) {
+    pub fn set_rate_share(&self, settings: &Settings, owned: usize, of: usize) {
         let ours = self.own_rates(settings, owned, of);
         *lock(&self.requests) = RateLimiter::new(ours.requests, ours.requests);
         *lock(&self.writes) = RateLimiter::new(ours.writes, ours.writes);
