--- a/src/node/failover/dependencies.rs
+++ b/src/node/failover/dependencies.rs
@@ -1,5 +1,5 @@
-//! Dependencies that the shard does not know: mostly jobs that ended long ago, whose records are read one by one.
-//! It only reads; whether a dependent job may start is the scheduler's decision.
+//! Looks up dependencies that a shard has no record of, mostly jobs that ended long ago, by reading their records
+//! one by one. Nothing is written here; the scheduler decides whether a dependent job may start.
 
 use crate::clock;
 use crate::jobs::job_key;
@@ -11,18 +11,19 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// What a shard wants to know of other jobs, and the token of the shard.
+/// The jobs whose state a shard needs for their dependents, and the shard's fencing token.
 #[derive(Default)]
 struct UnknownDependencies {
     token: u64,
-    /// Those that a failover has not met, which are read at once.
+    /// Ids of dependencies that the failover did not load; they are read without delay.
     unread: Vec<String>,
+    /// Ids of dependencies that the shard has no record of.
     to_look_up: Vec<String>,
 }
 
 impl ShardRuntime {
-    /// Reads jobs that others depend on and that nobody has told of. Those that a failover has not met are read at
-    /// once: until then no job starts that depends on them.
+    /// Reads the records of dependencies that the shard has not received. Those that a failover did not load are
+    /// read immediately, because no job that depends on them starts before that.
     pub(in crate::node) async fn look_up_dependencies(self: Arc<Self>) {
         let mut looked_up_before: Vec<String> = Vec::new();
         while self.is_open() {
@@ -32,7 +33,7 @@
                 continue;
             }
             let unknown = self.with_shard(clock::now(), unknown_dependencies).unwrap_or_default();
-            // One that is new here may only be late by the watch.
+            // A dependency that was not in the previous round's list may still arrive by the watch.
             let overdue = |id: &&String| looked_up_before.contains(id) && !unknown.unread.contains(id);
             for id in unknown.to_look_up.iter().filter(overdue) {
                 self.read_dependency(unknown.token, id).await;
@@ -41,17 +42,17 @@
         }
     }
 
-    /// Was a failover through within this time?
-    async fn wait_for_failover(&self, time: Duration) -> bool {
+    /// Waits for a failover to complete. Returns false if none does within `timeout`.
+    async fn wait_for_failover(&self, timeout: Duration) -> bool {
         let failover_complete = async { self.wakes.dependencies.1.recv().await.is_ok() };
-        let time_out = async {
-            Timer::after(time).await;
+        let timed_out = async {
+            Timer::after(timeout).await;
             false
         };
-        failover_complete.or(time_out).await
+        failover_complete.or(timed_out).await
     }
 
-    /// Reads what a failover has not met, as long as the state service answers.
+    /// Reads the dependencies that the failover did not load, until none is left or a whole round of reads fails.
     async fn read_unread_dependencies(&self) {
         loop {
             let unread = self.with_shard(clock::now(), |shard| (shard.token, shard.unread_dependencies()));
@@ -66,13 +67,13 @@
         }
     }
 
-    /// Returns whether the shard of this token took the record in.
+    /// Reads the record of one dependency. Returns whether the shard with this token applied it.
     async fn read_dependency(&self, token: u64, id: &str) -> bool {
         let Ok(Some(item)) = self.state.get(&job_key(id), RequestPriority::Normal).await else {
             return false;
         };
         self.apply_job(token, &item);
-        // A later shard reads it itself: this record may be older than its leadership.
+        // A shard that was loaded under a later token reads the record itself: this one may be outdated for it.
         let now = clock::now();
         let read = self.with_shard(now, |shard| (shard.token == token).then(|| shard.on_dependency_read(id, now)));
         read.flatten().is_some()
--- a/src/node/failover/job_watch.rs
+++ b/src/node/failover/job_watch.rs
@@ -1,5 +1,5 @@
-//! The watch of job records: jobs that other nodes accepted reach the leader by it. It ends with the shard of the
-//! token for which it was begun.
+//! Watches the job records, which is how the leader learns of jobs that other nodes accepted. A watch is started
+//! for one fencing token and ends when this node no longer has the shard of that token.
 
 use crate::jobs::{JOB_PREFIX, Phase};
 use crate::node::{ShardRuntime, WATCH_BATCH_PAUSE, lock};
@@ -14,7 +14,7 @@
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 
 impl ShardRuntime {
-    /// Applies every change of a job's record from this revision on.
+    /// Applies every change of a job record after `from_revision`.
     pub(in crate::node) async fn watch_jobs(self: Arc<Self>, token: u64, mut from_revision: u64) {
         while self.has_shard_of(token) {
             match self.state.watch(JOB_PREFIX, from_revision, JOB_WATCH_TIMEOUT).await {
@@ -22,8 +22,8 @@
                     from_revision = reply.revision.max(from_revision);
                     self.apply_job_changes(token, reply);
                     self.on_watch_progress(token, from_revision);
-                    // Every leader watches, and each change ends all their watches: requests are for
-                    // all shards together.
+                    // Every leader watches the same prefix, and each change completes all their watch
+                    // requests. The pause batches changes, because all shards share the request rate.
                     if self.shards().len() > 1 {
                         Timer::after(WATCH_BATCH_PAUSE).await;
                     }
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Reads every record again. What is over and not known here changes nothing.
+    /// Reads every record again, and skips those of jobs that are over: an unknown one of these changes nothing.
+    /// Returns the revision of the list.
     async fn reread_jobs(&self, token: u64) -> Result<u64, StateError> {
         let apply = |item: KeyValue| {
             if parse_job_record(&item.key, &item.value).map_or(true, |record| record.phase == Phase::Open) {
--- a/src/node/failover/mod.rs
+++ b/src/node/failover/mod.rs
@@ -1,5 +1,5 @@
-//! A failover: a new leader reads the state of its shard, and acts on it only if it still holds the token for
-//! which it read. Nothing is written here.
+//! Failover: a new leader reads the stored state of its shard, and starts leading only if it still holds the
+//! fencing token under which it started reading. Nothing is written here.
 
 mod dependencies;
 mod job_watch;
@@ -16,7 +16,7 @@
 use stored_state::StoredState;
 
 impl ShardRuntime {
-    /// Reads everything that the shard needs to go on, and leads it from then on.
+    /// Reads the stored state of the shard and starts leading it.
     pub(in crate::node) async fn load_state(self: &Arc<Self>, token: u64) {
         let began_at = clock::now();
         self.update_rate_shares();
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Builds the shard of what was read, unless leadership was lost meanwhile.
+    /// Builds the shard from the stored state, unless leadership was lost while it was read.
     fn begin_leading(self: &Arc<Self>, token: u64, mut stored: StoredState, began_at: f64) {
         let revision = stored.revision;
         let limit_shares = stored.limit_shares.take();
@@ -63,6 +63,7 @@
         EXECUTOR.spawn(self.clone().watch_jobs(token, revision)).detach();
     }
 
+    /// Remembers the final statuses of the loaded jobs that are over.
     fn remember_final_statuses(&self, loaded: &LoadedState) {
         for (record, _) in loaded.jobs.iter().filter(|(record, _)| record.phase != Phase::Open) {
             self.remember_final_status(&record.job.id, status_of(record));
--- a/src/node/failover/records.rs
+++ b/src/node/failover/records.rs
@@ -1,5 +1,5 @@
-//! The job records that a new leader needs, of all that the state service has: by the checkpoint and the changes
-//! since, or, where that cannot be used, by every record there is. Reads only.
+//! Reads the job records that a new leader needs: the checkpoint and the changes since it or, if the checkpoint
+//! cannot be used, every stored record. Nothing is written here.
 
 use crate::jobs::{JOB_PREFIX, JobRecord, Phase};
 use crate::node::ShardRuntime;
@@ -11,19 +11,19 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// The records that a new leader needs, and what the leader before left for it.
+/// The job records that a new leader needs, and the checkpoint and measurements that the previous leader stored.
 #[derive(Default)]
 pub(super) struct FailoverRecords {
-    /// Records by the job's id, each with its version.
+    /// Records by job id, each with its version.
     pub(super) jobs: HashMap<String, (JobRecord, u64)>,
     pub(super) checkpoint: LoadedCheckpoint,
-    /// The service-level totals of the leader before, and their place among the stored values of the checkpoint.
+    /// The service-level totals of the previous leader, and their place among the stored values of the checkpoint.
     pub(super) inherited_totals: Option<(InheritedTotals, u8)>,
-    /// Records of jobs that are over, which were dropped.
+    /// The number of records that were dropped because their jobs are over.
     ended: u64,
 }
 
-/// Whether a record of a job that is over is dropped, or kept since it may have ended after the checkpoint.
+/// Whether records of jobs that are over are dropped, or kept because the job may have ended after the checkpoint.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum EndedJobs {
     Drop,
@@ -31,6 +31,7 @@
 }
 
 impl FailoverRecords {
+    /// Adds a record if the shard needs it.
     fn add(
         &mut self,
         runtime: &ShardRuntime,
@@ -41,7 +42,7 @@
     ) {
         let keep_ended = ended_jobs == EndedJobs::Keep;
         match parse_job_record(key, value) {
-            // Another shard's, or another's by now.
+            // The job belongs to another shard, or has moved to one.
             Ok(record) if !runtime.is_relevant(&record) => {
                 self.jobs.remove(&record.job.id);
                 if keep_ended {
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The jobs that the checkpoint calls open, and every change since.
+    /// Adds the jobs that are open in the checkpoint and every change since. Returns the revision that this covers.
     fn add_checkpoint(&mut self, runtime: &ShardRuntime, mut checkpoint: Checkpoint, since: WatchReply) -> u64 {
         for open in std::mem::take(&mut checkpoint.open) {
             let key = format!("{JOB_PREFIX}{}", open.id);
@@ -80,7 +81,7 @@
 }
 
 impl ShardRuntime {
-    /// The jobs that are open, and the revision up to which they are known.
+    /// Reads the records of the open jobs. Also returns the revision up to which they are complete.
     pub(super) async fn read_jobs(&self) -> Result<(FailoverRecords, u64), StateError> {
         let mut records = FailoverRecords::default();
         match self.read_checkpoint(&mut records).await? {
@@ -101,7 +102,7 @@
         Ok((records, revision))
     }
 
-    /// The checkpoint as it is stored, if it can be used.
+    /// Reads the stored checkpoint. The inner error says why it cannot be used.
     async fn read_checkpoint(
         &self,
         records: &mut FailoverRecords,
@@ -109,13 +110,13 @@
         let items = self.list_own(lupinspur_recovery::PREFIX).await?;
         records.checkpoint.keys = items.iter().map(|item| (item.key.clone(), item.version)).collect();
         records.inherited_totals = inherited_totals(items.iter().map(|item| (item.key.as_str(), &item.value)));
-        // Before a merging is through, its own checkpoint knows nothing of what the others had.
+        // Until a merge is complete, this shard's own checkpoint does not cover the jobs of the other shards.
         let complete = !self.absorbs_all_shards();
         let usable = items.iter().filter(|_| complete);
         Ok(lupinspur_recovery::read(usable.map(|item| (item.key.as_str(), &item.value))))
     }
 
-    /// Reads every job's record, page by page.
+    /// Reads every stored job record, page by page. Returns the revision of the list.
     async fn read_every_job(&self, records: &mut FailoverRecords) -> Result<u64, StateError> {
         let add = |item: KeyValue| {
             records.add(self, &item.key, &item.value, item.version, EndedJobs::Drop);
--- a/src/node/failover/stored_state.rs
+++ b/src/node/failover/stored_state.rs
@@ -1,4 +1,5 @@
-//! Everything that a failover reads, as it is stored, and how it becomes what the scheduler loads. Reads only.
+//! The stored values that a failover reads, and their conversion to the state that the scheduler loads. Nothing is
+//! written here.
 
 use super::records::FailoverRecords;
 use crate::fleet::machine_groups::MACHINE_GROUP_PREFIX;
@@ -16,25 +17,25 @@
 use std::collections::BTreeSet;
 use std::sync::atomic::Ordering;
 
-/// What a failover has read.
+/// The stored values of a shard that a failover has read.
 pub(super) struct StoredState {
     pub(super) records: FailoverRecords,
-    /// The revision up to which the jobs are known.
+    /// The revision up to which the job records are complete.
     pub(super) revision: u64,
-    /// The shards' shares of teams' limits, where there are several shards.
+    /// The shards' shares of the team limits, if there are several shards.
     pub(super) limit_shares: Option<Ledger>,
     progress: Vec<KeyValue>,
     machines: Vec<KeyValue>,
     machine_groups: Vec<KeyValue>,
     fleet: Option<KeyValue>,
     quotas: Vec<KeyValue>,
-    /// Machines that went to other shards.
+    /// Names of machines that were transferred to other shards.
     transferred_away: BTreeSet<String>,
     merged: MergedState,
 }
 
 impl StoredState {
-    /// Parses what was read. A value that cannot be read is logged and left as it is stored.
+    /// Parses the stored values. A value that cannot be parsed is logged and stays stored unchanged.
     pub(super) fn into_loaded_state(
         self,
         quota_plan: Option<Plan>,
@@ -75,7 +76,8 @@
     key.strip_prefix(MACHINE_GROUP_PREFIX).and_then(|number| number.parse::<usize>().ok())
 }
 
-/// A value that cannot be read is left alone: its number is never used again.
+/// Returns the first group number above all stored ones. Values that cannot be parsed count too: they stay stored,
+/// so their numbers must not be used again.
 fn next_group_number(items: &[KeyValue]) -> usize {
     items.iter().filter_map(|item| group_number(&item.key)).max().map_or(0, |number| number + 1)
 }
@@ -87,7 +89,7 @@
 }
 
 impl ShardRuntime {
-    /// Reads everything that the shard needs, its jobs first.
+    /// Reads all stored state that the shard needs, its jobs first.
     pub(super) async fn read_stored_state(&self, token: u64) -> Result<StoredState, StateError> {
         self.absorbs_all_shards.store(self.other_shards_are_abandoned(token).await?, Ordering::Relaxed);
         let (records, revision) = self.read_jobs().await?;
@@ -100,7 +102,7 @@
         let transferred_away = self.read_transferred_machines().await?;
         let quotas = self.read_quotas().await?;
         if self.shards().len() > 1 && !self.absorbs_all_shards() {
-            // What is known of other shards' jobs is theirs to tidy up.
+            // The progress of other shards' jobs is cleaned up by those shards.
             progress.retain(|item| job_of_progress(&item.key).is_some_and(|id| records.jobs.contains_key(id)));
         }
         Ok(StoredState {
@@ -136,7 +138,7 @@
     }
 }
 
-/// The id in the key of a job's progress.
+/// Returns the job id in the key of a progress record.
 fn job_of_progress(key: &str) -> Option<&str> {
     key.split('/').nth(1)
 }
--- a/src/node/leadership/election.rs
+++ b/src/node/leadership/election.rs
@@ -1,5 +1,5 @@
-//! The election: a campaign writes the leadership record over the version that was seen, and the version of the
-//! record that it wrote is the fencing token. It never writes over a record that it has not seen.
+//! Leader election. A campaign writes the leadership record, conditional on the version that was last observed; the
+//! version of the written record is the fencing token. A campaign never overwrites a record that it has not observed.
 
 use crate::clock;
 use crate::election::{CRASH_LOOP_BACKOFF_S, ElectionStep, backoff_key};
@@ -10,11 +10,11 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// What the state service answers to a request that it does not understand.
+/// The HTTP status with which the state service rejects a malformed request.
 const BAD_REQUEST: u16 = 400;
 
 impl ShardRuntime {
-    /// Campaigns for this shard, unless a campaign is under way.
+    /// Campaigns for this shard, unless a campaign is in progress.
     pub(in crate::node) async fn campaign(self: &Arc<Self>) {
         if self.campaign_in_progress.swap(true, Ordering::Relaxed) {
             return;
@@ -27,7 +27,7 @@
         if !self.may_campaign() {
             return;
         }
-        // Before the lock of the election: it looks at the elections of all shards.
+        // Computed before this election is locked, because it locks the elections of all shards.
         let delay_s = self.campaign_delay_s();
         let mut step = self.next_election_step(delay_s);
         if step == ElectionStep::AcquireLease {
@@ -42,8 +42,8 @@
         if !self.is_open() || self.is_merging() && self.id.0 != 0 {
             return false;
         }
-        // Whoever does not know the machine types cannot act, and must not stand in the
-        // way of those that can.
+        // A controller that does not know the machine types cannot schedule, and must not
+        // keep one that knows them from leading.
         !self.machine_types().is_empty()
     }
 
@@ -63,20 +63,20 @@
     async fn take_election_step(&self, step: ElectionStep) {
         match step {
             ElectionStep::Wait | ElectionStep::AcquireLease => {}
-            ElectionStep::Campaign { lease, over } => match self.send_campaign(lease, over).await {
+            ElectionStep::Campaign { lease, over: version } => match self.send_campaign(lease, version).await {
                 Ok(CompareAndSwap::Applied(version)) => self.on_elected(version),
                 Ok(CompareAndSwap::Conflict(_)) | Err(StateError::Unknown) => self.read_leadership_record().await,
                 Err(StateError::NoSuchLease) => self.on_lease_expired(lease),
                 Err(error) => log::debug!("campaign failed shard={} reason=\"{error}\"", self.id.0),
             },
             ElectionStep::AdoptOwnRecord { version } => self.on_elected(version),
-            ElectionStep::Yield { over } => self.yield_leadership(over).await,
+            ElectionStep::Yield { over: version } => self.yield_leadership(version).await,
         }
     }
 
-    /// Reads the state of the shard for a token for which it has not been read yet. Reading may take longer than
-    /// the lease lasts: it goes on being renewed meanwhile. A reading that had to be over within a lease would
-    /// never be over with a long history.
+    /// Starts reading the shard's state if this node was elected with a token for which it has not been read yet.
+    /// The lease is renewed while the failover runs as a task of its own: reading may take longer than a lease
+    /// lasts, and with a long history it would never finish if it had to finish within one.
     fn begin_failover_if_elected(self: &Arc<Self>) {
         let elected_token = lock(&self.election).token();
         let loaded_token = lock(&self.shard).as_ref().map(|shard| shard.token);
@@ -93,7 +93,7 @@
         self.failover_in_progress.store(false, Ordering::Relaxed);
     }
 
-    /// A leadership record of this node is stored, as the answer or a later reading shows.
+    /// Handles a leadership record of this node that is known to be stored, from the response or a later read.
     fn on_elected(&self, version: u64) {
         if lock(&self.election).elected(version) {
             log::info!("leader elected shard={} token={version}", self.id.0);
@@ -102,17 +102,17 @@
         }
     }
 
-    /// Writes the leadership record over that of this version; 0: over none.
-    async fn send_campaign(&self, lease: u64, over: u64) -> Result<CompareAndSwap, StateError> {
+    /// Writes the leadership record if the stored one has this version; 0 stands for no stored record.
+    async fn send_campaign(&self, lease: u64, expected_version: u64) -> Result<CompareAndSwap, StateError> {
         let record = lock(&self.election).prepare_campaign(lease, clock::wall_ms());
         let value = serde_json::to_value(&record).map_err(|_| StateError::NotExecuted(BAD_REQUEST))?;
-        let condition = Compare { key: self.leadership_key.clone(), version: over };
+        let condition = Compare { key: self.leadership_key.clone(), version: expected_version };
         let mutation = Mutation::Put { key: self.leadership_key.clone(), value, lease: Some(lease) };
         self.state.commit(vec![condition], vec![mutation], RequestPriority::Urgent).await
     }
 
-    /// Writes its own leadership record again: its token is newer than those of all other shards then, and what it
-    /// knew is read again as at any failover.
+    /// Writes this node's leadership record again, so that its token becomes newer than those of all other shards.
+    /// The state of the shard is then read again, as at any failover.
     pub(in crate::node) async fn reacquire_leadership(self: &Arc<Self>, token: u64) {
         if self.campaign_in_progress.swap(true, Ordering::Relaxed) {
             return;
@@ -121,7 +121,7 @@
             match self.send_campaign(lease, token).await {
                 Ok(CompareAndSwap::Applied(version)) => {
                     log::info!("leadership reacquired shard={} token={version} previous={token}", self.id.0);
-                    // Under the old one nothing can be stored any more.
+                    // Nothing can be stored under the previous token any more.
                     lock(&self.shard).take();
                     self.on_elected(version);
                 }
@@ -132,13 +132,14 @@
         self.campaign_in_progress.store(false, Ordering::Relaxed);
     }
 
-    /// The lease, while this token is valid.
+    /// Returns the lease while this token is valid.
     fn valid_lease(&self, token: u64) -> Option<u64> {
         let election = lock(&self.election);
         election.lease().filter(|_| election.valid_token(clock::now()) == Some(token))
     }
 
-    /// Where there are several shards, each controller leaves to others what is not its turn.
+    /// Returns how long this controller waits before it campaigns for this shard. If there are several shards, the
+    /// delay spreads them over the controllers.
     fn campaign_delay_s(&self) -> f64 {
         if self.shards().len() < 2 {
             return 0.0;
@@ -146,16 +147,17 @@
         campaign_delay_s(&self.settings.node, &self.settings.nodes(), self.id, self.shards_led())
     }
 
-    /// Crash-loop backoff: leaves the record of an earlier process of this node to the other controllers, and a key
-    /// for later processes that expires by itself.
-    async fn yield_leadership(&self, over: u64) {
+    /// Crash-loop backoff: deletes the leadership record of an earlier process of this node, so that another
+    /// controller can be elected, and writes a backoff key that later processes of this node read and that expires
+    /// with its lease.
+    async fn yield_leadership(&self, version: u64) {
         let Ok(lease) = self.state.grant((CRASH_LOOP_BACKOFF_S * 1000.0) as u64).await else { return };
         let Ok(value) = serde_json::to_value(lock(&self.election).own_record()) else { return };
-        let condition = Compare { key: self.leadership_key.clone(), version: over };
+        let condition = Compare { key: self.leadership_key.clone(), version };
         let backoff = Mutation::Put { key: backoff_key(&self.settings.node), value, lease: Some(lease) };
         let mutations = vec![Mutation::Delete { key: self.leadership_key.clone() }, backoff];
         match self.state.commit(vec![condition], mutations, RequestPriority::Urgent).await {
-            Ok(CompareAndSwap::Applied(_)) => self.on_leadership_yielded(over),
+            Ok(CompareAndSwap::Applied(_)) => self.on_leadership_yielded(version),
             Ok(CompareAndSwap::Conflict(_)) | Err(StateError::Unknown) => self.read_leadership_record().await,
             Err(error) => log::debug!("leadership not yielded shard={} reason=\"{error}\"", self.id.0),
         }
--- a/src/node/leadership/lease.rs
+++ b/src/node/leadership/lease.rs
@@ -1,5 +1,5 @@
-//! The lease of a leader: renewed well before it ends, and valid from the moment at which the renewal was sent. It
-//! is never renewed here once it is known to have expired.
+//! Renews a leader's lease well before it ends. A renewed lease is valid from the time at which the renewal was sent.
+//! A lease that is known to have expired is never renewed.
 
 use crate::clock;
 use crate::election::LeaderElection;
@@ -9,11 +9,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A lease is renewed so many times while it lasts.
+/// Number of renewals within the duration of a lease.
 const RENEWALS_PER_LEASE: f64 = 5.0;
 const MAX_RENEWAL_INTERVAL_S: f64 = 1.5;
 const RENEWAL_TIMEOUT: Duration = Duration::from_millis(1200);
-/// Whoever does not lead campaigns this often.
+/// Interval at which a controller that does not lead the shard campaigns.
 const CAMPAIGN_INTERVAL: Duration = Duration::from_millis(150);
 
 impl ShardRuntime {
@@ -47,15 +47,16 @@
             Err(StateError::NoSuchLease) => {
                 log::warn!("lease expired shard={} lease={lease}", self.id.0);
                 self.on_lease_expired(lease);
-                // The watch may have told the record's end before the campaign's own answer came, after
-                // a pause: nothing else would show then that nobody holds it.
+                // After a process pause, the watch may have reported the record's deletion before the
+                // response to this node's own campaign arrived. Without this read, nothing would show
+                // that the shard has no leader.
                 self.read_leadership_record().await;
             }
             Err(error) => log::debug!("lease renewal failed shard={} lease={lease} reason=\"{error}\"", self.id.0),
         }
     }
 
-    /// Ends leadership as `update` says, and drops the shard.
+    /// Ends leadership: applies `update` to the election and drops the shard.
     pub(in crate::node) fn leadership_lost(&self, update: impl FnOnce(&mut LeaderElection)) {
         update(&mut lock(&self.election));
         let lost_token = lock(&self.shard).take().map(|shard| shard.token);
--- a/src/node/leadership/machine_types.rs
+++ b/src/node/leadership/machine_types.rs
@@ -1,5 +1,5 @@
-//! The machine types as the state service has them: the leader stores them where every controller reads first.
-//! Only the leader of shard 0 writes them, under its token and over the version that it saw.
+//! The machine types in the state service, stored under a key that every controller reads when it starts. Only the
+//! leader of shard 0 writes them, conditional on its fencing token and on the version that it last observed.
 
 use crate::clock;
 use crate::election::MACHINE_TYPES_KEY;
@@ -10,9 +10,9 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// The types without their prices, which move all the time and are asked for anyway.
+/// Returns the types without their prices, which change often and are requested from the cloud regularly anyway.
 fn without_prices(types: &[MachineType]) -> Vec<MachineType> {
-    types.iter().map(|of| MachineType { price: 0.0, spot_price: 0.0, ..of.clone() }).collect()
+    types.iter().map(|machine_type| MachineType { price: 0.0, spot_price: 0.0, ..machine_type.clone() }).collect()
 }
 
 impl ShardRuntime {
@@ -24,32 +24,32 @@
         }
     }
 
-    /// Stores the types if the cloud itself told them and others are stored.
+    /// Stores the types if they came from the cloud itself and differ from the stored ones in more than prices.
     async fn store_machine_types(&self, token: u64) {
         let types = self.machine_types();
         let stored = lock(&self.types_stored).clone();
-        let known = stored.as_ref().is_some_and(|stored| without_prices(&stored.types) == without_prices(&types));
-        if known || !self.types_from_cloud.load(Ordering::Relaxed) {
+        let up_to_date = stored.as_ref().is_some_and(|stored| without_prices(&stored.types) == without_prices(&types));
+        if up_to_date || !self.types_from_cloud.load(Ordering::Relaxed) {
             return;
         }
         let Ok(value) = serde_json::to_value(&*types) else { return };
         if value.to_string().len() > self.settings.value_bytes() {
             return;
         }
-        // On their own version as well: one that is applied late must not bring back older types.
+        // Also conditional on their own version: a write that is applied late must not restore older types.
         let conditions = vec![
             Compare { key: self.leadership_key.clone(), version: token },
             Compare { key: MACHINE_TYPES_KEY.into(), version: stored.map_or(0, |stored| stored.version) },
         ];
         let mutation = Mutation::Put { key: MACHINE_TYPES_KEY.into(), value, lease: None };
         match self.state.commit(conditions, vec![mutation], RequestPriority::Normal).await {
-            Ok(CompareAndSwap::Applied(version)) => self.note_stored_types(types.to_vec(), version),
+            Ok(CompareAndSwap::Applied(version)) => self.remember_stored_types(types.to_vec(), version),
             Ok(CompareAndSwap::Conflict(_)) | Err(StateError::Unknown) => self.read_stored_types().await,
             Err(error) => log::debug!("machine types not stored token={token} reason=\"{error}\""),
         }
     }
 
-    /// Reads the stored machine types again: they are others than was thought, or nobody knows.
+    /// Reads the stored machine types again after a write that conflicted or whose outcome is unknown.
     async fn read_stored_types(&self) {
         match self.state.get(MACHINE_TYPES_KEY, RequestPriority::Normal).await {
             Ok(Some(item)) => self.observe_auxiliary_key(item),
@@ -60,21 +60,22 @@
 }
 
 impl Node {
-    /// Takes the stored types in, and goes by them until the cloud has told its own.
+    /// Remembers the stored types, and uses them while this node knows no types yet.
     pub(super) fn observe_stored_types(&self, item: KeyValue) {
         let stored: Vec<MachineType> = serde_json::from_value(item.value).unwrap_or_else(|error| {
             log::error!("stored value unreadable key={MACHINE_TYPES_KEY} reason=\"{error}\"");
             Vec::new()
         });
-        self.note_stored_types(stored.clone(), item.version);
+        self.remember_stored_types(stored.clone(), item.version);
         let mut types = lock(&self.machine_types);
         if types.is_empty() && !stored.is_empty() {
             *types = Arc::new(stored);
         }
     }
 
-    /// What a watch shows may be older than what was written or read since.
-    fn note_stored_types(&self, types: Vec<MachineType>, version: u64) {
+    /// Remembers the stored types unless a newer version is known: a watch may deliver a version that is older than
+    /// the one that was written or read since.
+    fn remember_stored_types(&self, types: Vec<MachineType>, version: u64) {
         let mut stored = lock(&self.types_stored);
         if stored.as_ref().is_none_or(|stored| stored.version < version) {
             *stored = Some(StoredTypes { types, version });
--- a/src/node/leadership/mod.rs
+++ b/src/node/leadership/mod.rs
@@ -1,5 +1,5 @@
 //! Leadership of a shard: its lease, its election, the watch of its record, and the machine types that the leader
-//! stores beside it. Whoever acts elsewhere asks for the token here first.
+//! stores under the same prefix. Every action elsewhere in the node requires the fencing token obtained here.
 
 mod election;
 mod lease;
--- a/src/node/leadership/watch.rs
+++ b/src/node/leadership/watch.rs
@@ -1,5 +1,5 @@
-//! The watch of the leadership keys: the records of all shards, the sharding plan in force, and the keys beside
-//! them. It reads and tells the elections what it saw; it writes nothing but by the campaigns that it begins.
+//! Watches the leadership keys: the records of all shards, the active sharding plan, the machine types and the backoff
+//! keys. It passes what it reads to the elections, and starts campaigns; it writes nothing itself.
 
 use crate::clock;
 use crate::election::{LEADERSHIP_KEY, LEADERSHIP_PREFIX, MACHINE_TYPES_KEY, ObservedRecord, backoff_key};
@@ -12,7 +12,7 @@
 
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
 
-/// What a watch or a list tells of one key.
+/// The state of one key as a watch or a list reported it.
 enum WatchedKey {
     Present(KeyValue),
     Deleted { revision: u64 },
@@ -35,13 +35,14 @@
         }
     }
 
-    /// There was no record at this revision, as a watch or a list tells.
+    /// Handles a watch event or a list which shows that there was no record at this revision.
     fn on_record_deleted(&self, revision: u64) {
         lock(&self.election).observe_absence(revision, clock::now());
     }
 
+    /// Handles the leadership record that was read or watched; none if there is no record.
     pub(in crate::node) fn observe_record(&self, item: Option<KeyValue>) {
-        // Nobody's record, with a plan in it: there are several shards from now on.
+        // A record that names no node and contains a sharding plan activates the plan.
         if let Some(plan) = item.as_ref().and_then(ShardRuntime::active_plan_in) {
             return self.node.observe_plan(plan);
         }
@@ -56,7 +57,7 @@
 }
 
 impl Node {
-    /// Lists the leadership keys, then watches them; lists them again where the watch breaks off.
+    /// Lists the leadership keys and then watches them. Lists them again when the watch fails.
     pub(in crate::node) async fn watch_leadership(self: Arc<Self>) {
         let mut watched_revision: Option<u64> = None;
         loop {
@@ -67,13 +68,13 @@
         }
     }
 
-    /// Returns the revision of the list, none where it could not be read.
+    /// Returns the revision of the list, or none if it could not be read.
     async fn list_leadership_keys(self: &Arc<Self>) -> Option<u64> {
         match self.state.list(LEADERSHIP_PREFIX, RequestPriority::Urgent).await {
             Ok((items, revision)) => {
                 self.record_state_response();
                 self.observe_leadership_list(items, revision);
-                // A record of its own earlier process, or none: there is nothing to wait for.
+                // There may be no record, or one of an earlier process of this node: neither needs waiting for.
                 self.campaign_for_all().await;
                 Some(revision)
             }
@@ -86,7 +87,7 @@
     }
 
     fn observe_leadership_list(self: &Arc<Self>, items: Vec<KeyValue>, revision: u64) {
-        // The plan in force decides what the other keys mean.
+        // The active plan decides what the other keys mean.
         let plan = items.iter().find(|item| item.key == LEADERSHIP_KEY).and_then(ShardRuntime::active_plan_in);
         match plan {
             Some(plan) => self.observe_plan(plan),
@@ -96,7 +97,7 @@
         for runtime in self.shards().iter().filter(absent) {
             runtime.on_record_deleted(revision);
         }
-        // What stands beside the records first: it may say that they are not ours.
+        // The other keys come before the records, because a backoff key keeps this node from leading.
         let (records, auxiliary): (Vec<KeyValue>, Vec<KeyValue>) =
             items.into_iter().partition(|item| self.runtime_for_key(&item.key).is_some());
         auxiliary.into_iter().for_each(|item| self.observe_auxiliary_key(item));
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Returns the revision up to which everything is known, none where all has to be listed again.
+    /// Returns the revision up to which all changes were observed, or none if the keys have to be listed again.
     async fn watch_leadership_keys(self: &Arc<Self>, revision: u64) -> Option<u64> {
         match self.state.watch(LEADERSHIP_PREFIX, revision, WATCH_TIMEOUT).await {
             Ok(reply) => {
@@ -132,9 +133,9 @@
         }
     }
 
-    /// A key under the leadership prefix has this value now, or is gone.
+    /// Handles a new value, or the deletion, of a key under the leadership prefix.
     fn observe_leadership_key(self: &Arc<Self>, key: String, watched: WatchedKey) {
-        // Where there are several shards this key is no shard's record, but the plan.
+        // If there are several shards, this key holds the sharding plan instead of a leadership record.
         if key == LEADERSHIP_KEY && self.shards().len() > 1 {
             return match watched.item().and_then(ShardRuntime::active_plan_in) {
                 Some(plan) => self.observe_plan(plan),
@@ -149,7 +150,8 @@
         }
     }
 
-    /// What stands beside the records: the machine types, and whether this controller yielded.
+    /// Handles the keys that are not leadership records: the machine types, and this node's backoff key, which shows
+    /// that it yielded leadership.
     pub(super) fn observe_auxiliary_key(&self, item: KeyValue) {
         if item.key == MACHINE_TYPES_KEY {
             self.observe_stored_types(item);
--- a/src/node/loops/cloud.rs
+++ b/src/node/loops/cloud.rs
@@ -1,5 +1,5 @@
-//! Calls to the cloud: machines are rented, deleted and listed, and the machine types are learnt. A call leaves
-//! only under the token for which it was made up, and only the shard of that token learns of its outcome.
+//! Calls to the cloud, which rent, delete and list machines and read the machine types. A rent or delete call is sent
+//! only while the token under which it was created is valid, and its outcome is passed only to the shard with that token.
 
 use crate::clock;
 use crate::cloud::CloudError;
@@ -12,15 +12,15 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// A call that failed is made again after this time.
+/// Pause before a failed call is repeated.
 const CALL_RETRY_PAUSE: Duration = Duration::from_millis(700);
-/// Followers ask for the machine types this many times less often: prices matter to the leader alone.
+/// A follower requests the machine types once per this many leader intervals, because only the leader needs prices.
 const FOLLOWER_TYPES_INTERVALS: f64 = 3.0;
-/// The first machine types are asked for again after this time at the latest.
+/// Maximum pause between requests while no machine types are known, before it is randomised.
 const MAX_FIRST_TYPES_PAUSE_S: f64 = 2.0;
 
 impl ShardRuntime {
-    /// Is the leader with this token still leading, now that its call to the cloud is about to leave?
+    /// Returns whether a cloud call that was created under this token may still be sent.
     fn may_still_call_cloud(&self, token: u64, call: &str) -> bool {
         let leading = self.with_shard(clock::now(), |shard| shard.token == token) == Some(true);
         if leading {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// The launch that has waited longest, and the token under which it is asked for.
+    /// Returns the launch that has been pending longest, and the token under which it is requested.
     fn next_launch(&self, now: f64) -> Option<(u64, Launch)> {
         let next = self.with_shard(now, |shard| (shard.token, shard.launches.pending.first().cloned()));
         let (token, launch) = next?;
@@ -69,7 +69,7 @@
             match outcome {
                 Ok(names) => shard.on_rented(launch, &names, now),
                 Err(CloudError::NoCapacity) => shard.on_rental_refused(launch, now),
-                // No answer yet: the same name is asked for again, which rents nothing twice.
+                // The outcome is unknown. The request is repeated under the same name, so nothing is rented twice.
                 Err(error) => {
                     log::debug!("rental unanswered request={} token={token} reason=\"{error}\"", launch.name);
                     pause = CALL_RETRY_PAUSE;
@@ -100,7 +100,7 @@
 
     pub(in crate::node) async fn machine_list_loop(self: Arc<Self>) {
         while self.is_open() {
-            // The cloud's calls are for all shards together.
+            // All shards share the rate limit of cloud calls.
             let shards = self.shards().len();
             Timer::after(Duration::from_secs_f64(MACHINE_LIST_INTERVAL_S * shards as f64)).await;
             let now = clock::now();
@@ -116,9 +116,9 @@
 }
 
 impl Node {
-    /// All controllers begin at the same moment, and the cloud refuses what is over its
-    /// limit: those that are refused ask again at times of their own. The last of five
-    /// once asked together with the others for ever, and was refused every time.
+    /// Requests the machine types from the cloud, again and again at randomised intervals. All controllers
+    /// start at the same time and the cloud rejects calls over its rate limit: at equal intervals, the last
+    /// of five controllers sent every request together with the others and was rejected each time.
     pub(in crate::node) async fn learn_machine_types_loop(self: Arc<Self>) {
         let retry_pause_s = (self.settings.peers.len() + 1) as f64 / self.settings.cloud_rps;
         loop {
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Returns the pause before the types are asked for again.
+    /// Applies the types that the cloud returned. Returns the pause in seconds before the next request for them.
     fn on_machine_types(&self, types: Vec<MachineType>) -> f64 {
         self.types_from_cloud.store(true, Ordering::Relaxed);
         let now = clock::now();
@@ -141,7 +141,7 @@
             leading |= runtime.with_shard(now, |shard| shard.on_types(types.clone(), now)).is_some();
         }
         *lock(&self.machine_types) = Arc::new(types);
-        // Prices matter to the leader; the others admit submissions by sizes.
+        // Only the leader needs prices; followers check submissions against machine sizes.
         if leading { MACHINE_TYPES_INTERVAL_S } else { MACHINE_TYPES_INTERVAL_S * FOLLOWER_TYPES_INTERVALS }
     }
 }
--- a/src/node/loops/ingress_log.rs
+++ b/src/node/loops/ingress_log.rs
@@ -1,5 +1,5 @@
-//! What this controller logs of its own ingress: alerts on the answers to users, and counters of heartbeats that
-//! it did not take itself. It reads these counters and never changes how a request is answered.
+//! Logs the state of this controller's ingress: alerts on the responses to users, and the numbers of heartbeats that
+//! it redirected or rejected. It never changes how a request is answered.
 
 use crate::clock;
 use crate::node::{ALERT_INTERVAL_S, Node, SUMMARY_INTERVAL_S, lock};
--- a/src/node/loops/mod.rs
+++ b/src/node/loops/mod.rs
@@ -1,5 +1,5 @@
-//! The background loops of a shard's runtime and of the node: they carry out what the scheduler decides.
-//! They never decide anything themselves, and act only while the lease is valid.
+//! The background loops of a shard's runtime and of the node. They carry out the scheduler's decisions, make none of
+//! their own, and act for a shard only while its lease is valid.
 
 mod cloud;
 mod ingress_log;
@@ -13,7 +13,7 @@
 use futures_lite::FutureExt;
 
 impl ShardRuntime {
-    /// Waits until the loop is woken, and for one tick interval at most.
+    /// Waits until the loop is woken, or for one tick interval.
     pub(in crate::node) async fn wait_for_wake(wakes: &Receiver<()>) {
         let _ = async {
             let _ = wakes.recv().await;
--- a/src/node/loops/pushes.rs
+++ b/src/node/loops/pushes.rs
@@ -1,5 +1,5 @@
-//! Commands that are pushed to workers. Each push is checked once more at the moment of sending, and only the
-//! shard that sent it learns of its outcome.
+//! Pushes commands to workers. Each push is checked again immediately before it is sent, and its outcome is passed only
+//! to the shard that created it.
 
 use crate::clock;
 use crate::node::{EXECUTOR, ShardRuntime, lock};
@@ -7,14 +7,14 @@
 use async_channel::Sender;
 use std::sync::Arc;
 
-/// Pushes use at most one of so many sockets.
+/// One push may run at a time for this many sockets of the process's limit.
 const SOCKETS_PER_PUSH: usize = 8;
 const MIN_CONCURRENT_PUSHES: usize = 8;
 const MAX_CONCURRENT_PUSHES: usize = 512;
 
 impl ShardRuntime {
     pub(in crate::node) async fn push_loop(self: Arc<Self>) {
-        // Machines that do not answer keep a call for a second and more each, hundreds at once.
+        // A push to an unresponsive machine lasts a second or more, and there may be hundreds at once.
         let max_concurrent =
             (self.settings.sockets / SOCKETS_PER_PUSH).clamp(MIN_CONCURRENT_PUSHES, MAX_CONCURRENT_PUSHES);
         let (done_sender, done_receiver) = async_channel::bounded::<()>(max_concurrent);
@@ -44,14 +44,14 @@
         let may_be_sent = || self.may_still_push(&request);
         let outcome = self.workers.commands(request.addr, &request.body, may_be_sent).await;
         let now = clock::now();
-        // Only the shard that sent it may learn of it.
+        // The outcome concerns only the shard that created the push.
         if let Some(shard) = lock(&self.shard).as_mut().filter(|shard| shard.token == request.body.token) {
             shard.on_push_outcome(&request, outcome, now);
         }
     }
 
-    /// May these commands be sent now? The lease, the token, the machine's incarnation and each start are checked
-    /// again.
+    /// Returns whether these commands may still be sent. Checks the lease, the token, the machine's incarnation and
+    /// each start again.
     fn may_still_push(&self, request: &PushRequest) -> bool {
         let (now, token) = (clock::now(), request.body.token);
         let check = |shard: &mut Shard| (shard.token == token).then(|| shard.check_push_still_valid(request));
--- a/src/node/loops/tick.rs
+++ b/src/node/loops/tick.rs
@@ -1,5 +1,5 @@
-//! The scheduling loop: lets the shard place work at every tick, and logs its alerts, its service levels and its
-//! summary. It never writes to the state service; it only wakes the loops that do.
+//! The scheduling loop. Each tick lets the shard place jobs, and logs its alerts, its service levels and its summary
+//! when they are due. It never writes to the state service; it only wakes the loops that do.
 
 use crate::clock;
 use crate::node::{
@@ -10,7 +10,7 @@
 use lupinspur_service_levels::gate::LOG_MARK;
 use std::sync::Arc;
 
-/// When each periodic step of the loop was last due.
+/// The times at which the periodic steps of the loop last ran, in seconds of the steady clock.
 struct TickHistory {
     placement_retried_at: f64,
     alerts_logged_at: f64,
@@ -18,13 +18,13 @@
     summary: SummaryPeriod,
 }
 
-/// The period of the service-level report, which begins anew with each token.
+/// The current period of the service-level report. A new token starts a new period.
 struct ServiceLevelPeriod {
     began_at: f64,
     token: u64,
 }
 
-/// The period of the summary, which begins anew with each token, and the counters at its beginning.
+/// The current period of the summary, and the counters at its start. A new token starts a new period.
 struct SummaryPeriod {
     began_at: f64,
     token: u64,
@@ -78,7 +78,7 @@
     pub(in crate::node) async fn tick_loop(self: Arc<Self>) {
         let mut history = TickHistory::new(clock::now());
         while self.is_open() {
-            // What heartbeats and submissions bring is placed together, a little later.
+            // Waits briefly, so that the changes of several heartbeats and submissions are placed together.
             Timer::after(GATHER_PAUSE).await;
             Self::wait_for_wake(&self.wakes.ticks.1).await;
             let now = clock::now();
@@ -91,7 +91,7 @@
         }
     }
 
-    /// One tick. Returns whether no worker reaches this controller any more.
+    /// Runs one tick. Returns whether this controller seems to be cut off from the workers.
     fn tick_shard(&self, shard: &mut Shard, history: &mut TickHistory, now: f64) -> bool {
         history.retry_placement(shard, now);
         self.log_service_alerts(shard, history, now);
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The workers cannot reach this controller, though the state service can: others may do better.
+    /// Gives up leadership because heartbeats do not reach this controller: they may reach another one.
     async fn step_down(&self, now: f64) {
         log::warn!("stepping down reason=no_heartbeats");
         let mut lease = None;
--- a/src/node/loops/writes.rs
+++ b/src/node/loops/writes.rs
@@ -1,5 +1,5 @@
-//! The writes of the leader: each transaction is conditional on the leadership record and on the version of every
-//! key that it changes. A write whose answer was lost is looked up before it is sent again.
+//! The leader's writes. Each transaction is conditional on the version of the leadership record and of every key that
+//! it changes. If the response to a write is lost, the stored keys are read before the write is sent again.
 
 use crate::clock;
 use crate::job_status::JobStatus;
@@ -12,15 +12,15 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Requests that checkpoints and other writes that can wait leave to the rest.
+/// Number of available writes that checkpoints and other deferrable writes leave for urgent ones.
 const RESERVED_WRITES: usize = 4;
 const READ_RETRY_PAUSE: Duration = Duration::from_millis(200);
 const WRITE_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// The shard of the token under which something was begun is gone.
+/// The shard no longer has the token under which an operation was started.
 struct LeadershipLost;
 
-/// What one transaction carries, and the token under which it was made up.
+/// The writes of one transaction, and the token under which they were created.
 struct WriteBatch {
     token: u64,
     writes: Vec<PendingWrite>,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// The writes that are due, as many as the state service takes now.
+    /// Returns the writes that are due, as many as the rate limit and the transaction size allow now.
     fn next_batch(&self) -> Option<WriteBatch> {
         let now = clock::now();
         let available = self.state.available_writes();
@@ -70,7 +70,7 @@
         let mutations = writes.iter().map(|write| self.to_stored_mutation(&write.mutation)).collect();
         match self.state.commit(conditions, mutations, RequestPriority::Normal).await {
             Ok(CompareAndSwap::Applied(revision)) => self.on_writes_stored(token, writes, revision),
-            // Some version is not what was thought, or nobody knows.
+            // A version differs from the expected one, or the outcome is unknown.
             Ok(CompareAndSwap::Conflict(_)) | Err(StateError::Unknown) => {
                 let _ = self.resolve_writes(token, writes).await;
             }
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Asks the state service for each key, which tells whether its write was applied.
+    /// Reads each key from the state service to find out whether its write was applied.
     async fn resolve_writes(&self, token: u64, writes: Vec<PendingWrite>) -> Result<(), LeadershipLost> {
         let (mut stored, mut rejected) = (Vec::new(), Vec::new());
         for write in writes {
@@ -133,20 +133,20 @@
         }
     }
 
-    /// These writes of the leader with this token are stored by this revision.
+    /// Informs the shard with this token that its writes are stored as of this revision.
     fn on_writes_stored(&self, token: u64, writes: Vec<PendingWrite>, revision: u64) {
         let now = clock::now();
-        let mut ended = Vec::new();
+        let mut ended_jobs = Vec::new();
         if let Some(shard) = lock(&self.shard).as_mut().filter(|shard| shard.token == token) {
-            ended = shard.job_ends_in(&writes);
+            ended_jobs = shard.job_ends_in(&writes);
             shard.on_writes_applied(writes, revision, now);
         }
-        // These are told from here on without the state service, when the shard has given them back.
-        for (id, state, done) in ended {
+        // The node answers for these jobs without the state service, also once the shard has dropped them.
+        for (id, state, done) in ended_jobs {
             self.remember_final_status(&id, JobStatus { state, done, running: 0 });
         }
         let _ = self.wakes.pushes.0.try_send(());
-        // What waited for a job that is stored as done may start.
+        // Jobs that depend on one that is now stored as done may start.
         self.wake();
     }
 }
