--- a/src/node/merging.rs
+++ b/src/node/merging.rs
@@ -1,14 +1,16 @@
-//! Merging: the way back from several shards to one, while serving.
+//! Merges several shards back into one while the cluster keeps running.
 //!
-//! 1. All controllers offer a plan of one shard; the leader of shard 0 stores that the shards merge.
-//! 2. Every other shard's leader steps down, and nobody campaigns for them again; the leader of shard 0
-//!    puts nobody's name in the place of their leadership records, so that whoever has not heard of it can't either.
-//! 3. It reacquires its own leadership, with a token newer than all that the others' machines have seen, and reads what
-//!    they kept with what it has, as at any failover. What the others stored is replaced by its own.
-//! 4. When nothing of theirs stands any more, and its checkpoint tells of all jobs, the plan goes.
+//! 1. All controllers offer a plan with one shard. The leader of shard 0 stores that the shards are merging.
+//! 2. The leaders of all other shards step down, and no controller that knows of the merge campaigns for these shards
+//!    again. The leader of shard 0 replaces their leadership records by records that name no node, so that a controller
+//!    that does not know of the merge cannot be elected either.
+//! 3. The leader of shard 0 reacquires its leadership, to get a token newer than any that the machines of the other
+//!    shards have seen. It then reads the state of all shards together, as at a failover, and replaces the values that
+//!    the other shards stored by its own.
+//! 4. When no value of the other shards is left and the checkpoint of shard 0 covers all jobs, it deletes the plan.
 //!
-//! Each step is stored, and whoever owns shard 0 goes on with the next. Until the last one a version
-//! that knows of no shards is kept away as before.
+//! Each step is stored, and any leader of shard 0 continues with the next. Until the last step, a controller of a
+//! version without sharding cannot be elected, as while there are several shards.
 
 use super::shard_exchange::{PRESENT_PREFIX, SHARDS_PREFIX};
 use crate::clock;
@@ -22,27 +24,27 @@
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 
-/// What the other shards stored, as the shard that takes them in reads it.
+/// The stored values of the other shards, as the shard that absorbs them reads them.
 #[derive(Default)]
 pub(super) struct MergedState {
-    /// Their machine groups, by key, with the version.
+    /// Their machine groups, each with its key and version.
     pub(super) machine_groups: Vec<(String, MachineGroupRecord, u64)>,
-    /// Everything else, which is of no use any more, with the version.
+    /// The keys and versions of all other values, which are not needed any more.
     pub(super) stale_keys: Vec<(String, u64)>,
 }
 
 impl Node {
-    /// Are the shards that are in force on their way back to one?
+    /// Returns whether the active shards are being merged into one.
     pub(super) fn is_merging(&self) -> bool {
         self.merging.load(Ordering::Relaxed)
     }
 
-    /// Does this controller's file ask for the way back?
+    /// Returns whether this controller's sharding file asks for a single shard.
     pub(super) fn wants_single_shard(&self) -> bool {
         self.sharding_plan.as_ref().is_some_and(|plan| plan.cells == 1)
     }
 
-    /// The plan as it is stored.
+    /// Handles the stored plan: activates it and, if it says so, starts the merge.
     pub(super) fn observe_plan(self: &Arc<Self>, active: ActivePlan) {
         let merging = active.merging;
         self.enter_sharding(active.plan);
@@ -56,7 +58,7 @@
         self.update_rate_shares();
     }
 
-    /// No plan is in force any more: there is one shard, as if there had never been others.
+    /// Returns to a single shard when no plan is active any more.
     pub(super) fn leave_sharding(self: &Arc<Self>) {
         if lock(&self.active_plan).take().is_none() {
             return;
@@ -72,17 +74,18 @@
     }
 }
 
-/// The node that a leadership record names.
+/// Returns the node that a leadership record names, or an empty string.
 fn record_holder(item: &KeyValue) -> &str {
     item.value.get("node").and_then(serde_json::Value::as_str).unwrap_or_default()
 }
 
 impl ShardRuntime {
+    /// Returns whether this shard has taken over the state of all other shards, at the end of a merge.
     pub(super) fn absorbs_all_shards(&self) -> bool {
         self.absorbs_all_shards.load(Ordering::Relaxed)
     }
 
-    /// The leadership records of all other shards, as they are stored, by key.
+    /// Reads the leadership records of all shards but shard 0. Returns each key with the stored record, if any.
     async fn other_leadership_records(&self, shards: u32) -> Result<Vec<(String, Option<KeyValue>)>, StateError> {
         let (records, _) = self.state.list(LEADERSHIP_PREFIX, RequestPriority::Normal).await?;
         let with_record = |key: String| {
@@ -92,7 +95,7 @@
         Ok((1..shards).map(shard_leadership_key).map(with_record).collect())
     }
 
-    /// May the leader with this token take in what all the others had?
+    /// Returns whether the leader with this token may take over the state of all other shards.
     pub(super) async fn other_shards_are_abandoned(&self, token: u64) -> Result<bool, StateError> {
         let plan = lock(&self.active_plan).clone();
         let Some(plan) = plan.filter(|_| self.is_merging() && self.id.0 == 0) else { return Ok(false) };
@@ -111,7 +114,7 @@
         }
     }
 
-    /// The first step: all controllers want one shard.
+    /// Runs the first step: stores that the shards are merging, once all controllers offer a single shard.
     pub(super) async fn begin_merging(&self, token: u64, plan: &ShardingPlan) {
         let Some(wanted) = self.sharding_plan.clone() else { return };
         let Ok((items, _)) = self.state.list(PRESENT_PREFIX, RequestPriority::Normal).await else { return };
@@ -129,17 +132,17 @@
             Compare { key: LEADERSHIP_KEY.into(), version: stored_plan.version },
         ];
         let change = Mutation::Put { key: LEADERSHIP_KEY.into(), value, lease: None };
-        // Whatever becomes of it, the watch tells.
+        // The outcome is ignored: the watch reports the plan if it was stored.
         let _ = self.state.commit(conditions, vec![change], RequestPriority::Normal).await;
     }
 
-    /// The next step of a merging, by the leader of shard 0.
+    /// Runs the next step of the merge. Called by the leader of shard 0.
     pub(super) async fn merge(self: &Arc<Self>, token: u64, plan: &ShardingPlan) {
         let Ok(records) = self.other_leadership_records(plan.cells).await else { return };
-        let free: Vec<&String> = records.iter().filter(|(_, item)| item.is_none()).map(|(key, _)| key).collect();
-        if !free.is_empty() {
+        let absent: Vec<&String> = records.iter().filter(|(_, item)| item.is_none()).map(|(key, _)| key).collect();
+        if !absent.is_empty() {
             let Ok(value) = serde_json::to_value(LeadershipRecord::new(NOBODY, "merged")) else { return };
-            for keys in free.chunks(self.state.txn_ops) {
+            for keys in absent.chunks(self.state.txn_ops) {
                 let mut conditions = vec![Compare { key: self.leadership_key.clone(), version: token }];
                 conditions.extend(keys.iter().map(|key| Compare { key: (*key).clone(), version: 0 }));
                 let put = |key: &&String| Mutation::Put { key: (*key).clone(), value: value.clone(), lease: None };
@@ -159,21 +162,23 @@
             return;
         }
         let Ok(Some(stored_plan)) = self.state.get(LEADERSHIP_KEY, RequestPriority::Normal).await else { return };
-        let gone = [LEADERSHIP_KEY.to_owned(), self.leadership_key.clone()]
+        let obsolete_keys = [LEADERSHIP_KEY.to_owned(), self.leadership_key.clone()]
             .into_iter()
             .chain(records.into_iter().map(|(key, _)| key));
-        let gone: Vec<Mutation> = gone.map(|key| Mutation::Delete { key }).take(self.state.txn_ops).collect();
+        let deletions: Vec<Mutation> =
+            obsolete_keys.map(|key| Mutation::Delete { key }).take(self.state.txn_ops).collect();
         let conditions = vec![
             Compare { key: self.leadership_key.clone(), version: token },
             Compare { key: LEADERSHIP_KEY.into(), version: stored_plan.version },
         ];
-        // From the moment that it is sent somebody else may own: this one has ended before.
+        // Another controller may be elected as soon as this write is sent, so this leadership ends first.
         self.leadership_lost(|election| election.lease_lost());
-        let _ = self.state.commit(conditions, gone, RequestPriority::Urgent).await;
+        let _ = self.state.commit(conditions, deletions, RequestPriority::Urgent).await;
     }
 
-    /// Does nothing of the others stand any more, and does a checkpoint of since then tell of all jobs?
-    async fn others_are_cleared(&self, plan: &ShardingPlan, read_at: u64) -> bool {
+    /// Returns whether no value of the other shards is stored any more, and the checkpoint is not older than
+    /// `loaded_revision`, the revision at which their jobs were read.
+    async fn others_are_cleared(&self, plan: &ShardingPlan, loaded_revision: u64) -> bool {
         let prefixes = (1..plan.cells).map(|shard| format!("c{shard}/")).chain([SHARDS_PREFIX.to_owned()]);
         for prefix in prefixes {
             match self.state.list(&prefix, RequestPriority::Normal).await {
@@ -183,11 +188,11 @@
         }
         let Ok(items) = self.list_own(lupinspur_recovery::PREFIX).await else { return false };
         let read = lupinspur_recovery::read(items.iter().map(|item| (item.key.as_str(), &item.value)));
-        read.is_ok_and(|checkpoint| checkpoint.head.at >= read_at)
+        read.is_ok_and(|checkpoint| checkpoint.head.at >= loaded_revision)
     }
 
-    /// What the other shards kept, while they merge into this one: machine groups, and the rest, which is of
-    /// no use any more. So is what passed between them.
+    /// Reads the stored values of the other shards while they merge into this one: their machine groups, and the
+    /// keys of everything else. The values that the shards exchanged are among the latter.
     pub(super) async fn read_merged(&self) -> Result<MergedState, StateError> {
         let mut merged = MergedState::default();
         if !self.absorbs_all_shards() {
