--- a/src/node/shard_exchange/activation.rs
+++ b/src/node/shard_exchange/activation.rs
@@ -1,4 +1,4 @@
-//! How a sharding plan comes into force. No plan is stored before every controller offers the same one.
+//! Activates a sharding plan. No plan is stored before every controller offers the same one.
 
 use super::{LEDGER_KEY, OFFER_INTERVAL, PRESENCE_LEASE_MS, PRESENT_PREFIX, SHARD_LEADERSHIP_PREFIX, ShardExchange};
 use crate::clock;
@@ -15,16 +15,16 @@
 use std::time::Duration;
 
 impl Node {
-    /// Offers the plan of this controller's file until it is in force.
+    /// Offers the plan of this controller's file until it is active, and activates it if this controller leads.
     pub(in crate::node) async fn offer_plan_loop(self: Arc<Self>) {
         let Some(plan) = self.sharding_plan.clone() else { return };
-        let present = Presence { node: self.settings.node.clone(), plan: Some(plan.clone()) };
-        let Ok(value) = serde_json::to_value(&present) else { return };
+        let presence = Presence { node: self.settings.node.clone(), plan: Some(plan.clone()) };
+        let Ok(value) = serde_json::to_value(&presence) else { return };
         let mut lease = None;
-        // At once, and before submissions: a deployment that begins is parted before its first flood.
+        // Starts immediately, so that a new deployment is divided into shards before its first submissions arrive.
         loop {
-            let in_force = lock(&self.active_plan).clone();
-            if !has_plan_to_offer(&plan, in_force.as_ref()) {
+            let active_plan = lock(&self.active_plan).clone();
+            if !has_plan_to_offer(&plan, active_plan.as_ref()) {
                 lease = None;
                 Timer::after(OFFER_INTERVAL).await;
                 continue;
@@ -41,15 +41,14 @@
                     lease = None;
                 }
             }
-            if in_force.is_none() && self.leads_any_shard(clock::now()) {
+            if active_plan.is_none() && self.leads_any_shard(clock::now()) {
                 self.activate_plan(&plan).await;
             }
             Timer::after(OFFER_INTERVAL).await;
         }
     }
 
-    /// The leader of the one shard that there is puts the plan in its leadership record's place, once everybody
-    /// understands it.
+    /// As the leader of the only shard, replaces the leadership record by the plan once all controllers offer it.
     async fn activate_plan(self: &Arc<Self>, plan: &ShardingPlan) {
         if !self.is_agreed(plan).await {
             return;
@@ -79,17 +78,18 @@
             Mutation::Put { key: LEDGER_KEY.into(), value: shares, lease: None },
             Mutation::Put { key: LEADERSHIP_KEY.into(), value: record, lease: None },
         ];
-        // From the moment that it is sent the shards may be led by others, who wait for nobody.
+        // As soon as the write is sent, other controllers may lead the shards without waiting for this one.
         lock(&runtime.election).suspend(true);
         match self.state.commit(conditions, mutations, RequestPriority::Urgent).await {
             Ok(CompareAndSwap::Applied(_)) => self.enter_sharding(plan.clone()),
-            // It may be stored, now or later. Without this leadership record it can't be any more.
+            // The plan may be stored now or later. Once this leadership record is deleted, the write's condition
+            // cannot hold any more.
             Err(StateError::Unknown) => {
                 log::warn!("leadership resigned token={token} reason=sharding_plan_write_unknown");
                 runtime.resign();
             }
-            // Whoever still holds the record knows that it was not stored; later it cannot be, since what it
-            // was conditional on would have to change first.
+            // If this controller still holds the leadership record, the plan was not stored, because it would have
+            // replaced the record. It cannot be stored later either: a condition that failed never holds again.
             outcome => {
                 log::info!("sharding plan not activated token={token} reason=\"{outcome:?}\"");
                 runtime.resume_as_single_shard().await;
@@ -97,21 +97,22 @@
         }
     }
 
-    /// Do all controllers offer this plan?
+    /// Returns whether all controllers offer this plan.
     async fn is_agreed(&self, plan: &ShardingPlan) -> bool {
         let Ok((items, _)) = self.state.list(PRESENT_PREFIX, RequestPriority::Urgent).await else { return false };
         let present: Vec<Presence> = parse_items(items).map(|(_, presence, _)| presence).collect();
         all_agree_on(plan, &self.settings.nodes(), &present)
     }
 
-    /// Deletes the records of a merging in which not all leadership records could be cleared at once.
+    /// Deletes the shard leadership records that an earlier merge left, if it could not delete all in one transaction.
+    /// Returns whether none is left.
     async fn clear_shard_records(&self, token: u64) -> bool {
         let list = self.state.list(SHARD_LEADERSHIP_PREFIX, RequestPriority::Urgent).await;
         let Ok((records, _)) = list else { return false };
-        for some in records.chunks(self.state.txn_ops) {
+        for chunk in records.chunks(self.state.txn_ops) {
             let mut conditions = vec![Compare { key: LEADERSHIP_KEY.into(), version: token }];
-            conditions.extend(some.iter().map(|item| Compare { key: item.key.clone(), version: item.version }));
-            let deletions = some.iter().map(|item| Mutation::Delete { key: item.key.clone() }).collect();
+            conditions.extend(chunk.iter().map(|item| Compare { key: item.key.clone(), version: item.version }));
+            let deletions = chunk.iter().map(|item| Mutation::Delete { key: item.key.clone() }).collect();
             let outcome = self.state.commit(conditions, deletions, RequestPriority::Urgent).await;
             if !matches!(outcome, Ok(CompareAndSwap::Applied(_))) {
                 return false;
@@ -120,23 +121,23 @@
         true
     }
 
-    /// The plan is in force: this process takes part in its shards from now on.
+    /// Handles an active plan: starts a runtime for each of its shards.
     pub(in crate::node) fn enter_sharding(self: &Arc<Self>, plan: ShardingPlan) {
         {
-            let mut in_force = lock(&self.active_plan);
-            match &*in_force {
+            let mut active_plan = lock(&self.active_plan);
+            match &*active_plan {
                 Some(active) if *active == plan => return,
                 Some(_) => {
                     log::error!("sharding plan ignored reason=another_plan_is_active");
                     return;
                 }
-                None => *in_force = Some(plan.clone()),
+                None => *active_plan = Some(plan.clone()),
             }
         }
         log::info!("sharding plan activated shards={}", plan.cells);
         let new_runtime = |shard| ShardRuntime::new(self.clone(), ShardId(shard), shard_leadership_key(shard));
         let runtimes: Vec<Arc<ShardRuntime>> = (0..plan.cells).map(new_runtime).collect();
-        // As far as this process knows nobody leads them: what it hears next may say more.
+        // Until the watch reports a leadership record, this process assumes that the shards have no leader.
         runtimes.iter().for_each(|runtime| runtime.observe_record(None));
         self.replace_shards(runtimes);
         *lock(&self.shard_exchange) = ShardExchange::default();
@@ -145,8 +146,9 @@
 }
 
 impl ShardRuntime {
-    /// Divides the teams' limits among the shards of this plan, under the token that is returned. What is in use
-    /// stays shard 0's, and nothing is added to it from here on; the rest goes to the teams' homes.
+    /// Divides the team limits among the shards of this plan: what is in use stays with shard 0, which uses no more
+    /// from here on, and the rest goes to the home shards of the teams. Returns the ledger, and the token under which
+    /// the limits were divided.
     fn divide_limits(&self, plan: &ShardingPlan) -> Option<(u64, Ledger)> {
         self.with_shard(clock::now(), |shard| {
             let (token, in_use) = (shard.token, shard.limit_usage());
@@ -167,7 +169,7 @@
         })
     }
 
-    /// No plan was stored: the one shard has the whole limits again.
+    /// Continues as the only shard, with the whole limits, because the plan was not stored.
     async fn resume_as_single_shard(&self) {
         lock(&self.election).suspend(false);
         self.read_leadership_record().await;
--- a/src/node/shard_exchange/machine_transfers.rs
+++ b/src/node/shard_exchange/machine_transfers.rs
@@ -1,5 +1,5 @@
-//! Machines that change shards: one stored value for each pair of shards, a step at a time. A machine that is on
-//! its way is never used by two shards.
+//! Transfers machines between shards, through one stored value for each pair of shards that changes step by step. A
+//! machine is never used by two shards during its transfer.
 
 use super::{HOLD_INTERVALS, SettledWrite};
 use crate::clock;
@@ -16,7 +16,8 @@
 use std::sync::Arc;
 
 impl Node {
-    /// Whose these machines are from now on is known to every controller, so that none sends them back.
+    /// Remembers a stored transfer and the destination of its machines, so that this controller directs their
+    /// heartbeats to the new shard.
     pub(super) fn observe_transfer(&self, key: &str, transfer: MachineTransfer, version: u64) {
         {
             let mut shard_by_machine = lock(&self.shard_by_machine);
@@ -30,43 +31,45 @@
         }
     }
 
-    /// The shard to which this machine is on its way.
+    /// Returns the shard to which this machine is being transferred, if any.
     pub(in crate::node) fn transfer_destination(&self, machine: &str) -> Option<ShardId> {
         let exchange = lock(&self.shard_exchange);
         let mut transfers = exchange.transfers.values().map(|(transfer, _)| transfer);
-        let carries = |transfer: &&MachineTransfer| transfer.machines.iter().any(|of| of.machine == machine);
-        transfers.find(carries).map(|transfer| transfer.to)
+        let includes_machine =
+            |transfer: &&MachineTransfer| transfer.machines.iter().any(|transferred| transferred.machine == machine);
+        transfers.find(includes_machine).map(|transfer| transfer.to)
     }
 }
 
 impl ShardRuntime {
-    /// Machines that went to other shards, whatever this shard's own records still say.
+    /// Reads which machines were transferred to other shards. This overrides the records of this shard, which may
+    /// still name them.
     pub(in crate::node) async fn read_transferred_machines(&self) -> Result<BTreeSet<String>, StateError> {
         if lock(&self.active_plan).is_none() {
             return Ok(BTreeSet::new());
         }
         let (items, _) = self.state.list(machine_transfer::PREFIX, RequestPriority::Normal).await?;
-        let mut away = BTreeSet::new();
+        let mut transferred_away = BTreeSet::new();
         for (key, transfer, version) in parse_items::<MachineTransfer>(items) {
             if transfer.from == self.id {
-                away.extend(transfer.machines.iter().map(|transferred| transferred.machine.clone()));
+                transferred_away.extend(transfer.machines.iter().map(|transferred| transferred.machine.clone()));
             }
             self.observe_transfer(&key, transfer, version);
         }
-        Ok(away)
+        Ok(transferred_away)
     }
 
-    /// Machines that go to other shards and come from them, a step of each at a time.
+    /// Advances all transfers from and to this shard by one step, and starts new ones that the rebalance plan orders.
     pub(super) async fn transfer_machines(self: &Arc<Self>, token: u64, plan: &ShardingPlan, own_load: &LoadSnapshot) {
         let (transfers, order, reacquire) = {
             let exchange = lock(&self.shard_exchange);
             let transfers = exchange.transfers.clone();
-            let under_way: Vec<MachineTransfer> = transfers.values().map(|(transfer, _)| transfer.clone()).collect();
+            let in_progress: Vec<MachineTransfer> = transfers.values().map(|(transfer, _)| transfer.clone()).collect();
             let bound_s = self.settings.time_bound_s;
             let orders = exchange.orders.as_ref().filter(|(orders, _)| orders.is_fresh(plan, own_load.at_ms, bound_s));
             let moves = orders.map_or(&[][..], |(orders, _)| &orders.moves);
             let token_of = |shard: ShardId| exchange.load_snapshots.get(&shard.0).map(|snapshot| snapshot.token);
-            let order = next_receiver(self.id, token, moves.iter(), &under_way, token_of);
+            let order = next_receiver(self.id, token, moves.iter(), &in_progress, token_of);
             (transfers, order, must_reacquire(self.id, token, moves, token_of))
         };
         if reacquire {
@@ -95,8 +98,8 @@
                 Some((_, version)) => *version,
                 None => 0,
             };
-            let stay = machines.split_off(machines.len().min(max_machines));
-            self.with_shard(now, |shard| shard.on_transfer_outcome(stay.iter(), false));
+            let kept = machines.split_off(machines.len().min(max_machines));
+            self.with_shard(now, |shard| shard.on_transfer_outcome(kept.iter(), false));
             let transfer = MachineTransfer { from: self.id, to, machines, released_by_sender: false };
             let names: Vec<&str> = transfer.machines.iter().map(|transferred| transferred.machine.as_str()).collect();
             log::info!(
@@ -124,8 +127,8 @@
         }
     }
 
-    /// One step. Whatever became of it, the state service's own word comes before the next: machines
-    /// that were set aside for this stay so until it is known whose they are.
+    /// Stores one step of a transfer and reads the stored value, whatever the outcome was. Machines that were
+    /// reserved for the transfer stay reserved until it is known which shard they belong to.
     async fn put_transfer(&self, token: u64, key: &str, version: u64, transfer: MachineTransfer) {
         let Ok(value) = serde_json::to_value(&transfer) else { return };
         let conditions = vec![
@@ -142,9 +145,9 @@
         if transfer.from == self.id && !transfer.released_by_sender && stored == SettledWrite::NotStored {
             let known = lock(&self.shard_exchange).transfers.get(key).map(|(known, _)| known.machines.clone());
             let published = known.unwrap_or_default();
-            let stay: Vec<TransferredMachine> =
+            let kept: Vec<TransferredMachine> =
                 transfer.machines.into_iter().filter(|machine| !published.contains(machine)).collect();
-            self.with_shard(clock::now(), |shard| shard.on_transfer_outcome(stay.iter(), false));
+            self.with_shard(clock::now(), |shard| shard.on_transfer_outcome(kept.iter(), false));
         }
     }
 }
--- a/src/node/shard_exchange/mod.rs
+++ b/src/node/shard_exchange/mod.rs
@@ -1,5 +1,5 @@
-//! What shards exchange through the state service: the plan that comes into force, what each shard reports of
-//! itself, shares of limits, jobs and machines that change shards. Shards never talk to each other directly.
+//! The exchange between shards through the state service: the activation of a sharding plan, load snapshots, shares of
+//! team limits, and the transfer of jobs and machines. Shards never communicate directly.
 
 mod activation;
 mod machine_transfers;
@@ -27,73 +27,76 @@
 const LEDGER_KEY: &str = "cells/escrow";
 const LOAD_SNAPSHOTS_PREFIX: &str = "cells/pic/";
 const ORDERS_KEY: &str = "cells/orders";
-/// What is not needed is kept for other shards for so many intervals of load snapshots.
+/// Idle machines are kept for other shards for this many load snapshot intervals.
 const HOLD_INTERVALS: f64 = 3.0;
 pub(in crate::node) const PRESENT_PREFIX: &str = "own/node/";
 const SHARD_LEADERSHIP_PREFIX: &str = "own/c/";
 const PRESENCE_LEASE_MS: u64 = 15_000;
 const OFFER_INTERVAL: Duration = Duration::from_millis(700);
 
-/// What the leader of shard 0 remembers from round to round, under its token.
+/// The rebalancer of the leader of shard 0, whose state lasts as long as the leader's token.
 #[derive(Default)]
 struct Rebalancing {
     token: u64,
     rebalancer: Rebalancer,
 }
 
-/// What a node knows of the shards together.
+/// The stored values that the shards exchange, as this node last observed them.
 #[derive(Default)]
 pub(in crate::node) struct ShardExchange {
+    /// The shards' shares of the team limits, with their version.
     ledger: Option<(Ledger, u64)>,
-    /// What each shard last told of itself, by its number.
+    /// The last load snapshot of each shard, by shard number.
     load_snapshots: HashMap<u32, LoadSnapshot>,
+    /// The rebalance plan, with its version.
     orders: Option<(RebalancePlan, u64)>,
-    /// Machines on their way, by their value's key, with its version.
+    /// Machine transfers by stored key, each with its version.
     transfers: HashMap<String, (MachineTransfer, u64)>,
-    /// What the leader of shard 0 remembers, while that shard is led here.
+    /// The rebalancer, which is used while shard 0 is led here.
     rebalancing: Rebalancing,
 }
 
-/// What became of a write, as far as it can be known.
+/// The outcome of a write, as far as it can be determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(in crate::node) enum SettledWrite {
     Stored,
     NotStored,
-    /// It may be stored, which a reading tells.
+    /// The write may be stored; a read of its key shows whether it is.
     Unknown,
 }
 
-/// What an event of a watch stores; none where it deletes.
+/// Returns the item that a watch event stores, or none for a deletion.
 fn stored_item(event: WatchEvent) -> Option<KeyValue> {
     let value = event.value.unwrap_or_default();
     Some(KeyValue { key: event.put?, value, version: event.version, lease: None })
 }
 
 impl Node {
-    /// Shares and load snapshots, as they are stored.
+    /// Watches the values that the shards exchange while a sharding plan is active.
     pub(super) async fn watch_shard_exchange_loop(self: Arc<Self>) {
-        let mut from: Option<u64> = None;
+        let mut watched_revision: Option<u64> = None;
         while lock(&self.active_plan).is_some() {
-            let heard = match from {
+            let changes = match watched_revision {
                 None => self.state.list(SHARDS_PREFIX, RequestPriority::Normal).await,
                 Some(revision) => self.state.watch(SHARDS_PREFIX, revision, WATCH_TIMEOUT).await.map(|reply| {
                     (reply.events.into_iter().filter_map(stored_item).collect(), reply.revision.max(revision))
                 }),
             };
-            match heard {
+            match changes {
                 Ok((items, revision)) => {
                     items.into_iter().for_each(|item| self.observe_exchange_item(item));
-                    from = Some(revision);
+                    watched_revision = Some(revision);
                     Timer::after(WATCH_BATCH_PAUSE * 4).await;
                 }
                 Err(_) => {
-                    from = None;
+                    watched_revision = None;
                     Timer::after(Duration::from_millis(300)).await;
                 }
             }
         }
     }
 
+    /// Handles a value that was read or watched, according to its key.
     pub(super) fn observe_exchange_item(&self, item: KeyValue) {
         if item.key == LEDGER_KEY {
             if let Ok(ledger) = serde_json::from_value::<Ledger>(item.value) {
@@ -123,7 +126,8 @@
 }
 
 impl ShardRuntime {
-    /// Tells the others of this shard, gives what it does not need, and lets waiting work go.
+    /// Runs this shard's part of the exchange, once per load snapshot interval: stores its load snapshot, transfers
+    /// spare quota, moves waiting jobs, and transfers machines. The leader of shard 0 also rebalances the shards.
     pub(in crate::node) async fn exchange_round_loop(self: Arc<Self>) {
         while self.is_open() {
             let Some(plan) = lock(&self.active_plan).clone() else { return };
@@ -160,7 +164,7 @@
         }
     }
 
-    /// What the shards told of themselves lately.
+    /// Returns the load snapshots that are recent enough to act on.
     pub(super) fn fresh_load_snapshots(&self, plan: &ShardingPlan, now_ms: u64) -> Vec<LoadSnapshot> {
         let exchange = lock(&self.shard_exchange);
         let bound_s = 2.0 * self.settings.time_bound_s;
@@ -172,23 +176,24 @@
             .collect()
     }
 
-    /// Sends a write until it is certain that it will not be applied later: one whose answer was lost
-    /// goes again, and finds what it is conditional on as it was or changed.
+    /// Sends a write until it is certain that it will not be applied later, or leadership is lost. A write whose
+    /// response was lost is sent again: it is then applied, or conflicts because its conditions have changed, and
+    /// after either the earlier copy cannot be applied any more.
     pub(super) async fn commit_until_settled(
         &self,
         token: u64,
         conditions: Vec<Compare>,
         changes: Vec<Mutation>,
     ) -> SettledWrite {
-        let mut lost = false;
+        let mut response_lost = false;
         loop {
             match self.state.commit(conditions.clone(), changes.clone(), RequestPriority::Normal).await {
                 Ok(CompareAndSwap::Applied(_)) => return SettledWrite::Stored,
                 Ok(CompareAndSwap::Conflict(_)) => {
-                    return if lost { SettledWrite::Unknown } else { SettledWrite::NotStored };
+                    return if response_lost { SettledWrite::Unknown } else { SettledWrite::NotStored };
                 }
-                Err(StateError::NotExecuted(_)) if !lost => return SettledWrite::NotStored,
-                Err(StateError::Unknown) => lost = true,
+                Err(StateError::NotExecuted(_)) if !response_lost => return SettledWrite::NotStored,
+                Err(StateError::Unknown) => response_lost = true,
                 Err(_) => {}
             }
             if lock(&self.election).token() != Some(token) {
--- a/src/node/shard_exchange/quota_shares.rs
+++ b/src/node/shard_exchange/quota_shares.rs
@@ -1,4 +1,4 @@
-//! The shards' shares of teams' limits. What a shard gives is not counted on by it from before the write is sent.
+//! The shards' shares of the team limits. A shard stops using the quota that it transfers before the write is sent.
 
 use super::{LEDGER_KEY, SettledWrite};
 use crate::clock;
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 impl Node {
-    /// A newer word on the shares: every shard that is led here goes by it, unless it is giving.
+    /// Applies newer stored shares to every shard that is led here, except one with a quota transfer in progress.
     pub(super) fn observe_ledger(&self, ledger: Ledger, version: u64) {
         {
             let mut exchange = lock(&self.shard_exchange);
@@ -24,10 +24,10 @@
             }
             exchange.ledger = Some((ledger.clone(), version));
         }
-        let goes_by_it = |runtime: &&Arc<ShardRuntime>| {
+        let uses_ledger = |runtime: &&Arc<ShardRuntime>| {
             !runtime.quota_transfer_in_progress.load(Ordering::Relaxed) && !runtime.absorbs_all_shards()
         };
-        for runtime in self.shards().iter().filter(goes_by_it) {
+        for runtime in self.shards().iter().filter(uses_ledger) {
             runtime.with_shard(clock::now(), |shard| {
                 shard.set_limit_shares(&self.settings.teams, &ledger, runtime.id);
             });
@@ -36,27 +36,28 @@
 }
 
 impl ShardRuntime {
-    /// The shares that this shard begins with. Nothing is begun before they are known.
+    /// Reads the shares with which this shard starts leading; none if it has the whole limits.
     pub(in crate::node) async fn read_limit_shares(&self) -> Result<Option<Ledger>, StateError> {
         if lock(&self.active_plan).is_none() || self.absorbs_all_shards() {
             return Ok(None);
         }
         let item = self.state.get(LEDGER_KEY, RequestPriority::Normal).await?;
-        let read = item.and_then(|item| Some((serde_json::from_value::<Ledger>(item.value).ok()?, item.version)));
-        match read {
+        let stored = item.and_then(|item| Some((serde_json::from_value::<Ledger>(item.value).ok()?, item.version)));
+        match stored {
             Some((ledger, version)) => {
                 self.observe_ledger(ledger.clone(), version);
                 Ok(Some(ledger))
             }
-            // Where there is none nothing may be used of any limit.
+            // Without stored shares, this shard may not use any part of a limit.
             None => Ok(Some(Ledger::new(&team_limits_by_name(&self.settings.teams), 1, ShardId(u32::MAX)))),
         }
     }
 
+    /// Transfers quota that this shard does not need to shards that can use it.
     pub(super) async fn transfer_spare_quota(&self, token: u64, plan: &ShardingPlan, own_load: &LoadSnapshot) {
         let Some((ledger, version)) = lock(&self.shard_exchange).ledger.clone() else { return };
         let snapshots = self.fresh_load_snapshots(plan, own_load.at_ms);
-        let mut all: Vec<QuotaTransfer> = Vec::new();
+        let mut transfers: Vec<QuotaTransfer> = Vec::new();
         for team in ledger.teams.keys() {
             let use_of = |shard: u32| -> Option<QuotaUse> {
                 let other = || snapshots.iter().find(|snapshot| snapshot.shard.0 == shard);
@@ -64,30 +65,31 @@
                 Some(snapshot.teams.get(team).copied().unwrap_or_default())
             };
             let uses: Vec<Option<QuotaUse>> = (0..plan.cells).map(use_of).collect();
-            all.extend(quota_transfers(self.id, team, &ledger, &uses, self.home_shard_in_plan(plan, team)));
+            transfers.extend(quota_transfers(self.id, team, &ledger, &uses, self.home_shard_in_plan(plan, team)));
         }
-        if !all.is_empty() {
-            self.store_quota_transfers(token, (ledger, version), all, Vec::new(), Vec::new()).await;
+        if !transfers.is_empty() {
+            self.store_quota_transfers(token, (ledger, version), transfers, Vec::new(), Vec::new()).await;
         }
     }
 
-    /// Stores gifts, and what goes with them, in one write. What is given is not counted on from
-    /// before the write is sent until it is known what became of it.
+    /// Stores quota transfers, together with `changes` under `conditions`, in one transaction. The shard does not use
+    /// the transferred quota from before the write is sent until its outcome is known.
     pub(super) async fn store_quota_transfers(
         &self,
         token: u64,
-        (ledger, version): (Ledger, u64),
-        given: Vec<QuotaTransfer>,
+        (ledger, ledger_version): (Ledger, u64),
+        transfers: Vec<QuotaTransfer>,
         mut conditions: Vec<Compare>,
         mut changes: Vec<Mutation>,
     ) -> SettledWrite {
-        let Some(next) = ledger.apply(&given) else { return SettledWrite::Unknown };
+        let Some(next) = ledger.apply(&transfers) else { return SettledWrite::Unknown };
         self.quota_transfer_in_progress.store(true, Ordering::Relaxed);
         let fits = self.with_shard(clock::now(), |shard| {
-            // What has come into use since the load snapshot is not given after all.
+            // Quota that came into use after the load snapshot is not transferred.
             let usage = shard.limit_usage();
-            let fits_share =
-                |(team, used): &(String, Amount)| next.share(team, self.id).is_none_or(|left| used.fits(left));
+            let fits_share = |(team, used): &(String, Amount)| {
+                next.share(team, self.id).is_none_or(|remaining| used.fits(remaining))
+            };
             let fits = shard.token == token && usage.iter().all(fits_share);
             if fits {
                 shard.set_limit_shares(&self.settings.teams, &next, self.id);
@@ -98,11 +100,10 @@
         if fits == Some(true) {
             let value = serde_json::to_value(&next).unwrap_or_default();
             conditions.push(Compare { key: self.leadership_key.clone(), version: token });
-            conditions.push(Compare { key: LEDGER_KEY.into(), version });
+            conditions.push(Compare { key: LEDGER_KEY.into(), version: ledger_version });
             changes.push(Mutation::Put { key: LEDGER_KEY.into(), value, lease: None });
             stored = self.commit_until_settled(token, conditions, changes).await;
-            // Whatever became of it: the state service's own word on the shares, before anything is
-            // counted on again.
+            // Unless the write was certainly not stored, reads the stored shares before any quota is used again.
             while stored != SettledWrite::NotStored && lock(&self.election).token() == Some(token) {
                 if let Ok(Some(item)) = self.state.get(LEDGER_KEY, RequestPriority::Normal).await
                     && let Ok(ledger) = serde_json::from_value::<Ledger>(item.value)
@@ -114,8 +115,8 @@
             }
         }
         self.quota_transfer_in_progress.store(false, Ordering::Relaxed);
-        let known = lock(&self.shard_exchange).ledger.clone();
-        if let Some((ledger, _)) = known {
+        let last_observed = lock(&self.shard_exchange).ledger.clone();
+        if let Some((ledger, _)) = last_observed {
             self.with_shard(clock::now(), |shard| shard.set_limit_shares(&self.settings.teams, &ledger, self.id));
         }
         stored
--- a/src/node/shard_exchange/rebalance.rs
+++ b/src/node/shard_exchange/rebalance.rs
@@ -1,5 +1,5 @@
-//! What the leader of shard 0 decides for all shards: the homes of teams, and machines that are to change shards.
-//! It only stores its plan; every shard carries it out itself.
+//! Rebalancing by the leader of shard 0: it plans the home shards of teams and the transfer of machines for all shards.
+//! It only stores the plan; every shard carries out its own part.
 
 use super::{ORDERS_KEY, Rebalancing};
 use crate::node::{Node, ShardRuntime, lock};
@@ -10,7 +10,7 @@
 use lupinspur_sharding::{ShardId, ShardingPlan};
 
 impl Node {
-    /// A team's home, by the leader's word or else by the plan's.
+    /// Returns a team's home shard: as the stored rebalance plan has it or, without one, as the sharding plan does.
     pub(in crate::node) fn home_shard_in_plan(&self, plan: &ShardingPlan, team: &str) -> ShardId {
         match &lock(&self.shard_exchange).orders {
             Some((orders, _)) => orders.home(plan, team),
@@ -20,7 +20,7 @@
 }
 
 impl ShardRuntime {
-    /// The leader's look at all shards: its word is stored, and every shard goes by it.
+    /// Plans one round for all shards, and stores the rebalance plan if it changed or is due to be refreshed.
     pub(super) async fn rebalance(&self, token: u64, plan: &ShardingPlan, own_load: &LoadSnapshot) {
         let mut snapshots = self.fresh_load_snapshots(plan, own_load.at_ms);
         snapshots.retain(|snapshot| snapshot.shard != self.id);
--- a/src/node/shard_exchange/spill.rs
+++ b/src/node/shard_exchange/spill.rs
@@ -1,4 +1,4 @@
-//! Waiting jobs that go to other shards. A job with assigned tasks never moves.
+//! Moves waiting jobs to other shards. A job with assigned tasks never moves.
 
 use super::SettledWrite;
 use crate::clock;
@@ -16,9 +16,9 @@
 use std::time::Duration;
 
 impl ShardRuntime {
-    /// Is this job another shard's, as its record tells? Asked until there is an answer: one that stays
-    /// here, set aside for the other shard, would be started by nobody. None where leadership is lost, or
-    /// the record can't be read.
+    /// Returns whether the stored record assigns this job to another shard. Repeats the read until the state service
+    /// answers: a job that is marked as moving away but stays here would not be started by any shard. Returns none if
+    /// leadership is lost, or if the record is missing or cannot be parsed.
     async fn belongs_to_another_shard(&self, token: u64, key: &str) -> Option<bool> {
         while lock(&self.election).token() == Some(token) {
             match self.state.get(key, RequestPriority::Normal).await {
@@ -32,44 +32,45 @@
         None
     }
 
-    /// Waiting work goes to shards where it starts sooner, whole and one job at a time.
+    /// Moves waiting jobs to shards where they start sooner. Whole jobs move, one at a time.
     pub(super) async fn spill_over(self: &Arc<Self>, token: u64, plan: &ShardingPlan, own_load: &LoadSnapshot) {
         let others = self.fresh_load_snapshots(plan, own_load.at_ms);
         let now = clock::now();
         let boot_s = self.machine_types().iter().map(|machine_type| machine_type.boot_s).fold(0.0, f64::max);
         let waiting = self.with_shard(now, |shard| shard.spillable_jobs(now)).unwrap_or_default();
         for (job, to) in plan_spills(plan, own_load, &others, &waiting, boot_s) {
-            let Some((ledger, version)) = lock(&self.shard_exchange).ledger.clone() else { return };
-            let gone = self.with_shard(clock::now(), |shard| {
-                // It may have been started, or ended, since it was offered.
+            let Some((ledger, ledger_version)) = lock(&self.shard_exchange).ledger.clone() else { return };
+            let begun_move = self.with_shard(clock::now(), |shard| {
+                // The job may have started or ended since it was selected.
                 let waiting =
                     shard.jobs.get(job).is_some_and(|job| job.is_open() && job.assigned == 0 && !job.moving_away);
                 if !waiting || shard.token != token {
                     return None;
                 }
-                let (record, version, team, takes) = shard.begin_move(job, to)?;
-                Some((record, version, shard.team_name(team).to_owned(), takes))
+                let (record, version, team, demand) = shard.begin_move(job, to)?;
+                Some((record, version, shard.team_name(team).to_owned(), demand))
             });
-            let Some((record, record_version, team, takes)) = gone.flatten() else { continue };
+            let Some((record, record_version, team, demand)) = begun_move.flatten() else { continue };
             let id = record.job.id.clone();
             let key = job_key(&id);
             let Ok(value) = serde_json::to_value(&record) else { continue };
-            // Its part of the limit goes with it, as far as this shard has it to spare.
-            let given: Vec<QuotaTransfer> = ledger
+            // The quota that the job needs moves with it, as far as this shard can spare it.
+            let transfers: Vec<QuotaTransfer> = ledger
                 .share(&team, self.id)
                 .map(|own| {
                     let used = self.with_shard(clock::now(), |shard| shard.limit_usage()).unwrap_or_default();
                     let used = used.into_iter().find(|(name, _)| *name == team).map_or(own, |(_, used)| used);
                     let spare = own.minus(used);
-                    let amount = Amount::new(takes.cpus.min(spare.cpus), takes.accelerators.min(spare.accelerators));
+                    let amount = Amount::new(demand.cpus.min(spare.cpus), demand.accelerators.min(spare.accelerators));
                     QuotaTransfer { team: team.clone(), from: self.id, to, amount }
                 })
                 .into_iter()
                 .collect();
             let conditions = vec![Compare { key: key.clone(), version: record_version }];
             let changes = vec![Mutation::Put { key: key.clone(), value, lease: None }];
-            let stored = self.store_quota_transfers(token, (ledger, version), given, conditions, changes).await;
-            // Its own record has the last word on whose it is.
+            let stored =
+                self.store_quota_transfers(token, (ledger, ledger_version), transfers, conditions, changes).await;
+            // The stored record decides which shard the job belongs to.
             let moved = match stored {
                 SettledWrite::Stored | SettledWrite::Unknown => self.belongs_to_another_shard(token, &key).await,
                 SettledWrite::NotStored => Some(false),
@@ -81,7 +82,7 @@
                     self.with_shard(clock::now(), |shard| shard.on_job_moved(&id, clock::now()));
                 }
                 Some(false) => _ = self.with_shard(clock::now(), |shard| shard.cancel_move(&id)),
-                // It waits here, started by nobody, until its record comes by the watch.
+                // The job stays marked as moving away, and is not started, until the watch reports its record.
                 None => {}
             }
         }
--- a/src/node/shard_exchange/tests.rs
+++ b/src/node/shard_exchange/tests.rs
@@ -1,4 +1,4 @@
-//! Golden keys of what shards tell each other: another version must find them under the same names.
+//! Golden tests of the keys through which shards exchange values: other versions use the same names.
 
 use super::{LEDGER_KEY, LOAD_SNAPSHOTS_PREFIX, ORDERS_KEY, PRESENT_PREFIX, SHARD_LEADERSHIP_PREFIX, SHARDS_PREFIX};
 
--- a/src/node/shard_runtime.rs
+++ b/src/node/shard_runtime.rs
@@ -1,5 +1,5 @@
-//! The runtime of one shard in this process: its election, the scheduler's shard while it is led here, and its
-//! loops. It lets nobody act on the shard without a valid token.
+//! The runtime of one shard in this process: its election, its scheduler state while it is led here, and its loops.
+//! The scheduler state is accessible only with a valid fencing token.
 
 use crate::clock;
 use crate::election::LeaderElection;
@@ -10,27 +10,28 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
 
-/// A shard's runtime: its election, its shard while it is led here, its loops. Everything that the process has
-/// once it finds in its node.
+/// The runtime of one shard. The state and clients that all shards of the process share are in [`Node`], to which it
+/// dereferences.
 pub struct ShardRuntime {
     pub(super) node: Arc<Node>,
     pub id: ShardId,
     pub(super) leadership_key: String,
     pub(super) election: Mutex<LeaderElection>,
+    /// The scheduler state, once a failover has loaded it.
     pub(super) shard: Mutex<Option<Shard>>,
     pub(super) wakes: Wakes,
     pub(super) campaign_in_progress: AtomicBool,
     pub(super) failover_in_progress: AtomicBool,
-    /// A part of its share is on its way to another shard.
+    /// Whether quota of this shard is being transferred to another shard.
     pub(super) quota_transfer_in_progress: AtomicBool,
-    /// Another set of shards has taken its place: its loops end.
+    /// Whether this runtime was replaced because the set of shards changed. Its loops then end.
     pub(super) closed: AtomicBool,
     pub(super) loaded_at: Mutex<LoadedAt>,
-    /// Shard 0, at the end of a merging: whatever the others had is its own.
+    /// Whether this is shard 0 at the end of a merge, which takes over the state of all other shards.
     pub(super) absorbs_all_shards: AtomicBool,
 }
 
-/// Under which token, and up to which revision, everything was read.
+/// The token under which the last failover loaded the state, and the revision up to which the jobs were read.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct LoadedAt {
     pub(super) token: u64,
@@ -44,8 +45,8 @@
     }
 }
 
-/// Takes a job's record in. Knowing of it needs no right to act: what came while the lease was
-/// in doubt would be missing afterwards. One that is another shard's is not, or no longer, ours.
+/// Applies a job record to the shard, or removes a job that belongs to another shard. This does not require a valid
+/// lease: records that arrive while the lease is in doubt would otherwise be missing afterwards.
 pub(super) fn apply_job_record(runtime: &ShardRuntime, shard: &mut Shard, item: &KeyValue, now: f64) {
     match parse_job_record(&item.key, &item.value) {
         Ok(record) if runtime.is_relevant(&record) => _ = shard.add_job(record, item.version, now),
@@ -99,14 +100,14 @@
         !self.closed.load(Ordering::Relaxed)
     }
 
-    /// Lets `visit` see the shard while this node holds a valid token for it.
+    /// Calls `visit` with the shard if this node holds a valid token for it. Returns none otherwise.
     pub fn with_shard<T>(&self, now: f64, visit: impl FnOnce(&mut Shard) -> T) -> Option<T> {
         let token = lock(&self.election).valid_token(now)?;
         let mut guard = lock(&self.shard);
         guard.as_mut().filter(|shard| shard.token == token).map(visit)
     }
 
-    /// Who leads this shard, as far as this node knows.
+    /// Returns the leadership of this shard as this node knows it.
     pub fn leadership_status(&self, now: f64) -> LeadershipStatus {
         let election = lock(&self.election);
         if election.valid_token(now).is_some() {
@@ -117,7 +118,7 @@
         election.other_leader().map_or(LeadershipStatus::NoLeader, following)
     }
 
-    /// Something may be there to place: the next tick comes soon.
+    /// Makes the scheduling loop run its next tick soon, because there may be tasks to place.
     pub fn wake(&self) {
         let _ = self.wakes.ticks.0.try_send(());
     }
@@ -127,9 +128,9 @@
         let _ = self.wakes.pushes.0.try_send(());
     }
 
-    /// A stored job that the shard did not know of yet. `token`: of the shard for which it was read. A later
-    /// one has read everything itself, after that: a job that is over need not be known to it, and would be
-    /// open again by an older record.
+    /// Applies a stored job record that was read for the shard with this token. A shard with a later token ignores
+    /// it: that shard has read all records later, does not keep all jobs that are over, and would reopen such a job
+    /// because of an older record.
     pub fn apply_job(&self, token: u64, item: &KeyValue) {
         let now = clock::now();
         if let Some(shard) = lock(&self.shard).as_mut().filter(|shard| shard.token == token) {
@@ -138,18 +139,20 @@
         self.wake();
     }
 
-    /// Until when the lease is valid: what is decided now may be sent until then.
+    /// Returns the time until which the lease is valid, and so until which a decision made now may be sent.
     pub fn lease_valid_until(&self) -> Option<f64> {
         lock(&self.election).lease_valid_until()
     }
 
-    /// The leader to which a heartbeat is redirected that this controller cannot take. Who has not heard from the
-    /// state service for longer than a lease lasts does not know who leads: sent on to a leader that is
-    /// gone, a worker waits for 4 s and more, and may be sent back here.
+    /// Returns the leader to which to redirect a heartbeat that this controller cannot handle. Returns none if the
+    /// state service has not responded for longer than a lease and a watch request last, because another leader may
+    /// have been elected since: a worker that is redirected to a dead leader waits for 4 s or more, and may be
+    /// redirected back to this controller.
     pub fn redirect_target(&self, now: f64) -> Option<String> {
-        let known = now - *lock(&self.state_responded_at) < self.tuning.leader_lease_s + WATCH_TIMEOUT.as_secs_f64();
+        let leader_known =
+            now - *lock(&self.state_responded_at) < self.tuning.leader_lease_s + WATCH_TIMEOUT.as_secs_f64();
         match self.leadership_status(now) {
-            LeadershipStatus::Following(node) if known => {
+            LeadershipStatus::Following(node) if leader_known => {
                 self.heartbeats_redirected.fetch_add(1, Ordering::Relaxed);
                 Some(node)
             }
