--- a/src/state/limits.rs
+++ b/src/state/limits.rs
@@ -1,76 +1,78 @@
-//! The rates at which the state service takes requests and writes, and lower ones that come without notice.
+//! The rate limits of the state service, and lower ones that are announced but take effect without notice.
 //!
-//! Owns which of the two seem to hold. It sends nothing and reads no clock.
+//! Decides which of the two seem to be in effect. It sends nothing and reads no clock.
 
 use std::collections::VecDeque;
 
-/// Requests and writes a second that the service takes.
+/// Requests and writes per second.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Rates {
     pub(super) requests: f64,
     pub(super) writes: f64,
 }
 
-/// Limits that hold, and lower ones that were announced and come without notice. Whether
-/// they hold by now shows in refusals; after a while it is tried again whether they still do.
+/// The initial limits, and the lower ones that were announced and take effect without notice. Refused requests show
+/// that the lower limits are in effect; after a while the initial ones are tried again.
 #[derive(Debug)]
 pub(super) struct Limits {
-    now: Rates,
-    /// The lower ones that were announced.
-    next: Rates,
-    /// Our part of either.
+    /// The limits that are in effect at first.
+    initial: Rates,
+    /// The lower limits that were announced.
+    announced: Rates,
+    /// The fraction of either that this controller uses.
     pub(super) share: Rates,
-    /// When requests were refused lately, in seconds.
-    refused: VecDeque<f64>,
-    /// The lower ones are kept to until then.
+    /// The times of recent refusals, in seconds.
+    refused_at: VecDeque<f64>,
+    /// The time until which the lower limits are used, in seconds.
     lowered_until: f64,
+    /// Whether the lower limits are in use.
     lowered: bool,
 }
 
-/// So many refusals within a moment are more than bursts that meet.
-const REFUSALS: usize = 4;
-const REFUSALS_WITHIN_S: f64 = 2.0;
-/// How long the lower limits are kept to before the higher ones are tried again.
+/// This many refusals within the window mean more than that bursts of several controllers coincided.
+const REFUSALS_TO_LOWER: usize = 4;
+const REFUSAL_WINDOW_S: f64 = 2.0;
+/// How long the lower limits are used before the initial ones are tried again.
 const LOWERED_FOR_S: f64 = 20.0;
-/// The same where a trial has shown that the higher ones are gone.
-const CONFIRMED_FOR_S: f64 = 900.0;
-/// Refusals so soon after the higher limits were tried again confirm the lower ones.
-const TRIED_FOR_S: f64 = 8.0;
+/// The same after a trial has shown that the initial limits are no longer in effect.
+const LOWERED_FOR_CONFIRMED_S: f64 = 900.0;
+/// Refusals within this time after the initial limits were tried again confirm the lower ones.
+const TRIAL_S: f64 = 8.0;
 
 impl Limits {
     pub(super) fn new(settings: &crate::settings::Settings) -> Limits {
-        let now = Rates { requests: settings.state_rps, writes: settings.write_rps };
-        let next = Rates {
-            requests: settings.state_next.rps.min(now.requests),
-            writes: settings.state_next.write_rps.min(now.writes),
+        let initial = Rates { requests: settings.state_rps, writes: settings.write_rps };
+        let announced = Rates {
+            requests: settings.state_next.rps.min(initial.requests),
+            writes: settings.state_next.write_rps.min(initial.writes),
         };
         let share = Rates { requests: 1.0, writes: 1.0 };
-        Limits { now, next, share, refused: VecDeque::new(), lowered_until: f64::MIN, lowered: false }
+        Limits { initial, announced, share, refused_at: VecDeque::new(), lowered_until: f64::MIN, lowered: false }
     }
 
-    /// The service refused a request as one too many.
-    pub(super) fn refused(&mut self, now: f64) {
-        self.refused.retain(|refused_at| now - refused_at < REFUSALS_WITHIN_S);
-        self.refused.push_back(now);
-        if self.refused.len() >= REFUSALS && self.next != self.now {
-            // Trying the higher ones costs everybody's submissions some refusals each time:
-            // once it has shown that they are gone, it is not done again soon.
-            let confirmed = !self.lowered && now - self.lowered_until < TRIED_FOR_S;
-            let keep_s = if confirmed { CONFIRMED_FOR_S } else { LOWERED_FOR_S };
-            self.lowered_until = self.lowered_until.max(now + keep_s);
-            self.refused.clear();
+    /// Records that the service refused a request because of its rate limit.
+    pub(super) fn record_refusal(&mut self, now: f64) {
+        self.refused_at.retain(|refused_at| now - refused_at < REFUSAL_WINDOW_S);
+        self.refused_at.push_back(now);
+        if self.refused_at.len() >= REFUSALS_TO_LOWER && self.announced != self.initial {
+            // Each trial of the initial limits causes refused submissions at all controllers. Once a
+            // trial has shown that these limits are no longer in effect, the next one comes much later.
+            let confirmed = !self.lowered && now - self.lowered_until < TRIAL_S;
+            let lowered_for_s = if confirmed { LOWERED_FOR_CONFIRMED_S } else { LOWERED_FOR_S };
+            self.lowered_until = self.lowered_until.max(now + lowered_for_s);
+            self.refused_at.clear();
         }
     }
 
-    /// Our rates, if they are others than before.
+    /// Returns this controller's rates if they have changed since the last call.
     pub(super) fn changed_rates(&mut self, now: f64) -> Option<Rates> {
         let lowered = now < self.lowered_until;
         (lowered != std::mem::replace(&mut self.lowered, lowered)).then(|| self.own_rates())
     }
 
-    /// Our part of the rates that seem to hold.
+    /// Returns this controller's share of the limits that seem to be in effect.
     pub(super) fn own_rates(&self) -> Rates {
-        let all = if self.lowered { self.next } else { self.now };
+        let all = if self.lowered { self.announced } else { self.initial };
         Rates { requests: all.requests * self.share.requests, writes: all.writes * self.share.writes }
     }
 }
@@ -79,27 +81,35 @@
 mod tests {
     use super::*;
 
-    /// The lower limits come without notice: refusals that follow one another show it. A
-    /// single one is two bursts that met, and where nothing was announced nothing changes.
+    /// The lower limits take effect without notice, which several refusals in a row show. A single refusal
+    /// only means that two bursts coincided. If no lower limits were announced, refusals change nothing.
     #[test]
     fn refusals_show_that_the_lower_limits_hold() {
         let text = crate::settings::EXAMPLE;
         let with_next = text.replace("[cluster.cloud]", "[cluster.state.next]\nwrite_rps = 10.0\n[cluster.cloud]");
-        let settings = |t: &str| crate::settings::Settings::parse(t).expect("settings");
-        let mut l = Limits::new(&settings(&with_next));
+        let settings = |text: &str| crate::settings::Settings::parse(text).expect("settings");
+        let mut limits = Limits::new(&settings(&with_next));
         for i in 0..6 {
-            l.refused(f64::from(i) * 5.0);
-            assert_eq!(l.changed_rates(f64::from(i) * 5.0), None, "refusals now and then");
+            limits.record_refusal(f64::from(i) * 5.0);
+            assert_eq!(limits.changed_rates(f64::from(i) * 5.0), None, "single refusals change nothing");
         }
-        (0..4).for_each(|i| l.refused(100.0 + f64::from(i) * 0.3));
-        assert_eq!(l.changed_rates(101.0), Some(Rates { requests: 100.0, writes: 10.0 }));
-        assert_eq!(l.changed_rates(110.0), None, "said once");
-        assert_eq!(l.changed_rates(125.0), Some(Rates { requests: 100.0, writes: 30.0 }), "tried again later");
-        (0..4).for_each(|i| l.refused(126.0 + f64::from(i) * 0.3));
-        assert_eq!(l.changed_rates(127.0), Some(Rates { requests: 100.0, writes: 10.0 }), "and still refused");
-        assert_eq!(l.changed_rates(900.0), None, "so that it is not tried again every few seconds");
-        let mut same = Limits::new(&settings(text));
-        (0..9).for_each(|i| same.refused(100.0 + f64::from(i) * 0.1));
-        assert_eq!(same.changed_rates(101.0), None);
+        (0..4).for_each(|i| limits.record_refusal(100.0 + f64::from(i) * 0.3));
+        assert_eq!(limits.changed_rates(101.0), Some(Rates { requests: 100.0, writes: 10.0 }));
+        assert_eq!(limits.changed_rates(110.0), None, "a change is returned once");
+        assert_eq!(
+            limits.changed_rates(125.0),
+            Some(Rates { requests: 100.0, writes: 30.0 }),
+            "the initial limits are tried again"
+        );
+        (0..4).for_each(|i| limits.record_refusal(126.0 + f64::from(i) * 0.3));
+        assert_eq!(
+            limits.changed_rates(127.0),
+            Some(Rates { requests: 100.0, writes: 10.0 }),
+            "refusals during the trial lower the limits again"
+        );
+        assert_eq!(limits.changed_rates(900.0), None, "the next trial comes much later");
+        let mut without_announcement = Limits::new(&settings(text));
+        (0..9).for_each(|i| without_announcement.record_refusal(100.0 + f64::from(i) * 0.1));
+        assert_eq!(without_announcement.changed_rates(101.0), None);
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,11 +1,11 @@
 //! Client of the state service.
 //!
-//! Owns the connections, this controller's share of the service's rates, and what is known of its answers. It
-//! never decides what is written, and it repeats nothing whose outcome is unknown.
+//! Holds the connections, this controller's share of the service's rate limits, and whether the service responds. It
+//! does not decide what is written, and never repeats a request whose outcome is unknown.
 //!
-//! - `operations`: what it is asked, and what each status means
-//! - `requests`: how a request reaches it
-//! - `limits`: the rates that seem to hold
+//! - `operations`: the operations of the service and the meaning of its status codes
+//! - `requests`: how requests are sent: rate limits, priorities, outcomes
+//! - `limits`: the rate limits that seem to be in effect
 
 mod limits;
 mod operations;
@@ -19,46 +19,47 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// Why a request has no answer that counts.
+/// Why a request failed.
 #[derive(Debug, Clone, thiserror::Error, PartialEq, Eq)]
 pub enum StateError {
-    /// Certainly not executed: the status that it was refused with, 429 also where it never left, 0 without one.
+    /// Certainly not executed, with the HTTP status of the refusal. The status is 429 also if the request exceeded
+    /// this controller's own share and was not sent, and 0 if it was not sent for another reason.
     #[error("not executed ({0})")]
     NotExecuted(u16),
-    /// May have been executed, or may still be.
+    /// The request may have been executed, or may still be executed later.
     #[error("outcome unknown")]
     Unknown,
-    /// The lease is over.
+    /// The lease has expired, or does not exist.
     #[error("no such lease")]
     NoSuchLease,
-    /// The changes that a watch asks for are not kept any more.
-    #[error("history is gone")]
+    /// The service has compacted the changes that a watch asks for.
+    #[error("changes after this revision were compacted")]
     TooOld,
 }
 
-/// Who goes first where requests are short. Polls once took all of a node's share while
-/// there was no leader: submissions waited behind them, and the node could not read who the
-/// new leader was, so that it went on asking the state service for every poll.
+/// Which requests are sent first when they exceed the rate limit. Without priorities, polls took a node's whole share
+/// while there was no leader: submissions waited behind them, and the node could not read the new leadership record,
+/// so it kept reading the state service for every poll.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestPriority {
-    /// Leases, claims and watches: they cannot wait.
+    /// Leases, campaigns and watches, which cannot wait.
     Urgent,
-    /// What waits for its part of the rate.
+    /// Requests that wait for the rate limit.
     Normal,
-    /// What is asked again anyway: it is refused at once rather than kept waiting.
+    /// Requests that the caller repeats anyway. They fail at once instead of waiting.
     BestEffort,
 }
 
-/// What became of a transaction.
+/// The outcome of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CompareAndSwap {
-    /// All of it, at this revision.
+    /// All mutations were applied, at this revision.
     Applied(u64),
-    /// None of it: the keys whose condition does not hold.
+    /// Nothing was applied, because the conditions on these keys do not hold.
     Conflict(Vec<String>),
 }
 
-/// An answer of the state service.
+/// An HTTP response of the state service.
 struct Response {
     status: u16,
     body: Vec<u8>,
@@ -71,7 +72,7 @@
 }
 
 impl Response {
-    /// What its body says; the outcome of a request is unknown if that cannot be read.
+    /// Parses the body. If it cannot be parsed, the outcome of the request is unknown.
     fn parse<T: DeserializeOwned>(&self) -> Result<T, StateError> {
         serde_json::from_slice(&self.body).map_err(|_| StateError::Unknown)
     }
@@ -81,10 +82,11 @@
     }
 }
 
-/// When the service last answered, and when it last did not, in seconds of the steady clock.
+/// When the service last responded, and when a request last failed without a response or with status 503. In seconds
+/// of the steady clock.
 #[derive(Debug, Clone, Copy)]
 struct LastOutcomes {
-    answered_at: f64,
+    responded_at: f64,
     failed_at: f64,
 }
 
@@ -96,33 +98,33 @@
     requests: Mutex<RateLimiter>,
     writes: Mutex<RateLimiter>,
     last_outcomes: Mutex<LastOutcomes>,
-    /// Mutations of a transaction, at the most.
+    /// Maximum number of mutations in a transaction.
     pub txn_ops: usize,
     limits: Mutex<Limits>,
 }
 
-/// How long the answer to a transaction is waited for.
+/// How long a transaction waits for its response.
 pub const COMMIT_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Renewals go out more often than this.
+/// The service counts as responsive for this long after its last response. Lease renewals are sent more often.
 const RESPONSIVE_WITHIN_S: f64 = 2.5;
-/// A time, in seconds, before any at which the service may have answered.
+/// A time of the steady clock, in seconds, before any response can have arrived.
 const NEVER: f64 = -100.0;
 const READ_TIMEOUT: Duration = Duration::from_millis(1500);
 const LIST_TIMEOUT: Duration = Duration::from_secs(4);
 const GRANT_TIMEOUT: Duration = Duration::from_secs(2);
 const REVOKE_TIMEOUT: Duration = Duration::from_secs(1);
-/// A watch is waited for so much longer than the service may hold it.
+/// Added to the time for which the service may hold a watch request, to get the request's timeout.
 const WATCH_MARGIN: Duration = Duration::from_secs(3);
-/// How long a transaction waits for its part of the writes.
+/// How long a transaction waits for its share of the write rate.
 const WRITE_ACQUIRE_TIMEOUT: Duration = Duration::from_secs(3);
 const ACQUIRE_POLL_INTERVAL: Duration = Duration::from_millis(15);
-/// Items in one page of a list.
+/// Maximum number of items in one page of a list.
 const PAGE_KEYS: usize = 1000;
-/// Largest transaction that is sent, with room for its frame.
+/// Maximum size of a transaction's mutations, which leaves space for the rest of the request.
 pub const MAX_TRANSACTION_BYTES: usize = 56 * 1024;
 
 impl KvClient {
-    /// A client that has not asked anything yet, with the rates of one that leads no shard.
+    /// Creates a client with the request rates of a controller that leads no shard.
     pub fn new(settings: &crate::settings::Settings) -> KvClient {
         let client = KvClient {
             addr: settings.state,
@@ -130,7 +132,7 @@
             watches: Client::new(2, 2),
             requests: Mutex::new(RateLimiter::new(1.0, 1.0)),
             writes: Mutex::new(RateLimiter::new(1.0, 1.0)),
-            last_outcomes: Mutex::new(LastOutcomes { answered_at: NEVER, failed_at: NEVER }),
+            last_outcomes: Mutex::new(LastOutcomes { responded_at: NEVER, failed_at: NEVER }),
             txn_ops: settings.least_txn_ops(),
             limits: Mutex::new(Limits::new(settings)),
         };
--- a/src/state/requests.rs
+++ b/src/state/requests.rs
@@ -1,6 +1,7 @@
-//! How requests reach the state service: this controller's share of its rates, priorities, and whether it answers.
+//! Sends requests to the state service: this controller's share of the rate limits, priorities, and whether the service
+//! responds.
 //!
-//! Owns what an answer or its absence says of execution. It does not know what a request means.
+//! Decides from a response, or its absence, whether a request was executed. It does not know what a request means.
 
 use super::limits::Rates;
 use super::{ACQUIRE_POLL_INTERVAL, KvClient, RESPONSIVE_WITHIN_S, RequestPriority, Response, StateError, lock};
@@ -14,30 +15,30 @@
 use std::time::Duration;
 
 impl KvClient {
-    /// The leader writes most; the others only accept jobs. Together the shares are
-    /// more than the whole, since bursts seldom meet: the service's own 429 is the
-    /// last word, and whoever gets one pauses. `owned` of so many shards are this controller's.
-    pub fn set_rate_share(&self, settings: &Settings, owned: usize, of: usize) {
-        let ours = self.own_rates(settings, owned, of);
-        *lock(&self.requests) = RateLimiter::new(ours.requests, ours.requests);
-        *lock(&self.writes) = RateLimiter::new(ours.writes, ours.writes);
+    /// Sets this controller's share of the rate limits while it leads `led` of `total` shards. Leaders write most;
+    /// the other controllers only accept jobs. The shares of all controllers add up to more than the whole, since
+    /// bursts seldom coincide: the service enforces its limits by status 429, after which a controller pauses.
+    pub fn set_rate_share(&self, settings: &Settings, led: usize, total: usize) {
+        let rates = self.own_rates(settings, led, total);
+        *lock(&self.requests) = RateLimiter::new(rates.requests, rates.requests);
+        *lock(&self.writes) = RateLimiter::new(rates.writes, rates.writes);
     }
 
-    /// The rates that this controller keeps to while it leads `owned` of `of` shards.
-    pub(super) fn own_rates(&self, settings: &Settings, owned: usize, of: usize) -> Rates {
-        let others = settings.peers.len().max(1) as f64;
-        let part = owned as f64 / of.max(1) as f64;
-        let (requests, writes) = match owned {
+    /// Computes the rates of a controller that leads `led` of `total` shards, and remembers its share.
+    pub(super) fn own_rates(&self, settings: &Settings, led: usize, total: usize) -> Rates {
+        let peers = settings.peers.len().max(1) as f64;
+        let led_fraction = led as f64 / total.max(1) as f64;
+        let (requests, writes) = match led {
             _ if settings.peers.is_empty() => (0.9, 0.9),
-            0 => (0.4 / others, 0.9 / others),
-            _ => ((0.6 * part).max(0.4 / others), (0.8 * part).max(0.9 / others)),
+            0 => (0.4 / peers, 0.9 / peers),
+            _ => ((0.6 * led_fraction).max(0.4 / peers), (0.8 * led_fraction).max(0.9 / peers)),
         };
         let mut limits = lock(&self.limits);
         limits.share = Rates { requests, writes };
         limits.own_rates()
     }
 
-    /// Keeps to the limits that seem to hold.
+    /// Applies the limits that seem to be in effect, if they have changed.
     pub(super) fn apply_limits(&self, now: f64) {
         let changed = lock(&self.limits).changed_rates(now);
         if let Some(rates) = changed {
@@ -51,48 +52,48 @@
         }
     }
 
-    /// Does the service answer, as far as the last calls tell?
+    /// Returns whether the service seems to respond: the last request did not fail, and its response is recent.
     pub fn is_responsive(&self, now: f64) -> bool {
         let last = *lock(&self.last_outcomes);
-        last.answered_at > last.failed_at && now - last.answered_at < RESPONSIVE_WITHIN_S
+        last.responded_at > last.failed_at && now - last.responded_at < RESPONSIVE_WITHIN_S
     }
 
-    /// Writes that this controller may make now.
+    /// Returns the number of writes that this controller may send now.
     pub fn available_writes(&self) -> usize {
         let now = clock::now();
         self.apply_limits(now);
         lock(&self.writes).available(now)
     }
 
-    /// Waits for `n` of a rate, no longer than `timeout`.
+    /// Takes `units` from a rate limiter. Waits until they are available, for at most about `timeout`.
     pub(super) async fn acquire(
         &self,
         rate: &Mutex<RateLimiter>,
         priority: RequestPriority,
-        n: usize,
+        units: usize,
         timeout: Duration,
     ) -> Result<(), StateError> {
-        let until = clock::now() + timeout.as_secs_f64();
+        let wait_until = clock::now() + timeout.as_secs_f64();
         loop {
-            let taken = {
+            let acquired = {
                 let (mut rate_limiter, now) = (lock(rate), clock::now());
                 if priority == RequestPriority::Urgent {
-                    rate_limiter.try_acquire_urgent(now, n)
+                    rate_limiter.try_acquire_urgent(now, units)
                 } else {
-                    rate_limiter.try_acquire(now, n)
+                    rate_limiter.try_acquire(now, units)
                 }
             };
-            if taken {
+            if acquired {
                 return Ok(());
             }
-            if clock::now() > until {
+            if clock::now() > wait_until {
                 return Err(StateError::NotExecuted(429));
             }
             Timer::after(ACQUIRE_POLL_INTERVAL).await;
         }
     }
 
-    /// One request's part of the rate. What is asked again anyway is refused at once.
+    /// Takes one request from the rate limit. A best-effort request fails instead of waiting.
     pub(super) async fn acquire_request(&self, priority: RequestPriority, timeout: Duration) -> Result<(), StateError> {
         let now = clock::now();
         match priority {
@@ -104,7 +105,7 @@
         Ok(())
     }
 
-    /// One call, once its part of the rate is taken.
+    /// Waits for the rate limit and sends one request.
     pub(super) async fn call(
         &self,
         priority: RequestPriority,
@@ -117,7 +118,7 @@
         self.send(method, path, body, timeout).await
     }
 
-    /// One call whose part of the request budget is taken already.
+    /// Sends one request whose share of the rate limit was taken already.
     pub(super) async fn send(
         &self,
         method: Method,
@@ -126,7 +127,7 @@
         timeout: Duration,
     ) -> Result<Response, StateError> {
         let outcome = self.http.call(self.addr, method, path, body, timeout).await.map(Response::from);
-        self.note_outcome(&outcome);
+        self.record_outcome(&outcome);
         match outcome {
             Ok(Response { status: 429, .. }) => {
                 lock(&self.requests).drain(clock::now());
@@ -139,12 +140,12 @@
         }
     }
 
-    fn note_outcome(&self, outcome: &Result<Response, CallError>) {
+    fn record_outcome(&self, outcome: &Result<Response, CallError>) {
         let now = clock::now();
         let mut last = lock(&self.last_outcomes);
         match outcome {
             Ok(Response { status: 503, .. }) | Err(_) => last.failed_at = now,
-            Ok(_) => last.answered_at = now,
+            Ok(_) => last.responded_at = now,
         }
     }
 }
