--- a/src/node/leadership/machine_types.rs
+++ b/src/node/leadership/machine_types.rs
@@ -27,7 +27,7 @@
     /// Stores the types if they came from the cloud itself and differ from the stored ones in more than prices.
     async fn store_machine_types(&self, token: u64) {
         let types = self.machine_types();
-        let stored = lock(&self.types_stored).clone();
+        let stored = lock(&self.stored_types).clone();
         let up_to_date = stored.as_ref().is_some_and(|stored| without_prices(&stored.types) == without_prices(&types));
         if up_to_date || !self.types_from_cloud.load(Ordering::Relaxed) {
             return;
@@ -53,7 +53,7 @@
     async fn read_stored_types(&self) {
         match self.state.get(MACHINE_TYPES_KEY, RequestPriority::Normal).await {
             Ok(Some(item)) => self.observe_auxiliary_key(item),
-            Ok(None) => *lock(&self.types_stored) = None,
+            Ok(None) => *lock(&self.stored_types) = None,
             Err(error) => log::debug!("machine types not read reason=\"{error}\""),
         }
     }
@@ -76,7 +76,7 @@
     /// Remembers the stored types unless a newer version is known: a watch may deliver a version that is older than
     /// the one that was written or read since.
     fn remember_stored_types(&self, types: Vec<MachineType>, version: u64) {
-        let mut stored = lock(&self.types_stored);
+        let mut stored = lock(&self.stored_types);
         if stored.as_ref().is_none_or(|stored| stored.version < version) {
             *stored = Some(StoredTypes { types, version });
         }
--- a/src/node/loops/writes.rs
+++ b/src/node/loops/writes.rs
@@ -31,7 +31,7 @@
         let (done_sender, done_receiver) = async_channel::bounded::<()>(MAX_CONCURRENT_COMMITS);
         let mut running = 0;
         while self.is_open() {
-            Self::wait_for_wake(&self.wakes.writer.1).await;
+            Self::wait_for_wake(&self.wakes.writes.1).await;
             while done_receiver.try_recv().is_ok() {
                 running -= 1;
             }
@@ -62,7 +62,7 @@
     async fn write_in_background(self: Arc<Self>, batch: WriteBatch, done: Sender<()>) {
         self.write(batch.token, batch.writes).await;
         let _ = done.send(()).await;
-        let _ = self.wakes.writer.0.try_send(());
+        let _ = self.wakes.writes.0.try_send(());
     }
 
     async fn write(&self, token: u64, writes: Vec<PendingWrite>) {
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -78,8 +78,11 @@
 
 /// Channels that wake the loops of a shard before their interval is over.
 struct Wakes {
-    writer: (Sender<()>, Receiver<()>),
+    /// Wakes the write loop.
+    writes: (Sender<()>, Receiver<()>),
+    /// Wakes the push loop.
     pushes: (Sender<()>, Receiver<()>),
+    /// Wakes the scheduling loop.
     ticks: (Sender<()>, Receiver<()>),
     /// Signals that a failover is complete and the records of unread dependencies have to be read.
     dependencies: (Sender<()>, Receiver<()>),
@@ -121,7 +124,7 @@
     state_responded_at: Mutex<f64>,
     health: Mutex<Health>,
     /// The machine types that the state service holds.
-    types_stored: Mutex<Option<StoredTypes>>,
+    stored_types: Mutex<Option<StoredTypes>>,
     /// Whether the machine types came from the cloud itself.
     types_from_cloud: AtomicBool,
     /// Number of heartbeats that were redirected to the leader since the last log line.
@@ -179,7 +182,7 @@
             ingress: Mutex::new(ServiceLevelTracker::new(settings.terms.clone())),
             state_responded_at: Mutex::new(-100.0),
             health: Mutex::default(),
-            types_stored: Mutex::default(),
+            stored_types: Mutex::default(),
             types_from_cloud: AtomicBool::new(false),
             heartbeats_redirected: AtomicU64::new(0),
             heartbeats_rejected: AtomicU64::new(0),
--- a/src/node/shard_exchange/machine_transfers.rs
+++ b/src/node/shard_exchange/machine_transfers.rs
@@ -87,12 +87,12 @@
             shard.pending_transfers()
         });
         let mut by_shard: BTreeMap<ShardId, Vec<TransferredMachine>> = BTreeMap::new();
-        for (to, machine) in chosen.unwrap_or_default() {
-            by_shard.entry(to).or_default().push(machine);
+        for (destination, machine) in chosen.unwrap_or_default() {
+            by_shard.entry(destination).or_default().push(machine);
         }
         let max_machines = (self.settings.value_bytes() / MAX_BYTES_PER_MACHINE).max(1);
-        for (to, mut machines) in by_shard {
-            let key = machine_transfer::key(self.id, to);
+        for (destination, mut machines) in by_shard {
+            let key = machine_transfer::key(self.id, destination);
             let version = match transfers.get(&key) {
                 Some((transfer, _)) if !transfer.is_complete() => continue,
                 Some((_, version)) => *version,
@@ -100,13 +100,13 @@
             };
             let kept = machines.split_off(machines.len().min(max_machines));
             self.with_shard(now, |shard| shard.on_transfer_outcome(kept.iter(), false));
-            let transfer = MachineTransfer { from: self.id, to, machines, released_by_sender: false };
+            let transfer = MachineTransfer { from: self.id, to: destination, machines, released_by_sender: false };
             let names: Vec<&str> = transfer.machines.iter().map(|transferred| transferred.machine.as_str()).collect();
             log::info!(
                 "machines transferred count={} from={} to={} token={token} machines={}",
                 names.len(),
                 self.id.0,
-                to.0,
+                destination.0,
                 names.join(",")
             );
             self.put_transfer(token, &key, version, transfer).await;
--- a/src/node/shard_exchange/spill.rs
+++ b/src/node/shard_exchange/spill.rs
@@ -38,7 +38,7 @@
         let now = clock::now();
         let boot_s = self.machine_types().iter().map(|machine_type| machine_type.boot_s).fold(0.0, f64::max);
         let waiting = self.with_shard(now, |shard| shard.spillable_jobs(now)).unwrap_or_default();
-        for (job, to) in plan_spills(plan, own_load, &others, &waiting, boot_s) {
+        for (job, destination) in plan_spills(plan, own_load, &others, &waiting, boot_s) {
             let Some((ledger, ledger_version)) = lock(&self.shard_exchange).ledger.clone() else { return };
             let begun_move = self.with_shard(clock::now(), |shard| {
                 // The job may have started or ended since it was selected.
@@ -47,7 +47,7 @@
                 if !waiting || shard.token != token {
                     return None;
                 }
-                let (record, version, team, demand) = shard.begin_move(job, to)?;
+                let (record, version, team, demand) = shard.begin_move(job, destination)?;
                 Some((record, version, shard.team_name(team).to_owned(), demand))
             });
             let Some((record, record_version, team, demand)) = begun_move.flatten() else { continue };
@@ -62,7 +62,7 @@
                     let used = used.into_iter().find(|(name, _)| *name == team).map_or(own, |(_, used)| used);
                     let spare = own.minus(used);
                     let amount = Amount::new(demand.cpus.min(spare.cpus), demand.accelerators.min(spare.accelerators));
-                    QuotaTransfer { team: team.clone(), from: self.id, to, amount }
+                    QuotaTransfer { team: team.clone(), from: self.id, to: destination, amount }
                 })
                 .into_iter()
                 .collect();
@@ -77,8 +77,8 @@
             };
             match moved {
                 Some(true) => {
-                    log::info!("job moved job={id} from={} to={} token={token}", self.id.0, to.0);
-                    self.remember_job_shard(&id, to);
+                    log::info!("job moved job={id} from={} to={} token={token}", self.id.0, destination.0);
+                    self.remember_job_shard(&id, destination);
                     self.with_shard(clock::now(), |shard| shard.on_job_moved(&id, clock::now()));
                 }
                 Some(false) => _ = self.with_shard(clock::now(), |shard| shard.cancel_move(&id)),
--- a/src/node/shard_runtime.rs
+++ b/src/node/shard_runtime.rs
@@ -68,7 +68,7 @@
             election: Mutex::new(election),
             shard: Mutex::new(None),
             wakes: Wakes {
-                writer: async_channel::bounded(1),
+                writes: async_channel::bounded(1),
                 pushes: async_channel::bounded(1),
                 ticks: async_channel::bounded(1),
                 dependencies: async_channel::bounded(1),
@@ -124,7 +124,7 @@
     }
 
     pub(super) fn wake_writers(&self) {
-        let _ = self.wakes.writer.0.try_send(());
+        let _ = self.wakes.writes.0.try_send(());
         let _ = self.wakes.pushes.0.try_send(());
     }
 
