--- a/src/node/shard_exchange/rebalance.rs
+++ b/src/node/shard_exchange/rebalance.rs
@@ -1,5 +1,5 @@
-//! What the leader of shard 0 decides for all shards: the homes of teams, and machines that are to change shards.
-//! It only stores its plan; every shard carries it out itself.
+//! Rebalancing by the leader of shard 0: it plans the home shards of teams and the transfer of machines for all shards.
+//! It only stores the plan; every shard carries out its own part.
 
 use super::{ORDERS_KEY, Rebalancing};
 use crate::node::{Node, ShardRuntime, lock};
@@ -10,8 +10,8 @@
 use lupinspur_sharding::{ShardId, ShardingPlan};
 
 impl Node {
-    /// A team's home, by the leader's word or else by the plan's.
-    pub(in crate::node) fn home_by(&self, plan: &ShardingPlan, team: &str) -> ShardId {
+    /// Returns a team's home shard: as the stored rebalance plan has it or, without one, as the sharding plan does.
+    pub(in crate::node) fn home_shard_in_plan(&self, plan: &ShardingPlan, team: &str) -> ShardId {
         match &lock(&self.shard_exchange).orders {
             Some((orders, _)) => orders.home(plan, team),
             None => plan.home(team),
@@ -20,7 +20,7 @@
 }
 
 impl ShardRuntime {
-    /// The leader's look at all shards: its word is stored, and every shard goes by it.
+    /// Plans one round for all shards, and stores the rebalance plan if it changed or is due to be refreshed.
     pub(super) async fn rebalance(&self, token: u64, plan: &ShardingPlan, own_load: &LoadSnapshot) {
         let mut snapshots = self.fresh_load_snapshots(plan, own_load.at_ms);
         snapshots.retain(|snapshot| snapshot.shard != self.id);
@@ -30,7 +30,7 @@
             Some(known) => known,
             None => match self.state.get(ORDERS_KEY, RequestPriority::Normal).await {
                 Ok(None) => (RebalancePlan::default(), 0),
-                Ok(Some(item)) => return self.observe(item),
+                Ok(Some(item)) => return self.observe_exchange_item(item),
                 Err(_) => return,
             },
         };
@@ -59,7 +59,7 @@
         if let Ok(CompareAndSwap::Applied(version)) =
             self.state.commit(conditions, changes, RequestPriority::Normal).await
         {
-            self.observe(KeyValue { key: ORDERS_KEY.into(), value, version, lease: None });
+            self.observe_exchange_item(KeyValue { key: ORDERS_KEY.into(), value, version, lease: None });
         }
     }
 }
