--- a/crates/scheduler/src/fleet/machine.rs
+++ b/crates/scheduler/src/fleet/machine.rs
@@ -166,7 +166,7 @@
     pub suspected: bool,
     /// Known by reports of an earlier leader's time alone: it counts for nothing before it shows that it
     /// hears us. A late copy of what a machine said that is long gone looks like this.
-    pub heard_only_before_failover: bool,
+    pub known_only_from_old_heartbeats: bool,
     /// When this leader last answered a report of its present incarnation.
     pub heartbeat_answered_at: Option<f64>,
     /// When its present incarnation was first heard of.
@@ -228,7 +228,7 @@
             push_not_before: 0.0,
             unanswered_pushes: 0,
             suspected: false,
-            heard_only_before_failover: false,
+            known_only_from_old_heartbeats: false,
             heartbeat_answered_at: None,
             incarnation_since: now,
             unacknowledged_incarnations: 0,
@@ -264,7 +264,7 @@
 
     /// An incarnation that lasts for longer than a lease has been answered. One that is over may have been
     /// over for a while before that is heard.
-    pub fn forgive_long_incarnation(&mut self, is_over: bool, timing: LeaseTiming, now: f64) {
+    pub fn reset_after_long_incarnation(&mut self, is_over: bool, timing: LeaseTiming, now: f64) {
         let unanswered_lasts_s = if is_over { timing.lease_s * 2.0 } else { timing.surely_over_s() };
         if self.incarnation != 0 && now - self.incarnation_since > unanswered_lasts_s {
             self.unacknowledged_incarnations = 0;
@@ -274,7 +274,7 @@
     /// Its lease has ended although its heartbeats were answered, or although it was there all the time and
     /// its heartbeats went round in search of an answer: hearing it proves nothing. By direct
     /// questions alone no lease is renewed: those that ended just after an outage once looked deaf.
-    pub fn ended_though_answered(&self, timing: LeaseTiming, now: f64) -> bool {
+    pub fn lease_ended_although_answered(&self, timing: LeaseTiming, now: f64) -> bool {
         let was_answered = |answered_at: f64| now - answered_at < timing.lease_s / 2.0;
         self.heartbeat_path_lost || self.heartbeat_answered_at.is_some_and(was_answered)
     }
--- a/crates/scheduler/src/shard/dependencies.rs
+++ b/crates/scheduler/src/shard/dependencies.rs
@@ -95,7 +95,7 @@
                 self.set_ready_time(j);
                 self.track_later(j);
                 self.placement_due = true;
-                let (job, day) = (&self.jobs[j], self.day_now_ms(now) as f64);
+                let (job, day) = (&self.jobs[j], self.wall_clock_ms(now) as f64);
                 log::debug!(
                     "dependencies met job={} class={} age_s={:.1} due_in_s={:.1}",
                     job.id,
--- a/crates/scheduler/src/shard/elastic.rs
+++ b/crates/scheduler/src/shard/elastic.rs
@@ -145,11 +145,12 @@
             log::info!("elastic task did not save in time, stopped task={}/{}", self.jobs[k.job].id, k.task);
             self.stop_task(m, k, 0.0);
         }
-        if now - self.elastic_looked < RESIZE_INTERVAL_S {
+        if now - self.elastic_resized_at < RESIZE_INTERVAL_S {
             return;
         }
-        self.elastic_looked = now;
-        let room = if self.others_waiting || !self.state_service_writable { Vec::new() } else { self.idle_room(now) };
+        self.elastic_resized_at = now;
+        let room =
+            if self.unplaced_work_waiting || !self.state_service_writable { Vec::new() } else { self.idle_room(now) };
         if self.elastic.as_mut().is_some_and(|p| p.idle(&room, now)) {
             self.placement_due = true;
         }
--- a/crates/scheduler/src/shard/failover.rs
+++ b/crates/scheduler/src/shard/failover.rs
@@ -56,7 +56,7 @@
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct FailoverStages {
     pub(super) resolved: Option<f64>,
-    pub(super) first_start: Option<f64>,
+    pub(super) first_start_s: Option<f64>,
     pub(super) told: bool,
 }
 
@@ -110,7 +110,7 @@
         shard.restore_quota_versions(loaded.quotas.as_ref());
         shard.note_machine_records(loaded.machines);
         if !types.is_empty() {
-            shard.on_types(types, now);
+            shard.update_machine_types(types, now);
         }
         shard.loading_records = false;
         shard.note_unread_dependencies();
@@ -142,8 +142,8 @@
             service_level_tracker: ServiceLevelTracker::new(params.terms.clone()),
             underserved: Underserved::default(),
             elastic: loaded.elastic.clone().map(elastic::ElasticPool::new),
-            elastic_looked: now,
-            others_waiting: false,
+            elastic_resized_at: now,
+            unplaced_work_waiting: false,
             service_levels: service_levels::ServiceLevelReporter::new(token, now),
             live_attempts: live_attempts::LiveAttemptIndex::default(),
             checkpointer: checkpointing::Checkpointer::new(value_bytes, &loaded.checkpoint, now),
@@ -162,7 +162,7 @@
             machine_list_read: false,
             zones_probed_at: BTreeMap::new(),
             is_first_leader: loaded.machines.is_empty() && loaded.machine_groups.is_empty(),
-            day_ms: 0.0,
+            wall_clock_offset_ms: 0.0,
             report_s: params.report_s,
             lease_s: params.lease_s,
             cancel_s: params.cancel_s,
@@ -173,7 +173,7 @@
             write_queue: WriteQueue::new(now),
             machine_groups: MachineGroups { next: loaded.next_group_number, ..MachineGroups::default() },
             placement_due: true,
-            late_credit: 0.0,
+            late_batch_credit_cpus: 0.0,
             limits_examined: 0,
             large_jobs: large_jobs::LargeJobReservations::new(),
             consistency: consistency::ConsistencyChecker::default(),
@@ -242,7 +242,7 @@
     }
 
     /// The machine types became known, or their prices moved.
-    pub fn on_types(&mut self, types: Vec<MachineType>, now: f64) {
+    pub fn update_machine_types(&mut self, types: Vec<MachineType>, now: f64) {
         self.types.update(types);
         self.open_pools(now);
         for (group_index, record, version) in std::mem::take(&mut self.groups_to_restore) {
@@ -482,7 +482,7 @@
             return;
         }
         let resolved = *stages.resolved.get_or_insert(now - self.began_at);
-        let Some(first) = stages.first_start else { return };
+        let Some(first) = stages.first_start_s else { return };
         stages.told = true;
         log::info!(
             "failover settled first_start_s={first:.2} reconciled_s={resolved:.2} adopted_attempts={} orphaned_attempts={}",
--- a/crates/scheduler/src/shard/heartbeats.rs
+++ b/crates/scheduler/src/shard/heartbeats.rs
@@ -94,7 +94,7 @@
         log::info!("unexpected machine adopted machine={}", heartbeat.machine);
         let machine_index = self.machines.add(&heartbeat.machine, type_index, zone, heartbeat.spot, now);
         let is_of_earlier_leader = heartbeat.token > 0 && heartbeat.token < self.token;
-        self.machines[machine_index].heard_only_before_failover = is_of_earlier_leader;
+        self.machines[machine_index].known_only_from_old_heartbeats = is_of_earlier_leader;
         Some(machine_index)
     }
 
@@ -151,8 +151,8 @@
         let timing = LeaseTiming { lease_s: self.lease_s, heartbeat_interval_s: self.report_s };
         let machine = &mut self.machines[machine_index];
         let is_new = machine.is_new_incarnation(heartbeat.incarnation);
-        machine.forgive_long_incarnation(is_new, timing, now);
-        let lost_acknowledgements = is_new && machine.ended_though_answered(timing, now);
+        machine.reset_after_long_incarnation(is_new, timing, now);
+        let lost_acknowledgements = is_new && machine.lease_ended_although_answered(timing, now);
         if lost_acknowledgements && machine.proves_lost_acknowledgements(timing, now) {
             machine.count_unacknowledged_incarnation(timing, now);
             log::warn!(
@@ -183,7 +183,7 @@
         }
         machine.phase = MachinePhase::Up;
         if machine.spot
-            && !machine.heard_only_before_failover
+            && !machine.known_only_from_old_heartbeats
             && let Some(pool) = self.pools.get_mut(&machine.type_index)
         {
             pool.zones.ready(machine.zone);
@@ -202,7 +202,7 @@
     /// Its heartbeat shows our token. Those that it had sent before showed the one of an earlier leader.
     fn acknowledge_own_token(&mut self, machine_index: MachineIndex, source: HeartbeatSource) {
         let machine = &mut self.machines[machine_index];
-        machine.heard_only_before_failover = false;
+        machine.known_only_from_old_heartbeats = false;
         let is_first = !std::mem::replace(&mut machine.reported_token, true);
         if is_first && source.is_heartbeat() {
             machine.missed_acknowledgements = 0;
--- a/crates/scheduler/src/shard/large_jobs.rs
+++ b/crates/scheduler/src/shard/large_jobs.rs
@@ -150,7 +150,7 @@
     /// Tells the accounts which of the largest jobs began within the promised time, each once, and
     /// which did not.
     pub(super) fn report_large_jobs(&mut self, now: f64, t: f64) {
-        let now_ms = self.day_now_ms(now);
+        let now_ms = self.wall_clock_ms(now);
         let mut told = Vec::new();
         for &j in &self.jobs.live {
             let job = &self.jobs[j];
--- a/crates/scheduler/src/shard/mod.rs
+++ b/crates/scheduler/src/shard/mod.rs
@@ -42,7 +42,7 @@
 pub use elastic::{ElasticReport, bound as elastic_bound};
 pub use failover::LoadedState;
 pub use heartbeats::HeartbeatOutcome;
-pub use permission::{Forbidden, Lapsed};
+pub use permission::{OutdatedPush, StartRefusal};
 pub use quotas::{LoadedQuotas, QuotaReport, Quotas, Row as QuotaRow, fits_values, team_limits};
 pub use rebalancing::team_limits_by_name;
 pub use service_levels::{ACCOUNTS_PREFIX, Prospect, inherited_totals};
@@ -125,9 +125,9 @@
     pub underserved: Underserved,
     /// Where arrays may be elastic: their sizes.
     elastic: Option<elastic::ElasticPool>,
-    elastic_looked: f64,
+    elastic_resized_at: f64,
     /// Something that was to be placed found no place in the last pass.
-    pub(crate) others_waiting: bool,
+    pub(crate) unplaced_work_waiting: bool,
     service_levels: service_levels::ServiceLevelReporter,
     checkpointer: checkpointing::Checkpointer,
     live_attempts: live_attempts::LiveAttemptIndex,
@@ -156,7 +156,7 @@
     /// When all machines of a zone were last asked whether they are there.
     zones_probed_at: BTreeMap<ZoneIndex, f64>,
     /// The time of day at the steady clock's zero, in milliseconds.
-    pub day_ms: f64,
+    pub wall_clock_offset_ms: f64,
     pub report_s: f64,
     pub lease_s: f64,
     pub cancel_s: f64,
@@ -171,7 +171,7 @@
     pub(crate) machine_groups: MachineGroups,
     pub(crate) placement_due: bool,
     /// Cpus set apart for batch work that is late, see placement.
-    pub(crate) late_credit: f64,
+    pub(crate) late_batch_credit_cpus: f64,
     /// So many services at limits were looked up before, in the order of their turns.
     pub(crate) limits_examined: usize,
     large_jobs: large_jobs::LargeJobReservations,
@@ -280,8 +280,8 @@
     }
 
     /// The time of day by the steady clock, in milliseconds.
-    pub(crate) fn day_now_ms(&self, now: f64) -> u64 {
-        (self.day_ms + now * 1000.0) as u64
+    pub(crate) fn wall_clock_ms(&self, now: f64) -> u64 {
+        (self.wall_clock_offset_ms + now * 1000.0) as u64
     }
 
     /// A machine heard within this is surely still there.
@@ -334,7 +334,7 @@
             self.check_machines(now);
         }
         // Time alone changes what waiting work may take.
-        if self.others_waiting && now - self.placement_requested_at >= PLACEMENT_RETRY_INTERVAL_S {
+        if self.unplaced_work_waiting && now - self.placement_requested_at >= PLACEMENT_RETRY_INTERVAL_S {
             self.placement_requested_at = now;
             self.placement_due = true;
         }
--- a/crates/scheduler/src/shard/placement/bin_packing.rs
+++ b/crates/scheduler/src/shard/placement/bin_packing.rs
@@ -98,7 +98,7 @@
 /// ever, beside room that no service asked for.
 pub(super) fn may_fill_base(shard: &Shard, job: &Job) -> bool {
     // In its shard; what came from another one has waited there, too, or each move would cost it all patience.
-    let age_s = shard.day_now_ms(shard.ticked_at).saturating_sub(job.ready_at_ms) as f64 / 1000.0;
+    let age_s = shard.wall_clock_ms(shard.ticked_at).saturating_sub(job.ready_at_ms) as f64 / 1000.0;
     let waited_s = if job.moves > 0 { age_s } else { shard.ticked_at - job.known_since };
     let nothing_runs = job.assigned == 0;
     job.spec.priority == Priority::Production
--- a/crates/scheduler/src/shard/placement/pass.rs
+++ b/crates/scheduler/src/shard/placement/pass.rs
@@ -58,7 +58,7 @@
 
 /// Places what waits, as far as there is room for it.
 pub fn place(shard: &mut Shard, now: f64) {
-    shard.others_waiting = false;
+    shard.unplaced_work_waiting = false;
     if !shard.types.known() {
         return;
     }
@@ -124,14 +124,14 @@
             return PassStep::Turn;
         }
         if !urgent && self.limit_reserved_for.get(&job.team).is_some_and(|j| *j != turn.job) {
-            s.others_waiting = true;
+            s.unplaced_work_waiting = true;
             return PassStep::Turn;
         }
-        if turn.rank.0 == GROWTH_CLASS && s.others_waiting {
+        if turn.rank.0 == GROWTH_CLASS && s.unplaced_work_waiting {
             return PassStep::End;
         }
         if !urgent && (self.roomy.is_empty() || self.unplaceable.covers(s, job)) {
-            s.others_waiting |= turn.rank.0 != GROWTH_CLASS;
+            s.unplaced_work_waiting |= turn.rank.0 != GROWTH_CLASS;
             if turn.is_initial_allocation {
                 s.reserve_machine(turn.job, self.now);
             }
@@ -140,7 +140,7 @@
         let options = self.options(turn, urgent);
         let s = &mut *self.shard;
         if turn.together && !fits_at_once(s, &s.jobs[turn.job], &options, turn.most, self.shadow) {
-            s.others_waiting = true;
+            s.unplaced_work_waiting = true;
             return PassStep::Turn;
         }
         let before = self.starts;
@@ -200,11 +200,11 @@
             }
             let found = self.next_machine(turn.job, task, options, &mut full);
             if urgent && self.waits_for_preemption(turn, found) {
-                self.shard.others_waiting = true;
+                self.shard.unplaced_work_waiting = true;
                 break;
             }
             let Some(machine) = found else {
-                self.shard.others_waiting |= turn.rank.0 != GROWTH_CLASS;
+                self.shard.unplaced_work_waiting |= turn.rank.0 != GROWTH_CLASS;
                 break;
             };
             if !self.start(turn, task, machine, urgent) {
@@ -257,7 +257,7 @@
     fn start(&mut self, turn: &QueuedTurn, task: u32, machine: MachineIndex, urgent: bool) -> bool {
         let s = &mut *self.shard;
         let cpus = s.jobs[turn.job].spec.cpus;
-        if turn.set_apart && s.late_credit < cpus {
+        if turn.set_apart && s.late_batch_credit_cpus < cpus {
             return false;
         }
         s.jobs[turn.job].queued_tasks.pop_front();
@@ -265,9 +265,9 @@
             return false;
         }
         if turn.set_apart {
-            s.late_credit -= cpus;
+            s.late_batch_credit_cpus -= cpus;
         } else if !urgent && turn.rank.2 == Prospect::InTime && !turn.is_initial_allocation {
-            s.late_credit = (s.late_credit + cpus * LATE_SHARE).min(MAX_LATE_CREDIT);
+            s.late_batch_credit_cpus = (s.late_batch_credit_cpus + cpus * LATE_SHARE).min(MAX_LATE_CREDIT);
         }
         if !urgent {
             s.on_batch_task_started(cpus, turn.is_initial_allocation);
--- a/crates/scheduler/src/shard/placement/queue_order.rs
+++ b/crates/scheduler/src/shard/placement/queue_order.rs
@@ -51,7 +51,7 @@
 
 /// The order in which jobs get machines.
 pub(super) fn queue_order(shard: &mut Shard, now: f64) -> Vec<QueuedTurn> {
-    let now_ms = shard.day_now_ms(now);
+    let now_ms = shard.wall_clock_ms(now);
     let pressure = shard.pressure();
     let open = shard.jobs.live.iter().map(|&j| &shard.jobs[j]).filter(|j| j.is_open());
     let mut open: Vec<(Prospect, u64, u64, JobIndex)> = open
@@ -173,8 +173,8 @@
     let late = |t: &&QueuedTurn| t.rank.0 == BORROWING_CLASS && t.rank.2 != Prospect::InTime;
     let oldest = turns.iter().filter(late).min_by_key(|t| (shard.jobs[t.job].ready_at_ms, t.job)).copied();
     match oldest {
-        None => shard.late_credit = 0.0,
-        Some(t) if shard.late_credit >= shard.jobs[t.job].spec.cpus => {
+        None => shard.late_batch_credit_cpus = 0.0,
+        Some(t) if shard.late_batch_credit_cpus >= shard.jobs[t.job].spec.cpus => {
             let at = turns.partition_point(|t| t.rank.0 < BORROWING_CLASS);
             turns.insert(at, QueuedTurn { set_apart: true, ..t });
         }
--- a/crates/scheduler/src/shard/rebalancing.rs
+++ b/crates/scheduler/src/shard/rebalancing.rs
@@ -52,8 +52,12 @@
 
     /// What the other shards are told.
     pub fn load_snapshot(&self, shard_id: ShardId, now: f64) -> LoadSnapshot {
-        let mut p =
-            LoadSnapshot { shard: shard_id, token: self.token, at_ms: self.day_now_ms(now), ..LoadSnapshot::default() };
+        let mut p = LoadSnapshot {
+            shard: shard_id,
+            token: self.token,
+            at_ms: self.wall_clock_ms(now),
+            ..LoadSnapshot::default()
+        };
         for (_, m) in self.machines.iter() {
             let cpus = self.types.get(m.type_index).cpus;
             match m.phase {
@@ -95,7 +99,7 @@
     /// Jobs that wait and were never started anywhere, so that another shard may have them whole:
     /// none that others wait for or that waited for others.
     pub fn spillable_jobs(&self, now: f64) -> Vec<SpillCandidate<JobIndex>> {
-        let now_ms = self.day_now_ms(now);
+        let now_ms = self.wall_clock_ms(now);
         let never = |job: &&Job| {
             job.is_open()
                 && job.assigned == 0
--- a/crates/scheduler/src/shard/service_levels/mod.rs
+++ b/crates/scheduler/src/shard/service_levels/mod.rs
@@ -147,7 +147,7 @@
 
     /// Seconds of the day, as the accounts count them.
     fn day_now_s(&self, now: f64) -> f64 {
-        self.day_ms / 1000.0 + now
+        self.wall_clock_offset_ms / 1000.0 + now
     }
 
     /// A job's time begins, or it is over by its record: the next tick enters it.
--- a/crates/scheduler/src/shard/sizing.rs
+++ b/crates/scheduler/src/shard/sizing.rs
@@ -237,7 +237,7 @@
 /// Does this machine count as part of the fleet?
 pub(super) fn counts_as_fleet(machine: &Machine, now: f64) -> bool {
     is_present(machine)
-        && !machine.heard_only_before_failover
+        && !machine.known_only_from_old_heartbeats
         && !machine.cordoned
         && machine.reclaimed_at.is_none()
         && now >= machine.quarantined_until
--- a/crates/scheduler/src/shard/starts.rs
+++ b/crates/scheduler/src/shard/starts.rs
@@ -70,7 +70,7 @@
             return false;
         }
         self.counts.starts += 1;
-        self.failover_stages.first_start.get_or_insert(now - self.began_at);
+        self.failover_stages.first_start_s.get_or_insert(now - self.began_at);
         let attempt = self.next_attempt();
         self.log_start(machine_index, key, attempt, now);
         self.log_repeated_start(machine_index, key, attempt);
@@ -125,7 +125,7 @@
             self.token,
             machine.incarnation,
             job.spec.class,
-            self.day_now_ms(now).saturating_sub(job.accepted_at_ms),
+            self.wall_clock_ms(now).saturating_sub(job.accepted_at_ms),
             job.image.is_none_or(|image| machine.has_image(image))
         );
     }
--- a/crates/scheduler/src/shard/writes/batch.rs
+++ b/crates/scheduler/src/shard/writes/batch.rs
@@ -130,7 +130,7 @@
     fn end_write(&mut self, job_index: JobIndex, key: String, now: f64) -> Option<PendingWrite> {
         let job = &self.jobs[job_index];
         let phase = job.desired_phase;
-        let ended_ms = self.day_now_ms(now);
+        let ended_ms = self.wall_clock_ms(now);
         let record = JobRecord::ended(&job.spec, job.accepted_at_ms, phase, ended_ms, self.value_bytes);
         let job = &mut self.jobs[job_index];
         job.end_write_sent = true;
--- a/crates/scheduler/tests/shard/live_attempts.rs
+++ b/crates/scheduler/tests/shard/live_attempts.rs
@@ -3,7 +3,7 @@
 use crate::world::{NEXT_TOKEN, TOKEN, World, job, report, report_of, tasks};
 use lupinspur_scheduler::fleet::machine_groups::{MACHINE_GROUP_PREFIX, MachineGroupRecord};
 use lupinspur_scheduler::jobs::{JobRecord, Phase, TaskKey, TaskSlot};
-use lupinspur_scheduler::shard::Forbidden;
+use lupinspur_scheduler::shard::StartRefusal;
 use lupinspur_scheduler::wire::{Command, CommandKind};
 use serde_json::json;
 
@@ -259,7 +259,7 @@
     let key = TaskKey::new(world.shard.jobs.find("req-1").expect("a job"), 0);
     world.shard.jobs[key.job].tasks[0] = TaskSlot::Queued;
     let h1 = world.index("h1");
-    assert_eq!(world.shard.may_start(h1, key), Err(Forbidden::Occupied));
+    assert_eq!(world.shard.may_start(h1, key), Err(StartRefusal::Occupied));
 }
 
 /// start-needs-met: nothing starts of a job whose needs are open or unread.
@@ -269,7 +269,7 @@
     world.hear(&report_of("h1", (1, 5), NEXT_TOKEN, &[]), 100.2);
     let key = TaskKey::new(world.shard.jobs.find("req-2").expect("a job"), 0);
     let h1 = world.index("h1");
-    assert_eq!(world.shard.may_start(h1, key), Err(Forbidden::DependenciesUnmet));
+    assert_eq!(world.shard.may_start(h1, key), Err(StartRefusal::DependenciesUnmet));
 }
 
 /// Bad input: one task with several attempts that run, on one machine.
--- a/src/node/failover/mod.rs
+++ b/src/node/failover/mod.rs
@@ -73,7 +73,7 @@
         let parameters = self.settings.params();
         let machine_types = (*self.machine_types()).clone();
         let mut shard = Shard::new(&parameters, self.tuning.clone(), token, machine_types, loaded, now);
-        shard.day_ms = clock::wall_ms() as f64 - now * 1000.0;
+        shard.wall_clock_offset_ms = clock::wall_ms() as f64 - now * 1000.0;
         shard
     }
 }
--- a/src/node/loops/cloud.rs
+++ b/src/node/loops/cloud.rs
@@ -138,7 +138,7 @@
         let now = clock::now();
         let mut leading = false;
         for runtime in self.shards().iter() {
-            leading |= runtime.with_shard(now, |shard| shard.on_types(types.clone(), now)).is_some();
+            leading |= runtime.with_shard(now, |shard| shard.update_machine_types(types.clone(), now)).is_some();
         }
         *lock(&self.machine_types) = Arc::new(types);
         // Prices matter to the leader; the others admit submissions by sizes.
