--- a/crates/scheduler/src/election.rs
+++ b/crates/scheduler/src/election.rs
@@ -128,14 +128,14 @@
 /// After stepping down, a controller campaigns again sooner if there is no leader for this long.
 const UNCONTESTED_AFTER_STEP_DOWN_S: f64 = 4.0;
 /// A controller that gave up leadership because of a crash loop leaves it to others for this long,
-/// unless there is no leader for [`UNCONTESTED_AFTER_CRASH_LOOP_S`].
+/// unless there is no leader for `UNCONTESTED_AFTER_CRASH_LOOP_S`.
 pub const CRASH_LOOP_BACKOFF_S: f64 = 60.0;
 /// After a crash loop, a controller campaigns again sooner if there is no leader for this long.
 const UNCONTESTED_AFTER_CRASH_LOOP_S: f64 = 2.0;
 /// A process that ended within this time of its election counts as crashed.
 const CRASH_LOOP_WINDOW_MS: u64 = 10_000;
-/// After this many crashes in a row, a controller leaves leadership to others. After the first it becomes the leader again,
-/// since no other controller can be faster; after the second another one can.
+/// After this many crashes in a row, a controller leaves leadership to others. After the first crash it
+/// becomes the leader again, since no other controller can be faster; after the second another one can.
 const CRASH_LOOP_THRESHOLD: u32 = 2;
 
 impl LeaderElection {
--- a/crates/scheduler/src/shard/failover.rs
+++ b/crates/scheduler/src/shard/failover.rs
@@ -1,7 +1,8 @@
-//! What a new leader finds in the state service and makes of it: jobs, machine groups, machines that may hold anything.
+//! Builds the state of a new leader's shard from the stored records: jobs, machine groups and machines.
 //!
-//! Owns the first state of a [`Shard`] and what is told of a failover. It reads nothing by itself, and starts, stops
-//! and releases nothing: a machine that was restored may hold what its record says until it is reconciled.
+//! This module builds the first state of a [`Shard`] and logs the progress of a failover. It reads no records by itself,
+//! and starts, stops and releases no tasks: a restored machine may hold tasks of all jobs that its record names until
+//! it is reconciled.
 
 use super::quotas::{LoadedQuotas, Quotas};
 use super::writes::WriteQueue;
@@ -27,50 +28,55 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// What the leader is told of the world when it takes over.
+/// The stored records and settings from which a new leader builds its shard.
 #[derive(Debug, Default)]
 pub struct LoadedState {
+    /// Job records with their versions.
     pub jobs: Vec<(JobRecord, u64)>,
+    /// Stored task progress, with keys and versions.
     pub progress: Vec<(String, ProgressRecord, u64)>,
-    /// Machines with a value of their own, as earlier versions wrote them.
+    /// Machines with a stored value of their own, as earlier versions wrote them, by name, with versions.
     pub machines: Vec<(String, MachineRecord, u64)>,
     pub machine_groups: Vec<(MachineGroupIndex, MachineGroupRecord, u64)>,
-    /// The first number that no stored machine group has, readable or not.
+    /// The lowest number above those of all stored machine groups, including unreadable ones.
     pub next_group_number: usize,
     pub fleet: Option<(FleetRecord, u64)>,
-    /// Where quotas nest.
+    /// The stored quotas, if quotas are nested.
     pub quotas: Option<LoadedQuotas>,
-    /// What was found of a checkpoint.
+    /// The stored checkpoint, as far as it exists.
     pub checkpoint: LoadedCheckpoint,
-    /// Where arrays may be elastic.
+    /// The settings of elastic job arrays, if there are any.
     pub elastic: Option<lupinspur_elastic::Plan>,
-    /// Machine groups of shards that this one takes in, by their keys: they are replaced by its own.
+    /// Machine groups of shards that were merged into this one, by key: this shard's own groups replace them.
     pub merged_groups: Vec<(String, MachineGroupRecord, u64)>,
-    /// What else they kept, which is of no use here.
+    /// Other values of merged shards, which this shard deletes, with versions.
     pub stale_keys: Vec<(String, u64)>,
-    /// Machines that went to other shards, whatever the records here still say.
+    /// Machines that were transferred to other shards, even if records of this shard still name them.
     pub transferred_away: std::collections::BTreeSet<String>,
 }
 
-/// How long after its beginning a leader came so far. Operators read it in the log.
+/// The stages that a failover has reached, in seconds since its leadership began. They are logged for operators.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct FailoverStages {
-    pub(super) resolved: Option<f64>,
+    /// When all machines were reconciled.
+    pub(super) reconciled_s: Option<f64>,
+    /// When the first task was started.
     pub(super) first_start_s: Option<f64>,
-    pub(super) told: bool,
+    pub(super) logged: bool,
 }
 
-/// Lines that a leader writes at `info` of what it takes over, at the most; further ones are at `debug`.
+/// Number of log lines about unassigned attempts that a new leader writes at level `info`; further lines are at
+/// `debug`.
 const MAX_FAILOVER_LOG_LINES: u32 = 300;
 
-/// How many lines of the failover were written.
+/// Counts the log lines of a failover.
 #[derive(Debug, Default)]
 pub(super) struct FailoverLog {
     lines: u32,
 }
 
 impl FailoverLog {
-    /// The level of the next line.
+    /// Returns the level of the next line.
     pub(super) fn level(&mut self) -> log::Level {
         self.lines += 1;
         if self.lines > MAX_FAILOVER_LOG_LINES { log::Level::Debug } else { log::Level::Info }
@@ -78,8 +84,8 @@
 }
 
 impl Shard {
-    /// A new leader's shard, of all that was read: `now` is in seconds of this node's steady clock, and the
-    /// leadership began then.
+    /// Builds a new leader's shard from the loaded state. `now` is the beginning of the leadership, in seconds of this
+    /// controller's steady clock.
     pub fn new(
         params: &Params,
         tuning: Tuning,
@@ -108,7 +114,7 @@
         }
         shard.restore_progress(loaded.progress);
         shard.restore_quota_versions(loaded.quotas.as_ref());
-        shard.note_machine_records(loaded.machines);
+        shard.queue_machine_records(loaded.machines);
         if !types.is_empty() {
             shard.update_machine_types(types, now);
         }
@@ -117,19 +123,19 @@
         shard
     }
 
-    /// A shard that knows its settings and none of the jobs and machines. Takes out of what was loaded the values
-    /// that wait for the machine types.
+    /// Returns a shard with its settings and without jobs and machines. Takes from the loaded state those values that
+    /// can be restored only when the machine types are known.
     fn without_records(params: &Params, tuning: Tuning, token: u64, loaded: &mut LoadedState, now: f64) -> Shard {
         let mut team_names = Names::default();
         for team in &params.teams {
             team_names.intern(&team.name);
         }
         let value_bytes = params.value_bytes;
-        let earlier_chunk = crate::jobs::chunk_tasks((params.value_kb * 1024.0) as usize);
+        let legacy_chunk_tasks = crate::jobs::chunk_tasks((params.value_kb * 1024.0) as usize);
         Shard {
             token,
             began_at: now,
-            jobs: Jobs::new(crate::jobs::chunk_tasks(value_bytes).min(earlier_chunk), earlier_chunk, 0),
+            jobs: Jobs::new(crate::jobs::chunk_tasks(value_bytes).min(legacy_chunk_tasks), legacy_chunk_tasks, 0),
             dependencies: DependencyGraph::default(),
             loading_records: true,
             machines: Machines::default(),
@@ -195,7 +201,7 @@
         }
     }
 
-    /// Tasks that are stored as done. What belongs to no open job is to be deleted.
+    /// Restores the tasks that are stored as done. Progress values of no open job are marked for deletion.
     fn restore_progress(&mut self, progress: Vec<(String, ProgressRecord, u64)>) {
         for (key, record, version) in progress {
             self.write_queue.set_version(key.clone(), version);
@@ -206,13 +212,14 @@
                         self.write_queue.mark_end_due(job_index);
                     }
                 }
-                // Of a record that could not be read nobody knows whether it is over.
+                // The value may belong to a job whose record is unreadable, and which may be open.
                 _ if self.has_unreadable_records() => {}
                 _ => self.write_queue.mark_stale(key),
             }
         }
     }
 
+    /// Records the versions of the stored quota values.
     fn restore_quota_versions(&mut self, quotas: Option<&LoadedQuotas>) {
         let Some(quotas) = quotas else { return };
         if let Some((_, version)) = &quotas.head {
@@ -223,15 +230,15 @@
         }
     }
 
-    /// Machines with a value of their own: they are restored once the machine types are known.
-    fn note_machine_records(&mut self, machines: Vec<(String, MachineRecord, u64)>) {
+    /// Keeps machines with a stored value of their own, until the machine types are known.
+    fn queue_machine_records(&mut self, machines: Vec<(String, MachineRecord, u64)>) {
         for (name, record, version) in machines {
             self.write_queue.set_version(crate::fleet::machine_key(&name), version);
             self.machines_to_restore.push((name, record));
         }
     }
 
-    /// The job whose progress stands under this key, and the first task that it speaks of.
+    /// Returns the job whose progress is stored under this key, and the first task that the value covers.
     pub(super) fn progress_of(&self, key: &str) -> Option<(JobIndex, u32)> {
         let (names, unit) = match key.strip_prefix(PROGRESS_PREFIX) {
             Some(names) => (names, self.jobs.legacy_chunk_tasks),
@@ -241,7 +248,8 @@
         Some((self.jobs.find(id)?, number.parse::<u32>().ok()?.checked_mul(unit)?))
     }
 
-    /// The machine types became known, or their prices moved.
+    /// Updates the machine types, which became known or changed their prices, and restores the machines that waited
+    /// for them.
     pub fn update_machine_types(&mut self, types: Vec<MachineType>, now: f64) {
         self.types.update(types);
         self.open_pools(now);
@@ -260,7 +268,7 @@
         self.placement_due = true;
     }
 
-    /// A pool for each machine type that has none, by the stored fleet if there is one.
+    /// Creates a pool for each machine type that has none, from the stored fleet if there is one.
     fn open_pools(&mut self, now: f64) {
         let fleet = self.fleet_to_restore.take();
         for i in 0..self.types.list.len() {
@@ -272,6 +280,7 @@
         }
     }
 
+    /// Returns a new pool of this machine type, with zones and target of the stored fleet.
     fn pool_of_type(&self, type_index: TypeIndex, fleet: Option<&FleetRecord>, now: f64) -> Pool {
         let machine_type = self.types.get(type_index);
         let mut zones = ZoneLists::new(machine_type.zones.iter().filter_map(|zone| self.types.zones.find(zone)));
@@ -287,7 +296,7 @@
         Pool { zones, target, base: Target::default(), mix: Mixture::default() }
     }
 
-    /// A machine group of a shard that this one takes in: its machines go to groups of this one.
+    /// Restores the machines of a machine group of a merged shard. They join this shard's own groups.
     fn restore_merged_group(&mut self, key: String, record: MachineGroupRecord, version: u64, now: f64) {
         self.write_queue.set_version(key.clone(), version);
         let key: Arc<str> = key.into();
@@ -301,17 +310,18 @@
         }
     }
 
-    /// Old values say what they say until all their machines are recorded by machine groups. That
-    /// has time: it comes out of the writes that can be spared.
+    /// Marks the groups of those machines as changed that values other than their group's name. Such a value stays
+    /// valid until the records of all its machine's groups are written, which isn't urgent: only spare writes are used.
     fn rewrite_superseded_values(&mut self) {
-        let elsewhere: BTreeSet<MachineIndex> =
+        let named_by_superseded: BTreeSet<MachineIndex> =
             self.machine_groups.superseded_values.values().flatten().copied().collect();
-        for machine_index in elsewhere {
+        for machine_index in named_by_superseded {
             let machine_group = self.group_of_machine(machine_index);
             self.mark_group_dirty(machine_group);
         }
     }
 
+    /// Restores a machine group of this shard and its machines.
     pub(super) fn restore_group(
         &mut self,
         group_index: MachineGroupIndex,
@@ -335,20 +345,19 @@
         self.write_queue.set_version(key.to_string(), version);
         let before = record.machines.len();
         record.machines.retain(|member| !self.skip_if_transferred(member, group_index));
-        let names_others = record.machines.len() < before;
-        // A value that could not be written again, by the limits that hold or will hold, or
-        // that names a machine of another machine group, is replaced: its machines go to other machine groups,
-        // and only when all of those are stored does it go.
+        let named_transferred_machines = record.machines.len() < before;
+        // A value is replaced if it exceeds the size limit of new values or names a machine of another machine
+        // group: its machines join other groups, and the value is deleted when all of those are stored.
         let is_in_another_group = |member: &MachineGroupMember| {
             let known = self.machines.find(&member.machine);
             known.is_some_and(|machine_index| self.machines[machine_index].machine_group.is_some())
         };
         let is_replaced = bytes > self.value_bytes || record.machines.iter().any(is_in_another_group);
         if !is_replaced {
-            let names: Vec<JobIndex> = record.jobs.iter().filter_map(|id| self.jobs.find(id)).collect();
+            let named_jobs: Vec<JobIndex> = record.jobs.iter().filter_map(|id| self.jobs.find(id)).collect();
             self.machine_groups
                 .open(group_index, kind)
-                .on_value_built(bytes.saturating_sub(record.image_bytes()), names.into_iter());
+                .on_value_built(bytes.saturating_sub(record.image_bytes()), named_jobs.into_iter());
         }
         if is_replaced && record.machines.is_empty() {
             self.write_queue.mark_stale(key.to_string());
@@ -362,12 +371,18 @@
                 self.machine_groups.open(group_index, kind).members.insert(machine_index);
             }
         }
-        if self.machine_groups.list.get(&group_index).is_some_and(|group| group.members.is_empty() || names_others) {
+        if self
+            .machine_groups
+            .list
+            .get(&group_index)
+            .is_some_and(|group| group.members.is_empty() || named_transferred_machines)
+        {
             self.mark_group_dirty(group_index);
         }
     }
 
-    /// Machines that cannot be taken in may hold tasks of these jobs until their leases are surely over.
+    /// Delays starts of these jobs until the leases of machines that can't be restored are certainly over, since those
+    /// machines may hold tasks of them.
     fn defer_jobs(&mut self, jobs: &[String]) {
         let until = self.began_at + stretched(self.lease_s);
         for id in jobs {
@@ -380,16 +395,16 @@
         }
     }
 
-    /// This value names the machine besides its machine group's.
+    /// Records that a stored value other than its machine group's names this machine.
     pub(super) fn note_superseding_value(&mut self, key: &Arc<str>, machine_index: MachineIndex) {
         if self.machine_groups.superseded_values.entry(key.clone()).or_default().insert(machine_index) {
             self.machines[machine_index].superseded_values.push(key.clone());
         }
     }
 
-    /// A machine that an earlier leader recorded may hold what its record says,
-    /// until it reports with our token or its lease is surely over. One that stands in
-    /// two values, as it does while an earlier version's are being replaced, may hold both.
+    /// Restores a machine from the record of an earlier leader. It may hold tasks of the jobs in its record until it
+    /// sends a heartbeat with this leader's token or its lease is certainly over. A machine that two values name, which
+    /// happens while values of an earlier version are being replaced, may hold tasks of the jobs in both.
     pub(super) fn restore_machine(&mut self, name: &str, record: MachineRecord, now: f64) -> Option<MachineIndex> {
         let Some(type_index) = self.types.names.find(&record.type_name) else {
             log::warn!("machine of unknown type deferred machine={name} type={}", record.type_name);
@@ -424,8 +439,9 @@
         Some(machine_index)
     }
 
-    /// The jobs that a machine's record names, beside those of a value that was restored before: while it is not
-    /// reconciled it may hold tasks of them. How urgently it has to be told of those that are over.
+    /// Adds the jobs that a machine's record names to those of values restored before: until it is reconciled, the
+    /// machine may hold tasks of them. Returns how urgently commands have to be pushed to it because of jobs that are
+    /// over.
     fn restore_stored_jobs(&mut self, machine_index: MachineIndex, ids: &[String]) -> Option<PushUrgency> {
         let mut stored_jobs = std::mem::take(&mut self.machines[machine_index].stored_jobs);
         let mut urgency = None;
@@ -450,7 +466,7 @@
         urgency
     }
 
-    /// From now on it is known what this machine holds.
+    /// Marks a machine as reconciled: all tasks on it are known from now on.
     pub(crate) fn mark_reconciled(&mut self, machine_index: MachineIndex) {
         let machine = &mut self.machines[machine_index];
         if machine.reconcile_deadline.take().is_some() {
@@ -465,8 +481,9 @@
         }
     }
 
-    /// Has every machine that an earlier leader recorded been heard or waited out?
-    /// Where nothing was ever recorded, one round of first reports is enough.
+    /// Returns whether all recorded machines have sent heartbeats or were waited for long enough: every machine is
+    /// reconciled after one and a half heartbeat intervals (half an interval if no machine was ever recorded, since
+    /// first heartbeats come within that time), or three intervals have passed.
     pub fn heartbeats_gathered(&self, now: f64) -> bool {
         let waited = now - self.began_at;
         let rounds = if self.is_first_leader { 0.5 } else { 1.5 };
@@ -474,18 +491,18 @@
             || (waited > self.report_s * rounds && self.machines.iter().all(|(_, m)| m.is_reconciled()))
     }
 
-    /// Tells once how long each stage of the failover took.
+    /// Logs once how long each stage of the failover took.
     pub(super) fn log_failover_stages(&mut self, now: f64) {
         let stages = &mut self.failover_stages;
         let mut present = self.machines.present.iter();
-        if stages.told || !present.all(|machine_index| self.machines.list[machine_index.as_usize()].is_reconciled()) {
+        if stages.logged || !present.all(|machine_index| self.machines.list[machine_index.as_usize()].is_reconciled()) {
             return;
         }
-        let resolved = *stages.resolved.get_or_insert(now - self.began_at);
-        let Some(first) = stages.first_start_s else { return };
-        stages.told = true;
+        let reconciled_s = *stages.reconciled_s.get_or_insert(now - self.began_at);
+        let Some(first_start_s) = stages.first_start_s else { return };
+        stages.logged = true;
         log::info!(
-            "failover settled first_start_s={first:.2} reconciled_s={resolved:.2} adopted_attempts={} orphaned_attempts={}",
+            "failover settled first_start_s={first_start_s:.2} reconciled_s={reconciled_s:.2} adopted_attempts={} orphaned_attempts={}",
             self.counts.adopted,
             self.counts.orphaned
         );
--- a/crates/scheduler/src/shard/heartbeats.rs
+++ b/crates/scheduler/src/shard/heartbeats.rs
@@ -1,7 +1,7 @@
-//! Heartbeats of the workers: which of them count, and what follows for their machine.
+//! Accepts the heartbeats of workers and applies them to their machines.
 //!
-//! Owns the order of those effects. What is known of one machine is changed by methods of [`Machine`]; what a
-//! heartbeat says of tasks is carried out in `task_reconciliation`. It sends nothing and places nothing.
+//! This module determines the order of the effects. The state of one machine is changed by methods of [`Machine`]; the
+//! tasks that a heartbeat lists are handled in `task_reconciliation`. Nothing is sent or placed here.
 //!
 //! [`Machine`]: crate::fleet::Machine
 
@@ -11,13 +11,13 @@
 use crate::jobs::{TaskKey, split_task};
 use crate::wire::{Heartbeat, HeartbeatReply, TaskReport, TaskState};
 
-/// How a report came to this leader, and so how old what it says may be.
+/// How a heartbeat came to this leader, which limits how old its contents may be.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum HeartbeatSource {
-    /// The worker sent it by itself: the reply to its report before is carried out or dropped by then.
+    /// The worker sent it unasked: it has carried out or dropped the reply to its previous heartbeat before.
     Heartbeat,
-    /// In the answer to commands that left at this time: it was made then or later, whenever it arrives. The reply
-    /// to the worker's last report may still be on its way.
+    /// It came in the reply to commands that were sent at this time, and was built at that time or later. The reply to
+    /// the worker's last heartbeat may still be on its way.
     PushReply { sent_at: f64 },
 }
 
@@ -26,7 +26,7 @@
         self == HeartbeatSource::Heartbeat
     }
 
-    /// Does it show what became of a start in a reply that was made at this time?
+    /// Returns whether the heartbeat shows the effect of a start in a reply that was built at this time.
     pub(super) fn shows_reply_of(self, replied_at: f64) -> bool {
         match self {
             HeartbeatSource::Heartbeat => true,
@@ -35,41 +35,40 @@
     }
 }
 
-/// What the incarnation of a heartbeat tells.
+/// How the incarnation of a heartbeat compares to the last known one.
 struct IncarnationChange {
-    /// An earlier incarnation was known: it is over.
+    /// The incarnation follows an earlier known one, which is over.
     is_new: bool,
-    /// The earlier one's lease ended although this leader answered its heartbeats.
+    /// The earlier incarnation's lease ended although this leader replied to its heartbeats.
     lost_acknowledgements: bool,
 }
 
-/// Workers drop a reply that comes 4 s after their report left.
+/// Workers drop a reply that comes 4 s after they sent their heartbeat.
 const REPLY_DROPPED_AFTER_S: f64 = 6.0;
 
-/// What to answer to a report.
+/// How to answer a heartbeat.
 #[derive(Debug)]
 pub enum HeartbeatOutcome {
     Reply(HeartbeatReply),
-    /// An old, late or impossible report: it renews nothing.
+    /// The heartbeat is outdated or impossible: it renews no lease.
     Stale,
-    /// Somebody holds a newer token than ours.
+    /// The heartbeat shows a newer token than this leader's.
     Superseded,
 }
 
 impl Shard {
-    /// A worker's own report, to be answered with 200 when there is a reply. Its cost
-    /// follows what is on this machine: what it frees is placed by the next tick, for
-    /// all reports in between together. Placing in every report once took up the whole
-    /// processor at a few hundred machines.
+    /// Handles a heartbeat that a worker sent unasked; a reply is sent with status 200. The cost depends only on the
+    /// tasks on this machine: freed capacity is used by the next tick, for all heartbeats in between together. With
+    /// placement in every heartbeat, a few hundred machines took up the whole processor.
     pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat, now: f64) -> HeartbeatOutcome {
         self.counts.reports += 1;
         match self.reconcile_heartbeat(heartbeat, HeartbeatSource::Heartbeat, now) {
             Ok(machine_index) => {
                 let commands = self.heartbeat_commands(machine_index, heartbeat, now);
                 let heartbeat_age = self.own_heartbeat_age(&self.machines[machine_index], now);
-                let in_time = heartbeat_age <= self.heartbeat_timeout_s();
+                let is_in_time = heartbeat_age <= self.heartbeat_timeout_s();
                 let machine = &mut self.machines[machine_index];
-                if in_time && std::mem::take(&mut machine.heartbeat_path_lost) {
+                if is_in_time && std::mem::take(&mut machine.heartbeat_path_lost) {
                     self.placement_due = true;
                 }
                 machine.own_heartbeat_at = now;
@@ -81,11 +80,12 @@
         }
     }
 
+    /// Returns the machine that sent the heartbeat. An unknown machine is added, if its type is known.
     fn find_or_adopt_machine(&mut self, heartbeat: &Heartbeat, now: f64) -> Option<MachineIndex> {
         if let Some(machine_index) = self.machines.find(&heartbeat.machine) {
             return Some(machine_index);
         }
-        // On its way to another shard: that one takes it in, and not whoever hears it first.
+        // The machine is being transferred to another shard, which adds it; this shard must not add it again.
         if self.is_transferred_away(&heartbeat.machine) {
             return None;
         }
@@ -98,7 +98,7 @@
         Some(machine_index)
     }
 
-    /// Brings what is known of a machine in line with its heartbeat, unless that is out of date.
+    /// Updates a machine from its heartbeat, unless the heartbeat is outdated.
     pub(super) fn reconcile_heartbeat(
         &mut self,
         heartbeat: &Heartbeat,
@@ -123,10 +123,11 @@
         self.note_reclaim_notice(machine_index, heartbeat, now);
         self.mark_ready(machine_index);
         if change.is_new {
-            // The worker killed everything of its earlier incarnation.
+            // The worker has killed all tasks of its earlier incarnation.
             self.on_incarnation_expired(machine_index);
         }
-        // Once may be our own lateness: an answer that waited here for its turn comes too late there.
+        // A single lost acknowledgement may be this leader's fault: a reply that was delayed here reaches the
+        // worker too late.
         if change.lost_acknowledgements && self.machines[machine_index].command_path_in_doubt() {
             self.probe(machine_index);
         }
@@ -141,7 +142,8 @@
         Ok(machine_index)
     }
 
-    /// What this heartbeat's incarnation tells of the one before and of its acknowledgements.
+    /// Compares a heartbeat's incarnation with the known one, and counts an incarnation that ended although its
+    /// heartbeats were answered.
     fn observe_incarnation(
         &mut self,
         machine_index: MachineIndex,
@@ -165,7 +167,7 @@
         IncarnationChange { is_new, lost_acknowledgements }
     }
 
-    /// The cloud takes the machine back in so many seconds.
+    /// Records the cloud's notice that it will reclaim the machine.
     fn note_reclaim_notice(&mut self, machine_index: MachineIndex, heartbeat: &Heartbeat, now: f64) {
         let machine = &mut self.machines[machine_index];
         let Some(notice_s) = heartbeat.notice_s else { return };
@@ -175,7 +177,8 @@
         }
     }
 
-    /// A machine that boots is up with its first heartbeat, which counts for its zone if it is a spot machine.
+    /// Marks a booting machine as up at its first heartbeat. A successful boot of a spot machine counts in favour of
+    /// its zone.
     fn mark_ready(&mut self, machine_index: MachineIndex) {
         let machine = &mut self.machines[machine_index];
         if machine.phase != MachinePhase::Booting {
@@ -190,7 +193,7 @@
         }
     }
 
-    /// It may still obey an earlier leader: it is asked for a heartbeat with our token.
+    /// Requests a heartbeat with this leader's token: the machine may still obey an earlier leader.
     fn request_heartbeat_with_own_token(&mut self, machine_index: MachineIndex, source: HeartbeatSource) {
         let machine = &mut self.machines[machine_index];
         machine.reported_token = false;
@@ -199,7 +202,7 @@
         self.machines.push_due.insert(machine_index);
     }
 
-    /// Its heartbeat shows our token. Those that it had sent before showed the one of an earlier leader.
+    /// Records that the machine's heartbeat shows this leader's token.
     fn acknowledge_own_token(&mut self, machine_index: MachineIndex, source: HeartbeatSource) {
         let machine = &mut self.machines[machine_index];
         machine.known_only_from_old_heartbeats = false;
@@ -210,8 +213,9 @@
         self.placement_due |= is_first;
     }
 
-    /// What runs here and is no job known here is one that ended before this leader began:
-    /// nobody knows its team, so that the machine counts in full until it is gone.
+    /// Marks the machine as reconciled, unless its heartbeat lists a running task of an unknown job. Such a job ended
+    /// before this leadership began and its team is unknown, so the machine's whole capacity stays occupied until
+    /// the task is gone.
     fn mark_reconciled_by(&mut self, machine_index: MachineIndex, heartbeat: &Heartbeat) {
         let is_unknown = |task: &TaskReport| task.state != TaskState::Exited && self.key_of(&task.task).is_none();
         if !heartbeat.tasks.iter().any(is_unknown) {
@@ -219,7 +223,7 @@
         }
     }
 
-    /// Planned starts stay, since they were never sent; the rest is gone.
+    /// Releases all tasks of an incarnation that is over, but for planned starts, which were never sent.
     fn on_incarnation_expired(&mut self, machine_index: MachineIndex) {
         let keys: Vec<TaskKey> = self.machines[machine_index]
             .assignments
@@ -227,18 +231,19 @@
             .filter(|(_, assignment)| assignment.state != AssignmentState::Planned)
             .map(|(key, _)| *key)
             .collect();
-        // First, so that nothing of this incarnation occupies a task any more.
+        // Before the tasks are requeued, so that no listed attempt of this incarnation occupies them.
         self.clear_listed_attempts(machine_index);
         for key in keys {
             self.release_resources(machine_index, key);
             self.requeue(key);
         }
         self.machines[machine_index].unacknowledged_starts.clear();
-        // What waited for those may start here again.
+        // Tasks that waited for the starts in flight may start here again.
         self.placement_due = true;
     }
 
-    /// A machine under notice: what can save does so now, services move, the rest may yet finish.
+    /// On a machine with a reclaim notice, stops tasks that can save and tasks of services, so that they move. All
+    /// other tasks may still finish.
     pub(super) fn drain_on_notice(&mut self, machine_index: MachineIndex) {
         if self.machines[machine_index].reclaimed_at.is_none() {
             return;
@@ -252,7 +257,7 @@
         }
     }
 
-    /// The key of a task by its published name, if its job is known here and has so many tasks.
+    /// Returns the key of a task by its published name, if its job is known here and has a task of that number.
     pub(super) fn key_of(&self, name: &str) -> Option<TaskKey> {
         let (job, task) = split_task(name)?;
         let job_index = self.jobs.find(job)?;
