--- a/crates/scheduler/src/shard/failover.rs
+++ b/crates/scheduler/src/shard/failover.rs
@@ -261,7 +261,7 @@
         }
         for (name, record) in std::mem::take(&mut self.machines_to_restore) {
             if let Some(machine_index) = self.restore_machine(&name, record, now) {
-                self.note_superseding_value(&crate::fleet::machine_key(&name).into(), machine_index);
+                self.record_superseded_value(&crate::fleet::machine_key(&name).into(), machine_index);
             }
         }
         self.rewrite_superseded_values();
@@ -305,7 +305,7 @@
         }
         for (name, machine_record) in record.machine_records() {
             if let Some(machine_index) = self.restore_machine(&name, machine_record, now) {
-                self.note_superseding_value(&key, machine_index);
+                self.record_superseded_value(&key, machine_index);
             }
         }
     }
@@ -365,7 +365,7 @@
         for (name, machine_record) in record.machine_records() {
             let Some(machine_index) = self.restore_machine(&name, machine_record, now) else { continue };
             if is_replaced {
-                self.note_superseding_value(&key, machine_index);
+                self.record_superseded_value(&key, machine_index);
             } else {
                 self.machines[machine_index].machine_group = Some(group_index);
                 self.machine_groups.open(group_index, kind).members.insert(machine_index);
@@ -396,7 +396,7 @@
     }
 
     /// Records that a stored value other than its machine group's names this machine.
-    pub(super) fn note_superseding_value(&mut self, key: &Arc<str>, machine_index: MachineIndex) {
+    pub(super) fn record_superseded_value(&mut self, key: &Arc<str>, machine_index: MachineIndex) {
         if self.machine_groups.superseded_values.entry(key.clone()).or_default().insert(machine_index) {
             self.machines[machine_index].superseded_values.push(key.clone());
         }
--- a/crates/scheduler/src/shard/machine_records.rs
+++ b/crates/scheduler/src/shard/machine_records.rs
@@ -33,7 +33,7 @@
             for &machine_index in half {
                 self.machines[machine_index].machine_group = Some(half_index);
                 if stored {
-                    self.note_superseding_value(&key, machine_index);
+                    self.record_superseded_value(&key, machine_index);
                 }
             }
             self.mark_group_dirty(half_index);
