--- a/crates/scheduler/src/shard/heartbeats.rs
+++ b/crates/scheduler/src/shard/heartbeats.rs
@@ -120,7 +120,7 @@
         if !(source.is_heartbeat() && machine.command_path_in_doubt()) {
             machine.clear_suspicion();
         }
-        self.note_reclaim_notice(machine_index, heartbeat, now);
+        self.record_reclaim_notice(machine_index, heartbeat, now);
         self.mark_ready(machine_index);
         if change.is_new {
             // The worker has killed all tasks of its earlier incarnation.
@@ -168,7 +168,7 @@
     }
 
     /// Records the cloud's notice that it will reclaim the machine.
-    fn note_reclaim_notice(&mut self, machine_index: MachineIndex, heartbeat: &Heartbeat, now: f64) {
+    fn record_reclaim_notice(&mut self, machine_index: MachineIndex, heartbeat: &Heartbeat, now: f64) {
         let machine = &mut self.machines[machine_index];
         let Some(notice_s) = heartbeat.notice_s else { return };
         if machine.reclaimed_at.is_none() {
--- a/crates/scheduler/src/shard/permission.rs
+++ b/crates/scheduler/src/shard/permission.rs
@@ -1,7 +1,7 @@
-//! Whether what was decided may still be done. Between a decision and its sending lie queues, connections that are
-//! opened and pauses of the process: it is asked once more when the bytes are about to leave.
+//! Checks whether a decided start or push is still valid. Queues, the opening of connections and pauses of the process
+//! lie between a decision and the sending of its commands, so it is checked again immediately before they are sent.
 //!
-//! Owns the one function that every start asks, and the one that every push asks. It changes nothing.
+//! Every start passes [`Shard::may_start`] and every push [`Shard::check_push_still_valid`]. Neither changes anything.
 
 use super::{PushRequest, Shard};
 use crate::fleet::{Assignment, Phase as MachinePhase};
@@ -9,38 +9,40 @@
 use crate::jobs::{Phase, TaskKey, TaskSlot};
 use crate::wire::CommandKind;
 
-/// Why an act that was decided may not be done any more.
+/// Why commands that were prepared may not be sent any more.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum OutdatedPush {
-    #[error("its machine is being returned or gone")]
+    #[error("its machine is not up: it is draining, being deleted or gone")]
     MachineUnavailable,
-    #[error("its machine is in incarnation {now}, and was in {then}")]
+    #[error("its machine is in incarnation {now}, the commands are for incarnation {then}")]
     IncarnationOver { then: u64, now: u64 },
     #[error("the start of {task}, attempt {attempt}, was withdrawn")]
     StartWithdrawn { task: String, attempt: u64 },
 }
 
-/// Why a task may not be started, though it was chosen: a fault of this program, which is told and not acted on.
+/// Why a task must not be started although placement chose it. Each is a fault of this program, which is logged; the
+/// task is not started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum StartRefusal {
-    #[error("its job is over, or is being ended")]
+    #[error("its job is over, ending or moving to another shard")]
     JobOver,
-    #[error("it is assigned to a machine, or done")]
+    #[error("the task is not queued: it is assigned to a machine or done")]
     NotQueued,
-    #[error("a machine that was not heard yet may hold tasks of its job")]
+    #[error("an unreconciled machine may hold tasks of its job")]
     MayRunElsewhere,
-    #[error("its machine has not shown the token of this leader")]
+    #[error("its machine is not reconciled: no heartbeat showed this leader's token")]
     MachineNotReconciled,
-    #[error("an earlier start of it may yet arrive there")]
+    #[error("an earlier start of the task, which got no reply, may still arrive at the machine")]
     StartUnacknowledged,
-    #[error("a machine lists an attempt of it that has not ended")]
+    #[error("a machine lists an attempt of the task that has not ended")]
     Occupied,
-    #[error("its job waits for others, or their records were not read yet")]
+    #[error("its job waits for dependencies, or their records are not read yet")]
     DependenciesUnmet,
 }
 
 impl Shard {
-    /// Do these commands still follow from what is known? Asked at the moment of sending.
+    /// Checks immediately before commands are sent whether their machine is up in the same incarnation and their starts
+    /// are still wanted.
     pub fn check_push_still_valid(&self, send: &PushRequest) -> Result<(), OutdatedPush> {
         let machine = &self.machines[send.machine];
         if machine.phase != MachinePhase::Up {
@@ -60,7 +62,7 @@
         Ok(())
     }
 
-    /// May this task be started on this machine? What a start rests on, asked once more before it is assigned.
+    /// Checks the preconditions of a start once more before the task is assigned to the machine.
     pub fn may_start(&self, machine_index: MachineIndex, key: TaskKey) -> Result<(), StartRefusal> {
         let (job, machine) = (&self.jobs[key.job], &self.machines[machine_index]);
         if job.phase != Phase::Open || job.desired_phase != Phase::Open || job.moving_away {
--- a/crates/scheduler/src/shard/task_reconciliation.rs
+++ b/crates/scheduler/src/shard/task_reconciliation.rs
@@ -1,7 +1,7 @@
-//! What a heartbeat says of the tasks on its machine, and what becomes of those that it does not name.
+//! Reconciles the tasks that are known of a machine with those that its heartbeat lists.
 //!
-//! Owns the disposition of attempts that this leader has not assigned, and the passing of assignments through their
-//! states. It starts nothing: what is freed is placed by the next tick.
+//! This module decides about attempts that this leader has not assigned, and moves assignments through their states. It
+//! starts no tasks: freed capacity is used by the next tick.
 
 use super::Shard;
 use super::dependencies::DependencyState;
@@ -22,22 +22,28 @@
 /// What becomes of an attempt that has not ended and is not assigned by this leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 enum AttemptDisposition {
+    /// The attempt is assigned to the machine that lists it.
     #[error("adopted")]
     Adopted,
+    /// Adopted, though the records of the job's dependencies are not all read yet.
     #[error("adopted_with_unread_dependencies")]
     AdoptedUnread,
+    /// Assigned and stopped at once, since the job waits for its dependencies.
     #[error("stopped_for_dependencies")]
     StoppedForDependencies,
+    /// Stopped without an assignment, since the job is over.
     #[error("orphaned_job_over")]
     JobOver,
+    /// Stopped without an assignment, since another attempt of the task is assigned.
     #[error("orphaned_already_assigned")]
     AlreadyAssigned,
+    /// Stopped without an assignment, since the task is done.
     #[error("orphaned_task_done")]
     TaskDone,
 }
 
 impl AttemptDisposition {
-    /// Does it occupy its slot from now on?
+    /// Returns whether the attempt occupies its task's slot from now on.
     fn is_adopted(self) -> bool {
         matches!(
             self,
@@ -49,35 +55,35 @@
 }
 
 impl Shard {
-    /// Notes an attempt that is not assigned, or is no more. One that still runs takes room
-    /// and counts against its team's limit until its end is seen: after a failover, those
-    /// of cancelled jobs once did not, and others were started beside them.
-    pub(super) fn note_unassigned(
+    /// Records an attempt that is not assigned, or not assigned any more. One that still runs takes capacity and counts
+    /// against its team's limit until its end is reported. Otherwise, after a failover, other tasks would be started
+    /// beside running attempts of cancelled jobs.
+    pub(super) fn record_unassigned(
         &mut self,
         machine_index: MachineIndex,
         key: TaskKey,
         attempt: u64,
-        what: UnassignedAttempt,
+        kind: UnassignedAttempt,
     ) {
         self.drop_unassigned(machine_index, |other, _| *other != key);
-        if what.is_orphaned() {
+        if kind.is_orphaned() {
             self.count_use(machine_index, key.job, 1.0);
             self.live_attempts.insert_orphan(key, machine_index);
         }
-        self.machines[machine_index].unassigned.insert(key, (attempt, what));
+        self.machines[machine_index].unassigned.insert(key, (attempt, kind));
     }
 
-    /// Forgets all unassigned attempts of a machine but those to be kept.
+    /// Removes all unassigned attempts of a machine except those for which `keep` returns true.
     pub(super) fn drop_unassigned(&mut self, machine_index: MachineIndex, keep: impl Fn(&TaskKey, u64) -> bool) {
         let unassigned = &mut self.machines[machine_index].unassigned;
         let gone: Vec<(TaskKey, UnassignedAttempt)> = unassigned
             .iter()
             .filter(|(key, (attempt, _))| !keep(key, *attempt))
-            .map(|(key, (_, what))| (*key, *what))
+            .map(|(key, (_, kind))| (*key, *kind))
             .collect();
-        for (key, what) in gone {
+        for (key, kind) in gone {
             self.machines[machine_index].unassigned.remove(&key);
-            if what.is_orphaned() {
+            if kind.is_orphaned() {
                 self.count_use(machine_index, key.job, -1.0);
                 self.live_attempts.remove_orphan(key, machine_index);
                 self.placement_due = true;
@@ -85,7 +91,7 @@
         }
     }
 
-    /// Brings what is known of a machine's tasks in line with its report.
+    /// Updates the state of a machine's tasks from its heartbeat.
     pub(super) fn reconcile_tasks(
         &mut self,
         machine_index: MachineIndex,
@@ -94,8 +100,8 @@
         now: f64,
     ) {
         let listed = self.listed_attempts(heartbeat);
-        self.note_unrecognized_attempts(machine_index, heartbeat);
-        // First of all: what is not listed any more occupies no task.
+        self.record_unrecognized_attempts(machine_index, heartbeat);
+        // Before all others: attempts that are not listed any more occupy no task.
         self.drop_unassigned(machine_index, |key, attempt| listed.contains_key(&(*key, attempt)));
         self.reconcile_assignments(machine_index, &listed, source, now);
         self.drop_abandoned_fetches(machine_index);
@@ -112,15 +118,15 @@
         }
     }
 
-    /// A fetch that no task waits for any more is given up.
+    /// Removes images being fetched that no assigned task needs any more.
     fn drop_abandoned_fetches(&mut self, machine_index: MachineIndex) {
         let machine = &mut self.machines[machine_index];
-        let waited_for: Vec<_> = machine.assignments.keys().filter_map(|key| self.jobs[key.job].image).collect();
-        machine.images.retain(|cached| cached.ready || waited_for.contains(&cached.image));
+        let needed: Vec<_> = machine.assignments.keys().filter_map(|key| self.jobs[key.job].image).collect();
+        machine.images.retain(|cached| cached.ready || needed.contains(&cached.image));
     }
 
-    /// The attempts in a report of tasks that are known here. A task may be listed with several attempts, in any
-    /// order: one that ended or was refused beside one that runs.
+    /// Returns the listed attempts of known tasks. A task may be listed with several attempts in any order, such as one
+    /// that ended or was refused and one that runs.
     fn listed_attempts<'r>(&self, heartbeat: &'r Heartbeat) -> ListedAttempts<'r> {
         let mut listed = ListedAttempts::new();
         for reported in &heartbeat.tasks {
@@ -131,8 +137,8 @@
         listed
     }
 
-    /// Attempts that have not ended, of tasks that are not known here: they are told to stop.
-    fn note_unrecognized_attempts(&mut self, machine_index: MachineIndex, heartbeat: &Heartbeat) {
+    /// Records the listed attempts of unknown tasks that have not ended. The machine will be sent commands to stop them.
+    fn record_unrecognized_attempts(&mut self, machine_index: MachineIndex, heartbeat: &Heartbeat) {
         let is_unknown = |task: &&TaskReport| task.state != TaskState::Exited && self.key_of(&task.task).is_none();
         let unknown: Vec<UnrecognizedAttempt> = heartbeat
             .tasks
@@ -145,16 +151,16 @@
         }
     }
 
-    /// Whether any of them was not listed before.
+    /// Replaces a machine's unrecognized attempts. Returns whether any of them was not listed before.
     fn replace_unrecognized_attempts(
         &mut self,
         machine_index: MachineIndex,
-        unknown: Vec<UnrecognizedAttempt>,
+        unrecognized: Vec<UnrecognizedAttempt>,
     ) -> bool {
-        if unknown.is_empty() && self.machines[machine_index].unrecognized_attempts.is_empty() {
+        if unrecognized.is_empty() && self.machines[machine_index].unrecognized_attempts.is_empty() {
             return false;
         }
-        let before = std::mem::replace(&mut self.machines[machine_index].unrecognized_attempts, unknown);
+        let before = std::mem::replace(&mut self.machines[machine_index].unrecognized_attempts, unrecognized);
         let machine = &self.machines[machine_index];
         for (id, _) in before.iter().filter_map(UnrecognizedAttempt::job) {
             if !machine.unrecognized_jobs.iter().any(|named| **named == *id) {
@@ -183,13 +189,13 @@
         has_new
     }
 
-    /// Nothing that is listed runs any more, since its incarnation is over or its machine is gone.
+    /// Removes all unassigned and unrecognized attempts of a machine, whose incarnation is over or which is gone.
     pub(super) fn clear_listed_attempts(&mut self, machine_index: MachineIndex) {
         self.drop_unassigned(machine_index, |_, _| false);
         self.replace_unrecognized_attempts(machine_index, Vec::new());
     }
 
-    /// What became of the attempts that are assigned to this machine.
+    /// Updates the attempts that are assigned to this machine from those that its heartbeat lists.
     fn reconcile_assignments(
         &mut self,
         machine_index: MachineIndex,
@@ -204,22 +210,23 @@
             .collect();
         let (mut is_acknowledged, mut missed) = (false, Vec::new());
         for (key, attempt, state) in assigned {
-            // Told in an answer before; this heartbeat was sent after that came, or was given up.
-            let is_told = source == HeartbeatSource::Heartbeat
+            // The start was sent in an earlier reply, which the worker received or gave up before it sent this
+            // heartbeat.
+            let should_be_listed = source == HeartbeatSource::Heartbeat
                 && state == AssignmentState::Commanded
                 && self.is_start_replied(machine_index, &key);
             match listed.get(&(key, attempt)) {
                 Some(reported) => {
-                    is_acknowledged |= is_told;
+                    is_acknowledged |= should_be_listed;
                     if reported.state == TaskState::Exited {
                         self.on_task_exited(machine_index, key, reported, now);
                     } else {
                         self.observe_task_state(machine_index, key, reported.state, now);
                     }
                 }
-                // Not there (yet): a start that may still be on its way is not gone.
+                // Not listed, or not listed yet: the start may still be on its way.
                 _ if matches!(state, AssignmentState::Planned | AssignmentState::Commanded) => {
-                    if is_told {
+                    if should_be_listed {
                         missed.push(key);
                     }
                     self.release_withdrawn_start(machine_index, key, source)
@@ -233,7 +240,7 @@
         self.record_acknowledgements(machine_index, is_acknowledged, missed, now);
     }
 
-    /// Was this start, which is still wanted, sent in the reply to a heartbeat?
+    /// Returns whether this start was sent in the reply to a heartbeat and was not withdrawn since.
     fn is_start_replied(&self, machine_index: MachineIndex, key: &TaskKey) -> bool {
         self.machines[machine_index]
             .assignments
@@ -241,22 +248,22 @@
             .is_some_and(|assignment| assignment.stop_grace_s.is_none() && assignment.start_replied_at > f64::MIN)
     }
 
-    /// An attempt ended that is not held here: its result counts all the same.
+    /// Handles the end of an attempt that is not assigned to this machine: its result counts nevertheless.
     fn on_unassigned_attempt_ended(&mut self, machine_index: MachineIndex, key: TaskKey, reported: &TaskReport) {
         if reported.exit_reason == Some(ExitReason::Done) {
             self.stop_redundant_start(key);
             self.on_task_done(key);
         }
-        // What runs on counts for as long as it is listed; what ended beside it comes after.
-        let beside = self.machines[machine_index].unassigned.get(&key);
-        let runs_on = beside.is_some_and(|(attempt, what)| *attempt != reported.attempt && what.is_orphaned());
-        if !runs_on {
-            self.note_unassigned(machine_index, key, reported.attempt, UnassignedAttempt::Ended);
+        // Another attempt of the task that still runs counts for as long as it is listed, and so stays recorded.
+        let recorded = self.machines[machine_index].unassigned.get(&key);
+        let other_runs = recorded.is_some_and(|(attempt, kind)| *attempt != reported.attempt && kind.is_orphaned());
+        if !other_runs {
+            self.record_unassigned(machine_index, key, reported.attempt, UnassignedAttempt::Ended);
         }
     }
 
-    /// An attempt that has not ended, and that this leader does not hold on the machine that lists it. Whatever
-    /// becomes of it, its task starts nowhere else.
+    /// Adopts or stops an attempt that has not ended and is not assigned to the machine that lists it. In either case its
+    /// task is started on no other machine meanwhile.
     pub(super) fn settle_unassigned_attempt(
         &mut self,
         machine_index: MachineIndex,
@@ -265,9 +272,9 @@
         state: TaskState,
         now: f64,
     ) {
-        let known = self.refresh_orphan(machine_index, key, attempt, state);
+        let is_known_orphan = self.refresh_orphan(machine_index, key, attempt, state);
         let disposition = self.disposition_of(key);
-        if disposition.is_adopted() || !known {
+        if disposition.is_adopted() || !is_known_orphan {
             self.log_disposition(machine_index, key, attempt, disposition);
         }
         match disposition {
@@ -277,9 +284,9 @@
             AttemptDisposition::StoppedForDependencies => {
                 self.adopt_attempt(machine_index, key, (attempt, state), Some(0.0), now)
             }
-            _ if known => {}
+            _ if is_known_orphan => {}
             _ => {
-                self.note_unassigned(machine_index, key, attempt, UnassignedAttempt::Orphaned(state));
+                self.record_unassigned(machine_index, key, attempt, UnassignedAttempt::Orphaned(state));
                 if self.jobs[key.job].desired_phase == Phase::Cancelled {
                     self.machines.push_first(machine_index, PushUrgency::Cancelled);
                 } else {
@@ -289,17 +296,18 @@
         }
     }
 
-    /// Was this attempt known as orphaned? Then it is in this state now.
+    /// Updates the state of an attempt that is recorded as orphaned. Returns whether it is.
     fn refresh_orphan(&mut self, machine_index: MachineIndex, key: TaskKey, attempt: u64, state: TaskState) -> bool {
         match self.machines[machine_index].unassigned.get_mut(&key) {
-            Some((noted, UnassignedAttempt::Orphaned(known))) if *noted == attempt => {
-                *known = state;
+            Some((recorded, UnassignedAttempt::Orphaned(recorded_state))) if *recorded == attempt => {
+                *recorded_state = state;
                 true
             }
             _ => false,
         }
     }
 
+    /// Decides what becomes of an attempt that is not assigned, by the state of its job and task.
     fn disposition_of(&self, key: TaskKey) -> AttemptDisposition {
         let job = &self.jobs[key.job];
         match job.tasks.get(key.task as usize) {
@@ -307,7 +315,7 @@
             Some(TaskSlot::Queued) => match self.dependency_state(key.job) {
                 DependencyState::Met => AttemptDisposition::Adopted,
                 DependencyState::Unread => AttemptDisposition::AdoptedUnread,
-                // Of a job that waits for others nothing may run, whoever started it.
+                // No task of a job that waits for its dependencies may run, whichever leader started it.
                 DependencyState::Open => AttemptDisposition::StoppedForDependencies,
             },
             Some(TaskSlot::Assigned(_)) => AttemptDisposition::AlreadyAssigned,
@@ -315,8 +323,8 @@
         }
     }
 
-    /// What a new leader makes of each attempt of an earlier one: without these lines nothing told why a task was
-    /// started a second time after a failover.
+    /// Counts and logs the decision about an attempt of an earlier leader. These lines show why a task was started a
+    /// second time after a failover.
     fn log_disposition(
         &mut self,
         machine_index: MachineIndex,
@@ -342,9 +350,9 @@
         );
     }
 
-    /// Has the machine taken up what the answers to its reports told it? What it missed is told
-    /// directly, if that reaches it. A machine whose reports came, and which nothing reached, once got
-    /// one start after another, and none was ever taken back.
+    /// Records whether the machine has carried out the starts in replies to its heartbeats. Missed starts are pushed to
+    /// it. After several misses it is probed: a machine whose heartbeats arrive while no command reaches it would
+    /// otherwise be assigned one task after another, of which none would ever be released.
     fn record_acknowledgements(
         &mut self,
         machine_index: MachineIndex,
@@ -373,7 +381,7 @@
         }
     }
 
-    /// An earlier leader's start goes on under this one, or is stopped by it.
+    /// Assigns an attempt that an earlier leader started; it continues, or is stopped if there is a `stop_grace_s`.
     fn adopt_attempt(
         &mut self,
         machine_index: MachineIndex,
@@ -382,7 +390,7 @@
         stop_grace_s: Option<f64>,
         now: f64,
     ) {
-        self.drop_unassigned(machine_index, |other, noted| (*other, noted) != (key, attempt));
+        self.drop_unassigned(machine_index, |other, recorded| (*other, recorded) != (key, attempt));
         self.assign(
             machine_index,
             key,
@@ -402,22 +410,23 @@
             self.machines.push_due.insert(machine_index);
         }
         let machine = &self.machines[machine_index];
-        // The next leader has to know of it as well.
+        // The next leader has to know from the machine's record that it holds tasks of this job.
         if machine.is_reconciled() && !(machine.record_stored && machine.stored_jobs.contains(&key.job)) {
             self.request_record(machine_index);
         }
     }
 
-    /// The task completed under another attempt: a planned start of it is of no use.
+    /// Stops the assigned attempt of a task that has completed in another attempt.
     fn stop_redundant_start(&mut self, key: TaskKey) {
         if let Some(TaskSlot::Assigned(machine_index)) = self.jobs[key.job].tasks.get(key.task as usize).copied() {
             self.stop_task(machine_index, key, 0.0);
         }
     }
 
+    /// Updates an assignment to the state that the machine reports, and the job's counts with it.
     pub(super) fn observe_task_state(&mut self, machine_index: MachineIndex, key: TaskKey, state: TaskState, now: f64) {
         let Some(assignment) = self.machines[machine_index].assignments.get_mut(&key) else { return };
-        let (was_running, had_begun) = (assignment.state == AssignmentState::Running, assignment.state.has_started());
+        let (was_running, had_started) = (assignment.state == AssignmentState::Running, assignment.state.has_started());
         assignment.state = match state {
             TaskState::Running => AssignmentState::Running,
             TaskState::Saving => AssignmentState::Saving,
@@ -432,12 +441,12 @@
         let running_since = assignment.running_since;
         let job = &mut self.jobs[key.job];
         job.running = job.running + u32::from(runs) - u32::from(was_running);
-        job.started += u32::from(!had_begun);
-        if runs != was_running || !had_begun {
+        job.started += u32::from(!had_started);
+        if runs != was_running || !had_started {
             self.track_progress(key.job, now);
         }
         if runs {
-            self.image_seen(machine_index, key);
+            self.mark_task_image_ready(machine_index, key);
         }
         let job = &self.jobs[key.job];
         if runs && now - running_since > HEALTHY_RUN_S && job.is_service() && !job.failed_on.is_empty() {
@@ -445,18 +454,17 @@
         }
     }
 
-    /// The task runs or ran here, and so its image is here.
-    fn image_seen(&mut self, machine_index: MachineIndex, key: TaskKey) {
+    /// Marks the image of a task's job as ready on this machine, since the task runs or ran there.
+    fn mark_task_image_ready(&mut self, machine_index: MachineIndex, key: TaskKey) {
         let job = &self.jobs[key.job];
         if let Some(image) = job.image {
             self.machines[machine_index].mark_image_ready(image, job.spec.image_gb);
         }
     }
 
-    /// A start that is wanted no more, is not on the machine, and cannot arrive late:
-    /// not by an unanswered direct command, nor in the reply to a report that is still
-    /// on its way while a direct answer overtakes it. A direct start counts as unanswered from the
-    /// moment it is sent: another call that is under way to the machine doesn't carry it.
+    /// Releases a withdrawn start that is not on the machine and can't arrive late, neither by a pushed command without
+    /// a reply nor in the reply to a heartbeat that the reply to a push has overtaken. A pushed start counts as
+    /// unanswered from the time it is sent: another call in flight to the machine doesn't contain it.
     fn release_withdrawn_start(&mut self, machine_index: MachineIndex, key: TaskKey, source: HeartbeatSource) {
         let machine = &self.machines[machine_index];
         let Some(assignment) = machine.assignments.get(&key) else { return };
@@ -469,12 +477,13 @@
         }
     }
 
+    /// Handles the exit of an assigned attempt: releases its resources, and completes or requeues its task.
     fn on_task_exited(&mut self, machine_index: MachineIndex, key: TaskKey, reported: &TaskReport, now: f64) {
         let Some(released) = self.release_resources(machine_index, key) else { return };
         if reported.exit_reason == Some(ExitReason::Done) {
-            self.image_seen(machine_index, key);
+            self.mark_task_image_ready(machine_index, key);
         }
-        self.note_unassigned(machine_index, key, reported.attempt, UnassignedAttempt::Ended);
+        self.record_unassigned(machine_index, key, reported.attempt, UnassignedAttempt::Ended);
         match reported.exit_reason {
             Some(ExitReason::Done) => {
                 let machine = &mut self.machines[machine_index];
@@ -484,7 +493,7 @@
             }
             Some(ExitReason::Error) => self.on_task_failed(machine_index, key, now),
             Some(ExitReason::NoCapacity) => {
-                // It counts something that is not known here: look again after its next report.
+                // The worker counts some usage that this leader doesn't know: no new tasks before its next heartbeat.
                 let until = now + self.report_s;
                 let machine = &mut self.machines[machine_index];
                 machine.quarantined_until = machine.quarantined_until.max(until);
--- a/crates/scheduler/src/shard/unrecognized_jobs.rs
+++ b/crates/scheduler/src/shard/unrecognized_jobs.rs
@@ -1,7 +1,7 @@
-//! Attempts that machines listed before their job or their free slot was known here.
+//! Attempts that machines listed before their job was known, or before their task's slot was free.
 //!
-//! A job that is read or accepted after the machines were heard takes over what they hold or may hold of it. Nothing
-//! is started here, and what becomes of an attempt is decided in `task_reconciliation`.
+//! When a job is read or accepted after the machines' heartbeats, the attempts that they list or may hold are
+//! attributed to it. Nothing is started here, and `task_reconciliation` decides about each attempt.
 
 use super::Shard;
 use crate::fleet::{UnassignedAttempt, UnrecognizedAttempt};
@@ -9,7 +9,8 @@
 use crate::jobs::{TaskKey, TaskSlot};
 
 impl Shard {
-    /// A job came to be known after machines were heard or restored that hold or may hold tasks of it.
+    /// Attributes attempts to a job that became known after the heartbeats, or the restoration, of machines that hold or
+    /// may hold tasks of it.
     pub(super) fn resolve_unrecognized_job(&mut self, job_index: JobIndex, now: f64) {
         let id = self.jobs[job_index].id.clone();
         if let Some(until) = self.live_attempts.take_deferral(&id) {
@@ -22,7 +23,7 @@
         }
     }
 
-    /// The stored record of an unresolved machine names the job, which was not known when it was read.
+    /// Blocks starts of the job until the machine is reconciled, if the machine's stored record names the job.
     fn block_until_reconciled(&mut self, machine_index: MachineIndex, job_index: JobIndex) {
         let job = &mut self.jobs[job_index];
         let Some(machine) = self.machines.list.get_mut(machine_index) else { return };
@@ -35,22 +36,24 @@
         }
     }
 
-    /// Attempts of the job that the machine lists, and that were of no known task until now.
+    /// Adopts or stops the attempts of the job that the machine lists, and that belonged to no known task until now.
     fn settle_unrecognized_attempts(&mut self, machine_index: MachineIndex, job_index: JobIndex, now: f64) {
         let Some(machine) = self.machines.list.get_mut(machine_index) else { return };
         let id = self.jobs[job_index].id.clone();
-        let of_job = |unknown: &UnrecognizedAttempt| unknown.job().is_some_and(|(job, _)| *job == *id);
-        let listed: Vec<_> = machine.unrecognized_attempts.extract_if(.., |unknown| of_job(unknown)).collect();
-        for unknown in listed {
-            match self.key_of(&unknown.task) {
-                Some(key) => self.settle_unassigned_attempt(machine_index, key, unknown.attempt, unknown.state, now),
-                None => self.machines[machine_index].unrecognized_attempts.push(unknown),
+        let is_of_job = |attempt: &UnrecognizedAttempt| attempt.job().is_some_and(|(job, _)| *job == *id);
+        let listed: Vec<_> = machine.unrecognized_attempts.extract_if(.., |attempt| is_of_job(attempt)).collect();
+        for unrecognized in listed {
+            match self.key_of(&unrecognized.task) {
+                Some(key) => {
+                    self.settle_unassigned_attempt(machine_index, key, unrecognized.attempt, unrecognized.state, now)
+                }
+                None => self.machines[machine_index].unrecognized_attempts.push(unrecognized),
             }
         }
     }
 
-    /// A slot is free, and a machine lists an attempt of its task all the same: that attempt is adopted, and the task
-    /// is not queued.
+    /// Adopts an orphaned attempt of a task whose slot is free. Returns whether there was one; if so, the task must not be
+    /// queued.
     pub(super) fn adopt_orphan_of_free_slot(&mut self, key: TaskKey) -> bool {
         let job = &self.jobs[key.job];
         let is_free = job.is_open() && job.tasks.get(key.task as usize) == Some(&TaskSlot::Queued);
