--- a/crates/scheduler/src/shard/elastic.rs
+++ b/crates/scheduler/src/shard/elastic.rs
@@ -53,7 +53,7 @@
 
 impl Shard {
     /// An open array that declares sizes, or whose class has some.
-    pub(super) fn elastic_track(&mut self, job_index: JobIndex) {
+    pub(super) fn track_elastic_job(&mut self, job_index: JobIndex) {
         let Some(pool) = &self.elastic else { return };
         let job = &self.jobs[job_index];
         if job.phase != Phase::Open || job.is_service() {
--- a/crates/scheduler/src/shard/failover.rs
+++ b/crates/scheduler/src/shard/failover.rs
@@ -448,7 +448,7 @@
         for id in ids {
             let Some(job_index) = self.jobs.find(id) else {
                 urgency = urgency.or(Some(PushUrgency::JobOver));
-                self.live_attempts.note_possible_holder(id, machine_index);
+                self.live_attempts.record_possible_holder(id, machine_index);
                 self.machines[machine_index].unrecognized_jobs.push(id.as_str().into());
                 continue;
             };
--- a/crates/scheduler/src/shard/live_attempts.rs
+++ b/crates/scheduler/src/shard/live_attempts.rs
@@ -50,7 +50,7 @@
     }
 
     /// Records that this machine may hold tasks of an unknown job.
-    pub(super) fn note_possible_holder(&mut self, job: &str, machine_index: MachineIndex) {
+    pub(super) fn record_possible_holder(&mut self, job: &str, machine_index: MachineIndex) {
         self.unrecognized_jobs.entry(job.to_owned()).or_default().insert(machine_index);
     }
 
--- a/crates/scheduler/src/shard/mod.rs
+++ b/crates/scheduler/src/shard/mod.rs
@@ -250,7 +250,7 @@
         let job_index = self.jobs.add(record, team, now);
         self.record_job_size(job_index);
         self.checkpoint_job(job_index, now);
-        self.elastic_track(job_index);
+        self.track_elastic_job(job_index);
         self.register_dependencies(job_index, now);
         self.track_later(job_index);
         self.resolve_unrecognized_job(job_index, now);
--- a/crates/scheduler/src/shard/task_reconciliation.rs
+++ b/crates/scheduler/src/shard/task_reconciliation.rs
@@ -168,7 +168,7 @@
             }
         }
         for (id, _) in machine.unrecognized_attempts.iter().filter_map(UnrecognizedAttempt::job) {
-            self.live_attempts.note_possible_holder(id, machine_index);
+            self.live_attempts.record_possible_holder(id, machine_index);
         }
         let is_same = |one: &UnrecognizedAttempt, other: &UnrecognizedAttempt| {
             one.task == other.task && one.attempt == other.attempt
