--- a/crates/scheduler/src/shard/failover.rs
+++ b/crates/scheduler/src/shard/failover.rs
@@ -1,8 +1,8 @@
 //! Builds the state of a new leader's shard from the stored records: jobs, machine groups and machines.
 //!
-//! This module builds the first state of a [`Shard`] and logs the progress of a failover. It reads no records by itself,
-//! and starts, stops and releases no tasks: a restored machine may hold tasks of all jobs that its record names until
-//! it is reconciled.
+//! This module builds the first state of a [`Shard`] and logs the progress of a failover. It reads no records by
+//! itself, and starts, stops and releases no tasks: a restored machine may hold tasks of all jobs that its record names
+//! until it is reconciled.
 
 use super::quotas::{LoadedQuotas, Quotas};
 use super::writes::WriteQueue;
--- a/crates/scheduler/src/shard/task_reconciliation.rs
+++ b/crates/scheduler/src/shard/task_reconciliation.rs
@@ -137,7 +137,8 @@
         listed
     }
 
-    /// Records the listed attempts of unknown tasks that have not ended. The machine will be sent commands to stop them.
+    /// Records the listed attempts of unknown tasks that have not ended. The machine will be sent commands to stop
+    /// them.
     fn record_unrecognized_attempts(&mut self, machine_index: MachineIndex, heartbeat: &Heartbeat) {
         let is_unknown = |task: &&TaskReport| task.state != TaskState::Exited && self.key_of(&task.task).is_none();
         let unknown: Vec<UnrecognizedAttempt> = heartbeat
@@ -262,8 +263,8 @@
         }
     }
 
-    /// Adopts or stops an attempt that has not ended and is not assigned to the machine that lists it. In either case its
-    /// task is started on no other machine meanwhile.
+    /// Adopts or stops an attempt that has not ended and is not assigned to the machine that lists it. In either case
+    /// its task is started on no other machine meanwhile.
     pub(super) fn settle_unassigned_attempt(
         &mut self,
         machine_index: MachineIndex,
--- a/crates/scheduler/src/shard/unrecognized_jobs.rs
+++ b/crates/scheduler/src/shard/unrecognized_jobs.rs
@@ -9,8 +9,8 @@
 use crate::jobs::{TaskKey, TaskSlot};
 
 impl Shard {
-    /// Attributes attempts to a job that became known after the heartbeats, or the restoration, of machines that hold or
-    /// may hold tasks of it.
+    /// Attributes attempts to a job that became known after the heartbeats, or the restoration, of machines that hold
+    /// or may hold tasks of it.
     pub(super) fn resolve_unrecognized_job(&mut self, job_index: JobIndex, now: f64) {
         let id = self.jobs[job_index].id.clone();
         if let Some(until) = self.live_attempts.take_deferral(&id) {
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Adopts an orphaned attempt of a task whose slot is free. Returns whether there was one; if so, the task must not be
-    /// queued.
+    /// Adopts an orphaned attempt of a task whose slot is free. Returns whether there was one; if so, the task must not
+    /// be queued.
     pub(super) fn adopt_orphan_of_free_slot(&mut self, key: TaskKey) -> bool {
         let job = &self.jobs[key.job];
         let is_free = job.is_open() && job.tasks.get(key.task as usize) == Some(&TaskSlot::Queued);
