--- a/crates/scheduler/src/election.rs
+++ b/crates/scheduler/src/election.rs
@@ -8,6 +8,7 @@
 
 /// Key of the leadership record of a controller with a single shard; tied to the leader's lease.
 pub const LEADERSHIP_KEY: &str = "own/0";
+/// Prefix of all keys of leader election.
 pub const LEADERSHIP_PREFIX: &str = "own/";
 
 /// Returns the key of a shard's leadership record, where there are several shards.
@@ -26,14 +27,15 @@
 }
 
 /// Returns whether a value is its type's default, in which case serde leaves the field out.
-pub(crate) fn is_default<T: Default + PartialEq>(v: &T) -> bool {
-    *v == T::default()
+pub(crate) fn is_default<T: Default + PartialEq>(value: &T) -> bool {
+    *value == T::default()
 }
 
 /// The stored value by which a controller is the leader. Earlier versions ignore fields that they don't
 /// know.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq, Eq)]
 pub struct LeadershipRecord {
+    /// Name of the controller.
     pub node: String,
     /// Distinguishes this process from earlier processes of the same controller.
     pub nonce: String,
@@ -66,6 +68,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObservedRecord {
     pub record: LeadershipRecord,
+    /// The state service's revision of the record, which is also the leader's fencing token.
     pub version: u64,
 }
 
@@ -81,6 +84,7 @@
     own_record: LeadershipRecord,
     lease_ttl_s: f64,
     lease: Option<Lease>,
+    /// The fencing token: the version of this controller's leadership record while it is the leader.
     token: Option<u64>,
     observed: Option<ObservedRecord>,
     /// A write is in flight that may make another controller the leader: this one doesn't act until the
@@ -277,22 +281,22 @@
         is_superseded
     }
 
-    /// Prepares a campaign with this lease. Returns the leadership record to write; `day_ms` is the wall-clock
+    /// Prepares a campaign with this lease. Returns the leadership record to write; `wall_clock_ms` is the wall-clock
     /// time in milliseconds.
-    pub fn prepare_campaign(&mut self, lease: u64, day_ms: u64) -> LeadershipRecord {
+    pub fn prepare_campaign(&mut self, lease: u64, wall_clock_ms: u64) -> LeadershipRecord {
         self.campaign_lease = Some(lease);
         (self.own_record.acquired_at_ms, self.own_record.consecutive_crashes) =
-            (day_ms, self.consecutive_crashes(day_ms));
+            (wall_clock_ms, self.consecutive_crashes(wall_clock_ms));
         self.own_record.clone()
     }
 
     /// Returns how many earlier processes in a row ended soon after their election, by the leadership record
     /// that the last of them left.
-    fn consecutive_crashes(&self, day_ms: u64) -> u32 {
+    fn consecutive_crashes(&self, wall_clock_ms: u64) -> u32 {
         match &self.observed {
             Some(last) if last.record.is_from_previous_incarnation(&self.own_record) => {
                 let crashed = last.record.acquired_at_ms > 0
-                    && day_ms.saturating_sub(last.record.acquired_at_ms) < CRASH_LOOP_WINDOW_MS;
+                    && wall_clock_ms.saturating_sub(last.record.acquired_at_ms) < CRASH_LOOP_WINDOW_MS;
                 if crashed { last.record.consecutive_crashes.saturating_add(1) } else { 0 }
             }
             _ => 0,
@@ -320,9 +324,9 @@
         true
     }
 
-    /// Returns what to do to become the leader; `others`: there are controllers besides this one;
+    /// Returns what to do to become the leader; `has_peers`: there are controllers besides this one;
     /// `campaign_delay_s`: how long there has to be no leader before this controller campaigns.
-    pub fn next_step(&self, now: f64, day_ms: u64, others: bool, campaign_delay_s: f64) -> ElectionStep {
+    pub fn next_step(&self, now: f64, wall_clock_ms: u64, has_peers: bool, campaign_delay_s: f64) -> ElectionStep {
         if self.token.is_some() || !self.record_was_read {
             return ElectionStep::Wait;
         }
@@ -335,7 +339,7 @@
             // The previous process of this controller has ended: its record may be replaced at once. In a
             // crash loop it is deleted instead, since this process would probably crash as well.
             Some(last) if last.record.is_from_previous_incarnation(&self.own_record) => {
-                if others && self.consecutive_crashes(day_ms) >= CRASH_LOOP_THRESHOLD {
+                if has_peers && self.consecutive_crashes(wall_clock_ms) >= CRASH_LOOP_THRESHOLD {
                     return ElectionStep::Yield { over: last.version };
                 }
                 last.version
--- a/crates/scheduler/src/fleet/machine.rs
+++ b/crates/scheduler/src/fleet/machine.rs
@@ -73,6 +73,7 @@
 }
 
 impl UnassignedAttempt {
+    /// Returns whether the attempt has not ended.
     pub fn is_orphaned(self) -> bool {
         matches!(self, UnassignedAttempt::Orphaned(_))
     }
@@ -129,6 +130,7 @@
     pub spot: bool,
     pub phase: Phase,
     pub first_seen_at: f64,
+    /// The incarnation of its worker process by the newest heartbeat; 0 before the first heartbeat.
     pub incarnation: u64,
     /// The sequence number of the newest heartbeat in its incarnation.
     pub sequence: u64,
@@ -148,6 +150,7 @@
     pub unassigned: TaskMap<(u64, UnassignedAttempt)>,
     pub cpus_used: f64,
     pub accelerators_used: f64,
+    /// In GB.
     pub memory_used: f64,
     /// Known jobs that its stored record names.
     pub stored_jobs: BTreeSet<JobIndex>,
--- a/crates/scheduler/src/shard/mod.rs
+++ b/crates/scheduler/src/shard/mod.rs
@@ -131,6 +131,7 @@
     pub underserved: Underserved,
     /// The sizes of elastic job arrays, if the settings allow them.
     elastic: Option<elastic::ElasticPool>,
+    /// When sizes of elastic arrays were last reconsidered.
     elastic_resized_at: f64,
     /// Some work found no free capacity in the last placement pass.
     pub(crate) unplaced_work_waiting: bool,
@@ -155,7 +156,7 @@
     /// The stages that this failover has reached: all machines reconciled, first task started.
     failover_stages: failover::FailoverStages,
     failover_log: failover::FailoverLog,
-    /// Most machines left a probe unanswered, so that this leader is probably cut off from the workers.
+    /// Most machines left a probe unanswered, so that this leader is probably partitioned from the workers.
     pub(crate) suspected_partition: bool,
     /// Whether this leader has read the cloud's list of machines.
     pub(crate) machine_list_read: bool,
@@ -194,18 +195,25 @@
     /// Number of pairs of a job and a machine that placement has examined, a measure of its cost.
     pub pairs_examined: u64,
     pub counts: Counts,
+    /// When all machines were last checked by `machine_monitor`.
     machines_checked_at: f64,
     /// The machine at which the next search for tasks to evict goes on.
     eviction_cursor: MachineIndex,
     /// The largest number of cpus that a task of any known service requests.
     pub(crate) service_cpus: f64,
+    /// When placement of waiting work was last retried without a change.
     placement_requested_at: f64,
     fleet_sized_at: f64,
     evicted_at: f64,
+    /// Terminating machines, which the cloud has to be asked to delete.
     machines_to_delete: BTreeSet<MachineIndex>,
+    /// The loaded fleet record, until the machine types are known.
     fleet_to_restore: Option<FleetRecord>,
+    /// Loaded machines with a stored value of their own, by name, until the machine types are known.
     machines_to_restore: Vec<(String, MachineRecord)>,
+    /// Loaded machine groups with their versions, until the machine types are known.
     groups_to_restore: Vec<(MachineGroupIndex, MachineGroupRecord, u64)>,
+    /// Loaded machine groups of merged shards, by key and with versions, until the machine types are known.
     merged_groups: Vec<(String, MachineGroupRecord, u64)>,
 }
 
