--- a/crates/scheduler/src/shard/failover.rs
+++ b/crates/scheduler/src/shard/failover.rs
@@ -62,6 +62,7 @@
     pub(super) reconciled_s: Option<f64>,
     /// When the first task was started.
     pub(super) first_start_s: Option<f64>,
+    /// Whether both stages were logged.
     pub(super) logged: bool,
 }
 
@@ -143,7 +144,7 @@
             teams: params
                 .teams
                 .iter()
-                .map(|t| TeamState { spec: t.clone(), cpus_used: 0.0, accelerators_used: 0.0 })
+                .map(|team| TeamState { spec: team.clone(), cpus_used: 0.0, accelerators_used: 0.0 })
                 .collect(),
             service_level_tracker: ServiceLevelTracker::new(params.terms.clone()),
             underserved: Underserved::default(),
@@ -285,7 +286,9 @@
         let machine_type = self.types.get(type_index);
         let mut zones = ZoneLists::new(machine_type.zones.iter().filter_map(|zone| self.types.zones.find(zone)));
         let mut target = Target::default();
-        if let Some(stored) = fleet.and_then(|f| f.pools.iter().find(|pool| pool.type_name == machine_type.name)) {
+        if let Some(stored) =
+            fleet.and_then(|fleet| fleet.pools.iter().find(|pool| pool.type_name == machine_type.name))
+        {
             for zone in stored.preemptive.iter().filter_map(|zone| self.types.zones.find(zone)) {
                 if zones.active.len() > 2 && zones.active.remove(&zone) {
                     zones.preemptive.insert(zone);
@@ -310,8 +313,9 @@
         }
     }
 
-    /// Marks the groups of those machines as changed that values other than their group's name. Such a value stays
-    /// valid until the records of all its machine's groups are written, which isn't urgent: only spare writes are used.
+    /// Marks the groups of machines that superseded values name as changed, so that they are written. A superseded
+    /// value stays valid until machine groups have recorded all of its machines. That is not urgent: it uses spare
+    /// writes.
     fn rewrite_superseded_values(&mut self) {
         let named_by_superseded: BTreeSet<MachineIndex> =
             self.machine_groups.superseded_values.values().flatten().copied().collect();
