--- a/crates/scheduler/src/shard/elastic.rs
+++ b/crates/scheduler/src/shard/elastic.rs
@@ -53,7 +53,7 @@
 
 impl Shard {
     /// An open array that declares sizes, or whose class has some.
-    pub(super) fn elastic_track(&mut self, job_index: JobIndex) {
+    pub(super) fn track_elastic_job(&mut self, job_index: JobIndex) {
         let Some(pool) = &self.elastic else { return };
         let job = &self.jobs[job_index];
         if job.phase != Phase::Open || job.is_service() {
@@ -145,11 +145,12 @@
             log::info!("elastic task did not save in time, stopped task={}/{}", self.jobs[k.job].id, k.task);
             self.stop_task(m, k, 0.0);
         }
-        if now - self.elastic_looked < RESIZE_INTERVAL_S {
+        if now - self.elastic_resized_at < RESIZE_INTERVAL_S {
             return;
         }
-        self.elastic_looked = now;
-        let room = if self.others_waiting || !self.state_service_writable { Vec::new() } else { self.idle_room(now) };
+        self.elastic_resized_at = now;
+        let room =
+            if self.unplaced_work_waiting || !self.state_service_writable { Vec::new() } else { self.idle_room(now) };
         if self.elastic.as_mut().is_some_and(|p| p.idle(&room, now)) {
             self.placement_due = true;
         }
