--- a/crates/scheduler/src/shard/dependencies.rs
+++ b/crates/scheduler/src/shard/dependencies.rs
@@ -93,7 +93,7 @@
             if self.jobs[j].is_open() {
                 self.jobs.live.insert(j);
                 self.set_ready_time(j);
-                self.track_later(j);
+                self.enqueue_tracking(j);
                 self.placement_due = true;
                 let (job, day) = (&self.jobs[j], self.day_now_ms(now) as f64);
                 log::debug!(
--- a/crates/scheduler/src/shard/elastic.rs
+++ b/crates/scheduler/src/shard/elastic.rs
@@ -61,7 +61,7 @@
         }
         let sizes = job.spec.elastic.or_else(|| pool.plan().default_of(&job.spec.class, job.spec.tasks));
         // A class's default may be more than a team may ever hold.
-        let most = self.most_at_once(job);
+        let most = self.max_concurrent_tasks(job);
         if let (Some(s), Some(pool)) = (sizes, &mut self.elastic) {
             pool.enter(job_index, Sizes { smallest: s.smallest.min(most.max(1)), ..s });
         }
--- a/crates/scheduler/src/shard/graceful_eviction.rs
+++ b/crates/scheduler/src/shard/graceful_eviction.rs
@@ -1,7 +1,7 @@
 //! Tasks that leave machines which are to be returned, where other machines can take them at once.
 
 use super::Shard;
-use super::placement::{Promised, alternative_machine};
+use super::placement::{PromisedCpus, alternative_machine};
 use crate::fleet::{Assignment, AssignmentState, Phase as MachinePhase};
 use crate::intern::MachineIndex;
 use crate::jobs::TaskKey;
@@ -61,7 +61,7 @@
         let mut leaving: Vec<MachineIndex> = self.leaving().collect();
         let first = leaving.partition_point(|i| *i < from);
         leaving.rotate_left(first);
-        let mut promised = Promised::default();
+        let mut promised = PromisedCpus::default();
         for i in leaving {
             for (k, h) in self.machines[i].assignments.iter().filter(|(_, h)| h.stop_grace_s.is_none()) {
                 let job = &self.jobs[k.job];
--- a/crates/scheduler/src/shard/large_jobs.rs
+++ b/crates/scheduler/src/shard/large_jobs.rs
@@ -9,7 +9,7 @@
 //! The largest are a class's top tenth, at least one job, by tasks times cpus and by tasks, of those
 //! that this leader knows to have come last.
 
-use super::placement::may_run_beside;
+use super::placement::satisfies_constraints;
 use super::*;
 use crate::wire::Priority;
 use lupinspur_service_levels::Reading;
@@ -236,7 +236,7 @@
         let could = |m: &crate::fleet::Machine| {
             !m.in_on_demand_base
                 && m.is_usable(now, heartbeat_timeout_s)
-                && may_run_beside(self, job, m, job.assigned, job.assigned_in_zone(m.zone))
+                && satisfies_constraints(self, job, m, job.assigned, job.assigned_in_zone(m.zone))
                 && type_fits(&job.spec, self.types.get(m.type_index))
         };
         // Until what must be waited for there is over, in seconds, about.
--- a/crates/scheduler/src/shard/mod.rs
+++ b/crates/scheduler/src/shard/mod.rs
@@ -235,7 +235,7 @@
         self.checkpoint_job(j, now);
         self.elastic_track(j);
         self.register_dependencies(j, now);
-        self.track_later(j);
+        self.enqueue_tracking(j);
         self.resolve_unrecognized_job(j, now);
         Some(j)
     }
--- a/crates/scheduler/src/shard/placement/bin_packing.rs
+++ b/crates/scheduler/src/shard/placement/bin_packing.rs
@@ -42,18 +42,18 @@
 
 /// Could another machine take a task of this job from `leaving`, with no fetch?
 pub fn has_alternative_machine(shard: &Shard, job: &Job, leaving: MachineIndex, now: f64) -> bool {
-    alternative_machine(shard, job, leaving, &Promised::default(), now).is_some()
+    alternative_machine(shard, job, leaving, &PromisedCpus::default(), now).is_some()
 }
 
 /// Cpus that machines are to give to tasks that are about to leave others.
-pub type Promised = HashMap<MachineIndex, f64>;
+pub type PromisedCpus = HashMap<MachineIndex, f64>;
 
 /// The machine that could, besides what was promised already.
 pub fn alternative_machine(
     shard: &Shard,
     job: &Job,
     leaving: MachineIndex,
-    promised: &Promised,
+    promised: &PromisedCpus,
     now: f64,
 ) -> Option<MachineIndex> {
     let from = shard.machines[leaving].zone;
@@ -77,7 +77,13 @@
 }
 
 /// May a task of this job run on this machine beside so many others of it, whatever room there is?
-pub(in crate::shard) fn may_run_beside(shard: &Shard, job: &Job, machine: &Machine, held: u32, in_zone: u32) -> bool {
+pub(in crate::shard) fn satisfies_constraints(
+    shard: &Shard,
+    job: &Job,
+    machine: &Machine,
+    held: u32,
+    in_zone: u32,
+) -> bool {
     allows(shard, job, machine)
         && in_zone < job.zone_limit()
         && !(job.spec.zone_affinity && held > in_zone)
@@ -90,7 +96,7 @@
     let has_room = machine.cpus_used + spec.cpus <= t.cpus + EPSILON
         && machine.accelerators_used + spec.accelerators <= t.accelerators + EPSILON
         && machine.memory_used + spec.memory_gb <= t.memory_gb + EPSILON;
-    has_room && may_run_beside(shard, job, machine, held, in_zone)
+    has_room && satisfies_constraints(shard, job, machine, held, in_zone)
 }
 
 /// May this job take the room on the base that batch work leaves to services? Work that may not go on
--- a/crates/scheduler/src/shard/placement/limits.rs
+++ b/crates/scheduler/src/shard/placement/limits.rs
@@ -45,7 +45,7 @@
     let left = |max: f64, used: f64, unseen: f64| if max > 0.0 { max - used - unseen } else { f64::INFINITY };
     let within = many(left(team.spec.cpus_max, team.cpus_used, shadow.0), r.cpus)
         .min(many(left(team.spec.accelerators_max, team.accelerators_used, shadow.1), r.accelerators))
-        .min(shard.quota_room(job));
+        .min(shard.tasks_within_quota(job));
     if within.floor() < f64::from(n) {
         return false;
     }
--- a/crates/scheduler/src/shard/placement/mod.rs
+++ b/crates/scheduler/src/shard/placement/mod.rs
@@ -18,8 +18,8 @@
 mod queue_order;
 mod unplaceable;
 
-pub(super) use bin_packing::may_run_beside;
-pub use bin_packing::{Promised, allows, alternative_machine, fits, has_alternative_machine};
+pub(super) use bin_packing::satisfies_constraints;
+pub use bin_packing::{PromisedCpus, allows, alternative_machine, fits, has_alternative_machine};
 pub use pass::place;
 pub(super) use unplaceable::unusable_capacity;
 
--- a/crates/scheduler/src/shard/placement/pass.rs
+++ b/crates/scheduler/src/shard/placement/pass.rs
@@ -75,7 +75,7 @@
     /// Nothing if nothing waits.
     fn new(s: &'a mut Shard, now: f64) -> Option<PlacementPass<'a>> {
         let shadow = (unreconciled_cpus(s), unreconciled_accelerators(s));
-        s.quota_unseen(shadow);
+        s.set_quota_unreconciled(shadow);
         let turns = queue_order(s, now);
         let least_cpus = turns.iter().map(|t| s.jobs[t.job].spec.cpus).min_by(f64::total_cmp)?;
         let heartbeat_timeout_s = s.recent_heartbeat_s();
@@ -112,7 +112,7 @@
         let s = self.shard;
         let more = self.looked_up > s.limits_examined + MAX_LOOKED_UP;
         s.limits_examined = if more { s.limits_examined + MAX_LOOKED_UP } else { 0 };
-        s.room_within_limits(&self.at_limits);
+        s.preempt_within_limits(&self.at_limits);
     }
 
     fn take(&mut self, turn: &QueuedTurn) -> PassStep {
--- a/crates/scheduler/src/shard/placement/preemption.rs
+++ b/crates/scheduler/src/shard/placement/preemption.rs
@@ -1,6 +1,8 @@
 //! Room for services: work of lower priority is stopped, or a replica goes elsewhere.
 
-use super::bin_packing::{avoids, cost, has_alternative_machine, has_unacknowledged_start, may_run_beside, options};
+use super::bin_packing::{
+    avoids, cost, has_alternative_machine, has_unacknowledged_start, options, satisfies_constraints,
+};
 use super::queue_order::QueuedTurn;
 use crate::fleet::{AssignmentState, Machine};
 use crate::intern::{JobIndex, MachineIndex};
@@ -59,7 +61,7 @@
         // Room where the job may not run is no room for it: it would be waited for without end.
         let t = shard.types.get(m.type_index);
         if !type_fits(&job.spec, t)
-            || !may_run_beside(shard, job, m, job.assigned, job.assigned_in_zone(m.zone))
+            || !satisfies_constraints(shard, job, m, job.assigned, job.assigned_in_zone(m.zone))
             || avoids(shard, job, i, now)
             || next.is_some_and(|key| has_unacknowledged_start(m, &key))
         {
@@ -158,7 +160,7 @@
         !m.spot
             && m.has_image(image)
             && m.is_usable(now, heartbeat_timeout_s)
-            && may_run_beside(shard, job, m, job.assigned, job.assigned_in_zone(m.zone))
+            && satisfies_constraints(shard, job, m, job.assigned, job.assigned_in_zone(m.zone))
     };
     for (i, m) in shard.machines.iter().filter(|(_, m)| serves(m)) {
         if m.assignments.iter().any(|(k, h)| m.is_stopping(k, h)) {
--- a/crates/scheduler/src/shard/placement/queue_order.rs
+++ b/crates/scheduler/src/shard/placement/queue_order.rs
@@ -162,7 +162,7 @@
 
 impl Shard {
     /// The jobs that wait, in the order in which they would get machines now.
-    pub fn order_of_turns(&mut self, now: f64) -> Vec<String> {
+    pub fn placement_order(&mut self, now: f64) -> Vec<String> {
         queue_order(self, now).iter().map(|t| self.jobs[t.job].id.to_string()).collect()
     }
 }
--- a/crates/scheduler/src/shard/quotas/mod.rs
+++ b/crates/scheduler/src/shard/quotas/mod.rs
@@ -150,7 +150,7 @@
     }
 
     /// What unseen machines may hold counts at every level.
-    pub(crate) fn quota_unseen(&mut self, (cpus, accelerators): (f64, f64)) {
+    pub(crate) fn set_quota_unreconciled(&mut self, (cpus, accelerators): (f64, f64)) {
         if let Some(q) = &mut self.quotas {
             q.ledger.unseen = Amount::new(cpus, accelerators);
         }
@@ -162,7 +162,7 @@
     }
 
     /// How many of its tasks fit under all limits above a job's team.
-    pub(crate) fn quota_room(&self, j: &Job) -> f64 {
+    pub(crate) fn tasks_within_quota(&self, j: &Job) -> f64 {
         self.quotas.as_ref().map_or(f64::INFINITY, |q| q.ledger.room(of_team(j.team), need_of(j)))
     }
 
@@ -205,7 +205,7 @@
         }
     }
 
-    pub(in crate::shard) fn quota_applied(&mut self, step: Step) {
+    pub(in crate::shard) fn on_quota_stored(&mut self, step: Step) {
         let Some(q) = &mut self.quotas else { return };
         match step {
             Step::Part(n) => q.stored_parts = n + 1,
@@ -274,7 +274,7 @@
     /// Services that wait at a limit, of their team or of a level above it, while less important
     /// work stands below the same limit: that gives way, a few services at a time. Each is told
     /// once, and counts until its end is seen.
-    pub(crate) fn room_within_limits(&mut self, waiting: &[JobIndex]) {
+    pub(crate) fn preempt_within_limits(&mut self, waiting: &[JobIndex]) {
         if !self.state_service_writable || waiting.is_empty() {
             return;
         }
--- a/crates/scheduler/src/shard/service_levels/mod.rs
+++ b/crates/scheduler/src/shard/service_levels/mod.rs
@@ -151,7 +151,7 @@
     }
 
     /// A job's time begins, or it is over by its record: the next tick enters it.
-    pub(in crate::shard) fn track_later(&mut self, job_index: JobIndex) {
+    pub(in crate::shard) fn enqueue_tracking(&mut self, job_index: JobIndex) {
         if self.jobs[job_index].phase != Phase::Open || self.jobs.live.contains(&job_index) {
             self.service_levels.due.push(job_index);
         }
@@ -174,7 +174,7 @@
     }
 
     /// Tasks of a job that its team's limit lets run at one time.
-    pub(in crate::shard) fn most_at_once(&self, job: &Job) -> u32 {
+    pub(in crate::shard) fn max_concurrent_tasks(&self, job: &Job) -> u32 {
         let limit = self.teams[job.team.as_usize()].spec.cpus_max;
         if limit > 0.0 && job.spec.cpus > 0.0 { (limit / job.spec.cpus) as u32 } else { u32::MAX }
     }
@@ -198,7 +198,7 @@
             class: &spec.class,
             team: &spec.team,
             service: job.is_service(),
-            tasks: spec.tasks.min(self.most_at_once(job)).max(1),
+            tasks: spec.tasks.min(self.max_concurrent_tasks(job)).max(1),
             from: from + late,
             waits_from,
             may_have_waited_s,
--- a/crates/scheduler/src/shard/task_failures.rs
+++ b/crates/scheduler/src/shard/task_failures.rs
@@ -92,7 +92,7 @@
         job.failed_on.clear();
         if was {
             (job.attempts_since_fault, job.not_before) = (0, 0.0);
-            self.track_later(job_index);
+            self.enqueue_tracking(job_index);
             self.placement_due = true;
         }
     }
--- a/crates/scheduler/src/shard/writes/outcome.rs
+++ b/crates/scheduler/src/shard/writes/outcome.rs
@@ -34,7 +34,7 @@
             }
             WritePurpose::Progress { .. } => self.write_queue.mark_stale(key.to_owned()),
             WritePurpose::Fleet(record) => self.write_queue.on_fleet_record_stored(record),
-            WritePurpose::Quota(step) => self.quota_applied(step),
+            WritePurpose::Quota(step) => self.on_quota_stored(step),
             WritePurpose::ServiceLevels { round, place } => self.on_service_levels_stored(round, place),
             WritePurpose::DeleteStale => {}
         }
--- a/tests/traces/events/jobs.rs
+++ b/tests/traces/events/jobs.rs
@@ -48,7 +48,7 @@
             }
             // How the jobs that wait stand: what goes first, by id.
             "turns" => {
-                let ids = self.shard().order_of_turns(now);
+                let ids = self.shard().placement_order(now);
                 self.say(&format!("turns: {}", ids.join(", ")));
             }
             _ => return false,
--- a/tests/traces/placing.rs
+++ b/tests/traces/placing.rs
@@ -4,7 +4,7 @@
 use crate::world::world;
 use lupinspur::intern::MachineIndex;
 use lupinspur::jobs::{TaskKey, job_key};
-use lupinspur::shard::placement::{Promised, alternative_machine};
+use lupinspur::shard::placement::{PromisedCpus, alternative_machine};
 
 /// What one machine's report costs, in pairs of a job and a machine that are looked at,
 /// with so many other machines at work and so many other jobs waiting.
@@ -80,7 +80,7 @@
     assert_eq!(leaving.len(), 2);
     let s = w.shard();
     let job = &s.jobs[s.jobs.find("req-1").expect("the job")];
-    let mut promised = Promised::default();
+    let mut promised = PromisedCpus::default();
     assert_eq!(alternative_machine(s, job, leaving[0], &promised, 1.0), Some(empty));
     promised.insert(empty, job.spec.cpus);
     assert_eq!(alternative_machine(s, job, leaving[1], &promised, 1.0), None);
