--- a/crates/scheduler/src/shard/placement/mod.rs
+++ b/crates/scheduler/src/shard/placement/mod.rs
@@ -1,15 +1,15 @@
-//! Which task goes on which machine.
+//! Placement of waiting tasks on machines.
 //!
-//! Services first, then work within its team's guarantee, then borrowing; by
-//! priority and deadline within each. Machines are packed, and those that have
-//! the image are preferred.
+//! Services come first, then work within its team's guarantee, then work that borrows quota; within each class the
+//! order is by priority and deadline. Tasks are packed onto few machines, and machines that have the image are
+//! preferred.
 //!
-//! - `pass`: one pass over all that waits
+//! - `pass`: one placement pass over all waiting jobs
 //! - `queue_order`: the order in which jobs get machines
-//! - `bin_packing`: which machines could take a task, and which is best
-//! - `limits`: whether tasks stay within their team's limit
-//! - `unplaceable`: work that fits nowhere, and capacity that no work may take
-//! - `preemption`: capacity for services, made by preempting other work
+//! - `bin_packing`: filters and scores the machines for a task
+//! - `limits`: checks team limits and quotas
+//! - `unplaceable`: waiting work that fits on no machine, and free capacity that no waiting work may use
+//! - `preemption`: frees capacity for services by preempting or migrating other tasks
 
 mod bin_packing;
 mod limits;
@@ -23,5 +23,6 @@
 pub use pass::place;
 pub(super) use unplaceable::unusable_capacity;
 
-/// Cpu room on a machine of the on-demand base that batch work leaves to services, in their tasks.
-const SERVICE_ROOM: f64 = 4.0;
+/// Cpus on each machine of the on-demand base that batch work leaves free for services, in multiples of a service's
+/// task.
+const SERVICE_HEADROOM_TASKS: f64 = 4.0;
--- a/crates/scheduler/src/shard/placement/preemption.rs
+++ b/crates/scheduler/src/shard/placement/preemption.rs
@@ -1,4 +1,4 @@
-//! Room for services: work of lower priority is stopped, or a replica goes elsewhere.
+//! Frees capacity for services: preempts tasks of lower priority, or migrates a replica of another service.
 
 use super::bin_packing::{
     avoids, cost, has_alternative_machine, has_unacknowledged_start, options, satisfies_constraints,
@@ -10,34 +10,37 @@
 use crate::shard::{EPSILON, Shard, type_fits};
 use std::collections::HashMap;
 
-/// Seconds that a task of a surplus counts for where room is made; any other counts for one.
+/// Cost in seconds of preempting a surplus task of an elastic job; preempting any other task costs one second.
 const SURPLUS_COST_S: f64 = 0.1;
-/// Most replicas for which another machine is looked for before one moves.
+/// Most replicas for which one migration attempt looks for another machine.
 const MAX_MIGRATIONS_TRIED: usize = 16;
+/// Seconds for which a migrated replica's job avoids the machine that the replica left.
+const AVOIDED_AFTER_MIGRATION_S: f64 = 5.0;
 
-/// Would a task of this job start now, or be made room for, if its limit let it?
-pub(super) fn could_be_placed(shard: &Shard, turn: &QueuedTurn, roomy: &[MachineIndex], now: f64) -> bool {
-    !options(shard, &shard.jobs[turn.job], roomy, now).is_empty()
+/// Returns whether a task of this job could start now if its limit allowed it, on one of `candidates` or by preemption.
+pub(super) fn could_be_placed(shard: &Shard, turn: &QueuedTurn, candidates: &[MachineIndex], now: f64) -> bool {
+    !options(shard, &shard.jobs[turn.job], candidates, now).is_empty()
         || cheapest_preemption(shard, turn, false, now).is_some()
 }
 
-/// Stops work of lower priority where that lets a task of this job start, on one
-/// machine a pass; `with_image`: only where its image is. True if room is coming.
+/// Preempts tasks of lower priority on the one machine where that is cheapest and lets a task of this job start.
+/// With `with_image`, only machines that have its image count, and a replica may migrate instead. Returns whether
+/// capacity will become free.
 pub(super) fn preempt_for(shard: &mut Shard, turn: &QueuedTurn, with_image: bool, now: f64) -> bool {
     if !shard.state_service_writable {
         return false;
     }
-    let Some((m, victims)) = cheapest_preemption(shard, turn, with_image, now) else {
+    let Some((machine_index, victims)) = cheapest_preemption(shard, turn, with_image, now) else {
         return with_image && migrate_replica(shard, turn.job, now);
     };
-    for k in victims {
-        log::debug!("task preempted reason=capacity task={}/{}", shard.jobs[k.job].id, k.task);
-        shard.preempt(m, k);
+    for key in victims {
+        log::debug!("task preempted reason=capacity task={}/{}", shard.jobs[key.job].id, key.task);
+        shard.preempt(machine_index, key);
     }
     true
 }
 
-/// Where that would cost least, and what would be stopped there.
+/// Returns the machine where preemption for a task of this job costs least, and the tasks to preempt there.
 fn cheapest_preemption(
     shard: &Shard,
     turn: &QueuedTurn,
@@ -47,10 +50,10 @@
     let job = &shard.jobs[turn.job];
     let heartbeat_timeout_s = shard.recent_heartbeat_s();
     let surpluses = shard.surpluses();
-    let next = job.queued_tasks.front().map(|task| TaskKey::new(turn.job, *task));
+    let next_task = job.queued_tasks.front().map(|task| TaskKey::new(turn.job, *task));
     let mut options: Vec<(f64, MachineIndex, Vec<TaskKey>)> = Vec::new();
     for (i, m) in shard.machines.iter() {
-        // Of services nothing can be stopped; the cheap questions come first.
+        // Services can't be preempted. The cheap checks come first.
         if m.service_tasks == m.assignments.len() && shard.types.get(m.type_index).cpus < m.cpus_used + job.spec.cpus
             || m.spot && !job.spec.spot
             || with_image && !job.image.is_some_and(|i| m.has_image(i))
@@ -58,12 +61,12 @@
         {
             continue;
         }
-        // Room where the job may not run is no room for it: it would be waited for without end.
+        // On a machine that the job may not use, the service would wait forever for the capacity that it frees.
         let t = shard.types.get(m.type_index);
         if !type_fits(&job.spec, t)
             || !satisfies_constraints(shard, job, m, job.assigned, job.assigned_in_zone(m.zone))
             || avoids(shard, job, i, now)
-            || next.is_some_and(|key| has_unacknowledged_start(m, &key))
+            || next_task.is_some_and(|key| has_unacknowledged_start(m, &key))
         {
             continue;
         }
@@ -74,46 +77,47 @@
     options.into_iter().min_by(|a, b| a.0.total_cmp(&b.0)).map(|(_, m, victims)| (m, victims))
 }
 
-/// What would be stopped on this machine for one task of a job, and what that would cost; nothing if it would not do.
+/// Returns the cost of making one task of this job fit on the machine, and the tasks to preempt for it; `None` if
+/// preemption can't free enough.
 fn preemption_on(
     shard: &Shard,
     job: &Job,
     machine: &Machine,
     surpluses: &HashMap<JobIndex, u32>,
 ) -> Option<(f64, Vec<TaskKey>)> {
-    // What is being stopped already will be free soon: wait for that first.
-    let coming: f64 = machine
+    // Tasks that are stopping already will free their cpus soon, so these count as free.
+    let stopping_cpus: f64 = machine
         .assignments
         .iter()
         .filter(|(k, h)| machine.is_stopping(k, h))
         .map(|(k, _)| shard.jobs[k.job].spec.cpus)
         .sum();
     let t = shard.types.get(machine.type_index);
-    let mut free = t.cpus - machine.cpus_used + coming;
+    let mut free = t.cpus - machine.cpus_used + stopping_cpus;
     let mut memory = t.memory_gb - machine.memory_used;
     let mut accelerators = t.accelerators - machine.accelerators_used;
     let mut victims = Vec::new();
-    let mut kept = 0.0;
-    for (surplus, k) in preemptible_tasks(shard, job, machine, surpluses) {
+    let mut preemption_cost_s = 0.0;
+    for (is_surplus, key) in preemptible_tasks(shard, job, machine, surpluses) {
         if free + EPSILON >= job.spec.cpus
             && memory + EPSILON >= job.spec.memory_gb
             && accelerators + EPSILON >= job.spec.accelerators
         {
             break;
         }
-        free += shard.jobs[k.job].spec.cpus;
-        memory += shard.jobs[k.job].spec.memory_gb;
-        accelerators += shard.jobs[k.job].spec.accelerators;
-        kept += if surplus { SURPLUS_COST_S } else { 1.0 };
-        victims.push(k);
+        free += shard.jobs[key.job].spec.cpus;
+        memory += shard.jobs[key.job].spec.memory_gb;
+        accelerators += shard.jobs[key.job].spec.accelerators;
+        preemption_cost_s += if is_surplus { SURPLUS_COST_S } else { 1.0 };
+        victims.push(key);
     }
     let others_fit = memory + EPSILON >= job.spec.memory_gb && accelerators + EPSILON >= job.spec.accelerators;
-    let enough = free + EPSILON >= job.spec.cpus && (others_fit || coming > 0.0);
-    enough.then(|| (cost(shard, job, machine) + kept, victims))
+    let enough = free + EPSILON >= job.spec.cpus && (others_fit || stopping_cpus > 0.0);
+    enough.then(|| (cost(shard, job, machine) + preemption_cost_s, victims))
 }
 
-/// Tasks of lower priority on this machine, in the order in which they would be stopped, and whether each is of a
-/// surplus.
+/// Returns the tasks of lower priority on this machine in the order of preemption, each with whether it is a surplus
+/// task of an elastic job.
 fn preemptible_tasks(
     shard: &Shard,
     job: &Job,
@@ -123,64 +127,65 @@
     let mut preemptible_tasks: Vec<_> = machine
         .assignments
         .iter()
-        .filter(|(k, h)| {
-            h.stop_grace_s.is_none()
-                && h.state != AssignmentState::Saving
-                && shard.jobs[k.job].spec.priority > job.spec.priority
+        .filter(|(key, assignment)| {
+            assignment.stop_grace_s.is_none()
+                && assignment.state != AssignmentState::Saving
+                && shard.jobs[key.job].spec.priority > job.spec.priority
         })
         .collect();
-    // The least important first, then what has lost the least.
+    // The least important task first; among equals the latest assigned, which loses the least work.
     preemptible_tasks.sort_by(|a, b| {
-        let (ja, jb) = (&shard.jobs[a.0.job], &shard.jobs[b.0.job]);
-        jb.spec.priority.cmp(&ja.spec.priority).then(b.1.assigned_at.total_cmp(&a.1.assigned_at))
+        let (job_a, job_b) = (&shard.jobs[a.0.job], &shard.jobs[b.0.job]);
+        job_b.spec.priority.cmp(&job_a.spec.priority).then(b.1.assigned_at.total_cmp(&a.1.assigned_at))
     });
     if surpluses.is_empty() {
         return preemptible_tasks.iter().map(|(k, _)| (false, **k)).collect();
     }
-    // What elastic jobs hold beyond their smallest size is the first to go.
-    let mut left = surpluses.clone();
-    let mut beyond = |k: &TaskKey| {
-        let n = left.get_mut(&k.job).filter(|n| **n > 0);
-        n.map(|n| *n -= 1).is_some()
+    // Surplus tasks, which elastic jobs hold beyond their smallest size, go first.
+    let mut surplus_left = surpluses.clone();
+    let mut take_surplus = |key: &TaskKey| {
+        let count = surplus_left.get_mut(&key.job).filter(|count| **count > 0);
+        count.map(|count| *count -= 1).is_some()
     };
-    let (first, then): (Vec<_>, Vec<_>) =
-        preemptible_tasks.iter().map(|(k, _)| (beyond(k), **k)).partition(|(surplus, _)| *surplus);
-    first.into_iter().chain(then).collect()
+    let (surplus_tasks, other_tasks): (Vec<_>, Vec<_>) =
+        preemptible_tasks.iter().map(|(k, _)| (take_surplus(k), **k)).partition(|(is_surplus, _)| *is_surplus);
+    surplus_tasks.into_iter().chain(other_tasks).collect()
 }
 
-/// Where a service's image is, only services are. One replica that can go on at
-/// once elsewhere leaves its place; true if one does, or is about to.
+/// Migrates one replica of another service to free a machine that has the waiting service's image, for when all such
+/// machines are full of services, which can't be preempted. It takes a replica that can start elsewhere without an
+/// image fetch. Returns whether a task is leaving such a machine, by this call or already.
 fn migrate_replica(shard: &mut Shard, waiting: JobIndex, now: f64) -> bool {
     let heartbeat_timeout_s = shard.recent_heartbeat_s();
     let job = &shard.jobs[waiting];
     let Some(image) = job.image else { return false };
     let mut choice = None;
     let mut tried = 0;
-    let serves = |m: &Machine| {
+    let suits = |m: &Machine| {
         !m.spot
             && m.has_image(image)
             && m.is_usable(now, heartbeat_timeout_s)
             && satisfies_constraints(shard, job, m, job.assigned, job.assigned_in_zone(m.zone))
     };
-    for (i, m) in shard.machines.iter().filter(|(_, m)| serves(m)) {
-        if m.assignments.iter().any(|(k, h)| m.is_stopping(k, h)) {
+    for (i, m) in shard.machines.iter().filter(|(_, m)| suits(m)) {
+        if m.assignments.iter().any(|(key, assignment)| m.is_stopping(key, assignment)) {
             return true;
         }
-        for (k, h) in &m.assignments {
-            let other = &shard.jobs[k.job];
-            let enough =
+        for (key, assignment) in &m.assignments {
+            let other = &shard.jobs[key.job];
+            let frees_enough =
                 other.spec.cpus + EPSILON >= job.spec.cpus && other.spec.memory_gb + EPSILON >= job.spec.memory_gb;
             if !other.is_service()
-                || !enough
-                || k.job == waiting
-                || h.state != AssignmentState::Running
+                || !frees_enough
+                || key.job == waiting
+                || assignment.state != AssignmentState::Running
                 || !other.is_open()
             {
                 continue;
             }
             tried += 1;
             if has_alternative_machine(shard, other, i, now) {
-                choice = Some((i, *k));
+                choice = Some((i, *key));
             }
             if choice.is_some() || tried >= MAX_MIGRATIONS_TRIED {
                 break;
@@ -190,9 +195,9 @@
             break;
         }
     }
-    let Some((m, k)) = choice else { return false };
-    log::debug!("replica migrated task={}/{} for={}", shard.jobs[k.job].id, k.task, shard.jobs[waiting].id);
-    shard.jobs[k.job].avoided_machine = Some((m, now + 5.0));
-    shard.stop_gently(m, k);
+    let Some((machine_index, key)) = choice else { return false };
+    log::debug!("replica migrated task={}/{} for={}", shard.jobs[key.job].id, key.task, shard.jobs[waiting].id);
+    shard.jobs[key.job].avoided_machine = Some((machine_index, now + AVOIDED_AFTER_MIGRATION_S));
+    shard.stop_gently(machine_index, key);
     true
 }
