--- a/crates/scheduler/src/shard/quotas/mod.rs
+++ b/crates/scheduler/src/shard/quotas/mod.rs
@@ -1,8 +1,8 @@
-//! Quotas that nest: what this shard tells the ledger, and what it asks it.
+//! Hierarchical quotas: connects the shard with the quota ledger and stores quota plans.
 //!
-//! The tree that holds is the one that the state service has. A leader whose file has a
-//! higher generation stores that first, in as many values as it takes, and follows it from
-//! the write on that switches the head. One whose file is older follows what is stored.
+//! The quota tree in force is the one stored at the state service. A leader whose quota file has a higher generation
+//! stores the file's plan, in as many values as needed, and applies it once the write of the head value has switched
+//! to it. A leader whose file is older applies the stored plan.
 
 mod report;
 
@@ -18,32 +18,39 @@
 use quota::{Amount, BorrowedTask, Ledger, LevelIndex, Plan, TeamLimits, Tree};
 use serde::Serialize;
 
-/// What the state service holds, and the operators' file.
+/// The quota plan stored at the state service, and the one in the operators' quota file.
 #[derive(Debug, Clone)]
 pub struct LoadedQuotas {
     pub file: Plan,
+    /// The stored head and its version.
     pub head: Option<(Head, u64)>,
+    /// The key, value and version of each stored part.
     pub parts: Vec<(String, Part, u64)>,
 }
 
-/// A step on the way to another tree.
+/// A write on the way to another quota tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Step {
+    /// Stores the part of this number.
     Part(usize),
+    /// Switches to the plan whose parts are stored.
     Head,
 }
 
+/// The quota ledger of a shard, and the plan that is being stored.
 #[derive(Debug)]
 pub struct Quotas {
     pub ledger: Ledger,
-    /// Does the ledger's tree stand at the state service? Before the first one does, nothing
-    /// is placed: what starts under no tree might be more than the tree allows.
+    /// Whether the ledger's tree is stored at the state service. Nothing is placed before the first tree is stored:
+    /// tasks started without a tree might exceed what the tree allows.
     in_force: bool,
+    /// The plan that is being stored, its tree and its parts.
     next: Option<(Plan, Tree, Vec<Part>)>,
+    /// How many of those parts are stored.
     stored_parts: usize,
 }
 
-/// The settings' teams as a plan is checked against them.
+/// Returns the guarantees and limits of the settings' teams, which a quota plan is checked against.
 pub fn team_limits(teams: &[Team]) -> Vec<TeamLimits> {
     let limits = |t: &Team| TeamLimits {
         name: t.name.clone(),
@@ -53,39 +60,45 @@
     teams.iter().map(limits).collect()
 }
 
-fn length(p: &impl Serialize) -> usize {
-    serde_json::to_string(p).map_or(usize::MAX, |t| t.len())
+/// Returns the length of a value as JSON, in bytes.
+fn json_length(value: &impl Serialize) -> usize {
+    serde_json::to_string(value).map_or(usize::MAX, |t| t.len())
 }
 
-/// Can this plan be kept in values of this size?
+/// Checks that this plan can be stored in values of at most `value_bytes` bytes.
 pub fn fits_values(plan: &Plan, value_bytes: usize) -> Result<(), String> {
-    match quota::stored::parts(plan, value_bytes, length) {
+    match quota::stored::parts(plan, value_bytes, json_length) {
         Some(_) => Ok(()),
-        None => Err(format!("one organisation takes more than the {value_bytes} bytes of a value")),
+        None => {
+            Err(format!("one organisation needs more than {value_bytes} bytes, the most that a stored value may have"))
+        }
     }
 }
 
 type HeldTask = BorrowedTask<(MachineIndex, TaskKey)>;
 
-/// Tasks of services that wait at a limit for which room is made at a time.
+/// Most waiting service tasks at a limit for which one call preempts other tasks.
 const MAX_AT_LIMITS: usize = 8;
 
-fn need_of(job: &Job) -> Amount {
+/// Returns the cpus and accelerators of one task of a job.
+fn task_amount(job: &Job) -> Amount {
     Amount::new(job.spec.cpus, job.spec.accelerators)
 }
 
-fn of_team(team: TeamIndex) -> quota::TeamIndex {
+/// Returns the index of a team in the quota tree.
+fn quota_team(team: TeamIndex) -> quota::TeamIndex {
     quota::TeamIndex(team.as_usize() as u32)
 }
 
 impl Quotas {
+    /// Puts the stored plan in force, and prepares the writes of the file's plan if that has a higher generation.
     pub fn new(teams: &[Team], loaded: &LoadedQuotas, value_bytes: usize) -> Quotas {
         let teams = team_limits(teams);
         let tree = |p: &Plan| {
             let made = Tree::of(p, &teams);
             if let Err(faults) = &made {
-                let told: Vec<String> = faults.iter().map(ToString::to_string).collect();
-                log::error!("stored quota plan is wrong generation={}: {}", p.generation, told.join("; "));
+                let messages: Vec<String> = faults.iter().map(ToString::to_string).collect();
+                log::error!("invalid quota plan generation={}: {}", p.generation, messages.join("; "));
             }
             made.ok().map(|m| m.0)
         };
@@ -99,95 +112,101 @@
         let newer = stored.as_ref().is_none_or(|(_, p)| p.generation < file.generation);
         match &stored {
             Some((_, p)) if p.generation > file.generation => log::warn!(
-                "the quota file's generation {} is older than the stored one, {}, which holds",
+                "quota file is older than the stored quota plan, which stays in force generation={} stored_generation={}",
                 file.generation,
                 p.generation
             ),
             Some((_, p)) if p.generation == file.generation && p != file => {
                 log::warn!(
-                    "the quota file differs from the stored one of the same generation {}, which holds",
+                    "quota file differs from the stored quota plan of the same generation, which stays in force \
+                     generation={}",
                     p.generation
                 )
             }
             _ => {}
         }
         let next = newer
-            .then(|| Some((file.clone(), tree(file)?, quota::stored::parts(file, value_bytes, length)?)))
+            .then(|| Some((file.clone(), tree(file)?, quota::stored::parts(file, value_bytes, json_length)?)))
             .flatten();
         if newer && next.is_none() {
-            log::error!("the quota file cannot be stored: one organisation is too long for a value, or it is wrong");
+            log::error!(
+                "quota file cannot be stored: it is invalid, or one organisation needs more than {value_bytes} bytes"
+            );
         }
-        // A file that cannot be stored was refused at the start; the flat tree is then what is left.
+        // The process refuses a file that can't be stored when it starts, so this is only a fallback: without a stored
+        // plan the flat tree of the teams' own limits is in force.
         let in_force = stored.is_some() || next.is_none();
         let tree = stored.map_or_else(|| Tree::flat(&teams), |s| s.0);
         Quotas { ledger: Ledger::new(tree), in_force, next, stored_parts: 0 }
     }
 }
 
-/// What is wanted, counted against the limits of every level.
+/// A ledger that counts the tasks wanted, rather than those running, against the limits of every level.
 pub(in crate::shard) struct Demand(Ledger);
 
 impl Demand {
-    /// So many of these tasks may run beside what was taken before; they are taken.
+    /// Takes up to `n` tasks of this job within what earlier calls have left; returns how many.
     pub(in crate::shard) fn take(&mut self, job: &Job, n: f64) -> f64 {
-        let (team, need) = (of_team(job.team), need_of(job));
-        let n = n.min(self.0.room(team, need));
-        self.0.count(team, need.times(n));
+        let (team, task) = (quota_team(job.team), task_amount(job));
+        let n = n.min(self.0.room(team, task));
+        self.0.count(team, task.times(n));
         n
     }
 }
 
 impl Shard {
+    /// Returns an empty [`Demand`]; `None` without quotas.
     pub(in crate::shard) fn quota_demand(&self) -> Option<Demand> {
         self.quotas.as_ref().map(|q| Demand(q.ledger.empty()))
     }
 
-    /// One task's use begins (1) or ends (-1) at every level above it.
+    /// Adds (`sign` 1) or removes (-1) the use of one task at every level above it.
     pub(in crate::shard) fn count_quota(&mut self, job_index: JobIndex, sign: f64) {
         let Some(q) = &mut self.quotas else { return };
         let job = &self.jobs[job_index];
-        q.ledger.count(of_team(job.team), need_of(job).times(sign));
+        q.ledger.count(quota_team(job.team), task_amount(job).times(sign));
     }
 
-    /// What unseen machines may hold counts at every level.
+    /// Sets the cpus and accelerators that unreconciled machines may be using; they count as used at every level.
     pub(crate) fn set_quota_unreconciled(&mut self, (cpus, accelerators): (f64, f64)) {
         if let Some(q) = &mut self.quotas {
             q.ledger.unseen = Amount::new(cpus, accelerators);
         }
     }
 
+    /// Returns whether the quotas allow one more task of this job.
     pub(crate) fn quota_allows(&self, j: &Job) -> bool {
-        let need = need_of(j);
-        self.quotas.as_ref().is_none_or(|q| q.in_force && q.ledger.may_start(of_team(j.team), need).is_ok())
+        let task = task_amount(j);
+        self.quotas.as_ref().is_none_or(|q| q.in_force && q.ledger.may_start(quota_team(j.team), task).is_ok())
     }
 
-    /// How many of its tasks fit under all limits above a job's team.
+    /// Returns how many more tasks of this job fit within all limits above its team.
     pub(crate) fn tasks_within_quota(&self, j: &Job) -> f64 {
-        self.quotas.as_ref().map_or(f64::INFINITY, |q| q.ledger.room(of_team(j.team), need_of(j)))
+        self.quotas.as_ref().map_or(f64::INFINITY, |q| q.ledger.room(quota_team(j.team), task_amount(j)))
     }
 
-    /// What a team is guaranteed: as the settings say, or what the levels above leave of it.
+    /// Returns the cpus and accelerators guaranteed to a team: by the settings, or what the levels above it leave of
+    /// that.
     pub(crate) fn guaranteed(&self, team: TeamIndex) -> (f64, f64) {
         match &self.quotas {
             None => (self.teams[team.as_usize()].spec.cpus, self.teams[team.as_usize()].spec.accelerators),
             Some(q) => {
-                let own = q.ledger.tree().path(of_team(team)).first();
-                let g = own.map_or(Amount::NONE, |l| q.ledger.tree().at(*l).guarantee);
-                (g.cpus, g.gpus)
+                let own = q.ledger.tree().path(quota_team(team)).first();
+                let guarantee = own.map_or(Amount::NONE, |level| q.ledger.tree().at(*level).guarantee);
+                (guarantee.cpus, guarantee.gpus)
             }
         }
     }
 
-    /// Where a job stands among those that are not within a guarantee as a whole: how far away
-    /// the lender of its next task is, and in what twentieth of what that lends. Without a tree
-    /// all stand alike.
+    /// Returns the rank of a job among those that borrow quota: how many levels up the lender of its next task is, and
+    /// how much of that lender's quota is borrowed, in twentieths. Without a quota tree all jobs rank the same.
     pub(crate) fn borrowing(&self, j: &Job) -> (u8, u16) {
         let Some(q) = &self.quotas else { return (0, 0) };
-        let s = q.ledger.standing(of_team(j.team), need_of(j));
-        (s.distance, (s.share * 20.0).min(60_000.0) as u16)
+        let standing = q.ledger.standing(quota_team(j.team), task_amount(j));
+        (standing.distance, (standing.share * 20.0).min(60_000.0) as u16)
     }
 
-    /// The next write on the way to the file's tree.
+    /// Returns the next write that stores the quota file's plan, if one is due.
     pub(in crate::shard) fn quota_write(&mut self) -> Option<PendingWrite> {
         let q = self.quotas.as_ref()?;
         let (plan, _, parts) = q.next.as_ref()?;
@@ -205,6 +224,7 @@
         }
     }
 
+    /// Notes that a part or the head of the quota file's plan is stored. The head puts the plan in force.
     pub(in crate::shard) fn on_quota_stored(&mut self, step: Step) {
         let Some(q) = &mut self.quotas else { return };
         match step {
@@ -215,65 +235,76 @@
                     q.ledger.change(tree);
                     q.in_force = true;
                     self.placement_due = true;
-                    let old: Vec<String> = self
+                    let superseded_keys: Vec<String> = self
                         .write_queue
                         .stored_keys()
                         .filter(|k| k.starts_with(PREFIX) && generation_of(k).is_some_and(|g| g != plan.generation))
                         .cloned()
                         .collect();
-                    old.into_iter().for_each(|key| self.write_queue.mark_stale(key));
-                    // Starts that were chosen and not sent yet are withdrawn at once.
+                    superseded_keys.into_iter().for_each(|key| self.write_queue.mark_stale(key));
+                    // This also withdraws planned starts that are over the new limits and not sent yet.
                     self.preempt_over_quota();
                 }
             }
         }
     }
 
-    /// After a parent shrank: what is over its limit gives way. Each is told once; until its
-    /// end is seen it counts, and nothing else is stopped in its place.
+    /// Preempts tasks above a limit that was lowered. Each task is stopped once and counts until its end is reported,
+    /// so that no other task is stopped in its place.
     pub(in crate::shard) fn preempt_over_quota(&mut self) {
         let Some(q) = &self.quotas else { return };
         if !self.state_service_writable || q.ledger.over().is_empty() {
             return;
         }
         let (held, leaving) = self.held_and_leaving(|_| true);
-        for (m, k) in q.ledger.give_way(&held, &leaving) {
-            log::info!("task preempted reason=lower-quota task={}/{}", self.jobs[k.job].id, k.task);
-            self.stop_gently(m, k);
+        for (machine_index, key) in q.ledger.give_way(&held, &leaving) {
+            log::info!("task preempted reason=lower-quota task={}/{}", self.jobs[key.job].id, key.task);
+            self.stop_gently(machine_index, key);
         }
     }
 
-    /// What these teams hold, and what of it was told to go already and counts still.
-    fn held_and_leaving(&self, of: impl Fn(TeamIndex) -> bool) -> (Vec<HeldTask>, Vec<(quota::TeamIndex, Amount)>) {
+    /// Returns the tasks of the teams that `includes_team` accepts which may be preempted, and what those use that are
+    /// stopping already but still count.
+    fn held_and_leaving(
+        &self,
+        includes_team: impl Fn(TeamIndex) -> bool,
+    ) -> (Vec<HeldTask>, Vec<(quota::TeamIndex, Amount)>) {
         let (mut held, mut leaving) = (Vec::new(), Vec::new());
-        for (m, machine) in self.machines.iter() {
-            for (k, h) in &machine.assignments {
-                let job = &self.jobs[k.job];
-                if !of(job.team) {
+        for (machine_index, machine) in self.machines.iter() {
+            for (key, assignment) in &machine.assignments {
+                let job = &self.jobs[key.job];
+                if !includes_team(job.team) {
                     continue;
                 }
-                let (team, need) = (of_team(job.team), need_of(job));
-                if machine.is_stopping(k, h) || h.state == AssignmentState::Saving {
+                let (team, need) = (quota_team(job.team), task_amount(job));
+                if machine.is_stopping(key, assignment) || assignment.state == AssignmentState::Saving {
                     leaving.push((team, need));
                 }
-                if h.stop_grace_s.is_some() || h.state == AssignmentState::Saving {
+                if assignment.stop_grace_s.is_some() || assignment.state == AssignmentState::Saving {
                     continue;
                 }
-                let loses = if h.state == AssignmentState::Running && job.spec.checkpoint_s <= 0.0 {
-                    self.ticked_at - h.running_since
+                let loses = if assignment.state == AssignmentState::Running && job.spec.checkpoint_s <= 0.0 {
+                    self.ticked_at - assignment.running_since
                 } else {
                     0.0
                 };
                 let priority = job.spec.priority as u8;
-                held.push(BorrowedTask { task: (m, *k), team, need, loses, service: job.is_service(), priority });
+                held.push(BorrowedTask {
+                    task: (machine_index, *key),
+                    team,
+                    need,
+                    loses,
+                    service: job.is_service(),
+                    priority,
+                });
             }
         }
         (held, leaving)
     }
 
-    /// Services that wait at a limit, of their team or of a level above it, while less important
-    /// work stands below the same limit: that gives way, a few services at a time. Each is told
-    /// once, and counts until its end is seen.
+    /// Preempts less important tasks for services that wait at a limit, of their team or of a level above it. Only tasks
+    /// under the same limit are preempted, for a few service tasks at a time. Each is stopped once and counts until its
+    /// end is reported.
     pub(crate) fn preempt_within_limits(&mut self, waiting: &[JobIndex]) {
         if !self.state_service_writable || waiting.is_empty() {
             return;
@@ -282,39 +313,44 @@
             Some(q) if q.in_force => q.ledger.clone(),
             Some(_) => return,
             None => {
-                // Where nothing nests the teams' own limits are all there is.
+                // Without quotas only the teams' own limits apply.
                 let specs: Vec<Team> = self.teams.iter().map(|t| t.spec.clone()).collect();
                 let mut flat = Ledger::new(Tree::flat(&team_limits(&specs)));
                 for (i, t) in self.teams.iter().enumerate() {
-                    flat.count(of_team(TeamIndex::new(i)), Amount::new(t.cpus_used, t.accelerators_used));
+                    flat.count(quota_team(TeamIndex::new(i)), Amount::new(t.cpus_used, t.accelerators_used));
                 }
                 flat
             }
         };
         let above: Vec<LevelIndex> =
-            waiting.iter().flat_map(|j| ledger.tree().path(of_team(self.jobs[*j].team)).to_vec()).collect();
-        let below = |t: TeamIndex| ledger.tree().path(of_team(t)).iter().any(|l| above.contains(l));
+            waiting.iter().flat_map(|j| ledger.tree().path(quota_team(self.jobs[*j].team)).to_vec()).collect();
+        let below = |t: TeamIndex| ledger.tree().path(quota_team(t)).iter().any(|l| above.contains(l));
         let (mut held, mut leaving) = self.held_and_leaving(below);
-        // Work of the same priority is stopped by nobody.
+        // Tasks of production priority are never preempted.
         held.retain(|h| h.priority > crate::wire::Priority::Production as u8);
-        let mut out = Vec::new();
-        let waits = |&j: &JobIndex| {
+        let mut preempted = Vec::new();
+        let waiting_tasks = |&j: &JobIndex| {
             let job = &self.jobs[j];
             std::iter::repeat_n(j, job.unfinished().saturating_sub(job.assigned) as usize)
         };
-        for j in waiting.iter().flat_map(waits).take(MAX_AT_LIMITS) {
+        for j in waiting.iter().flat_map(waiting_tasks).take(MAX_AT_LIMITS) {
             let job = &self.jobs[j];
-            let (team, need) = (of_team(job.team), need_of(job));
-            let gives = ledger.preempt_for(team, need, &held, &leaving);
-            let stays = |h: &HeldTask| !gives.contains(&h.task);
+            let (team, need) = (quota_team(job.team), task_amount(job));
+            let victims = ledger.preempt_for(team, need, &held, &leaving);
+            let stays = |h: &HeldTask| !victims.contains(&h.task);
             leaving.extend(held.iter().filter(|h| !stays(h)).map(|h| (h.team, h.need)));
             held.retain(stays);
             ledger.count(team, need);
-            out.extend(gives.into_iter().map(|t| (t, j)));
+            preempted.extend(victims.into_iter().map(|t| (t, j)));
         }
-        for ((m, k), j) in out {
-            log::info!("task preempted reason=limit task={}/{} for={}", self.jobs[k.job].id, k.task, self.jobs[j].id);
-            self.stop_gently(m, k);
+        for ((machine_index, key), j) in preempted {
+            log::info!(
+                "task preempted reason=limit task={}/{} for={}",
+                self.jobs[key.job].id,
+                key.task,
+                self.jobs[j].id
+            );
+            self.stop_gently(machine_index, key);
         }
     }
 }
--- a/crates/scheduler/src/shard/quotas/report.rs
+++ b/crates/scheduler/src/shard/quotas/report.rs
@@ -1,6 +1,6 @@
-//! What people are told of quotas: every level, and why a job waits.
+//! The quota report for users: the state of every level, and why a job waits.
 
-use super::{need_of, of_team};
+use super::{quota_team, task_amount};
 use crate::shard::Shard;
 use lupinspur_quota as quota;
 use quota::LevelIndex;
@@ -10,7 +10,7 @@
 /// Most levels that the summary line names.
 const MAX_IN_SUMMARY: usize = 8;
 
-/// One level as people are told about it.
+/// One level of the quota tree in the report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     pub level: String,
@@ -22,24 +22,25 @@
     pub guarantee_gpus: f64,
     pub limit_gpus: f64,
     pub used_gpus: f64,
-    /// What others use of its guarantee, at the most, and what it uses beyond it.
+    /// The unused part of its guarantee, which others may borrow.
     pub lends_cpus: f64,
+    /// What it uses beyond its guarantee.
     pub borrows_cpus: f64,
-    /// What its tasks that wait would take.
+    /// The cpus of its waiting tasks.
     pub waits_cpus: f64,
 }
 
-/// Everything that a query is answered with.
+/// The response to a quota query.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct QuotaReport {
     pub generation: u64,
     pub levels: Vec<Row>,
-    /// Why the job that was asked for waits, if it does.
+    /// Why the job named in the query waits, if it does.
     pub job: Option<String>,
 }
 
 impl Shard {
-    /// What people are told: every level, and why a job waits.
+    /// Returns the report, with the reason why `job` waits unless that is empty; `None` without quotas.
     pub fn quota_report(&self, job: &str) -> Option<QuotaReport> {
         let q = self.quotas.as_ref()?;
         let tree = q.ledger.tree();
@@ -47,13 +48,13 @@
         for &j in &self.jobs.live {
             let job = &self.jobs[j];
             let n = if job.is_open() { job.unfinished().saturating_sub(job.assigned) } else { 0 };
-            for l in tree.path(of_team(job.team)) {
+            for l in tree.path(quota_team(job.team)) {
                 *waits.entry(*l).or_default() += f64::from(n) * job.spec.cpus;
             }
         }
         let row = |(i, l): (usize, &quota::Level)| {
-            let ix = LevelIndex(i as u32);
-            let used = q.ledger.used(ix);
+            let level_index = LevelIndex(i as u32);
+            let used = q.ledger.used(level_index);
             Row {
                 level: if l.name.is_empty() { "(all)".into() } else { l.name.clone() },
                 depth: if l.name.is_empty() { 0 } else { l.name.matches('.').count() + 1 },
@@ -66,7 +67,7 @@
                 used_gpus: used.gpus,
                 lends_cpus: (l.guarantee.cpus - used.cpus).max(0.0),
                 borrows_cpus: (used.cpus - l.guarantee.cpus).max(0.0),
-                waits_cpus: waits.get(&ix).copied().unwrap_or(0.0),
+                waits_cpus: waits.get(&level_index).copied().unwrap_or(0.0),
             }
         };
         let mut levels: Vec<Row> = tree.levels.iter().enumerate().map(row).collect();
@@ -75,7 +76,7 @@
         Some(QuotaReport { generation: tree.generation, levels, job })
     }
 
-    /// For operators' summary line: the levels below the whole that use anything, as they stand.
+    /// Returns the quota part of the operators' summary line: the top levels that use any cpus.
     pub(in crate::shard) fn quotas_summary(&self) -> String {
         let Some(q) = &self.quotas else { return String::new() };
         let tree = q.ledger.tree();
@@ -84,10 +85,11 @@
             let used = q.ledger.used(LevelIndex(i as u32)).cpus;
             (used > 0.0).then(|| format!("{} {used:.0}/{:.0}/{:.0}", l.name, l.guarantee.cpus, l.limit.cpus))
         };
-        let told: Vec<String> = top.filter_map(used).take(MAX_IN_SUMMARY).collect();
-        format!("; quotas {} used/guaranteed/limit: {}", tree.generation, told.join(", "))
+        let levels: Vec<String> = top.filter_map(used).take(MAX_IN_SUMMARY).collect();
+        format!("; quotas {} used/guaranteed/limit: {}", tree.generation, levels.join(", "))
     }
 
+    /// Returns the reason why a job waits, in the words of the report.
     fn why_waits(&self, id: &str) -> String {
         let (Some(j), Some(q)) = (self.jobs.find(id), self.quotas.as_ref()) else { return "no such job here".into() };
         let job = &self.jobs[j];
@@ -103,11 +105,11 @@
         if !q.in_force {
             return "the quotas are being stored".into();
         }
-        let need = need_of(job);
-        match q.ledger.may_start(of_team(job.team), need) {
+        let task = task_amount(job);
+        match q.ledger.may_start(quota_team(job.team), task) {
             Err(l) => format!("{} is at its limit", q.ledger.tree().at(l).name),
             Ok(()) if job.unreconciled_machines > 0 => "machines that may hold its tasks were not heard yet".into(),
-            Ok(()) => match q.ledger.standing(of_team(job.team), need).distance {
+            Ok(()) => match q.ledger.standing(quota_team(job.team), task).distance {
                 0 => "it is within its guarantee and waits for room".into(),
                 d => format!("it would borrow, from {d} levels up, and waits for room"),
             },
--- a/crates/scheduler/src/shard/service_levels/mod.rs
+++ b/crates/scheduler/src/shard/service_levels/mod.rs
@@ -1,6 +1,7 @@
-//! The accounts of service: what this shard tells them, and what it asks them.
+//! Service levels: feeds the shard's jobs to the service-level tracker, stores its measurements for the next leader, and
+//! provides the shard's decisions with the results.
 //!
-//! Times in the accounts are seconds of the day, by the steady clock since this leader began.
+//! Times in the tracker are seconds of the day, measured by the monotonic clock since this leader began.
 
 mod arrivals;
 #[cfg(test)]
@@ -19,50 +20,53 @@
 use serde::Deserialize;
 use std::collections::{HashMap, VecDeque};
 
-/// What is due is counted, and who has sunk is looked at, this often.
+/// Seconds between evaluations of which classes and teams are underserved.
 const EVALUATION_INTERVAL_S: f64 = 1.0;
-/// Of an estimate, so much that a job surely takes once it starts: estimates are often wrong
-/// by half.
+/// The share of its estimated run time that a job is sure to take once it starts: estimates are often wrong by half.
 const CERTAIN_SHARE_OF_ESTIMATE: f64 = 0.5;
 
-/// A worker tells of a start no later than this.
+/// Most seconds between a task's start and the heartbeat that reports it.
 const HEARTBEAT_DELAY_S: f64 = 0.5;
+/// Largest value of [`Shard::pressure`].
 const MAX_PRESSURE: f64 = 6.0;
-/// What waits would fill the machines so many times over: not all of it will be in time.
+/// Pressure above which not all waiting work can be served in time.
 const OVERLOAD_PRESSURE: f64 = 1.2;
-/// Of the time that a job has, one in so many parts is over before it is foreseen what becomes
-/// of it.
-const FORECAST_AFTER_PART: u64 = 4;
+/// A job is part of the forecast after this fraction (1/n) of its time to be served has passed.
+const FORECAST_AFTER_DIVISOR: u64 = 4;
 
-/// Where the accounts stand for the next leader: two places, in turn.
+/// Key prefix of the measurements stored for the next leader, in two slots that are written in turn.
 pub const ACCOUNTS_PREFIX: &str = "ckpt/a/";
-/// They are handed over this often out of writes that can be spared, and in any case so often.
+/// Seconds between rounds of storing the measurements while spare writes are available.
 const REPORT_INTERVAL_S: f64 = 5.0;
+/// Seconds between rounds of storing the measurements without spare writes.
 const MAX_REPORT_INTERVAL_S: f64 = 15.0;
 
-fn part_key(place: u8, n: usize) -> String {
-    format!("{ACCOUNTS_PREFIX}{place}/{n}")
+/// Returns the key of a part of the measurements in a slot.
+fn part_key(slot: u8, part: usize) -> String {
+    format!("{ACCOUNTS_PREFIX}{slot}/{part}")
 }
 
-/// Of a type's usual time to boot, so much is enough for most machines.
+/// Most machines boot within this multiple of their type's usual boot time.
 const BOOT_TIME_MARGIN: f64 = 1.5;
 
-/// What stands between the shard and its accounts.
+/// The shard's state for feeding the tracker and storing its measurements.
 #[derive(Debug, Default)]
 pub(in crate::shard) struct ServiceLevelReporter {
-    /// Jobs whose time begins or that are over, not entered yet.
+    /// Jobs to pass to the tracker at the next tick: they became ready, or ended before they were tracked.
     due: Vec<JobIndex>,
-    pairs_examined: f64,
+    evaluated_at: f64,
     arrivals: Arrivals,
-    /// The first leader of these accounts.
+    /// The fencing token of the leader that began these measurements.
     chain: u64,
+    /// The number of the last round of storing the measurements that was begun.
     round: u64,
-    /// The place of the last complete round that is stored.
-    place: u8,
+    /// The slot of the last round that is stored completely.
+    slot: u8,
     reported_at: f64,
-    /// Values of the round under way that were not sent yet, and how many are not stored.
+    /// Parts of the current round that are not sent yet.
     to_send: VecDeque<(String, Part)>,
-    left: usize,
+    /// How many parts of the current round are not stored yet.
+    parts_left: usize,
 }
 
 impl ServiceLevelReporter {
@@ -71,49 +75,51 @@
     }
 }
 
-/// How far a job's promises have gone.
+/// Which of its class's objectives a job can still meet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Prospect {
-    /// It can be served in time, or nothing was promised.
+    /// It can be served in time, or its class has no objective.
     InTime,
-    /// Its class's promise is lost; another, later one may still be kept.
+    /// It can't be served in time, but can still meet a later objective of its class.
     Late,
-    /// Whenever it is done, it is no longer what was promised.
+    /// It can't meet any objective of its class any more.
     Over,
 }
 
-/// What an earlier leader handed over, and its place, among the stored values of the checkpoint.
+/// Returns the newest complete measurements that an earlier leader stored, and their slot, from the stored values of
+/// the checkpoint.
 pub fn inherited_totals<'a>(
     items: impl Iterator<Item = (&'a str, &'a serde_json::Value)>,
 ) -> Option<(InheritedTotals, u8)> {
-    let of = items.filter_map(|(k, v)| Some((k.strip_prefix(ACCOUNTS_PREFIX)?.split('/').next()?.parse().ok()?, v)));
-    let (mut parts, mut places) = (Vec::new(), Vec::new());
-    for (place, v) in of {
-        match Part::deserialize(v) {
-            Ok(p) => {
-                places.push((p.round(), place));
-                parts.push(p);
+    let parts_by_slot =
+        items.filter_map(|(k, v)| Some((k.strip_prefix(ACCOUNTS_PREFIX)?.split('/').next()?.parse().ok()?, v)));
+    let (mut parts, mut slots) = (Vec::new(), Vec::new());
+    for (slot, value) in parts_by_slot {
+        match Part::deserialize(value) {
+            Ok(part) => {
+                slots.push((part.round(), slot));
+                parts.push(part);
             }
             Err(e) => log::error!("stored service levels unreadable error={e}"),
         }
     }
-    let c = newest_complete_round(parts)?;
-    let place = places.into_iter().find(|p| p.0 == c.round)?.1;
-    Some((c, place))
+    let totals = newest_complete_round(parts)?;
+    let slot = slots.into_iter().find(|(round, _)| *round == totals.round)?.1;
+    Some((totals, slot))
 }
 
 impl Shard {
-    /// Goes on with the accounts of the leader before, if there are some.
-    pub fn inherit_service_levels(&mut self, handed: Option<(InheritedTotals, u8)>, now: f64) {
+    /// Continues the measurements inherited from the previous leader, if there are any.
+    pub fn inherit_service_levels(&mut self, inherited: Option<(InheritedTotals, u8)>, now: f64) {
         let t = self.day_now_s(now);
-        let Some((c, place)) = handed else { return };
+        let Some((totals, slot)) = inherited else { return };
         let reporter = &mut self.service_levels;
-        (reporter.chain, reporter.round, reporter.place) = (c.chain, c.round, place);
-        self.service_level_tracker.inherit(&c, 2.0 * self.time_bound_s + HEARTBEAT_DELAY_S, t);
+        (reporter.chain, reporter.round, reporter.slot) = (totals.chain, totals.round, slot);
+        self.service_level_tracker.inherit(&totals, 2.0 * self.time_bound_s + HEARTBEAT_DELAY_S, t);
     }
 
-    /// The next value of the accounts as the next leader finds them, if it is time. One that is
-    /// not stored spoils its round; the one before stays whole.
+    /// Returns the next write of the measurements for the next leader, if one is due. A part that can't be stored
+    /// invalidates its round only: the previous round is in the other slot.
     pub(in crate::shard) fn service_levels_write(&mut self, spare: bool, now: f64) -> Option<PendingWrite> {
         let waited = now - self.service_levels.reported_at;
         let due = waited >= if spare { REPORT_INTERVAL_S } else { MAX_REPORT_INTERVAL_S };
@@ -122,105 +128,110 @@
             let reporter = &mut self.service_levels;
             (reporter.reported_at, reporter.round) = (now, reporter.round + 1);
             let parts = self.service_level_tracker.export(reporter.round, reporter.chain, self.value_bytes, t);
-            reporter.left = parts.len();
-            let place = 1 - reporter.place.min(1);
-            reporter.to_send = parts.into_iter().enumerate().map(|(n, p)| (part_key(place, n), p)).collect();
+            reporter.parts_left = parts.len();
+            let slot = 1 - reporter.slot.min(1);
+            reporter.to_send = parts.into_iter().enumerate().map(|(n, part)| (part_key(slot, n), part)).collect();
         }
         let (key, _) = self.service_levels.to_send.front()?;
         if self.write_queue.is_in_flight(key) {
             return None;
         }
         let (key, part) = self.service_levels.to_send.pop_front()?;
-        let place = 1 - self.service_levels.place.min(1);
+        let place = 1 - self.service_levels.slot.min(1);
         self.enqueue_write(key, WritePurpose::ServiceLevels { round: part.round(), place }, &part)
     }
 
-    pub(in crate::shard) fn on_service_levels_stored(&mut self, round: u64, place: u8) {
+    /// Notes that a part of a round is stored in a slot; the slot holds a complete round once all parts are.
+    pub(in crate::shard) fn on_service_levels_stored(&mut self, round: u64, slot: u8) {
         let reporter = &mut self.service_levels;
         if round == reporter.round {
-            reporter.left = reporter.left.saturating_sub(1);
-            if reporter.left == 0 {
-                reporter.place = place;
+            reporter.parts_left = reporter.parts_left.saturating_sub(1);
+            if reporter.parts_left == 0 {
+                reporter.slot = slot;
             }
         }
     }
 
-    /// Seconds of the day, as the accounts count them.
+    /// Converts a time of this leader's monotonic clock to seconds of the day, as the tracker counts them.
     fn day_now_s(&self, now: f64) -> f64 {
         self.day_ms / 1000.0 + now
     }
 
-    /// A job's time begins, or it is over by its record: the next tick enters it.
+    /// Queues a job for the tracker, to which the next tick passes it, when the job becomes ready or when its record says
+    /// that it has ended.
     pub(in crate::shard) fn enqueue_tracking(&mut self, job_index: JobIndex) {
         if self.jobs[job_index].phase != Phase::Open || self.jobs.live.contains(&job_index) {
             self.service_levels.due.push(job_index);
         }
     }
 
-    /// One that goes to another shard before it was entered: the next look would find it gone, and
-    /// once ended the process.
+    /// Takes a job that moves to another shard out of the tracker's queue. The next tick would look up its index, which
+    /// no longer exists, and panic.
     pub(in crate::shard) fn forget_untracked(&mut self, job_index: JobIndex) {
         self.service_levels.due.retain(|d| *d != job_index);
     }
 
-    /// How much later than it happens a start is seen here, or seems to be: workers report at
-    /// most every half second, and the time of day of whoever accepted a job is not ours. Of a
-    /// job that this leader saw come, the moment when it came is known.
+    /// Returns by how many seconds a start seems later than it is: the heartbeat that reports it comes up to half a second
+    /// later, and the node that accepted the job may have another time of day. This clock difference is known for jobs
+    /// that arrived under this leader.
     fn observation_delay_s(&self, job: &Job, now: f64) -> f64 {
-        let came = self.day_now_s(job.known_since) - job.ready_at_ms as f64 / 1000.0;
-        let clocks_differ =
-            job.known_since > self.began_at && came.abs() <= 2.0 * self.time_bound_s && now >= job.known_since;
-        HEARTBEAT_DELAY_S + if clocks_differ { came } else { 0.0 }
+        let clock_difference_s = self.day_now_s(job.known_since) - job.ready_at_ms as f64 / 1000.0;
+        let is_difference_known = job.known_since > self.began_at
+            && clock_difference_s.abs() <= 2.0 * self.time_bound_s
+            && now >= job.known_since;
+        HEARTBEAT_DELAY_S + if is_difference_known { clock_difference_s } else { 0.0 }
     }
 
-    /// Tasks of a job that its team's limit lets run at one time.
+    /// Returns how many tasks of a job its team's cpu limit lets run at a time.
     pub(in crate::shard) fn max_concurrent_tasks(&self, job: &Job) -> u32 {
         let limit = self.teams[job.team.as_usize()].spec.cpus_max;
         if limit > 0.0 && job.spec.cpus > 0.0 { (limit / job.spec.cpus) as u32 } else { u32::MAX }
     }
 
+    /// Passes a job to the tracker: an open job to be followed, or an ended one by its record.
     fn track_job(&mut self, job_index: JobIndex, now: f64) {
         let t = self.day_now_s(now);
-        let may_have_waited_s = self.service_levels.arrivals.take(self.jobs[job_index].accepted_at_ms as f64 / 1000.0);
+        let may_have_waited_s =
+            self.service_levels.arrivals.record(self.jobs[job_index].accepted_at_ms as f64 / 1000.0);
         let job = &self.jobs[job_index];
         let spec = &job.spec;
         let (from, submitted) = (job.ready_at_ms as f64 / 1000.0, job.accepted_at_ms as f64 / 1000.0);
         let began = self.day_now_s(self.began_at);
-        // A machine that may hold it is named with it before its first start.
-        let seen = job.unreconciled_machines > 0
+        // Before a job's first start, the record of the machine that may hold it is stored with the job's name.
+        let may_have_run = job.unreconciled_machines > 0
             || job.done > 0
-            || job.tasks.iter().any(|s| matches!(s, TaskSlot::Assigned(_)));
-        let late = self.observation_delay_s(job, now);
-        // What a fresh cluster's first jobs could start on has to be rented first.
-        let boots = self.types.list.iter().map(|t| t.boot_s).fold(0.0, f64::max) * BOOT_TIME_MARGIN;
-        let waits_from = if self.is_first_leader { began + boots + self.report_s } else { 0.0 };
+            || job.tasks.iter().any(|slot| matches!(slot, TaskSlot::Assigned(_)));
+        let delay_s = self.observation_delay_s(job, now);
+        // In a new cluster, machines have to be rented and booted before the first job can start.
+        let boot_time_s = self.types.list.iter().map(|t| t.boot_s).fold(0.0, f64::max) * BOOT_TIME_MARGIN;
+        let waits_from = if self.is_first_leader { began + boot_time_s + self.report_s } else { 0.0 };
         let entry = Entry {
             class: &spec.class,
             team: &spec.team,
             service: job.is_service(),
             tasks: spec.tasks.min(self.max_concurrent_tasks(job)).max(1),
-            from: from + late,
+            from: from + delay_s,
             waits_from,
             may_have_waited_s,
-            submitted: submitted + late,
+            submitted: submitted + delay_s,
             deadline_s: spec.deadline_s,
-            may_have_started: submitted < began && seen,
+            may_have_started: submitted < began && may_have_run,
             seen_from: if submitted < began { began + self.heartbeat_timeout_s() } else { from },
         };
         let end = match job.phase {
             Phase::Done => End::Done,
             Phase::Cancelled => End::Cancelled,
             Phase::Open => {
-                let ms = |s: f64| (s * 1000.0) as u64;
-                let terms = self.service_level_tracker.objectives(&spec.class).filter(|_| !entry.service);
-                let until = terms.and_then(|p| p.latest(submitted, from, spec.deadline_s)).map(ms);
-                let useful = terms.and_then(|p| p.last(submitted, from, spec.deadline_s)).map(ms);
+                let to_ms = |s: f64| (s * 1000.0) as u64;
+                let objectives = self.service_level_tracker.objectives(&spec.class).filter(|_| !entry.service);
+                let until = objectives.and_then(|o| o.latest(submitted, from, spec.deadline_s)).map(to_ms);
+                let useful = objectives.and_then(|o| o.last(submitted, from, spec.deadline_s)).map(to_ms);
                 let tasks = job.progress();
                 let ticket = self.service_level_tracker.track(&entry, t);
                 self.service_level_tracker.on_progress(ticket, tasks, t);
-                let accounts = self.service_level_tracker.of(ticket);
+                let indicators = self.service_level_tracker.of(ticket);
                 let job = &mut self.jobs[job_index];
-                (job.tracked, job.indicators) = (Some(ticket), accounts);
+                (job.tracked, job.indicators) = (Some(ticket), indicators);
                 (job.serves_until, job.useful_until) = (until, useful);
                 return;
             }
@@ -229,7 +240,7 @@
         self.service_level_tracker.from_record(&entry, end, ended, t);
     }
 
-    /// The number of its tasks that run, or are done, has changed.
+    /// Tells the tracker how many tasks of a job run or are done, after a change.
     pub(in crate::shard) fn track_progress(&mut self, job_index: JobIndex, now: f64) {
         let t = self.day_now_s(now);
         let job = &self.jobs[job_index];
@@ -238,6 +249,7 @@
         }
     }
 
+    /// Tells the tracker that a job has ended.
     pub(in crate::shard) fn track_end(&mut self, job_index: JobIndex, phase: Phase, now: f64) {
         let t = self.day_now_s(now);
         let job = &mut self.jobs[job_index];
@@ -252,7 +264,8 @@
         }
     }
 
-    /// Enters what is due, and looks now and then at who has sunk.
+    /// Passes the queued jobs to the tracker, and evaluates every [`EVALUATION_INTERVAL_S`] which classes and teams are
+    /// underserved.
     pub(in crate::shard) fn update_service_levels(&mut self, now: f64) {
         let mut due = std::mem::take(&mut self.service_levels.due);
         due.sort_by_key(|j| self.jobs[*j].accepted_at_ms);
@@ -261,11 +274,11 @@
                 self.track_job(j, now);
             }
         }
-        if now - self.service_levels.pairs_examined < EVALUATION_INTERVAL_S {
+        if now - self.service_levels.evaluated_at < EVALUATION_INTERVAL_S {
             return;
         }
-        let since = now - self.service_levels.pairs_examined;
-        self.service_levels.pairs_examined = now;
+        let since = now - self.service_levels.evaluated_at;
+        self.service_levels.evaluated_at = now;
         let t = self.day_now_s(now);
         if self.heartbeats_gathered(now) && since < 4.0 * EVALUATION_INTERVAL_S {
             self.record_guarantee_use(since, t);
@@ -275,37 +288,38 @@
         self.underserved = Underserved::evaluate(&self.service_level_tracker, &self.forecasts(t), t);
     }
 
-    /// What becomes of the arrays that are open and in time, by class and team, where more waits
+    /// Returns, by class and team, a forecast of which open arrays will be served in time. Empty unless more work waits
     /// than the machines can take.
     fn forecasts(&self, t: f64) -> HashMap<IndicatorIndex, Forecast> {
         if self.pressure() <= OVERLOAD_PRESSURE {
             return HashMap::new();
         }
         let now_ms = (t * 1000.0) as u64;
+        // For each indicator the work (in cpu seconds) and remaining seconds of each job, and the cpus assigned.
         let mut open: HashMap<IndicatorIndex, (Vec<(f64, f64)>, f64)> = HashMap::new();
         for &j in &self.jobs.live {
             let job = &self.jobs[j];
-            let (Some(accounts), false, true) = (job.indicators, job.is_service(), job.is_open()) else { continue };
-            let held = f64::from(job.assigned) * job.spec.cpus;
-            for a in accounts {
-                open.entry(a).or_default().1 += held;
+            let (Some(indicators), false, true) = (job.indicators, job.is_service(), job.is_open()) else { continue };
+            let assigned_cpus = f64::from(job.assigned) * job.spec.cpus;
+            for indicator in indicators {
+                open.entry(indicator).or_default().1 += assigned_cpus;
             }
             let Some(until) = job.serves_until.filter(|u| *u > now_ms) else { continue };
-            // It has only just come: nobody knows yet how soon it will have its turn.
+            // A job that became ready only recently is left out: when it will start isn't foreseeable yet.
             let window = until.saturating_sub(job.ready_at_ms);
-            if now_ms < job.ready_at_ms + window / FORECAST_AFTER_PART {
+            if now_ms < job.ready_at_ms + window / FORECAST_AFTER_DIVISOR {
                 continue;
             }
             let tasks = f64::from(job.wanted_tasks()) - f64::from(job.assigned) / 2.0;
             let work = tasks * job.spec.estimate_s * job.spec.cpus;
-            for a in accounts {
-                open.entry(a).or_default().0.push((work, (until - now_ms) as f64 / 1000.0));
+            for indicator in indicators {
+                open.entry(indicator).or_default().0.push((work, (until - now_ms) as f64 / 1000.0));
             }
         }
-        open.into_iter().map(|(a, (jobs, cpus))| (a, forecast(jobs, cpus))).collect()
+        open.into_iter().map(|(indicator, (jobs, cpus))| (indicator, forecast(jobs, cpus))).collect()
     }
 
-    /// Of what each team asks for within its guarantee, what it holds.
+    /// Records for each team, and each level of nested quotas, how much of what it asks for within its guarantee it uses.
     fn record_guarantee_use(&mut self, since: f64, t: f64) {
         let mut asked = vec![0.0; self.teams.len()];
         for &j in &self.jobs.live {
@@ -327,21 +341,27 @@
                 );
             }
         }
-        // Where quotas nest, each level's use over time stands beside its teams'.
-        for l in self.quota_report("").iter().flat_map(|q| &q.levels).filter(|l| !l.team && l.depth > 0) {
-            let asked = (l.used_cpus + l.waits_cpus).min(l.guarantee_cpus);
+        for level in self.quota_report("").iter().flat_map(|q| &q.levels).filter(|l| !l.team && l.depth > 0) {
+            let asked = (level.used_cpus + level.waits_cpus).min(level.guarantee_cpus);
             if asked > 0.0 {
-                self.service_level_tracker.held(Subject::Level, &l.level, asked * since, l.used_cpus * since, t);
+                self.service_level_tracker.held(
+                    Subject::Level,
+                    &level.level,
+                    asked * since,
+                    level.used_cpus * since,
+                    t,
+                );
             }
         }
     }
 
-    /// What fell under a half since the last call, or is back.
+    /// Returns the alerts since the last call: service levels that fell below the alert threshold, or recovered.
     pub fn service_level_alerts(&mut self, now: f64) -> Vec<Alert> {
         let t = self.day_now_s(now);
         self.service_level_tracker.alerts(t)
     }
 
+    /// Returns the service-level report of this shard.
     pub fn service_level_report(&self, now: f64) -> ServiceLevelReport {
         ServiceLevelReport {
             leader: self.token,
@@ -350,42 +370,43 @@
         }
     }
 
-    /// The class and team of a job that is known here.
+    /// Returns the class and team of a job, if this shard has it.
     pub fn class_and_team(&self, id: &str) -> Option<(String, String)> {
         let spec = &self.jobs[self.jobs.find(id)?].spec;
         Some((spec.class.clone(), spec.team.clone()))
     }
 
-    /// For operators' summary line: the class and the team that are served least.
+    /// Returns the service-level part of the operators' summary line: the class and the team with the lowest levels.
     pub(in crate::shard) fn service_summary(&self) -> String {
         let t = self.day_now_s(self.ticked_at);
         let least = |side: Subject, what: &str| {
-            let l = self.service_level_tracker.lowest(side, t);
-            l.map_or(String::new(), |(name, r, share)| format!(" {what} {name} {} {share:.2}", r.name()))
+            let lowest = self.service_level_tracker.lowest(side, t);
+            lowest
+                .map_or(String::new(), |(name, reading, share)| format!(" {what} {name} {} {share:.2}", reading.name()))
         };
         let (class, team) = (least(Subject::Class, "class"), least(Subject::Team, "team"));
         if class.is_empty() && team.is_empty() { String::new() } else { format!("; least served:{class}{team}") }
     }
 
-    /// How many times over the batch work that waits would fill the machines, from 1 to
-    /// [`MAX_PRESSURE`].
+    /// Returns the cpus of waiting batch work relative to those of all machines, from 1 to [`MAX_PRESSURE`].
     pub(crate) fn pressure(&self) -> f64 {
-        let there: f64 = self
+        let machine_cpus: f64 = self
             .machines
             .iter()
             .filter(|(_, m)| m.phase == MachinePhase::Up)
             .map(|(_, m)| self.types.get(m.type_index).cpus)
             .sum();
-        let waits = self.jobs.live.iter().map(|&j| &self.jobs[j]).filter(|j| j.is_open() && !j.is_service());
-        let waits: f64 = waits.map(|j| f64::from(j.wanted_tasks().saturating_sub(j.assigned)) * j.spec.cpus).sum();
-        if there > 0.0 { (waits / there).clamp(1.0, MAX_PRESSURE) } else { 1.0 }
+        let waiting_jobs = self.jobs.live.iter().map(|&j| &self.jobs[j]).filter(|j| j.is_open() && !j.is_service());
+        let waiting_cpus: f64 =
+            waiting_jobs.map(|j| f64::from(j.wanted_tasks().saturating_sub(j.assigned)) * j.spec.cpus).sum();
+        if machine_cpus > 0.0 { (waiting_cpus / machine_cpus).clamp(1.0, MAX_PRESSURE) } else { 1.0 }
     }
 
-    /// What can still become of a job that has tasks waiting.
-    pub(crate) fn prospect(&self, j: &crate::jobs::Job, now_ms: u64) -> Prospect {
-        let done_ms = now_ms + (j.spec.estimate_s * CERTAIN_SHARE_OF_ESTIMATE * 1000.0) as u64;
-        let gone = |until: Option<u64>| until.is_some_and(|u| done_ms > u);
-        match (gone(j.serves_until), gone(j.useful_until)) {
+    /// Returns which objectives a job with waiting tasks can still meet.
+    pub(crate) fn prospect(&self, job: &Job, now_ms: u64) -> Prospect {
+        let done_ms = now_ms + (job.spec.estimate_s * CERTAIN_SHARE_OF_ESTIMATE * 1000.0) as u64;
+        let is_missed = |until: Option<u64>| until.is_some_and(|u| done_ms > u);
+        match (is_missed(job.serves_until), is_missed(job.useful_until)) {
             (false, _) => Prospect::InTime,
             (true, false) => Prospect::Late,
             (true, true) => Prospect::Over,
--- a/crates/scheduler/src/shard/service_levels/tests.rs
+++ b/crates/scheduler/src/shard/service_levels/tests.rs
@@ -1,22 +1,22 @@
-//! Tests of the pauses in which nobody could be reached.
+//! Tests of outage detection from acceptance times, and of the keys of stored measurements.
 
 use super::*;
 
-/// Guards against waits that nobody saw: users whose submissions reached nobody for half a
-/// minute seemed to be served at once.
+/// Jobs accepted right after an outage count as waiting since its start. Otherwise users whose submissions reached no
+/// node for half a minute would seem to be served at once.
 #[test]
-fn who_is_accepted_after_a_pause_may_have_asked_all_the_while() {
-    let mut a = Arrivals::default();
-    assert!((0..40).all(|i| a.take(1000.0 + f64::from(i) * 0.5) == 0.0));
-    assert_eq!(a.take(1050.0), 30.5);
-    assert_eq!(a.take(1053.0), 30.5);
-    assert_eq!(a.take(1019.0), 0.0, "of an earlier moment, by another clock");
-    assert_eq!(a.take(1056.5), 0.0);
-    let mut seldom = Arrivals::default();
-    assert!((0..40).all(|i| seldom.take(f64::from(i) * 7.0) == 0.0), "a job now and then");
+fn a_job_accepted_after_an_outage_may_have_waited_since_its_start() {
+    let mut arrivals = Arrivals::default();
+    assert!((0..40).all(|i| arrivals.record(1000.0 + f64::from(i) * 0.5) == 0.0));
+    assert_eq!(arrivals.record(1050.0), 30.5);
+    assert_eq!(arrivals.record(1053.0), 30.5);
+    assert_eq!(arrivals.record(1019.0), 0.0, "accepted at an earlier time by another node's clock");
+    assert_eq!(arrivals.record(1056.5), 0.0);
+    let mut infrequent = Arrivals::default();
+    assert!((0..40).all(|i| infrequent.record(f64::from(i) * 7.0) == 0.0), "jobs that are always 7 s apart");
 }
 
-/// Golden keys of the accounts: another version must find them under the same names.
+/// The keys of stored measurements must not change, since other versions read them.
 #[test]
 fn keys_of_the_service_levels() {
     assert_eq!(part_key(1, 2), "ckpt/a/1/2");
