--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -46,14 +46,15 @@
         accelerators: 0.0,
         accelerators_max: 0.0,
     };
-    let mut terms = HashMap::new();
+    let mut objectives = HashMap::new();
     let done = vec![CompletionObjective::Deadline(1.5), CompletionObjective::Within(120.0)];
-    terms.insert("match".to_owned(), ServiceLevelObjectives { done, ..ServiceLevelObjectives::default() });
-    terms.insert("desk".to_owned(), ServiceLevelObjectives { wait_s: Some(1.0), ..ServiceLevelObjectives::default() });
+    objectives.insert("match".to_owned(), ServiceLevelObjectives { done, ..ServiceLevelObjectives::default() });
+    objectives
+        .insert("desk".to_owned(), ServiceLevelObjectives { wait_s: Some(1.0), ..ServiceLevelObjectives::default() });
     Params {
         teams: s.teams.iter().map(team).collect(),
         zones: ZONES.map(str::to_owned).to_vec(),
-        terms,
+        objectives,
         report_s: REPORT_S,
         lease_s: LEASE_S,
         cancel_s: CANCEL_S,
--- a/crates/model/tests/machine_transfers.rs
+++ b/crates/model/tests/machine_transfers.rs
@@ -20,7 +20,7 @@
     Params {
         teams: vec![team],
         zones: vec!["a".into(), "b".into(), "c".into()],
-        terms: HashMap::new(),
+        objectives: HashMap::new(),
         report_s: REPORT_S,
         lease_s: 20.0,
         cancel_s: 45.0,
--- a/crates/scheduler/src/fleet/machine.rs
+++ b/crates/scheduler/src/fleet/machine.rs
@@ -2,7 +2,7 @@
 
 use crate::intern::{ImageIndex, JobIndex, MachineGroupIndex, TypeIndex, ZoneIndex};
 use crate::jobs::{TaskKey, TaskMap, split_task};
-use crate::times::stretched;
+use crate::times::with_clock_margin;
 use crate::wire::TaskState;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -103,7 +103,7 @@
 impl LeaseTiming {
     /// So many seconds after the last answer a lease is over by any clock, and the next incarnation was heard.
     fn surely_over_s(self) -> f64 {
-        stretched(self.lease_s) + self.heartbeat_interval_s
+        with_clock_margin(self.lease_s) + self.heartbeat_interval_s
     }
 }
 
--- a/crates/scheduler/src/fleet/machine_groups.rs
+++ b/crates/scheduler/src/fleet/machine_groups.rs
@@ -190,7 +190,7 @@
     }
 
     /// These jobs are over: their names need no place here any more.
-    pub fn forget(&mut self, jobs: &BTreeSet<JobIndex>) {
+    pub fn forget_jobs(&mut self, jobs: &BTreeSet<JobIndex>) {
         self.named_jobs.retain(|job| !jobs.contains(job));
     }
 
--- a/crates/scheduler/src/fleet/machines.rs
+++ b/crates/scheduler/src/fleet/machines.rs
@@ -1,14 +1,14 @@
 //! All machines, and which of them should hear from this leader first.
 
 use super::Machine;
-use crate::intern::{DenseIndex, MachineIndex, Pages, TypeIndex, ZoneIndex};
+use crate::intern::{DenseIndex, MachineIndex, PagedTable, TypeIndex, ZoneIndex};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
 /// All machines, by index; gone ones stay as names so that late news is recognised.
 #[derive(Debug, Default)]
 pub struct Machines {
-    pub list: Pages<MachineIndex, Machine>,
+    pub list: PagedTable<MachineIndex, Machine>,
     by_name: HashMap<Arc<str>, MachineIndex>,
     pub present: BTreeSet<MachineIndex>,
     /// Machines that should hear from us directly: at hundreds of machines, looking
--- a/crates/scheduler/src/fleet/zones.rs
+++ b/crates/scheduler/src/fleet/zones.rs
@@ -19,7 +19,7 @@
     }
 
     /// A launch in this zone was refused, or its machine never came up.
-    pub fn failed(&mut self, zone: ZoneIndex) {
+    pub fn on_launch_failed(&mut self, zone: ZoneIndex) {
         if self.active.remove(&zone) {
             self.preemptive.insert(zone);
         }
@@ -29,7 +29,7 @@
     }
 
     /// A spot machine of this zone reported ready.
-    pub fn ready(&mut self, zone: ZoneIndex) {
+    pub fn on_machine_ready(&mut self, zone: ZoneIndex) {
         if self.preemptive.remove(&zone) {
             self.active.insert(zone);
         }
--- a/crates/scheduler/src/intern.rs
+++ b/crates/scheduler/src/intern.rs
@@ -38,20 +38,20 @@
 /// A table by index. An index is never used again, so that a late one finds nothing rather
 /// than another's value; what was removed gives its memory back page by page.
 #[derive(Debug)]
-pub struct Pages<I, T> {
+pub struct PagedTable<I, T> {
     pages: Vec<Option<Box<[Option<T>]>>>,
     next: usize,
     held: usize,
     of: PhantomData<I>,
 }
 
-impl<I, T> Default for Pages<I, T> {
+impl<I, T> Default for PagedTable<I, T> {
     fn default() -> Self {
-        Pages { pages: Vec::new(), next: 0, held: 0, of: PhantomData }
+        PagedTable { pages: Vec::new(), next: 0, held: 0, of: PhantomData }
     }
 }
 
-impl<I: DenseIndex, T> Pages<I, T> {
+impl<I: DenseIndex, T> PagedTable<I, T> {
     /// The index that the next value gets.
     pub fn next(&self) -> I {
         I::new(self.next)
@@ -109,7 +109,7 @@
 }
 
 /// Whoever holds an index of a value that is held.
-impl<I: DenseIndex, T> std::ops::Index<usize> for Pages<I, T> {
+impl<I: DenseIndex, T> std::ops::Index<usize> for PagedTable<I, T> {
     type Output = T;
     fn index(&self, i: usize) -> &T {
         match self.get(I::new(i)) {
@@ -119,7 +119,7 @@
     }
 }
 
-impl<I: DenseIndex, T> std::ops::IndexMut<usize> for Pages<I, T> {
+impl<I: DenseIndex, T> std::ops::IndexMut<usize> for PagedTable<I, T> {
     fn index_mut(&mut self, i: usize) -> &mut T {
         match self.get_mut(I::new(i)) {
             Some(v) => v,
@@ -131,13 +131,13 @@
 /// A table of names, each with its index.
 #[derive(Debug)]
 pub struct Names<I> {
-    names: Pages<I, Arc<str>>,
+    names: PagedTable<I, Arc<str>>,
     by_name: HashMap<Arc<str>, I>,
 }
 
 impl<I> Default for Names<I> {
     fn default() -> Self {
-        Names { names: Pages::default(), by_name: HashMap::new() }
+        Names { names: PagedTable::default(), by_name: HashMap::new() }
     }
 }
 
--- a/crates/scheduler/src/jobs/mod.rs
+++ b/crates/scheduler/src/jobs/mod.rs
@@ -12,13 +12,13 @@
     part_key, progress_key,
 };
 
-use crate::intern::{DenseIndex, ImageIndex, JobIndex, Names, Pages, TeamIndex};
+use crate::intern::{DenseIndex, ImageIndex, JobIndex, Names, PagedTable, TeamIndex};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
 /// All jobs that this leader knows.
 #[derive(Debug, Default)]
 pub struct Jobs {
-    pub list: Pages<JobIndex, Job>,
+    pub list: PagedTable<JobIndex, Job>,
     by_id: HashMap<std::sync::Arc<str>, JobIndex>,
     /// The names of images that jobs want or machines have.
     pub images: Names<ImageIndex>,
--- a/crates/scheduler/src/params.rs
+++ b/crates/scheduler/src/params.rs
@@ -19,7 +19,7 @@
     pub teams: Vec<Team>,
     pub zones: Vec<String>,
     /// What each class of jobs is promised.
-    pub terms: HashMap<String, ServiceLevelObjectives>,
+    pub objectives: HashMap<String, ServiceLevelObjectives>,
     pub report_s: f64,
     pub lease_s: f64,
     pub cancel_s: f64,
--- a/crates/scheduler/src/shard/checkpointing.rs
+++ b/crates/scheduler/src/shard/checkpointing.rs
@@ -141,7 +141,7 @@
     pub(super) fn on_end_stored(&mut self, job_index: JobIndex, now: f64) {
         let id = self.jobs[job_index].id.clone();
         self.checkpointer.known.on_end_settled(&id);
-        self.elastic_forget(job_index);
+        self.untrack_elastic_job(job_index);
         self.checkpointer.writer.on_ended(&id);
         self.checkpointer.retain_ended_job(job_index, now);
     }
@@ -320,7 +320,7 @@
             machine.stored_jobs.retain(|job| !jobs.contains(job));
             machine.recent_failures.retain(|failure| !jobs.contains(&failure.0));
         }
-        self.machine_groups.list.values_mut().for_each(|group| group.forget(jobs));
+        self.machine_groups.list.values_mut().for_each(|group| group.forget_jobs(jobs));
     }
 
     /// Gives back what is over and gone, now and then. Costs what is held, and that only where
--- a/crates/scheduler/src/shard/cloud_calls.rs
+++ b/crates/scheduler/src/shard/cloud_calls.rs
@@ -102,7 +102,7 @@
         self.launches.on_finished(&launch.name);
         self.launches.on_refused(launch.type_index, launch.zone, launch.spot, now);
         if let (true, Some(p)) = (launch.spot, self.pools.get_mut(&launch.type_index)) {
-            p.zones.failed(launch.zone);
+            p.zones.on_launch_failed(launch.zone);
         }
     }
 
--- a/crates/scheduler/src/shard/commands.rs
+++ b/crates/scheduler/src/shard/commands.rs
@@ -282,7 +282,7 @@
             }
         }
         machine.push_in_flight = true;
-        self.counts.directs += 1;
+        self.counts.pushes += 1;
     }
 
     /// The machine answers, and what it was told to stop a while ago runs still: the command was lost. Replies to
--- a/crates/scheduler/src/shard/elastic.rs
+++ b/crates/scheduler/src/shard/elastic.rs
@@ -8,7 +8,7 @@
 use crate::intern::{JobIndex, MachineIndex};
 use crate::jobs::{Job, Phase, TaskKey, TaskSlot};
 use crate::params::Params;
-use crate::times::stretched;
+use crate::times::with_clock_margin;
 use lupinspur_elastic::pool::{Row, Times};
 use lupinspur_elastic::{Bound, JobUsage, Plan, Pool, Sizes, Timing};
 use serde::{Deserialize, Serialize};
@@ -42,7 +42,7 @@
 fn timing(report_s: f64, lease_s: f64, claim_s: f64, plan: &Plan) -> Timing {
     Timing {
         report_s: report_s * HEARTBEAT_JITTER,
-        lease_s: stretched(lease_s),
+        lease_s: with_clock_margin(lease_s),
         answer_s: ANSWER_S,
         grace_s: plan.grace_s,
         claim_s,
@@ -53,7 +53,7 @@
 
 impl Shard {
     /// An open array that declares sizes, or whose class has some.
-    pub(super) fn elastic_track(&mut self, job_index: JobIndex) {
+    pub(super) fn track_elastic_job(&mut self, job_index: JobIndex) {
         let Some(pool) = &self.elastic else { return };
         let job = &self.jobs[job_index];
         if job.phase != Phase::Open || job.is_service() {
@@ -67,7 +67,7 @@
         }
     }
 
-    pub(super) fn elastic_forget(&mut self, job_index: JobIndex) {
+    pub(super) fn untrack_elastic_job(&mut self, job_index: JobIndex) {
         if let Some(pool) = &mut self.elastic {
             pool.leave(job_index);
         }
@@ -145,10 +145,10 @@
             log::info!("elastic task did not save in time, stopped task={}/{}", self.jobs[k.job].id, k.task);
             self.stop_task(m, k, 0.0);
         }
-        if now - self.elastic_looked < RESIZE_INTERVAL_S {
+        if now - self.elastic_resized_at < RESIZE_INTERVAL_S {
             return;
         }
-        self.elastic_looked = now;
+        self.elastic_resized_at = now;
         let room = if self.others_waiting || !self.state_service_writable { Vec::new() } else { self.idle_room(now) };
         if self.elastic.as_mut().is_some_and(|p| p.idle(&room, now)) {
             self.placement_due = true;
--- a/crates/scheduler/src/shard/failover.rs
+++ b/crates/scheduler/src/shard/failover.rs
@@ -20,7 +20,7 @@
 use crate::intern::{DenseIndex, JobIndex, MachineGroupIndex, MachineIndex, Names, TypeIndex};
 use crate::jobs::{JobRecord, Jobs, PART_PREFIX, PROGRESS_PREFIX, Phase, ProgressRecord};
 use crate::params::{Params, Tuning};
-use crate::times::stretched;
+use crate::times::with_clock_margin;
 use crate::wire::MachineType;
 use lupinspur_service_levels::ServiceLevelTracker;
 use lupinspur_service_levels::underserved::Underserved;
@@ -139,10 +139,10 @@
                 .iter()
                 .map(|t| TeamState { spec: t.clone(), cpus_used: 0.0, accelerators_used: 0.0 })
                 .collect(),
-            service_level_tracker: ServiceLevelTracker::new(params.terms.clone()),
+            service_level_tracker: ServiceLevelTracker::new(params.objectives.clone()),
             underserved: Underserved::default(),
             elastic: loaded.elastic.clone().map(elastic::ElasticPool::new),
-            elastic_looked: now,
+            elastic_resized_at: now,
             others_waiting: false,
             service_levels: service_levels::ServiceLevelReporter::new(token, now),
             live_attempts: live_attempts::LiveAttemptIndex::default(),
@@ -369,7 +369,7 @@
 
     /// Machines that cannot be taken in may hold tasks of these jobs until their leases are surely over.
     fn defer_jobs(&mut self, jobs: &[String]) {
-        let until = self.began_at + stretched(self.lease_s);
+        let until = self.began_at + with_clock_margin(self.lease_s);
         for id in jobs {
             if let Some(job_index) = self.jobs.find(id) {
                 let job = &mut self.jobs[job_index];
@@ -403,7 +403,7 @@
         let images =
             images.map(|(image, gb)| CachedImage { image: self.jobs.images.intern(image), gb: *gb, ready: true });
         let images = images.collect();
-        let reconcile_deadline = self.began_at + stretched(self.lease_s);
+        let reconcile_deadline = self.began_at + with_clock_margin(self.lease_s);
         let machine = &mut self.machines[machine_index];
         machine.addr = record.addr.parse().ok().or(machine.addr);
         let is_terminating = record.terminating || machine.phase == MachinePhase::Terminating;
--- a/crates/scheduler/src/shard/heartbeats.rs
+++ b/crates/scheduler/src/shard/heartbeats.rs
@@ -62,7 +62,7 @@
     /// all reports in between together. Placing in every report once took up the whole
     /// processor at a few hundred machines.
     pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat, now: f64) -> HeartbeatOutcome {
-        self.counts.reports += 1;
+        self.counts.heartbeats += 1;
         match self.reconcile_heartbeat(heartbeat, HeartbeatSource::Heartbeat, now) {
             Ok(machine_index) => {
                 let commands = self.heartbeat_commands(machine_index, heartbeat, now);
@@ -186,7 +186,7 @@
             && !machine.heard_only_before_failover
             && let Some(pool) = self.pools.get_mut(&machine.type_index)
         {
-            pool.zones.ready(machine.zone);
+            pool.zones.on_machine_ready(machine.zone);
         }
     }
 
--- a/crates/scheduler/src/shard/machine_monitor.rs
+++ b/crates/scheduler/src/shard/machine_monitor.rs
@@ -9,7 +9,7 @@
 use super::task_failures::QUARANTINE_S;
 use crate::fleet::{MAX_MISSED_ACKNOWLEDGEMENTS, Machine, Phase as MachinePhase};
 use crate::intern::{MachineIndex, ZoneIndex};
-use crate::times::stretched;
+use crate::times::with_clock_margin;
 
 /// A machine that is there answers a direct question sooner than this.
 const PROBE_TIMEOUT_S: f64 = 1.25;
@@ -122,7 +122,7 @@
     }
 
     fn check_lease(&mut self, machine_index: MachineIndex, now: f64) {
-        let lease_s = stretched(self.lease_s);
+        let lease_s = with_clock_margin(self.lease_s);
         let machine = &self.machines[machine_index];
         let renewed_until = machine.lease_renewed_at.map_or(f64::MIN, |renewed_at| renewed_at + lease_s);
         let expires_at = renewed_until.max(machine.reconcile_deadline.unwrap_or(f64::MIN));
@@ -153,7 +153,7 @@
             if machine.spot
                 && let Some(pool) = self.pools.get_mut(&machine.type_index)
             {
-                pool.zones.failed(machine.zone);
+                pool.zones.on_launch_failed(machine.zone);
             }
             self.terminate(machine_index);
         }
@@ -231,7 +231,7 @@
         let is_unresponsive = is_mute && age_s > probe_after_s + PROBE_TIMEOUT_S;
         age_s > self.heartbeat_timeout_s() && responses.rules_out_partition(machine.zone)
             || is_unresponsive && responses.trusts_missing_replies(machine.zone)
-            || age_s > stretched(self.lease_s) * 2.0
+            || age_s > with_clock_margin(self.lease_s) * 2.0
     }
 
     /// After how many seconds without a heartbeat this machine is probed, and how many probes it has to miss.
--- a/crates/scheduler/src/shard/mod.rs
+++ b/crates/scheduler/src/shard/mod.rs
@@ -125,7 +125,7 @@
     pub underserved: Underserved,
     /// Where arrays may be elastic: their sizes.
     elastic: Option<elastic::ElasticPool>,
-    elastic_looked: f64,
+    elastic_resized_at: f64,
     /// Something that was to be placed found no place in the last pass.
     pub(crate) others_waiting: bool,
     service_levels: service_levels::ServiceLevelReporter,
@@ -233,7 +233,7 @@
         let j = self.jobs.add(record, team, now);
         self.record_job_size(j);
         self.checkpoint_job(j, now);
-        self.elastic_track(j);
+        self.track_elastic_job(j);
         self.register_dependencies(j, now);
         self.enqueue_tracking(j);
         self.resolve_unrecognized_job(j, now);
--- a/crates/scheduler/src/shard/rebalancing.rs
+++ b/crates/scheduler/src/shard/rebalancing.rs
@@ -169,7 +169,7 @@
         }
         // Nobody here counts it, neither as served nor as missed.
         self.track_end(j, Phase::Cancelled, now);
-        self.elastic_forget(j);
+        self.untrack_elastic_job(j);
         self.forget_job(j);
     }
 
--- a/crates/scheduler/src/shard/summary.rs
+++ b/crates/scheduler/src/shard/summary.rs
@@ -7,10 +7,10 @@
 /// What this leader has done so far; operators see the differences in the log.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Counts {
-    pub reports: u64,
-    pub directs: u64,
+    pub heartbeats: u64,
+    pub pushes: u64,
     pub starts: u64,
-    pub finals: u64,
+    pub job_ends: u64,
     pub machine_groups: u64,
     pub progress: u64,
     pub checkpoint: u64,
@@ -51,12 +51,12 @@
             "{} reports, {} direct, {} starts, {} withheld, {} forbidden; writes: {} final, {} racks, {} progress, {} checkpoint, {} other; {} live jobs, \
              {waiting} tasks wait; machines up {} spot and {} on-demand, {}+{} cordoned, {booting} boot, \
              {unresolved} unresolved; cpus {held:.0?}; wanted {mix:?}{}{}{}",
-            c.reports - before.reports,
-            c.directs - before.directs,
+            c.heartbeats - before.heartbeats,
+            c.pushes - before.pushes,
             c.starts - before.starts,
             c.withheld - before.withheld,
             c.forbidden - before.forbidden,
-            c.finals - before.finals,
+            c.job_ends - before.job_ends,
             c.machine_groups - before.machine_groups,
             c.progress - before.progress,
             c.checkpoint - before.checkpoint,
--- a/crates/scheduler/src/shard/writes/mod.rs
+++ b/crates/scheduler/src/shard/writes/mod.rs
@@ -128,7 +128,7 @@
     /// From here on until its outcome is known, this key is written by nobody else here.
     fn mark_in_flight(&mut self, write: PendingWrite) -> PendingWrite {
         match &write.purpose {
-            WritePurpose::JobEnd { .. } => self.counts.finals += 1,
+            WritePurpose::JobEnd { .. } => self.counts.job_ends += 1,
             WritePurpose::MachineGroup { .. } => self.counts.machine_groups += 1,
             WritePurpose::Progress { .. } => self.counts.progress += 1,
             WritePurpose::Checkpoint => self.counts.checkpoint += 1,
--- a/crates/scheduler/tests/shard/world.rs
+++ b/crates/scheduler/tests/shard/world.rs
@@ -34,7 +34,7 @@
     Params {
         teams: vec![team("limited", LIMIT, 0.0), team("free", 0.0, 0.0), team("few-cards", 0.0, CARDS_LIMIT)],
         zones: vec!["a".into(), "b".into()],
-        terms: HashMap::new(),
+        objectives: HashMap::new(),
         report_s: 3.0,
         lease_s: LEASE_S,
         cancel_s: 45.0,
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -169,7 +169,7 @@
             machine_types: Mutex::default(),
             known_ends: Mutex::new(LruCache::new(CACHED_JOBS)),
             accepted_jobs: Mutex::new(LruCache::new(CACHED_JOBS)),
-            ingress: Mutex::new(ServiceLevelTracker::new(settings.terms.clone())),
+            ingress: Mutex::new(ServiceLevelTracker::new(settings.objectives.clone())),
             state_answered_at: Mutex::new(-100.0),
             health: Mutex::default(),
             types_stored: Mutex::default(),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -47,7 +47,7 @@
     pub zones: Vec<String>,
     pub teams: Vec<Team>,
     /// What each class of jobs is promised.
-    pub terms: HashMap<String, ServiceLevelObjectives>,
+    pub objectives: HashMap<String, ServiceLevelObjectives>,
     pub report_s: f64,
     pub lease_s: f64,
     pub cancel_s: f64,
@@ -94,7 +94,7 @@
         Params {
             teams: self.teams.clone(),
             zones: self.zones.clone(),
-            terms: self.terms.clone(),
+            objectives: self.objectives.clone(),
             report_s: self.report_s,
             lease_s: self.lease_s,
             cancel_s: self.cancel_s,
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -36,7 +36,7 @@
         state: address("services.state", &file.services.state)?,
         zones: params.zones,
         teams,
-        terms: objectives(&params.objectives)?,
+        objectives: objectives(&params.objectives)?,
         report_s: positive("cluster.workers.report_s", params.workers.report_s)?,
         lease_s: positive("cluster.workers.lease_s", params.workers.lease_s)?,
         cancel_s: positive("cluster.workers.cancel_s", params.workers.cancel_s)?,
