--- a/crates/scheduler/src/shard/admission.rs
+++ b/crates/scheduler/src/shard/admission.rs
@@ -1,31 +1,34 @@
-//! Whether a submission can ever run, as any node can tell.
+//! Checks whether a submission can ever run. The check needs no leader state, so any node can do it.
 
 use super::EPSILON;
 use crate::params::Team;
 use crate::wire::{JobRequest, Kind, MachineType};
 
-/// Why a submission can never run, or cannot be judged yet.
+/// Why a submission isn't admitted.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdmissionError {
+    /// It can never run, for this reason.
     Rejected(String),
+    /// The machine types aren't known yet.
     Undecided,
 }
 
-/// Judges a submission by the teams and machine types, as any node can.
+/// Checks a submission against the teams' limits and the machine types.
 pub fn check_admission(request: &JobRequest, teams: &[Team], types: &[MachineType]) -> Result<(), AdmissionError> {
-    let never = |s: String| Err(AdmissionError::Rejected(s));
+    let rejected = |reason: String| Err(AdmissionError::Rejected(reason));
     let Some(team) = teams.iter().find(|t| t.name == request.team) else {
-        return never(format!("unknown team {}", request.team));
+        return rejected(format!("unknown team {}", request.team));
     };
-    let n = match request.kind {
+    let tasks_at_once = match request.kind {
         Kind::Service => f64::from(request.tasks),
-        Kind::Array => request.elastic.map_or(1.0, |s| f64::from(s.smallest)),
+        Kind::Array => request.elastic.map_or(1.0, |sizes| f64::from(sizes.smallest)),
     };
-    for (what, need, most) in
-        [("cpus", request.cpus * n, team.cpus_max), ("cards", request.accelerators * n, team.accelerators_max)]
+    let cpus = request.cpus * tasks_at_once;
+    let accelerators = request.accelerators * tasks_at_once;
+    for (resource, requested, limit) in [("cpus", cpus, team.cpus_max), ("cards", accelerators, team.accelerators_max)]
     {
-        if most > 0.0 && need > most + EPSILON {
-            return never(format!("needs {need} {what}, the team's limit is {most}"));
+        if limit > 0.0 && requested > limit + EPSILON {
+            return rejected(format!("needs {requested} {resource}, the team's limit is {limit}"));
         }
     }
     if types.is_empty() {
@@ -36,10 +39,11 @@
     }) {
         Ok(())
     } else {
-        never("a task fits no allowed machine type".into())
+        rejected("a task fits no allowed machine type".into())
     }
 }
 
+/// Returns whether a task of this job fits on an empty machine of this type, and the job allows the type.
 pub fn type_fits(request: &JobRequest, t: &MachineType) -> bool {
     request.types.as_ref().is_none_or(|l| l.contains(&t.name))
         && request.cpus <= t.cpus + EPSILON
--- a/crates/scheduler/src/shard/elastic.rs
+++ b/crates/scheduler/src/shard/elastic.rs
@@ -1,6 +1,6 @@
-//! Elastic jobs: what this shard tells the pool, and what it asks it.
+//! Elastic jobs: connects the shard with the pool that grows and shrinks them.
 //!
-//! Without the operators' file there is no pool, and every array is as large as there is room.
+//! Without the operators' file for elastic jobs there is no pool, and every array runs as many tasks as capacity allows.
 
 use super::sizing::HEARTBEAT_JITTER;
 use super::{Shard, type_fits};
@@ -14,36 +14,39 @@
 use serde::{Deserialize, Serialize};
 use std::collections::HashMap;
 
-/// What is idle is looked at this often.
+/// Seconds between checks for idle capacity.
 const RESIZE_INTERVAL_S: f64 = 1.0;
-/// What a successor needs to read what is open, at the fleets' size ten times over.
+/// Most seconds that a successor needs to read the open jobs, for a fleet ten times as large.
 const READ_WITHIN_S: f64 = 2.0;
-/// Workers drop a reply after this, and a direct call is given up sooner.
-const ANSWER_S: f64 = 4.0;
+/// Seconds after which workers drop a heartbeat reply; a pushed command is given up sooner.
+const REPLY_TIMEOUT_S: f64 = 4.0;
+/// Most jobs in a report.
 const MAX_ROWS: usize = 500;
 
+/// The pool of a shard's elastic jobs.
 pub type ElasticPool = Pool<JobIndex, TaskKey>;
 
-/// Everything that a query is answered with.
+/// The response to a query for elastic jobs.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ElasticReport {
     pub jobs: Vec<Row>,
     pub times: Times,
-    /// The last shrinks, by task, with the seconds that each took.
+    /// The last tasks by which jobs shrank, with the seconds until each was gone.
     pub recent: Vec<(String, f64)>,
     pub bound: Bound,
 }
 
-/// The bound of a shrink under these settings.
+/// Returns the longest time that a shrink takes under these settings.
 pub fn bound(params: &Params, claim_s: f64, plan: &Plan) -> Bound {
     timing(params.report_s, params.lease_s, claim_s, plan).bound()
 }
 
+/// Returns the delays that add up to the bound of a shrink.
 fn timing(report_s: f64, lease_s: f64, claim_s: f64, plan: &Plan) -> Timing {
     Timing {
         report_s: report_s * HEARTBEAT_JITTER,
         lease_s: with_clock_margin(lease_s),
-        answer_s: ANSWER_S,
+        answer_s: REPLY_TIMEOUT_S,
         grace_s: plan.grace_s,
         claim_s,
         read_s: READ_WITHIN_S,
@@ -52,7 +55,7 @@
 }
 
 impl Shard {
-    /// An open array that declares sizes, or whose class has some.
+    /// Adds a job to the pool if it is an open array with sizes of its own or of its class.
     pub(super) fn track_elastic_job(&mut self, job_index: JobIndex) {
         let Some(pool) = &self.elastic else { return };
         let job = &self.jobs[job_index];
@@ -60,109 +63,115 @@
             return;
         }
         let sizes = job.spec.elastic.or_else(|| pool.plan().default_of(&job.spec.class, job.spec.tasks));
-        // A class's default may be more than a team may ever hold.
-        let most = self.max_concurrent_tasks(job);
-        if let (Some(s), Some(pool)) = (sizes, &mut self.elastic) {
-            pool.enter(job_index, Sizes { smallest: s.smallest.min(most.max(1)), ..s });
+        // The smallest size of a class's default may exceed what the team's limit allows.
+        let max_tasks = self.max_concurrent_tasks(job);
+        if let (Some(sizes), Some(pool)) = (sizes, &mut self.elastic) {
+            pool.enter(job_index, Sizes { smallest: sizes.smallest.min(max_tasks.max(1)), ..sizes });
         }
     }
 
+    /// Removes a job from the pool.
     pub(super) fn untrack_elastic_job(&mut self, job_index: JobIndex) {
         if let Some(pool) = &mut self.elastic {
             pool.leave(job_index);
         }
     }
 
+    /// Returns the sizes of a job, if it is elastic.
     pub(crate) fn elastic_sizes(&self, job_index: JobIndex) -> Option<Sizes> {
         self.elastic.as_ref()?.sizes(job_index)
     }
 
-    /// One elastic job as it stands. What was told to stop, by whomever, is leaving.
-    fn elastic_held(&self, job: &Job) -> JobUsage {
-        let leaves = |(t, s): (u32, &TaskSlot)| match s {
+    /// Returns the current usage of an elastic job. Tasks that are stopping for any reason count as leaving.
+    fn elastic_usage(&self, job: &Job) -> JobUsage {
+        let is_leaving = |(task, slot): (u32, &TaskSlot)| match slot {
             TaskSlot::Assigned(m) => self.machines[*m]
                 .assignments
-                .get(&TaskKey::new(job.index, t))
-                .is_some_and(|h| h.stop_grace_s.is_some() || h.state == AssignmentState::Saving),
+                .get(&TaskKey::new(job.index, task))
+                .is_some_and(|a| a.stop_grace_s.is_some() || a.state == AssignmentState::Saving),
             _ => false,
         };
-        let leaving = (0u32..).zip(&job.tasks).filter(|(t, s)| leaves((*t, s))).count() as u32;
+        let leaving = (0u32..).zip(&job.tasks).filter(|(task, slot)| is_leaving((*task, slot))).count() as u32;
         JobUsage { unfinished: job.unfinished(), held: job.assigned, leaving }
     }
 
-    /// Tasks of a job that may be started: at its own standing, and beyond that with what is idle.
+    /// Returns how many more tasks of a job may be started: in its regular turn, and beyond that on idle capacity.
     pub(crate) fn additional_tasks(&self, job: &Job) -> (u32, u32) {
         match &self.elastic {
-            Some(pool) if pool.sizes(job.index).is_some() => pool.more(job.index, self.elastic_held(job)),
+            Some(pool) if pool.sizes(job.index).is_some() => pool.more(job.index, self.elastic_usage(job)),
             _ => (u32::MAX, 0),
         }
     }
 
-    /// Tasks of each elastic job that may be stopped to make room.
+    /// Returns for each elastic job how many of its tasks are surplus, which may be preempted first.
     pub(crate) fn surpluses(&self) -> HashMap<JobIndex, u32> {
         let Some(pool) = &self.elastic else { return HashMap::new() };
-        let of = |(j, _): (JobIndex, Sizes)| {
+        let surplus_of = |(j, _): (JobIndex, Sizes)| {
             let job = self.jobs.get(j).filter(|job| job.assigned > 0)?;
-            Some((j, pool.surplus(j, self.elastic_held(job)))).filter(|(_, n)| *n > 0)
+            Some((j, pool.surplus(j, self.elastic_usage(job)))).filter(|(_, surplus)| *surplus > 0)
         };
-        pool.jobs().filter_map(of).collect()
+        pool.jobs().filter_map(surplus_of).collect()
     }
 
-    /// A task makes room: one of a surplus in two steps, with a deadline; any other as it may.
+    /// Preempts a task. A running surplus task of an elastic job gets a limited time to save and is then stopped; any other
+    /// task is stopped as its job's settings say.
     pub(crate) fn preempt(&mut self, machine_index: MachineIndex, key: TaskKey) {
         let job = &self.jobs[key.job];
-        let planned =
-            self.machines[machine_index].assignments.get(&key).is_none_or(|h| h.state == AssignmentState::Planned);
-        let held = self.elastic_held(job);
-        let surplus = self.elastic.as_ref().is_some_and(|p| p.surplus(key.job, held) > 0);
-        if !surplus || planned {
+        let is_planned =
+            self.machines[machine_index].assignments.get(&key).is_none_or(|a| a.state == AssignmentState::Planned);
+        let usage = self.elastic_usage(job);
+        let has_surplus = self.elastic.as_ref().is_some_and(|pool| pool.surplus(key.job, usage) > 0);
+        if !has_surplus || is_planned {
             return self.stop_gently(machine_index, key);
         }
         let (grace, now) = (self.grace(key.job), self.ticked_at);
         let Some(pool) = &mut self.elastic else { return };
-        let mercy = pool.mercy(grace);
-        pool.shrink(key.job, key, mercy, held.held - held.leaving - 1, now);
-        log::debug!("elastic task preempted task={}/{} grace_s={mercy:.1}", self.jobs[key.job].id, key.task);
-        self.stop_task(machine_index, key, mercy);
+        let save_grace_s = pool.mercy(grace);
+        pool.shrink(key.job, key, save_grace_s, usage.held - usage.leaving - 1, now);
+        log::debug!("elastic task preempted task={}/{} grace_s={save_grace_s:.1}", self.jobs[key.job].id, key.task);
+        self.stop_task(machine_index, key, save_grace_s);
     }
 
-    /// A task is gone for certain.
+    /// Notes that a task has certainly ended.
     pub(super) fn on_elastic_task_gone(&mut self, key: TaskKey) {
         let now = self.ticked_at;
-        if let Some(took) = self.elastic.as_mut().and_then(|p| p.gone(key, now)) {
-            log::debug!("elastic task gone task={}/{} after_s={took:.2}", self.jobs[key.job].id, key.task);
+        if let Some(shrink_s) = self.elastic.as_mut().and_then(|pool| pool.gone(key, now)) {
+            log::debug!("elastic task ended task={}/{} after_s={shrink_s:.2}", self.jobs[key.job].id, key.task);
         }
     }
 
-    /// The second step where the first was not enough; and growth, into what nobody waits for.
+    /// Stops preempted tasks that did not save in time, and lets elastic jobs grow into capacity that no other job waits
+    /// for.
     pub(super) fn resize_elastic_jobs(&mut self, now: f64) {
         let Some(pool) = &mut self.elastic else { return };
-        for k in pool.due(now) {
-            let Some(TaskSlot::Assigned(m)) = self.jobs.get(k.job).and_then(|j| j.tasks.get(k.task as usize)).copied()
-            else {
+        for key in pool.due(now) {
+            let slot = self.jobs.get(key.job).and_then(|job| job.tasks.get(key.task as usize)).copied();
+            let Some(TaskSlot::Assigned(machine_index)) = slot else {
                 continue;
             };
-            log::info!("elastic task did not save in time, stopped task={}/{}", self.jobs[k.job].id, k.task);
-            self.stop_task(m, k, 0.0);
+            log::info!("elastic task stopped reason=not-saved-in-time task={}/{}", self.jobs[key.job].id, key.task);
+            self.stop_task(machine_index, key, 0.0);
         }
         if now - self.elastic_resized_at < RESIZE_INTERVAL_S {
             return;
         }
         self.elastic_resized_at = now;
-        let room = if self.others_waiting || !self.state_service_writable { Vec::new() } else { self.idle_room(now) };
-        if self.elastic.as_mut().is_some_and(|p| p.idle(&room, now)) {
+        let grows = !self.others_waiting && self.state_service_writable;
+        let idle = if grows { self.idle_capacity(now) } else { Vec::new() };
+        if self.elastic.as_mut().is_some_and(|pool| pool.idle(&idle, now)) {
             self.placement_due = true;
         }
     }
 
-    /// For each elastic job, how many of its tasks the machines would take now.
-    fn idle_room(&self, now: f64) -> Vec<(JobIndex, u32, JobUsage)> {
+    /// Returns for each elastic job how many of its tasks fit in the free capacity of all machines, and its usage.
+    fn idle_capacity(&self, now: f64) -> Vec<(JobIndex, u32, JobUsage)> {
         let Some(pool) = &self.elastic else { return Vec::new() };
-        let fresh = self.recent_heartbeat_s();
+        let heartbeat_timeout_s = self.recent_heartbeat_s();
+        // Per machine: type, spot, and free cpus, memory and accelerators.
         let free: Vec<(crate::intern::TypeIndex, bool, f64, f64, f64)> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.is_usable(now, fresh))
+            .filter(|(_, m)| m.is_usable(now, heartbeat_timeout_s))
             .map(|(_, m)| {
                 let t = self.types.get(m.type_index);
                 (
@@ -175,43 +184,48 @@
             })
             .filter(|f| f.2 > super::EPSILON)
             .collect();
-        let room = |(j, _): (JobIndex, Sizes)| {
+        let idle_for = |(j, _): (JobIndex, Sizes)| {
             let job = self.jobs.get(j).filter(|job| job.is_open() && job.unreconciled_machines == 0)?;
-            let r = &job.spec;
-            let many =
-                |free: f64, need: f64| if need > 0.0 { (free + super::EPSILON) / need } else { f64::from(u32::MAX) };
-            let n: f64 = free
+            let spec = &job.spec;
+            let tasks_in = |free: f64, requested: f64| {
+                if requested > 0.0 { (free + super::EPSILON) / requested } else { f64::from(u32::MAX) }
+            };
+            let tasks: f64 = free
                 .iter()
-                .filter(|f| (r.spot || !f.1) && type_fits(r, self.types.get(f.0)))
-                .map(|f| many(f.2, r.cpus).min(many(f.3, r.memory_gb)).min(many(f.4, r.accelerators)).max(0.0).floor())
+                .filter(|(ty, spot, ..)| (spec.spot || !spot) && type_fits(spec, self.types.get(*ty)))
+                .map(|&(_, _, cpus, memory_gb, accelerators)| {
+                    let tasks = tasks_in(cpus, spec.cpus).min(tasks_in(memory_gb, spec.memory_gb));
+                    tasks.min(tasks_in(accelerators, spec.accelerators)).max(0.0).floor()
+                })
                 .sum();
-            Some((j, n.min(f64::from(u32::MAX)) as u32, self.elastic_held(job)))
+            Some((j, tasks.min(f64::from(u32::MAX)) as u32, self.elastic_usage(job)))
         };
-        pool.jobs().filter_map(room).collect()
+        pool.jobs().filter_map(idle_for).collect()
     }
 
-    /// Has an elastic job grown here? Nothing is rented for growth, but what it uses is not
-    /// returned under it: the work is the same, and only sooner done.
+    /// Returns whether the machine runs tasks of an elastic job. No machine is rented for the growth of such jobs, but a
+    /// machine that they use isn't returned either: they do the same work and only finish sooner.
     pub(super) fn holds_elastic_surplus(&self, machine: &Machine) -> bool {
         self.elastic.as_ref().is_some_and(|p| machine.assignments.keys().any(|k| p.sizes(k.job).is_some()))
     }
 
-    /// What people are told: every elastic job, and the shrinks.
+    /// Returns the report of elastic jobs and shrinks; `None` without a pool.
     pub fn elastic_report(&self) -> Option<ElasticReport> {
         let pool = self.elastic.as_ref()?;
-        let row = |(j, s): (JobIndex, Sizes)| {
+        let row = |(j, sizes): (JobIndex, Sizes)| {
             let job = self.jobs.get(j)?;
             Some(Row {
                 job: job.id.to_string(),
-                smallest: s.smallest,
-                largest: s.largest,
+                smallest: sizes.smallest,
+                largest: sizes.largest,
                 wanted: pool.wanted(j).unwrap_or(0),
                 held: job.assigned,
                 shrinks: pool.under_way(j),
             })
         };
         let bound = timing(self.report_s, self.lease_s, self.tuning.leader_lease_s, pool.plan()).bound();
-        let named = |(k, took): (TaskKey, f64)| Some((format!("{}/{}", self.jobs.get(k.job)?.id, k.task), took));
+        let named =
+            |(key, shrink_s): (TaskKey, f64)| Some((format!("{}/{}", self.jobs.get(key.job)?.id, key.task), shrink_s));
         let recent = pool.recent().filter_map(named).collect();
         Some(ElasticReport {
             jobs: pool.jobs().filter_map(row).take(MAX_ROWS).collect(),
@@ -221,22 +235,22 @@
         })
     }
 
-    /// For operators' summary line.
+    /// Returns the elastic part of the operators' summary line.
     pub(super) fn elastic_summary(&self) -> String {
         let Some(pool) = &self.elastic else { return String::new() };
-        let (mut held, mut smallest, mut wanted, mut n) = (0, 0, 0, 0);
-        for (j, s) in pool.jobs() {
+        let (mut held, mut smallest, mut wanted, mut jobs) = (0, 0, 0, 0);
+        for (j, sizes) in pool.jobs() {
             let Some(job) = self.jobs.get(j) else { continue };
-            n += 1;
+            jobs += 1;
             held += job.assigned;
-            smallest += s.smallest.min(job.unfinished());
+            smallest += sizes.smallest.min(job.unfinished());
             wanted += pool.wanted(j).unwrap_or(0).min(job.unfinished());
         }
-        let t = pool.times();
+        let times = pool.times();
         format!(
-            "; elastic {n} jobs hold {held} tasks, {smallest} smallest and {wanted} wanted, {} shrinks under way, {} over, \
-             the longest {:.1} s",
-            t.under_way, t.shrinks, t.longest
+            "; elastic {jobs} jobs run {held} tasks, {smallest} smallest and {wanted} wanted, {} shrinks in progress, \
+             {} completed, the longest {:.1} s",
+            times.under_way, times.shrinks, times.longest
         )
     }
 }
--- a/crates/scheduler/src/shard/placement/limits.rs
+++ b/crates/scheduler/src/shard/placement/limits.rs
@@ -1,4 +1,5 @@
-//! Team limits and quotas: how tasks_in tasks may start, with the whole capacity of unreconciled machines counted as used.
+//! Team limits and quotas: how many tasks may start, counting the whole capacity of unreconciled
+//! machines as used.
 
 use crate::intern::{DenseIndex, MachineIndex};
 use crate::jobs::Job;
--- a/crates/scheduler/src/shard/placement/unplaceable.rs
+++ b/crates/scheduler/src/shard/placement/unplaceable.rs
@@ -8,8 +8,8 @@
 use crate::wire::Priority;
 use lupinspur_sharding::load_snapshot::UnusableCapacity;
 
-/// Most waiting jobs of different shapes that are compared with each machine; with more of them, no unusable capacity is
-/// reported.
+/// Most waiting jobs of different shapes that are compared with each machine; with more of them, no unusable capacity
+/// is reported.
 const MAX_SHAPES: usize = 64;
 
 /// The properties that decide which machines a job without constraints on type or zone fits on.
--- a/crates/scheduler/src/shard/sizing.rs
+++ b/crates/scheduler/src/shard/sizing.rs
@@ -1,4 +1,4 @@
-//! How many machines of each type there should be, and which of them are kept.
+//! Fleet sizing: how many machines of each type to have, and which of them to keep.
 
 use super::zone_pinned::ZonePinnedDemand;
 use super::{EPSILON, FleetRecord, PoolRecord, Shard, type_fits};
@@ -8,29 +8,32 @@
 use crate::wire::MachineType;
 use std::collections::HashMap;
 
-/// Reports come at intervals of up to this many times the usual one.
+/// Longest interval between heartbeats, as a multiple of the configured one.
 pub(super) const HEARTBEAT_JITTER: f64 = 1.25;
+/// Seconds between evictions of services and checkpointed tasks from machines that are to be returned.
 const EVICTION_INTERVAL_S: f64 = 1.0;
-/// The base is counted with room for this many more service tasks.
+/// Service tasks for which the on-demand base has spare capacity.
 const SPARE_TASKS: f64 = 2.0;
-/// And with this share more: so many more start at a time where there are more of them.
+/// Share of its demand by which the on-demand base is larger as well: with more services, more tasks start at a time.
 const SPARE_SHARE: f64 = 0.08;
 
 impl Shard {
-    pub(super) fn share(&self, request: &crate::wire::JobRequest, type_index: TypeIndex) -> f64 {
+    /// Returns which share of a machine of this type one task of a job uses: that of its scarcest resource.
+    pub(super) fn machine_share(&self, request: &crate::wire::JobRequest, type_index: TypeIndex) -> f64 {
         let t = self.types.get(type_index);
-        let part = |need: f64, has: f64| if need > 0.0 { need / has.max(EPSILON) } else { 0.0 };
-        part(request.cpus, t.cpus)
-            .max(part(request.memory_gb, t.memory_gb))
-            .max(part(request.accelerators, t.accelerators))
+        let share =
+            |requested: f64, capacity: f64| if requested > 0.0 { requested / capacity.max(EPSILON) } else { 0.0 };
+        share(request.cpus, t.cpus)
+            .max(share(request.memory_gb, t.memory_gb))
+            .max(share(request.accelerators, t.accelerators))
     }
 
-    /// The cheapest type on which a job's tasks fit.
+    /// Returns the cheapest type on which a job's tasks fit.
     fn cheapest_pool(&self, request: &crate::wire::JobRequest) -> Option<TypeIndex> {
         self.cheapest_type(request, |_| true)
     }
 
-    /// The cheapest type, of those that are `offered`, on which a job's tasks fit.
+    /// Returns the cheapest type on which a job's tasks fit, of those that `offered` accepts.
     pub(super) fn cheapest_type(
         &self,
         request: &crate::wire::JobRequest,
@@ -38,7 +41,7 @@
     ) -> Option<TypeIndex> {
         let cost = |ty: TypeIndex| {
             let t = self.types.get(ty);
-            self.share(request, ty) * if request.spot && t.spot_price > 0.0 { t.spot_price } else { t.price }
+            self.machine_share(request, ty) * if request.spot && t.spot_price > 0.0 { t.spot_price } else { t.price }
         };
         let suits = |ty: &TypeIndex| {
             let t = self.types.get(*ty);
@@ -48,43 +51,44 @@
         types.min_by(|&a, &b| cost(a).total_cmp(&cost(b)))
     }
 
-    /// Demand in machines, per type: that may use spot machines, and that may not.
+    /// Returns the demand in machines per type: of work that may use spot machines, and of work that may not.
     fn demand(&self) -> HashMap<TypeIndex, (f64, f64)> {
-        let mut out: HashMap<TypeIndex, (f64, f64)> = HashMap::new();
-        let mut room: Vec<f64> =
+        let mut demand: HashMap<TypeIndex, (f64, f64)> = HashMap::new();
+        let mut cpus_left: Vec<f64> =
             self.teams.iter().map(|t| if t.spec.cpus_max > 0.0 { t.spec.cpus_max } else { f64::INFINITY }).collect();
-        let mut above = self.quota_demand();
+        let mut quota_demand = self.quota_demand();
         for &j in &self.jobs.live {
             let job = &self.jobs[j];
             if !job.is_open() {
                 continue;
             }
             let Some(ty) = self.cheapest_pool(&job.spec) else { continue };
-            // Beyond its smallest size a job grows into what is there, and nothing is rented for it.
-            let smallest = self.elastic_sizes(j).map_or(u32::MAX, |s| s.smallest);
-            let mut n = f64::from(job.wanted_tasks().min(smallest));
-            let left = &mut room[job.team.as_usize()];
+            // Elastic jobs count with their smallest size: they grow only into idle capacity, and nothing is rented for it.
+            let smallest = self.elastic_sizes(j).map_or(u32::MAX, |sizes| sizes.smallest);
+            let mut tasks = f64::from(job.wanted_tasks().min(smallest));
+            let left = &mut cpus_left[job.team.as_usize()];
             if job.spec.cpus > 0.0 {
-                n = n.min((*left / job.spec.cpus).max(0.0));
-                *left -= n * job.spec.cpus;
+                tasks = tasks.min((*left / job.spec.cpus).max(0.0));
+                *left -= tasks * job.spec.cpus;
             }
-            n = above.as_mut().map_or(n, |a| a.take(job, n));
-            let d = out.entry(ty).or_default();
-            let size = n * self.share(&job.spec, ty);
-            if job.spec.spot { d.0 += size } else { d.1 += size }
+            tasks = quota_demand.as_mut().map_or(tasks, |quotas| quotas.take(job, tasks));
+            let (spot, on_demand) = demand.entry(ty).or_default();
+            let machines = tasks * self.machine_share(&job.spec, ty);
+            if job.spec.spot { *spot += machines } else { *on_demand += machines }
         }
-        out
+        demand
     }
 
+    /// Updates the wanted size of each pool, and rents, uncordons or cordons machines to reach it.
     pub(super) fn size_fleet(&mut self, now: f64) {
-        // Until the machines were heard, work that is done and not stored seems to be
-        // wanted still, and what is on machines not heard is unknown. A successor that
-        // took this for demand rented half the fleet again, and held it for the hold.
+        // A new leader waits for the machines' heartbeats. Before, finished work whose end isn't stored still looks like
+        // demand, and the tasks on silent machines are unknown. Sizing by that would rent half the fleet a second time
+        // and keep it for `hold_s`.
         let heartbeats_gathered = self.heartbeats_gathered(now);
         let demand = if heartbeats_gathered { self.demand() } else { HashMap::new() };
         let types: Vec<TypeIndex> = if heartbeats_gathered { self.pools.keys().copied().collect() } else { Vec::new() };
-        let bound = if heartbeats_gathered { self.zone_pinned_demand(now) } else { ZonePinnedDemand::default() };
-        self.rent_for_zone_pinned(&bound, now);
+        let zone_pinned = if heartbeats_gathered { self.zone_pinned_demand(now) } else { ZonePinnedDemand::default() };
+        self.rent_for_zone_pinned(&zone_pinned, now);
         for ty in types {
             let (spot_demand, mut base_demand) = demand.get(&ty).copied().unwrap_or_default();
             let size = self.types.get(ty).cpus;
@@ -99,21 +103,22 @@
                     .filter(|(_, m)| m.phase == MachinePhase::Up && m.can_receive_commands(now) || !ready)
                     .count()
             };
-            let (spot_up, spot_now, ordinary_now) = (count(true, true), count(true, false), count(false, false));
+            let (spot_ready, spot_now, on_demand_now) = (count(true, true), count(true, false), count(false, false));
             let (window, hold, extra) = (self.tuning.window_s, self.tuning.hold_s, self.tuning.extra);
             let Some(pool) = self.pools.get_mut(&ty) else { continue };
             let target = pool.target.update(now, spot_demand, window, hold);
             let base = pool.base.update(now, base_demand, 1.0, hold);
-            pool.mix = mixture(target, extra, spot_up, base);
+            pool.mix = mixture(target, extra, spot_ready, base);
             let mix = pool.mix;
             self.choose_on_demand_base(ty, mix.base, now);
             let spot_pending = self.launches.pending_count(true);
-            self.adjust_pool((ty, true), mix.spot, spot_now, spot_pending, &bound, now);
-            let pending = self.launches.pending_count(false);
-            self.adjust_pool((ty, false), mix.base + mix.on_demand_fallback, ordinary_now, pending, &bound, now);
+            self.adjust_pool((ty, true), mix.spot, spot_now, spot_pending, &zone_pinned, now);
+            let on_demand_pending = self.launches.pending_count(false);
+            let on_demand_wanted = mix.base + mix.on_demand_fallback;
+            self.adjust_pool((ty, false), on_demand_wanted, on_demand_now, on_demand_pending, &zone_pinned, now);
         }
-        // A replica stopped while nothing can be written would stay down: its start
-        // elsewhere needs the machine's record first.
+        // Nothing is evicted while the state service can't be written: the replica could not start elsewhere, since that
+        // requires the new machine's record to be stored first.
         if self.state_service_writable && now - self.evicted_at >= EVICTION_INTERVAL_S {
             self.evicted_at = now;
             self.evict_services(now);
@@ -121,11 +126,11 @@
         }
     }
 
-    /// The base are the on-demand machines with the most services: they have the
-    /// images, and so the next service starts there at once. It takes from each zone
-    /// in turn: replicas that must be spread could never leave the others otherwise.
+    /// Chooses the on-demand base: the on-demand machines with the most services, which have their images, so that the
+    /// next service starts there at once. It takes machines from each zone in turn, since replicas that must be spread
+    /// over zones could otherwise never leave machines outside the base.
     fn choose_on_demand_base(&mut self, type_index: TypeIndex, count: usize, now: f64) {
-        let mut up: Vec<(ZoneIndex, usize, MachineIndex)> = self
+        let mut candidates: Vec<(ZoneIndex, usize, MachineIndex)> = self
             .machines
             .iter()
             .filter(|(_, m)| {
@@ -133,44 +138,43 @@
             })
             .map(|(i, m)| (m.zone, m.service_tasks, i))
             .collect();
-        up.sort_by_key(|(zone, services, i)| (*zone, std::cmp::Reverse(*services), *i));
-        let mut turn = 0;
-        let mut last = None;
-        let mut in_turns: Vec<(usize, std::cmp::Reverse<usize>, MachineIndex)> = Vec::with_capacity(up.len());
-        for (zone, services, i) in up {
-            turn = if last == Some(zone) { turn + 1 } else { 0 };
-            last = Some(zone);
-            in_turns.push((turn, std::cmp::Reverse(services), i));
+        candidates.sort_by_key(|(zone, services, i)| (*zone, std::cmp::Reverse(*services), *i));
+        let mut rank_in_zone = 0;
+        let mut previous_zone = None;
+        let mut by_rank: Vec<(usize, std::cmp::Reverse<usize>, MachineIndex)> = Vec::with_capacity(candidates.len());
+        for (zone, services, i) in candidates {
+            rank_in_zone = if previous_zone == Some(zone) { rank_in_zone + 1 } else { 0 };
+            previous_zone = Some(zone);
+            by_rank.push((rank_in_zone, std::cmp::Reverse(services), i));
         }
-        in_turns.sort();
-        for (rank, (_, _, i)) in in_turns.into_iter().enumerate() {
+        by_rank.sort();
+        for (rank, (_, _, i)) in by_rank.into_iter().enumerate() {
             self.machines[i].in_on_demand_base = rank < count;
         }
     }
 
-    /// Works out the difference between wanted and present machines of one kind.
+    /// Rents, uncordons or cordons machines of one type and market until as many as wanted are present or pending.
     fn adjust_pool(
         &mut self,
         (ty, spot): (TypeIndex, bool),
         wanted: usize,
-        there: usize,
+        present: usize,
         pending: usize,
-        bound: &ZonePinnedDemand,
+        zone_pinned: &ZonePinnedDemand,
         now: f64,
     ) {
-        if wanted > there + pending {
-            let mut short = wanted - there - pending;
+        if wanted > present + pending {
+            let mut short = wanted - present - pending;
             let cordoned = self.cordoned(|m| m.type_index == ty && m.spot == spot);
             short -= self.uncordon(cordoned.into_iter().rev().take(short));
             if short > 0 {
                 self.rent(ty, spot, short, now);
             }
-        } else if there > wanted {
-            // Where work waits that may run nowhere else no machine goes.
-            // Those still booting go first, the latest first, then the emptiest. Never
-            // the base: a fall in batch demand once sent all services to machines
-            // without their images, because only machines that were up could go.
-            let mut spare: Vec<(bool, usize, f64, MachineIndex)> = self
+        } else if present > wanted {
+            // Cordons machines in this order: those still booting, the latest first, then those with the fewest services
+            // and the fewest cpus used. Machines stay in zones where work waits that may run nowhere else. The on-demand
+            // base stays too; otherwise a fall in batch demand could move all services to machines without their images.
+            let mut surplus: Vec<(bool, usize, f64, MachineIndex)> = self
                 .machines
                 .iter()
                 .filter(|(_, m)| {
@@ -180,49 +184,50 @@
                         && !m.in_on_demand_base
                         && !self.holds_elastic_surplus(m)
                 })
-                .filter(|(_, m)| !bound.at(ty, m.zone))
+                .filter(|(_, m)| !zone_pinned.at(ty, m.zone))
                 .map(|(i, m)| {
                     let up = m.phase == MachinePhase::Up;
                     (up, m.service_tasks, if up { m.cpus_used } else { -m.first_seen_at }, i)
                 })
                 .collect();
-            spare.sort_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)).then(a.2.total_cmp(&b.2)));
-            for (_, _, _, i) in spare.into_iter().take(there - wanted) {
+            surplus.sort_by(|a, b| (a.0, a.1).cmp(&(b.0, b.1)).then(a.2.total_cmp(&b.2)));
+            for (_, _, _, i) in surplus.into_iter().take(present - wanted) {
                 self.machines[i].cordoned = true;
             }
         }
     }
 
-    /// Machines that were to be returned, and can be used still.
-    pub(super) fn cordoned(&self, of_sort: impl Fn(&Machine) -> bool) -> Vec<MachineIndex> {
+    /// Returns the cordoned machines that `matches` accepts and that can still be used.
+    pub(super) fn cordoned(&self, matches: impl Fn(&Machine) -> bool) -> Vec<MachineIndex> {
         let usable = |m: &Machine| {
             m.cordoned && is_present(m) && m.reclaimed_at.is_none() && !m.lost_start_before(f64::INFINITY)
         };
-        self.machines.iter().filter(|(_, m)| usable(m) && of_sort(m)).map(|(i, _)| i).collect()
+        self.machines.iter().filter(|(_, m)| usable(m) && matches(m)).map(|(i, _)| i).collect()
     }
 
-    /// Keeps these machines, which were to be returned; how many they are.
+    /// Uncordons these machines, which were to be returned; returns how many they are.
     pub(super) fn uncordon(&mut self, machines: impl Iterator<Item = MachineIndex>) -> usize {
-        let mut kept = 0;
-        for m in machines {
-            self.machines[m].cordoned = false;
+        let mut count = 0;
+        for machine_index in machines {
+            self.machines[machine_index].cordoned = false;
             self.placement_due = true;
-            kept += 1;
+            count += 1;
         }
-        kept
+        count
     }
 
+    /// Returns the zone lists and counts of all pools as they are stored.
     pub fn fleet_record(&self) -> FleetRecord {
         let mut pools: Vec<PoolRecord> = self
             .pools
             .iter()
-            .map(|(ty, p)| PoolRecord {
+            .map(|(ty, pool)| PoolRecord {
                 type_name: self.types.names.name(*ty).to_string(),
-                active: p.zones.active.iter().map(|z| self.types.zones.name(*z).to_string()).collect(),
-                preemptive: p.zones.preemptive.iter().map(|z| self.types.zones.name(*z).to_string()).collect(),
-                target: p.mix.target,
-                spot: p.mix.spot,
-                on_demand: p.mix.base + p.mix.on_demand_fallback,
+                active: pool.zones.active.iter().map(|z| self.types.zones.name(*z).to_string()).collect(),
+                preemptive: pool.zones.preemptive.iter().map(|z| self.types.zones.name(*z).to_string()).collect(),
+                target: pool.mix.target,
+                spot: pool.mix.spot,
+                on_demand: pool.mix.base + pool.mix.on_demand_fallback,
             })
             .collect();
         pools.sort_by(|a, b| a.type_name.cmp(&b.type_name));
@@ -230,11 +235,12 @@
     }
 }
 
+/// Returns whether the machine is up or booting.
 pub(super) fn is_present(machine: &Machine) -> bool {
     matches!(machine.phase, MachinePhase::Up | MachinePhase::Booting)
 }
 
-/// Does this machine count as part of the fleet?
+/// Returns whether the machine counts as part of the fleet when its size is compared with the wanted one.
 pub(super) fn counts_as_fleet(machine: &Machine, now: f64) -> bool {
     is_present(machine)
         && !machine.heard_only_before_failover
--- a/crates/scheduler/src/shard/summary.rs
+++ b/crates/scheduler/src/shard/summary.rs
@@ -1,33 +1,37 @@
-//! One line for operators now and then: what was done, and what stands.
+//! The summary line that is logged for operators at intervals: counts since the last one, and the current state.
 
 use super::Shard;
 use crate::fleet::{Machine, Phase as MachinePhase};
 use std::collections::BTreeMap;
 
-/// What this leader has done so far; operators see the differences in the log.
+/// Counts of what this leader has done so far; the summary line shows the differences.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Counts {
+    /// Heartbeats received.
     pub heartbeats: u64,
+    /// Commands pushed to workers, besides those in heartbeat replies.
     pub pushes: u64,
     pub starts: u64,
+    /// Writes of each kind.
     pub job_ends: u64,
     pub machine_groups: u64,
     pub progress: u64,
     pub checkpoint: u64,
     pub other_writes: u64,
-    /// Commands that were not sent, because what they rested on had changed by then.
+    /// Commands that were not sent, because their reason no longer held when they were to be sent.
     pub withheld: u64,
-    /// Starts that were chosen against a rule, and not made: each is a fault of this program.
+    /// Starts that a final check refused because they would break a rule; each one is a bug in the scheduler.
     pub forbidden: u64,
-    /// Attempts of earlier leaders that go on under this one, and that were told to stop.
+    /// Attempts started by earlier leaders that continue under this one.
     pub adopted: u64,
+    /// Attempts without an assignment that were stopped.
     pub orphaned: u64,
 }
 
 impl Shard {
-    /// One line for operators: what was done since `before`, and what stands now.
+    /// Returns the summary line: the counts since `before`, and the current state.
     pub fn summary(&self, before: &Counts) -> String {
-        let c = &self.counts;
+        let counts = &self.counts;
         let waiting: u32 = self
             .jobs
             .live
@@ -41,26 +45,27 @@
             self.machines.iter().filter(|(_, m)| up(m)).count()
         };
         let booting = self.machines.iter().filter(|(_, m)| m.phase == MachinePhase::Booting).count();
-        let unresolved = self.machines.iter().filter(|(_, m)| !m.is_reconciled()).count();
-        let mut held = BTreeMap::new();
-        for (k, h) in self.machines.iter().flat_map(|(_, m)| &m.assignments) {
-            *held.entry(h.state).or_insert(0.0) += self.jobs[k.job].spec.cpus;
+        let unreconciled = self.machines.iter().filter(|(_, m)| !m.is_reconciled()).count();
+        let mut cpus_by_state = BTreeMap::new();
+        for (key, assignment) in self.machines.iter().flat_map(|(_, m)| &m.assignments) {
+            *cpus_by_state.entry(assignment.state).or_insert(0.0) += self.jobs[key.job].spec.cpus;
         }
         let mix = self.pools.values().next().map(|p| p.mix).unwrap_or_default();
         format!(
-            "{} reports, {} direct, {} starts, {} withheld, {} forbidden; writes: {} final, {} racks, {} progress, {} checkpoint, {} other; {} live jobs, \
-             {waiting} tasks wait; machines up {} spot and {} on-demand, {}+{} cordoned, {booting} boot, \
-             {unresolved} unresolved; cpus {held:.0?}; wanted {mix:?}{}{}{}",
-            c.heartbeats - before.heartbeats,
-            c.pushes - before.pushes,
-            c.starts - before.starts,
-            c.withheld - before.withheld,
-            c.forbidden - before.forbidden,
-            c.job_ends - before.job_ends,
-            c.machine_groups - before.machine_groups,
-            c.progress - before.progress,
-            c.checkpoint - before.checkpoint,
-            c.other_writes - before.other_writes,
+            "{} heartbeats, {} pushes, {} starts, {} withheld, {} forbidden; writes: {} job ends, {} machine groups, \
+             {} progress, {} checkpoint, {} other; {} live jobs, {waiting} tasks waiting; \
+             machines up {} spot and {} on-demand, {}+{} cordoned, {booting} booting, {unreconciled} unreconciled; \
+             cpus {cpus_by_state:.0?}; wanted {mix:?}{}{}{}",
+            counts.heartbeats - before.heartbeats,
+            counts.pushes - before.pushes,
+            counts.starts - before.starts,
+            counts.withheld - before.withheld,
+            counts.forbidden - before.forbidden,
+            counts.job_ends - before.job_ends,
+            counts.machine_groups - before.machine_groups,
+            counts.progress - before.progress,
+            counts.checkpoint - before.checkpoint,
+            counts.other_writes - before.other_writes,
             self.jobs.live.len(),
             up(true, false),
             up(false, false),
