--- a/crates/scheduler/src/fleet/machine_groups.rs
+++ b/crates/scheduler/src/fleet/machine_groups.rs
@@ -1,12 +1,11 @@
-//! Machine groups: machines of one type, zone and kind that share one value at the state
-//! service.
+//! Machine groups: machines of one type, zone and market that share one stored value.
 //!
-//! A machine's record has to be stored before the first start of a job on it. With a
-//! value for each machine, hundreds of machines want more writes a second than the
-//! state service takes; a machine group's value is written once for all starts on it that wait.
+//! A machine's record has to be stored before a job's first start on it. With one value per machine, hundreds of
+//! machines would need more writes per second than the state service allows; a group's value is written once for all
+//! waiting starts on its machines.
 //!
-//! Owns who is in which group, how full each value is and which is written first. It writes nothing, and does not
-//! know what the machines hold.
+//! This module keeps the members of each group, the size of its value, and the order of writes. It writes nothing
+//! itself and doesn't know the tasks on the machines.
 
 use super::MachineRecord;
 use crate::intern::{DenseIndex, JobIndex, MachineGroupIndex, MachineIndex, TypeIndex, ZoneIndex};
@@ -14,16 +13,16 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
-/// Machine groups are stored under this, each by its number.
+/// Key prefix of machine groups, followed by the group's number.
 pub const MACHINE_GROUP_PREFIX: &str = "rack/";
 
-/// The key of a machine group's value.
+/// Returns the key of a machine group's value.
 pub fn machine_group_key(group_index: MachineGroupIndex) -> String {
     format!("{MACHINE_GROUP_PREFIX}{}", group_index.as_usize())
 }
 
-/// A machine group as it is kept at the state service. Machines name jobs and images by their
-/// place in the machine group's own lists, since neighbours mostly share them.
+/// A machine group as stored at the state service. Its machines refer to jobs and images by position in the group's
+/// lists, since machines of a group share most of them.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq, Default)]
 pub struct MachineGroupRecord {
     pub shard: u32,
@@ -31,30 +30,30 @@
     pub type_name: String,
     pub zone: String,
     pub spot: bool,
-    /// The names of jobs that its machines hold or may come to hold.
+    /// Ids of the jobs of which its machines have tasks or may get tasks.
     pub jobs: Vec<String>,
-    /// Images that its machines have, with their sizes in GB.
+    /// Images that its machines have cached, with their sizes in GB.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub images: Vec<(String, f64)>,
     pub machines: Vec<MachineGroupMember>,
 }
 
-/// One machine of a stored machine group.
+/// One machine in a stored machine group.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq, Default)]
 pub struct MachineGroupMember {
     pub machine: String,
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub addr: String,
-    /// Once set, never used again.
+    /// Whether the machine is to be deleted; it is never used again.
     #[serde(rename = "retiring", default, skip_serializing_if = "is_false")]
     pub terminating: bool,
-    /// It fails its tasks: a successor need not learn that again.
+    /// Whether tasks keep failing on the machine. It is stored so that the next leader need not find out again.
     #[serde(default, skip_serializing_if = "is_false")]
     pub faulty: bool,
-    /// Places in the group's list of jobs.
+    /// Positions in the group's list of jobs.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub jobs: Vec<u32>,
-    /// Places in the group's list of images.
+    /// Positions in the group's list of images.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub images: Vec<u32>,
 }
@@ -64,7 +63,7 @@
 }
 
 impl MachineGroupRecord {
-    /// Each machine of it, as a value of its own would say it.
+    /// Returns the name and record of each machine in the group.
     pub fn machine_records(&self) -> Vec<(String, MachineRecord)> {
         let record_of = |member: &MachineGroupMember| MachineRecord {
             shard: 0,
@@ -74,22 +73,22 @@
             spot: self.spot,
             terminating: member.terminating,
             faulty: member.faulty,
-            jobs: member.jobs.iter().filter_map(|place| self.jobs.get(*place as usize).cloned()).collect(),
-            images: member.images.iter().filter_map(|place| self.images.get(*place as usize).cloned()).collect(),
+            jobs: member.jobs.iter().filter_map(|position| self.jobs.get(*position as usize).cloned()).collect(),
+            images: member.images.iter().filter_map(|position| self.images.get(*position as usize).cloned()).collect(),
         };
         self.machines.iter().map(|member| (member.machine.clone(), record_of(member))).collect()
     }
 
-    /// What the images take of its value, about: they give way to jobs.
+    /// Returns about how many bytes of the value the images take. They are left out when jobs need the space.
     pub fn image_bytes(&self) -> usize {
         let names: usize = self.images.iter().map(|(name, _)| name.len() + 9).sum();
-        let places =
+        let positions =
             |member: &MachineGroupMember| if member.images.is_empty() { 0 } else { 11 + 3 * member.images.len() };
-        names + self.machines.iter().map(places).sum::<usize>()
+        names + self.machines.iter().map(positions).sum::<usize>()
     }
 }
 
-/// What all machines of a group have in common.
+/// The type, zone and market that all machines of a group share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MachineGroupKind {
     pub type_index: TypeIndex,
@@ -97,49 +96,50 @@
     pub spot: bool,
 }
 
-/// A machine group as this leader knows it.
+/// A machine group in this leader's memory.
 #[derive(Debug)]
 pub struct MachineGroup {
     pub kind: MachineGroupKind,
     pub members: BTreeSet<MachineIndex>,
-    /// Bytes that its value takes without images, with the names planned since it was last made.
+    /// Size in bytes of its value without images, including the job ids added since the value was last built.
     bytes: usize,
-    /// The jobs that its value names, or will.
+    /// The jobs that its value names, or will name after the next write.
     named_jobs: BTreeSet<JobIndex>,
-    /// Since when its value is to be written, in seconds.
+    /// Since when its value has to be written, in seconds.
     dirty_since: Option<f64>,
-    /// The starts that wait for that.
+    /// How many starts wait for that write.
     waiting_starts: u32,
-    /// One of them is a service's.
+    /// Whether one of them is a service's.
     service_waiting: bool,
-    /// Its value was found nearly full, and is made anew: names of jobs that are over go.
+    /// Whether its value was nearly full and is being rebuilt without the ids of ended jobs.
     compacted: bool,
 }
 
-/// The part of a value that is to stay free for names to come.
+/// A value is nearly full when less than this fraction (1/n) of its size limit is free for more job ids.
 const FREE_SPACE_DIVISOR: usize = 8;
-/// Bytes of a value that one machine may want: its own entry, and the names of jobs
-/// that no neighbour has.
+/// Most bytes of a value that one machine needs: its own entry, and the ids of jobs that no other machine of the group
+/// has.
 const MAX_BYTES_PER_MACHINE: usize = 160;
-/// An entry without any job, at the most.
+/// Most bytes of a machine's entry without jobs.
 const BYTES_PER_MEMBER: usize = 100;
-/// A machine group counts as having waited for this at least, so that many starts weigh at once.
+/// Shortest wait in seconds that write priority counts, so that a group with many waiting starts ranks high at once.
 const MIN_WAIT_S: f64 = 0.1;
-/// A job's place in the machine group's list, with its comma.
+/// Bytes of a job's position in a machine's entry, with the comma.
 const BYTES_PER_JOB_REFERENCE: usize = 6;
 
 impl MachineGroup {
+    /// Returns the bytes by which the value grows when one more machine names this job.
     fn bytes_for(&self, job: JobIndex, id: &str) -> usize {
         BYTES_PER_JOB_REFERENCE + if self.named_jobs.contains(&job) { 0 } else { id.len() + 3 }
     }
 
-    /// Can one more machine of it name this job? A value over the limit could never be
-    /// stored, and nothing would start on the whole machine group any more.
+    /// Returns whether the value has space for one more machine to name this job. A value over the size limit could
+    /// never be stored, and no task could start on any machine of the group.
     pub fn has_space_for(&self, job: JobIndex, id: &str, value_bytes: usize) -> bool {
         self.bytes + self.bytes_for(job, id) <= value_bytes
     }
 
-    /// A start waits until the stored value names its job.
+    /// Records a planned start, which waits until the stored value names its job.
     pub fn on_start_planned(&mut self, job: JobIndex, id: &str, is_service: bool) {
         self.bytes += self.bytes_for(job, id);
         self.named_jobs.insert(job);
@@ -147,57 +147,56 @@
         self.service_waiting |= is_service;
     }
 
-    /// So many tasks can start elsewhere once this value calls their machine terminating.
-    pub fn on_starts_delayed(&mut self, tasks: usize, services: bool) {
+    /// Records tasks that can start elsewhere once the stored value says that their machine is terminating.
+    pub fn on_starts_delayed(&mut self, tasks: usize, includes_service: bool) {
         self.waiting_starts += tasks as u32;
-        self.service_waiting |= services;
+        self.service_waiting |= includes_service;
     }
 
-    /// Its value is to be written.
+    /// Marks its value as changed and to be written.
     pub fn mark_dirty(&mut self, now: f64) {
         self.dirty_since.get_or_insert(now);
     }
 
-    /// Its value is written, for all starts that waited.
+    /// Notes that a write of its value has begun, which covers all waiting starts.
     pub fn on_write_begun(&mut self) {
         (self.dirty_since, self.waiting_starts, self.service_waiting) = (None, 0, false);
     }
 
-    /// Which machine group is written first: one for whose record a service waits, then the one for
-    /// which most starts have waited longest, so that one put serves many and none is
-    /// passed over for ever.
+    /// Returns the priority of writing this group's value; the highest is written first. Groups for which a service
+    /// waits come first, then by wait times waiting starts: one write serves many starts, and no group waits forever.
     pub fn write_priority(&self, now: f64) -> (bool, f64) {
         let waited = self.dirty_since.map_or(0.0, |since| now - since);
         (self.service_waiting, (waited + MIN_WAIT_S) * (f64::from(self.waiting_starts) + 1.0))
     }
 
-    /// Has its value no room left for more names? Machines stood half empty beside services
-    /// that waited for room, because the machine groups of those with many services were full.
+    /// Returns whether its value has little space left for more job ids. A full value keeps new jobs off the group's
+    /// machines, so that services would wait while those machines are half empty.
     pub fn is_nearly_full(&self, value_bytes: usize) -> bool {
         self.members.len() > 1
             && self.bytes <= value_bytes
             && self.bytes > value_bytes - value_bytes / FREE_SPACE_DIVISOR
     }
 
-    /// Forgets that it was compacted, once that has made room.
+    /// Allows another compaction once the value isn't nearly full any more.
     pub fn reset_compaction(&mut self, value_bytes: usize) {
         self.compacted &= self.is_nearly_full(value_bytes);
     }
 
-    /// Once for each time that it becomes nearly full; true if that was done already.
+    /// Begins a compaction; returns true if one was begun already since the value became nearly full.
     pub fn begin_compaction(&mut self) -> bool {
         std::mem::replace(&mut self.compacted, true)
     }
 
-    /// These jobs are over: their names need no place here any more.
+    /// Drops the ids of these jobs, which have ended, from the value.
     pub fn forget_jobs(&mut self, jobs: &BTreeSet<JobIndex>) {
         self.named_jobs.retain(|job| !jobs.contains(job));
     }
 
-    /// Its value was made anew.
-    pub fn on_value_built(&mut self, bytes: usize, names: impl Iterator<Item = JobIndex>) {
+    /// Records the size and the jobs of the value that was just built.
+    pub fn on_value_built(&mut self, bytes: usize, jobs: impl Iterator<Item = JobIndex>) {
         self.bytes = bytes;
-        self.named_jobs = names.collect();
+        self.named_jobs = jobs.collect();
     }
 }
 
@@ -207,38 +206,40 @@
     pub list: BTreeMap<MachineGroupIndex, MachineGroup>,
     /// The first number that was never used, here or by an earlier leader.
     pub next: usize,
-    /// Values that are to go, with the machines that are not recorded elsewhere yet.
+    /// Keys of superseded values, each with the machines whose records aren't stored elsewhere yet. A key is deleted
+    /// when none is left.
     pub superseded_values: HashMap<Arc<str>, BTreeSet<MachineIndex>>,
 }
 
 impl MachineGroups {
-    /// How many machines share a value.
+    /// Returns how many machines share a value of at most this size.
     pub fn members_per_value(value_bytes: usize) -> usize {
         (value_bytes / MAX_BYTES_PER_MACHINE).clamp(1, 64)
     }
 
-    /// One of the machines that an old value names is recorded elsewhere, or gone. True if
-    /// it was the last.
+    /// Notes that a machine in a superseded value is stored elsewhere, or gone. Returns true if it was the last one.
     pub fn remove_superseded(&mut self, key: &str, machine_index: MachineIndex) -> bool {
         let Some(members) = self.superseded_values.get_mut(key) else { return false };
         members.remove(&machine_index);
-        let empty = members.is_empty();
-        if empty {
+        let is_empty = members.is_empty();
+        if is_empty {
             self.superseded_values.remove(key);
         }
-        empty
+        is_empty
     }
 
-    /// The machine group that takes one more machine of this kind: the first with room, else a new one.
+    /// Adds a machine to the first group of its kind with space, or to a new one; returns the group's index.
     pub fn join(
         &mut self,
         machine_index: MachineIndex,
         kind: MachineGroupKind,
         value_bytes: usize,
     ) -> MachineGroupIndex {
-        let size = MachineGroups::members_per_value(value_bytes);
+        let max_members = MachineGroups::members_per_value(value_bytes);
         let fits = |group: &MachineGroup| {
-            group.kind == kind && group.members.len() < size && group.bytes + MAX_BYTES_PER_MACHINE <= value_bytes
+            group.kind == kind
+                && group.members.len() < max_members
+                && group.bytes + MAX_BYTES_PER_MACHINE <= value_bytes
         };
         let found = self.list.iter().find(|(_, group)| fits(group)).map(|(group_index, _)| *group_index);
         let group_index = found.unwrap_or_else(|| MachineGroupIndex::new(self.next));
@@ -248,7 +249,7 @@
         group_index
     }
 
-    /// A new machine group of just these machines, which no other joins.
+    /// Creates a machine group of exactly these machines, which no other machine joins.
     pub fn new_closed_group(&mut self, kind: MachineGroupKind, members: BTreeSet<MachineIndex>) -> MachineGroupIndex {
         let group_index = MachineGroupIndex::new(self.next);
         let group = self.open(group_index, kind);
@@ -257,7 +258,7 @@
         group_index
     }
 
-    /// The machine group of this number, made if there is none.
+    /// Returns the machine group of this index, and creates it if there is none.
     pub fn open(&mut self, group_index: MachineGroupIndex, kind: MachineGroupKind) -> &mut MachineGroup {
         self.next = self.next.max(group_index.as_usize() + 1);
         let new = || MachineGroup {
--- a/crates/scheduler/src/fleet/mod.rs
+++ b/crates/scheduler/src/fleet/mod.rs
@@ -1,8 +1,11 @@
-//! The machines, and the leader's rule for how many there should be.
+//! Machines and machine types, and the parts of fleet sizing that need no shard.
 //!
-//! `zones` keeps the two zone lists, `mixture` the counts, `launch` turns both
-//! into rentals and returns. `machine` holds what is known of each machine, `machines`
-//! all of them, `types` the machine types.
+//! - `machine`, `machines`: the state of one machine, and the table of all of them
+//! - `machine_groups`: machines whose records share one stored value
+//! - `types`: machine types and zones
+//! - `mixture`: how many spot and on-demand machines a pool should have
+//! - `zones`: in which zones spot machines are launched
+//! - `launch`: rental requests to the cloud
 
 pub mod launch;
 mod machine;
@@ -21,16 +24,19 @@
 
 use serde::{Deserialize, Serialize};
 
+/// Key prefix of machine records of earlier versions.
 pub const MACHINE_PREFIX: &str = "mach/";
+/// Key of the stored fleet record.
 pub const FLEET_KEY: &str = "fleet/0";
 
+/// Returns the key of a machine's own record.
 pub fn machine_key(name: &str) -> String {
     format!("{MACHINE_PREFIX}{name}")
 }
 
-/// What is stored of a machine before the first start of a job on it, so that a
-/// successor knows what it may hold. It stands in its machine group's value; a value of its own
-/// is what earlier versions wrote, and is read still.
+/// The stored record of a machine. It names a job before the job's first start on the machine, so that the next leader
+/// knows which jobs may have tasks there. Records are stored in the values of machine groups; earlier versions wrote
+/// one value per machine, which is still read.
 #[derive(Serialize, Deserialize, Clone, Debug, PartialEq)]
 pub struct MachineRecord {
     pub shard: u32,
@@ -39,12 +45,14 @@
     pub type_name: String,
     pub zone: String,
     pub spot: bool,
-    /// Once set, never used again.
+    /// Whether the machine is to be deleted; it is never used again.
     #[serde(rename = "retiring")]
     pub terminating: bool,
-    /// It fails its tasks: a successor need not learn that again.
+    /// Whether tasks keep failing on the machine. It is stored so that the next leader need not find out again.
     #[serde(default)]
     pub faulty: bool,
+    /// Ids of the jobs that may have tasks on the machine.
     pub jobs: Vec<String>,
+    /// Cached images, with their sizes in GB.
     pub images: Vec<(String, f64)>,
 }
--- a/crates/scheduler/src/intern.rs
+++ b/crates/scheduler/src/intern.rs
@@ -1,4 +1,4 @@
-//! Names are mapped to dense indices where they enter the process; inside, only indices are used.
+//! Interning: names are mapped to dense indices where they enter the process; the scheduler uses only the indices.
 
 use std::collections::HashMap;
 use std::marker::PhantomData;
@@ -6,7 +6,9 @@
 
 /// A dense index: the position of an entry in its list.
 pub trait DenseIndex: Copy {
+    /// Returns the index of a position.
     fn new(i: usize) -> Self;
+    /// Returns the position.
     fn as_usize(self) -> usize;
 }
 
@@ -23,112 +25,129 @@
 }
 
 index! {
+    /// The index of a job.
     JobIndex;
+    /// The index of a machine.
     MachineIndex;
+    /// The index of a team.
     TeamIndex;
+    /// The index of a zone.
     ZoneIndex;
+    /// The index of a machine type.
     TypeIndex;
+    /// The index of an image.
     ImageIndex;
+    /// The index of a machine group.
     MachineGroupIndex;
 }
 
-/// Values so many to a page; a page whose values are all gone is given back.
-const PAGE: usize = 128;
+/// Values per page. A page whose values are all removed is freed.
+const PAGE_SIZE: usize = 128;
 
-/// A table by index. An index is never used again, so that a late one finds nothing rather
-/// than another's value; what was removed gives its memory back page by page.
+/// A table by index. Indices aren't reused, so that an outdated index finds nothing instead of another value. The
+/// memory of removed values is freed page by page.
 #[derive(Debug)]
 pub struct PagedTable<I, T> {
     pages: Vec<Option<Box<[Option<T>]>>>,
+    /// The index of the next value.
     next: usize,
-    held: usize,
-    of: PhantomData<I>,
+    /// The number of values in the table.
+    len: usize,
+    index_type: PhantomData<I>,
 }
 
 impl<I, T> Default for PagedTable<I, T> {
     fn default() -> Self {
-        PagedTable { pages: Vec::new(), next: 0, held: 0, of: PhantomData }
+        PagedTable { pages: Vec::new(), next: 0, len: 0, index_type: PhantomData }
     }
 }
 
 impl<I: DenseIndex, T> PagedTable<I, T> {
-    /// The index that the next value gets.
+    /// Returns the index that the next value will get.
     pub fn next(&self) -> I {
         I::new(self.next)
     }
 
-    pub fn push(&mut self, v: T) -> I {
+    /// Adds a value and returns its index.
+    pub fn push(&mut self, value: T) -> I {
         let i = self.next;
-        if i / PAGE >= self.pages.len() {
-            self.pages.push(Some((0..PAGE).map(|_| None).collect()));
+        if i / PAGE_SIZE >= self.pages.len() {
+            self.pages.push(Some((0..PAGE_SIZE).map(|_| None).collect()));
         }
-        if let Some(slot) = self.pages[i / PAGE].as_mut().and_then(|p| p.get_mut(i % PAGE)) {
-            *slot = Some(v);
+        if let Some(slot) = self.pages[i / PAGE_SIZE].as_mut().and_then(|p| p.get_mut(i % PAGE_SIZE)) {
+            *slot = Some(value);
         }
         self.next += 1;
-        self.held += 1;
+        self.len += 1;
         I::new(i)
     }
 
+    /// Returns the value of an index, unless it was removed.
     pub fn get(&self, i: I) -> Option<&T> {
-        self.pages.get(i.as_usize() / PAGE)?.as_ref()?[i.as_usize() % PAGE].as_ref()
+        self.pages.get(i.as_usize() / PAGE_SIZE)?.as_ref()?[i.as_usize() % PAGE_SIZE].as_ref()
     }
 
+    /// Returns the value of an index mutably, unless it was removed.
     pub fn get_mut(&mut self, i: I) -> Option<&mut T> {
-        self.pages.get_mut(i.as_usize() / PAGE)?.as_mut()?[i.as_usize() % PAGE].as_mut()
+        self.pages.get_mut(i.as_usize() / PAGE_SIZE)?.as_mut()?[i.as_usize() % PAGE_SIZE].as_mut()
     }
 
+    /// Removes and returns the value of an index.
     pub fn remove(&mut self, i: I) -> Option<T> {
-        let page = self.pages.get_mut(i.as_usize() / PAGE)?;
-        let v = page.as_mut()?[i.as_usize() % PAGE].take()?;
-        self.held -= 1;
-        // The last page is still being filled.
-        let full = (i.as_usize() / PAGE + 1) * PAGE <= self.next;
-        if full && page.as_ref().is_some_and(|p| p.iter().all(Option::is_none)) {
+        let page = self.pages.get_mut(i.as_usize() / PAGE_SIZE)?;
+        let value = page.as_mut()?[i.as_usize() % PAGE_SIZE].take()?;
+        self.len -= 1;
+        // The last page is kept, since it is still being filled.
+        let is_full = (i.as_usize() / PAGE_SIZE + 1) * PAGE_SIZE <= self.next;
+        if is_full && page.as_ref().is_some_and(|p| p.iter().all(Option::is_none)) {
             *page = None;
         }
-        Some(v)
+        Some(value)
     }
 
-    /// Values held.
+    /// Returns the number of values in the table.
     pub fn len(&self) -> usize {
-        self.held
+        self.len
     }
 
+    /// Returns whether the table has no values.
     pub fn is_empty(&self) -> bool {
-        self.held == 0
+        self.len == 0
     }
 
+    /// Iterates over the values with their indices, in the order of the indices.
     pub fn iter(&self) -> impl Iterator<Item = (I, &T)> {
-        self.pages
-            .iter()
-            .enumerate()
-            .filter_map(|(n, p)| Some((n, p.as_ref()?)))
-            .flat_map(|(n, p)| p.iter().enumerate().filter_map(move |(i, v)| Some((I::new(n * PAGE + i), v.as_ref()?))))
+        self.pages.iter().enumerate().filter_map(|(number, page)| Some((number, page.as_ref()?))).flat_map(
+            |(number, page)| {
+                let values = page.iter().enumerate();
+                values.filter_map(move |(i, value)| Some((I::new(number * PAGE_SIZE + i), value.as_ref()?)))
+            },
+        )
     }
 }
 
-/// Whoever holds an index of a value that is held.
+/// Panics if the value of the index was removed.
 impl<I: DenseIndex, T> std::ops::Index<usize> for PagedTable<I, T> {
     type Output = T;
     fn index(&self, i: usize) -> &T {
         match self.get(I::new(i)) {
             Some(v) => v,
-            None => panic!("number {i} was given back"),
+            None => panic!("the value of index {i} was removed"),
         }
     }
 }
 
+/// Panics if the value of the index was removed.
 impl<I: DenseIndex, T> std::ops::IndexMut<usize> for PagedTable<I, T> {
     fn index_mut(&mut self, i: usize) -> &mut T {
         match self.get_mut(I::new(i)) {
             Some(v) => v,
-            None => panic!("number {i} was given back"),
+            None => panic!("the value of index {i} was removed"),
         }
     }
 }
 
-/// A table of names, each with its index.
+/// A two-way table of names and their indices.
 #[derive(Debug)]
 pub struct Names<I> {
     names: PagedTable<I, Arc<str>>,
@@ -142,10 +161,12 @@
 }
 
 impl<I: DenseIndex> Names<I> {
+    /// Returns the index of a name that is in the table.
     pub fn find(&self, name: &str) -> Option<I> {
         self.by_name.get(name).copied()
     }
 
+    /// Returns the index of a name, and adds the name if it isn't in the table.
     pub fn intern(&mut self, name: &str) -> I {
         if let Some(i) = self.find(name) {
             return i;
@@ -156,26 +177,29 @@
         i
     }
 
+    /// Returns the name of an index; panics if it was released.
     pub fn name(&self, i: I) -> &Arc<str> {
         &self.names[i.as_usize()]
     }
 
-    /// Nobody holds this index any more.
+    /// Removes the name of an index that is no longer used.
     pub fn release(&mut self, i: I) {
         if let Some(name) = self.names.remove(i) {
             self.by_name.remove(&name);
         }
     }
 
-    /// Every name that is held.
+    /// Iterates over the indices of all names in the table.
     pub fn indices(&self) -> impl Iterator<Item = I> {
         self.names.iter().map(|(i, _)| i)
     }
 
+    /// Returns the number of names in the table.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
+    /// Returns whether the table has no names.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
@@ -185,21 +209,20 @@
 mod tests {
     use super::*;
 
-    /// Guards against tables that grow with all that ever was, and against an index that comes
-    /// to mean another name.
+    /// The memory of released names must be freed, and an index must never refer to another name.
     #[test]
-    fn names_are_given_back_and_their_indices_never_used_again() {
+    fn released_names_are_freed_and_their_indices_not_reused() {
         let mut names: Names<ImageIndex> = Names::default();
         let kept = names.intern("kept");
-        for i in 0..10 * PAGE {
-            let ix = names.intern(&format!("image-{i}"));
-            assert_eq!(ix.as_usize(), i + 1);
-            names.release(ix);
+        for i in 0..10 * PAGE_SIZE {
+            let index = names.intern(&format!("image-{i}"));
+            assert_eq!(index.as_usize(), i + 1);
+            names.release(index);
         }
         assert_eq!((names.len(), names.find("kept")), (1, Some(kept)));
         let pages = names.names.pages.iter().filter(|p| p.is_some()).count();
-        assert!(pages <= 2, "{pages} pages are held for one name");
-        assert!(names.intern("image-0").as_usize() > 10 * PAGE);
+        assert!(pages <= 2, "{pages} pages are allocated for one name");
+        assert!(names.intern("image-0").as_usize() > 10 * PAGE_SIZE);
         assert_eq!(names.names.get(ImageIndex::new(5)), None);
     }
 }
--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,15 +1,15 @@
-//! What a controller decides, with no sockets and no clock: events come in with the time, and
-//! what is wanted comes out as writes, commands and calls that the shell carries out.
+//! The scheduling decisions of a controller, without I/O and clocks: events come in with the current time, and the
+//! results are writes, commands and cloud calls that the caller carries out.
 //!
-//! - [`params`]: what the platform and the operators say
-//! - [`intern`]: names to dense indices
-//! - [`election`]: when a controller may act
-//! - [`jobs`], [`dependency_graph`]: what was submitted, and who waits for whom
-//! - [`fleet`]: machines, zone lists, the mixture
-//! - [`shard`]: one leader's jobs and machines; a process may hold several
-//! - [`times`]: how far clocks may be trusted
+//! - [`params`]: settings
+//! - [`intern`]: interned names and tables by index
+//! - [`election`]: leader election, and when a controller may act as leader
+//! - [`jobs`], [`dependency_graph`]: submitted jobs, and which jobs wait for which
+//! - [`fleet`]: machines, machine types, and fleet sizing
+//! - [`shard`]: one leader's jobs and machines; a process may lead several shards
+//! - [`times`]: safety margins for clock drift
 
-// What is decided must not follow the order of a hash.
+// Decisions must be deterministic, so they must not depend on the iteration order of hash tables.
 #![warn(clippy::iter_over_hash_type)]
 
 pub mod dependency_graph;
--- a/crates/scheduler/src/shard/elastic.rs
+++ b/crates/scheduler/src/shard/elastic.rs
@@ -1,6 +1,7 @@
 //! Elastic jobs: connects the shard with the pool that grows and shrinks them.
 //!
-//! Without the operators' file for elastic jobs there is no pool, and every array runs as many tasks as capacity allows.
+//! Without the operators' file for elastic jobs there is no pool, and every array runs as many tasks as capacity
+//! allows.
 
 use super::sizing::HEARTBEAT_JITTER;
 use super::{Shard, type_fits};
@@ -113,8 +114,8 @@
         pool.jobs().filter_map(surplus_of).collect()
     }
 
-    /// Preempts a task. A running surplus task of an elastic job gets a limited time to save and is then stopped; any other
-    /// task is stopped as its job's settings say.
+    /// Preempts a task. A running surplus task of an elastic job gets a limited time to save and is then stopped; any
+    /// other task is stopped as its job's settings say.
     pub(crate) fn preempt(&mut self, machine_index: MachineIndex, key: TaskKey) {
         let job = &self.jobs[key.job];
         let is_planned =
@@ -140,8 +141,8 @@
         }
     }
 
-    /// Stops preempted tasks that did not save in time, and lets elastic jobs grow into capacity that no other job waits
-    /// for.
+    /// Stops preempted tasks that did not save in time, and lets elastic jobs grow into capacity that no other job
+    /// waits for.
     pub(super) fn resize_elastic_jobs(&mut self, now: f64) {
         let Some(pool) = &mut self.elastic else { return };
         for key in pool.due(now) {
@@ -203,8 +204,8 @@
         pool.jobs().filter_map(idle_for).collect()
     }
 
-    /// Returns whether the machine runs tasks of an elastic job. No machine is rented for the growth of such jobs, but a
-    /// machine that they use isn't returned either: they do the same work and only finish sooner.
+    /// Returns whether the machine runs tasks of an elastic job. No machine is rented for the growth of such jobs, but
+    /// a machine that they use isn't returned either: they do the same work and only finish sooner.
     pub(super) fn holds_elastic_surplus(&self, machine: &Machine) -> bool {
         self.elastic.as_ref().is_some_and(|p| machine.assignments.keys().any(|k| p.sizes(k.job).is_some()))
     }
--- a/crates/scheduler/src/shard/placement/pass.rs
+++ b/crates/scheduler/src/shard/placement/pass.rs
@@ -122,33 +122,33 @@
     fn take(&mut self, turn: &QueuedTurn) -> PassStep {
         let shard = &mut *self.shard;
         let job = &shard.jobs[turn.job];
-        let urgent = job.spec.priority == Priority::Production;
+        let is_production = job.spec.priority == Priority::Production;
         if !within_limit(shard, job, self.unreconciled) {
-            self.at_limit(turn, urgent);
+            self.at_limit(turn, is_production);
             return PassStep::Turn;
         }
-        if !urgent && self.limit_reserved_for.get(&job.team).is_some_and(|j| *j != turn.job) {
+        if !is_production && self.limit_reserved_for.get(&job.team).is_some_and(|j| *j != turn.job) {
             shard.others_waiting = true;
             return PassStep::Turn;
         }
         if turn.rank.0 == GROWTH_CLASS && shard.others_waiting {
             return PassStep::End;
         }
-        if !urgent && (self.candidates.is_empty() || self.unplaceable.covers(shard, job)) {
+        if !is_production && (self.candidates.is_empty() || self.unplaceable.covers(shard, job)) {
             shard.others_waiting |= turn.rank.0 != GROWTH_CLASS;
             if turn.is_initial_allocation {
                 shard.reserve_machine(turn.job, self.now);
             }
             return PassStep::Turn;
         }
-        let options = self.options(turn, urgent);
+        let options = self.options(turn, is_production);
         let shard = &mut *self.shard;
         if turn.together && !fits_at_once(shard, &shard.jobs[turn.job], &options, turn.most, self.unreconciled) {
             shard.others_waiting = true;
             return PassStep::Turn;
         }
         let before = self.starts;
-        let next = self.start_tasks(turn, urgent, &options);
+        let next = self.start_tasks(turn, is_production, &options);
         if self.starts > before {
             let shard = &*self.shard;
             self.candidates.retain(|&i| has_free_cpus(shard, &shard.machines[i], self.least_cpus));
@@ -158,9 +158,9 @@
 
     /// Handles a job whose limit lets none of its tasks start: notes a service for preemption within the limit, and
     /// reserves what is left of the limit for a large job.
-    fn at_limit(&mut self, turn: &QueuedTurn, urgent: bool) {
+    fn at_limit(&mut self, turn: &QueuedTurn, is_production: bool) {
         let shard = &mut *self.shard;
-        if urgent {
+        if is_production {
             self.services_at_limits += 1;
             // Nothing is preempted for a service that no machine could take: the preempted task would start again
             // within the limit it freed, and be preempted again.
@@ -178,7 +178,7 @@
     }
 
     /// Returns the machines that could take tasks in this turn, the best first.
-    fn options(&mut self, turn: &QueuedTurn, urgent: bool) -> Vec<(f64, MachineIndex)> {
+    fn options(&mut self, turn: &QueuedTurn, is_production: bool) -> Vec<(f64, MachineIndex)> {
         let shard = &mut *self.shard;
         shard.pairs_examined += self.candidates.len() as u64;
         let mut options = options(shard, &shard.jobs[turn.job], &self.candidates, self.now);
@@ -188,12 +188,12 @@
                 shard.reserve_machine(turn.job, self.now);
             }
         }
-        options.retain(|o| urgent || !shard.is_reserved_for_other(o.1, turn.job));
+        options.retain(|o| is_production || !shard.is_reserved_for_other(o.1, turn.job));
         options
     }
 
     /// Starts as many tasks of a job as its turn, its limits and these machines allow.
-    fn start_tasks(&mut self, turn: &QueuedTurn, urgent: bool, options: &[(f64, MachineIndex)]) -> PassStep {
+    fn start_tasks(&mut self, turn: &QueuedTurn, is_production: bool, options: &[(f64, MachineIndex)]) -> PassStep {
         let mut started = 0;
         let mut full = 0;
         while self.shard.jobs[turn.job].has_queued() && started < turn.most {
@@ -206,7 +206,7 @@
                 break;
             }
             let found = self.next_machine(turn.job, task, options, &mut full);
-            if urgent && self.waits_for_preemption(turn, found) {
+            if is_production && self.waits_for_preemption(turn, found) {
                 self.shard.others_waiting = true;
                 break;
             }
@@ -214,7 +214,7 @@
                 self.shard.others_waiting |= turn.rank.0 != GROWTH_CLASS;
                 break;
             };
-            if !self.start(turn, task, machine, urgent) {
+            if !self.start(turn, task, machine, is_production) {
                 break;
             }
             started += 1;
@@ -266,7 +266,7 @@
 
     /// Starts the first queued task of the turn's job. Returns false if the cpus set apart for late jobs don't suffice,
     /// or if the start is refused.
-    fn start(&mut self, turn: &QueuedTurn, task: u32, machine: MachineIndex, urgent: bool) -> bool {
+    fn start(&mut self, turn: &QueuedTurn, task: u32, machine: MachineIndex, is_production: bool) -> bool {
         let shard = &mut *self.shard;
         let cpus = shard.jobs[turn.job].spec.cpus;
         if turn.set_apart && shard.late_credit < cpus {
@@ -278,10 +278,10 @@
         }
         if turn.set_apart {
             shard.late_credit -= cpus;
-        } else if !urgent && turn.rank.2 == Prospect::InTime && !turn.is_initial_allocation {
+        } else if !is_production && turn.rank.2 == Prospect::InTime && !turn.is_initial_allocation {
             shard.late_credit = (shard.late_credit + cpus * LATE_SHARE).min(MAX_LATE_CREDIT);
         }
-        if !urgent {
+        if !is_production {
             shard.on_batch_task_started(cpus, turn.is_initial_allocation);
         }
         self.starts += 1;
--- a/crates/scheduler/src/shard/quotas/mod.rs
+++ b/crates/scheduler/src/shard/quotas/mod.rs
@@ -302,9 +302,9 @@
         (held, leaving)
     }
 
-    /// Preempts less important tasks for services that wait at a limit, of their team or of a level above it. Only tasks
-    /// under the same limit are preempted, for a few service tasks at a time. Each is stopped once and counts until its
-    /// end is reported.
+    /// Preempts less important tasks for services that wait at a limit, of their team or of a level above it. Only
+    /// tasks under the same limit are preempted, for a few service tasks at a time. Each is stopped once and counts
+    /// until its end is reported.
     pub(crate) fn preempt_within_limits(&mut self, waiting: &[JobIndex]) {
         if !self.state_service_writable || waiting.is_empty() {
             return;
--- a/crates/scheduler/src/shard/service_levels/mod.rs
+++ b/crates/scheduler/src/shard/service_levels/mod.rs
@@ -1,5 +1,5 @@
-//! Service levels: feeds the shard's jobs to the service-level tracker, stores its measurements for the next leader, and
-//! provides the shard's decisions with the results.
+//! Service levels: feeds the shard's jobs to the service-level tracker, stores its measurements for the next leader,
+//! and provides the shard's decisions with the results.
 //!
 //! Times in the tracker are seconds of the day, measured by the monotonic clock since this leader began.
 
@@ -157,8 +157,8 @@
         self.day_ms / 1000.0 + now
     }
 
-    /// Queues a job for the tracker, to which the next tick passes it, when the job becomes ready or when its record says
-    /// that it has ended.
+    /// Queues a job for the tracker, to which the next tick passes it, when the job becomes ready or when its record
+    /// says that it has ended.
     pub(in crate::shard) fn enqueue_tracking(&mut self, job_index: JobIndex) {
         if self.jobs[job_index].phase != Phase::Open || self.jobs.live.contains(&job_index) {
             self.service_levels.due.push(job_index);
@@ -171,9 +171,9 @@
         self.service_levels.due.retain(|d| *d != job_index);
     }
 
-    /// Returns by how many seconds a start seems later than it is: the heartbeat that reports it comes up to half a second
-    /// later, and the node that accepted the job may have another time of day. This clock difference is known for jobs
-    /// that arrived under this leader.
+    /// Returns by how many seconds a start seems later than it is: the heartbeat that reports it comes up to half a
+    /// second later, and the node that accepted the job may have another time of day. This clock difference is known
+    /// for jobs that arrived under this leader.
     fn observation_delay_s(&self, job: &Job, now: f64) -> f64 {
         let clock_difference_s = self.day_now_s(job.known_since) - job.ready_at_ms as f64 / 1000.0;
         let is_difference_known = job.known_since > self.began_at
@@ -319,7 +319,8 @@
         open.into_iter().map(|(indicator, (jobs, cpus))| (indicator, forecast(jobs, cpus))).collect()
     }
 
-    /// Records for each team, and each level of nested quotas, how much of what it asks for within its guarantee it uses.
+    /// Records for each team, and each level of nested quotas, how much of what it asks for within its guarantee it
+    /// uses.
     fn record_guarantee_use(&mut self, since: f64, t: f64) {
         let mut asked = vec![0.0; self.teams.len()];
         for &j in &self.jobs.live {
--- a/crates/scheduler/src/shard/sizing.rs
+++ b/crates/scheduler/src/shard/sizing.rs
@@ -63,7 +63,8 @@
                 continue;
             }
             let Some(ty) = self.cheapest_pool(&job.spec) else { continue };
-            // Elastic jobs count with their smallest size: they grow only into idle capacity, and nothing is rented for it.
+            // Elastic jobs count with their smallest size: they grow only into idle capacity, and nothing is rented for
+            // it.
             let smallest = self.elastic_sizes(j).map_or(u32::MAX, |sizes| sizes.smallest);
             let mut tasks = f64::from(job.wanted_tasks().min(smallest));
             let left = &mut cpus_left[job.team.as_usize()];
@@ -81,9 +82,9 @@
 
     /// Updates the wanted size of each pool, and rents, uncordons or cordons machines to reach it.
     pub(super) fn size_fleet(&mut self, now: f64) {
-        // A new leader waits for the machines' heartbeats. Before, finished work whose end isn't stored still looks like
-        // demand, and the tasks on silent machines are unknown. Sizing by that would rent half the fleet a second time
-        // and keep it for `hold_s`.
+        // A new leader waits for the machines' heartbeats. Before, finished work whose end isn't stored still looks
+        // like demand, and the tasks on silent machines are unknown. Sizing by that would rent half the fleet a second
+        // time and keep it for `hold_s`.
         let heartbeats_gathered = self.heartbeats_gathered(now);
         let demand = if heartbeats_gathered { self.demand() } else { HashMap::new() };
         let types: Vec<TypeIndex> = if heartbeats_gathered { self.pools.keys().copied().collect() } else { Vec::new() };
@@ -117,8 +118,8 @@
             let on_demand_wanted = mix.base + mix.on_demand_fallback;
             self.adjust_pool((ty, false), on_demand_wanted, on_demand_now, on_demand_pending, &zone_pinned, now);
         }
-        // Nothing is evicted while the state service can't be written: the replica could not start elsewhere, since that
-        // requires the new machine's record to be stored first.
+        // Nothing is evicted while the state service can't be written: the replica could not start elsewhere, since
+        // that requires the new machine's record to be stored first.
         if self.state_service_writable && now - self.evicted_at >= EVICTION_INTERVAL_S {
             self.evicted_at = now;
             self.evict_services(now);
@@ -171,9 +172,10 @@
                 self.rent(ty, spot, short, now);
             }
         } else if present > wanted {
-            // Cordons machines in this order: those still booting, the latest first, then those with the fewest services
-            // and the fewest cpus used. Machines stay in zones where work waits that may run nowhere else. The on-demand
-            // base stays too; otherwise a fall in batch demand could move all services to machines without their images.
+            // Cordons machines in this order: those still booting, the latest first, then those with the fewest
+            // services and the fewest cpus used. Machines stay in zones where work waits that may run nowhere else. The
+            // on-demand base stays too; otherwise a fall in batch demand could move all services to machines without
+            // their images.
             let mut surplus: Vec<(bool, usize, f64, MachineIndex)> = self
                 .machines
                 .iter()
--- a/crates/scheduler/src/times.rs
+++ b/crates/scheduler/src/times.rs
@@ -1,7 +1,7 @@
-//! How far clocks may be trusted.
+//! Safety margins for clock drift.
 
-/// Steady clocks of two machines drift apart by up to 0.05%; safety waits are
-/// stretched by twice that, plus a margin for the steps of timers.
-pub fn with_clock_margin(s: f64) -> f64 {
-    s * 1.001 + 0.25
+/// Returns a safety wait in seconds with a margin for clock drift. The monotonic clocks of two machines drift apart by
+/// up to 0.05%; the wait is lengthened by twice that, and by 0.25 s for timer granularity.
+pub fn with_clock_margin(wait_s: f64) -> f64 {
+    wait_s * 1.001 + 0.25
 }
