--- a/crates/scheduler/src/lib.rs
+++ b/crates/scheduler/src/lib.rs
@@ -1,7 +1,7 @@
 //! The scheduling decisions of a controller, without I/O and clocks: events come in with the current time, and the
 //! results are writes, commands and cloud calls that the caller carries out.
 //!
-//! - [`params`]: settings
+//! - [`params`]: the settings that a shard needs
 //! - [`intern`]: interned names and tables by index
 //! - [`election`]: leader election, and when a controller may act as leader
 //! - [`jobs`], [`dependency_graph`]: submitted jobs, and which jobs wait for which
--- a/crates/scheduler/src/shard/service_levels/mod.rs
+++ b/crates/scheduler/src/shard/service_levels/mod.rs
@@ -41,9 +41,9 @@
 /// Seconds between rounds of storing the measurements without spare writes.
 const MAX_REPORT_INTERVAL_S: f64 = 15.0;
 
-/// Returns the key of a part of the measurements in a slot.
-fn part_key(slot: u8, part: usize) -> String {
-    format!("{ACCOUNTS_PREFIX}{slot}/{part}")
+/// Returns the key of part `n` of the measurements in the slot `place`.
+fn part_key(place: u8, n: usize) -> String {
+    format!("{ACCOUNTS_PREFIX}{place}/{n}")
 }
 
 /// Most machines boot within this multiple of their type's usual boot time.
@@ -54,6 +54,7 @@
 pub(in crate::shard) struct ServiceLevelReporter {
     /// Jobs to pass to the tracker at the next tick: they became ready, or ended before they were tracked.
     due: Vec<JobIndex>,
+    /// When the service levels were last evaluated, in seconds.
     evaluated_at: f64,
     arrivals: Arrivals,
     /// The fencing token of the leader that began these measurements.
@@ -62,6 +63,7 @@
     round: u64,
     /// The slot of the last round that is stored completely.
     slot: u8,
+    /// When the current round was begun, in seconds.
     reported_at: f64,
     /// Parts of the current round that are not sent yet.
     to_send: VecDeque<(String, Part)>,
@@ -100,7 +102,7 @@
                 slots.push((part.round(), slot));
                 parts.push(part);
             }
-            Err(e) => log::error!("stored service levels unreadable error={e}"),
+            Err(e) => log::error!("stored service levels cannot be read slot={slot} error={e}"),
         }
     }
     let totals = newest_complete_round(parts)?;
@@ -121,9 +123,9 @@
     /// Returns the next write of the measurements for the next leader, if one is due. A part that can't be stored
     /// invalidates its round only: the previous round is in the other slot.
     pub(in crate::shard) fn service_levels_write(&mut self, spare: bool, now: f64) -> Option<PendingWrite> {
-        let waited = now - self.service_levels.reported_at;
-        let due = waited >= if spare { REPORT_INTERVAL_S } else { MAX_REPORT_INTERVAL_S };
-        if due && self.service_levels.to_send.is_empty() && self.heartbeats_gathered(now) {
+        let waited_s = now - self.service_levels.reported_at;
+        let is_due = waited_s >= if spare { REPORT_INTERVAL_S } else { MAX_REPORT_INTERVAL_S };
+        if is_due && self.service_levels.to_send.is_empty() && self.heartbeats_gathered(now) {
             let t = self.day_now_s(now);
             let reporter = &mut self.service_levels;
             (reporter.reported_at, reporter.round) = (now, reporter.round + 1);
@@ -195,8 +197,8 @@
             self.service_levels.arrivals.record(self.jobs[job_index].accepted_at_ms as f64 / 1000.0);
         let job = &self.jobs[job_index];
         let spec = &job.spec;
-        let (from, submitted) = (job.ready_at_ms as f64 / 1000.0, job.accepted_at_ms as f64 / 1000.0);
-        let began = self.day_now_s(self.began_at);
+        let (ready_at, submitted) = (job.ready_at_ms as f64 / 1000.0, job.accepted_at_ms as f64 / 1000.0);
+        let leader_began = self.day_now_s(self.began_at);
         // Before a job's first start, the record of the machine that may hold it is stored with the job's name.
         let may_have_run = job.unreconciled_machines > 0
             || job.done > 0
@@ -204,19 +206,19 @@
         let delay_s = self.observation_delay_s(job, now);
         // In a new cluster, machines have to be rented and booted before the first job can start.
         let boot_time_s = self.types.list.iter().map(|t| t.boot_s).fold(0.0, f64::max) * BOOT_TIME_MARGIN;
-        let waits_from = if self.is_first_leader { began + boot_time_s + self.report_s } else { 0.0 };
+        let waits_from = if self.is_first_leader { leader_began + boot_time_s + self.report_s } else { 0.0 };
         let entry = Entry {
             class: &spec.class,
             team: &spec.team,
             service: job.is_service(),
             tasks: spec.tasks.min(self.max_concurrent_tasks(job)).max(1),
-            from: from + delay_s,
+            from: ready_at + delay_s,
             waits_from,
             may_have_waited_s,
             submitted: submitted + delay_s,
             deadline_s: spec.deadline_s,
-            may_have_started: submitted < began && may_have_run,
-            seen_from: if submitted < began { began + self.heartbeat_timeout_s() } else { from },
+            may_have_started: submitted < leader_began && may_have_run,
+            seen_from: if submitted < leader_began { leader_began + self.heartbeat_timeout_s() } else { ready_at },
         };
         let end = match job.phase {
             Phase::Done => End::Done,
@@ -224,8 +226,8 @@
             Phase::Open => {
                 let to_ms = |s: f64| (s * 1000.0) as u64;
                 let objectives = self.service_level_tracker.objectives(&spec.class).filter(|_| !entry.service);
-                let until = objectives.and_then(|o| o.latest(submitted, from, spec.deadline_s)).map(to_ms);
-                let useful = objectives.and_then(|o| o.last(submitted, from, spec.deadline_s)).map(to_ms);
+                let until = objectives.and_then(|o| o.latest(submitted, ready_at, spec.deadline_s)).map(to_ms);
+                let useful = objectives.and_then(|o| o.last(submitted, ready_at, spec.deadline_s)).map(to_ms);
                 let tasks = job.progress();
                 let ticket = self.service_level_tracker.track(&entry, t);
                 self.service_level_tracker.on_progress(ticket, tasks, t);
