--- a/crates/scheduler/src/shard/placement/pass.rs
+++ b/crates/scheduler/src/shard/placement/pass.rs
@@ -131,11 +131,11 @@
             shard.others_waiting = true;
             return PassStep::Turn;
         }
-        if turn.rank.0 == GROWTH_CLASS && shard.others_waiting {
+        if turn.rank.class == GROWTH_CLASS && shard.others_waiting {
             return PassStep::End;
         }
         if !is_production && (self.candidates.is_empty() || self.unplaceable.covers(shard, job)) {
-            shard.others_waiting |= turn.rank.0 != GROWTH_CLASS;
+            shard.others_waiting |= turn.rank.class != GROWTH_CLASS;
             if turn.is_initial_allocation {
                 shard.reserve_machine(turn.job, self.now);
             }
@@ -211,7 +211,7 @@
                 break;
             }
             let Some(machine) = found else {
-                self.shard.others_waiting |= turn.rank.0 != GROWTH_CLASS;
+                self.shard.others_waiting |= turn.rank.class != GROWTH_CLASS;
                 break;
             };
             if !self.start(turn, task, machine, is_production) {
@@ -278,7 +278,7 @@
         }
         if turn.set_apart {
             shard.late_credit -= cpus;
-        } else if !is_production && turn.rank.2 == Prospect::InTime && !turn.is_initial_allocation {
+        } else if !is_production && turn.rank.prospect == Prospect::InTime && !turn.is_initial_allocation {
             shard.late_credit = (shard.late_credit + cpus * LATE_SHARE).min(MAX_LATE_CREDIT);
         }
         if !is_production {
--- a/crates/scheduler/src/shard/placement/queue_order.rs
+++ b/crates/scheduler/src/shard/placement/queue_order.rs
@@ -6,16 +6,31 @@
 use crate::wire::Priority;
 use std::collections::{HashSet, VecDeque};
 
-/// The class of work that borrows quota: after services (0) and work within its team's guarantee (1).
+/// The class of services, which go first.
+const SERVICE_CLASS: u8 = 0;
+/// The class of work within its team's guarantee.
+const GUARANTEED_CLASS: u8 = 1;
+/// The class of work that borrows quota.
 const BORROWING_CLASS: u8 = 2;
 /// The last class: elastic jobs that grow into idle capacity.
 pub(super) const GROWTH_CLASS: u8 = 3;
 /// Most large jobs that start their first task in one pass beyond the capacity set apart for large jobs.
 const MAX_LARGE_JOBS_BEGUN: usize = 24;
 
-/// The sort key of a turn, lowest first: class, distance of the quota lender, prospect, priority, share already
-/// borrowed of that lender's quota, effective deadline (ms).
-pub(super) type Rank = (u8, u8, Prospect, Priority, u16, u64);
+/// The sort key of a turn; the lowest goes first. The order of the fields is the order of comparison.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct Rank {
+    /// One of the classes above, such as [`GROWTH_CLASS`].
+    pub(super) class: u8,
+    /// How many levels up the lender of the next task's quota is.
+    lender_distance: u8,
+    pub(super) prospect: Prospect,
+    priority: Priority,
+    /// How much of that lender's quota is borrowed, in twentieths.
+    borrowed_share: u16,
+    /// The effective deadline in milliseconds of the day; for initial allocations, when the job became ready.
+    deadline_ms: u64,
+}
 
 /// One job's turn in a placement pass.
 #[derive(Clone, Copy)]
@@ -87,9 +102,9 @@
 /// Returns the rank of a job's turn.
 fn rank(shard: &Shard, job: &Job, guaranteed: bool, prospect: Prospect, deadline_ms: u64) -> Rank {
     let class = if job.spec.priority == Priority::Production {
-        0
+        SERVICE_CLASS
     } else if guaranteed {
-        1
+        GUARANTEED_CLASS
     } else {
         BORROWING_CLASS
     };
@@ -100,8 +115,8 @@
         priority = priority.min(Priority::High);
     }
     // Among jobs that borrow quota, those that borrow from a sibling go before those that borrow from further away.
-    let (distance, share) = if class == BORROWING_CLASS { shard.borrowing(job) } else { (0, 0) };
-    (class, distance, prospect, priority, share, deadline_ms)
+    let (lender_distance, borrowed_share) = if class == BORROWING_CLASS { shard.borrowing(job) } else { (0, 0) };
+    Rank { class, lender_distance, prospect, priority, borrowed_share, deadline_ms }
 }
 
 /// Adds a turn for the tasks that the job wants, and one for those by which it may grow.
@@ -122,7 +137,7 @@
         });
     }
     if growth > 0 {
-        let rank = (GROWTH_CLASS, rank.1, rank.2, rank.3, rank.4, rank.5);
+        let rank = Rank { class: GROWTH_CLASS, ..rank };
         turns.push(QueuedTurn {
             job: job.index,
             rank,
@@ -137,8 +152,15 @@
 /// Adds turns that give large jobs which have waited an initial allocation before other batch work, the oldest first.
 fn add_initial_allocations(shard: &Shard, turns: &mut Vec<QueuedTurn>, now_ms: u64) {
     let initial_turn = |t: &QueuedTurn| {
-        let n = shard.initial_allocation(t.job, now_ms).filter(|_| t.rank.0 < GROWTH_CLASS && !t.together)?;
-        let rank = (1, 0, Prospect::InTime, Priority::Production, 0, shard.jobs[t.job].ready_at_ms);
+        let n = shard.initial_allocation(t.job, now_ms).filter(|_| t.rank.class < GROWTH_CLASS && !t.together)?;
+        let rank = Rank {
+            class: GUARANTEED_CLASS,
+            lender_distance: 0,
+            prospect: Prospect::InTime,
+            priority: Priority::Production,
+            borrowed_share: 0,
+            deadline_ms: shard.jobs[t.job].ready_at_ms,
+        };
         Some(QueuedTurn { rank, most: n.min(t.most), is_initial_allocation: true, ..*t })
     };
     let mut initial_turns: Vec<QueuedTurn> = turns.iter().filter_map(initial_turn).collect();
@@ -173,12 +195,12 @@
 /// Adds a turn for the oldest late job that borrows quota, if the cpus set apart for such jobs suffice for a task. They
 /// rank after all jobs that can still be in time, and would starve without this.
 fn add_late_turn(shard: &mut Shard, turns: &mut Vec<QueuedTurn>) {
-    let late = |t: &&QueuedTurn| t.rank.0 == BORROWING_CLASS && t.rank.2 != Prospect::InTime;
+    let late = |t: &&QueuedTurn| t.rank.class == BORROWING_CLASS && t.rank.prospect != Prospect::InTime;
     let oldest = turns.iter().filter(late).min_by_key(|t| (shard.jobs[t.job].ready_at_ms, t.job)).copied();
     match oldest {
         None => shard.late_credit = 0.0,
         Some(t) if shard.late_credit >= shard.jobs[t.job].spec.cpus => {
-            let at = turns.partition_point(|t| t.rank.0 < BORROWING_CLASS);
+            let at = turns.partition_point(|t| t.rank.class < BORROWING_CLASS);
             turns.insert(at, QueuedTurn { set_apart: true, ..t });
         }
         Some(_) => {}
@@ -188,11 +210,12 @@
 /// Returns the turn with its rank taken anew if other turns now go before it. Each task that a job borrows may raise
 /// the distance of its lender or the share borrowed, so that jobs with a nearer lender or a smaller share come first.
 pub(super) fn requeue_behind(shard: &Shard, turn: &QueuedTurn, others: &VecDeque<QueuedTurn>) -> Option<QueuedTurn> {
-    let (class, distance, prospect, priority, share, deadline_ms) = turn.rank;
-    if class != BORROWING_CLASS || turn.set_apart {
+    let rank = turn.rank;
+    if rank.class != BORROWING_CLASS || turn.set_apart {
         return None;
     }
     let current = shard.borrowing(&shard.jobs[turn.job]);
-    let later = QueuedTurn { rank: (class, current.0, prospect, priority, current.1, deadline_ms), ..*turn };
-    (current > (distance, share) && others.front().is_some_and(|o| o.rank < later.rank)).then_some(later)
+    let later = QueuedTurn { rank: Rank { lender_distance: current.0, borrowed_share: current.1, ..rank }, ..*turn };
+    (current > (rank.lender_distance, rank.borrowed_share) && others.front().is_some_and(|o| o.rank < later.rank))
+        .then_some(later)
 }
--- a/crates/scheduler/src/shard/summary.rs
+++ b/crates/scheduler/src/shard/summary.rs
@@ -18,13 +18,13 @@
     pub progress: u64,
     pub checkpoint: u64,
     pub other_writes: u64,
-    /// Commands that were not sent, because their reason no longer held when they were to be sent.
+    /// Pushes that were not sent, because the reason for their commands no longer held when they were to be sent.
     pub withheld: u64,
     /// Starts that a final check refused because they would break a rule; each one is a bug in the scheduler.
     pub forbidden: u64,
     /// Attempts started by earlier leaders that continue under this one.
     pub adopted: u64,
-    /// Attempts without an assignment that were stopped.
+    /// Attempts started by earlier leaders that were not adopted and had to stop.
     pub orphaned: u64,
 }
 
