--- a/crates/scheduler/src/fleet/machines.rs
+++ b/crates/scheduler/src/fleet/machines.rs
@@ -1,14 +1,14 @@
 //! All machines of a shard, and the order in which commands are pushed to them.
 
 use super::Machine;
-use crate::intern::{DenseIndex, MachineIndex, Pages, TypeIndex, ZoneIndex};
+use crate::intern::{DenseIndex, MachineIndex, PagedTable, TypeIndex, ZoneIndex};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
 
 /// All machines by index. Deleted ones are kept for some time, so that late heartbeats of them are recognized.
 #[derive(Debug, Default)]
 pub struct Machines {
-    pub list: Pages<MachineIndex, Machine>,
+    pub list: PagedTable<MachineIndex, Machine>,
     by_name: HashMap<Arc<str>, MachineIndex>,
     /// Machines that are not gone.
     pub present: BTreeSet<MachineIndex>,
--- a/crates/scheduler/src/shard/heartbeats.rs
+++ b/crates/scheduler/src/shard/heartbeats.rs
@@ -61,7 +61,7 @@
     /// tasks on this machine: freed capacity is used by the next tick, for all heartbeats in between together. With
     /// placement in every heartbeat, a few hundred machines took up the whole processor.
     pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat, now: f64) -> HeartbeatOutcome {
-        self.counts.reports += 1;
+        self.counts.heartbeats += 1;
         match self.reconcile_heartbeat(heartbeat, HeartbeatSource::Heartbeat, now) {
             Ok(machine_index) => {
                 let commands = self.heartbeat_commands(machine_index, heartbeat, now);
@@ -189,7 +189,7 @@
             && !machine.known_only_from_old_heartbeats
             && let Some(pool) = self.pools.get_mut(&machine.type_index)
         {
-            pool.zones.ready(machine.zone);
+            pool.zones.on_machine_ready(machine.zone);
         }
     }
 
--- a/crates/scheduler/src/shard/mod.rs
+++ b/crates/scheduler/src/shard/mod.rs
@@ -260,7 +260,7 @@
         self.checkpoint_job(job_index, now);
         self.track_elastic_job(job_index);
         self.register_dependencies(job_index, now);
-        self.track_later(job_index);
+        self.enqueue_tracking(job_index);
         self.resolve_unrecognized_job(job_index, now);
         Some(job_index)
     }
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -179,7 +179,7 @@
             machine_types: Mutex::default(),
             final_statuses: Mutex::new(LruCache::new(CACHED_JOBS)),
             accepted_jobs: Mutex::new(LruCache::new(CACHED_JOBS)),
-            ingress: Mutex::new(ServiceLevelTracker::new(settings.terms.clone())),
+            ingress: Mutex::new(ServiceLevelTracker::new(settings.objectives.clone())),
             state_responded_at: Mutex::new(-100.0),
             health: Mutex::default(),
             stored_types: Mutex::default(),
