--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -12,7 +12,7 @@
 use crate::job_status::Lookup;
 use crate::node::Node;
 use crate::peer::Verb;
-use crate::responses::{about_answer, report_answer, unavailable};
+use crate::responses::{heartbeat_response, lookup_response, unavailable};
 use crate::shard::{HeartbeatOutcome, Shard};
 use crate::state::RequestPriority;
 use lupinspur_service_levels::Reading;
@@ -54,7 +54,7 @@
         if matches!(outcome, Some(HeartbeatOutcome::Reply(_))) {
             shard.wake();
         }
-        report_answer(outcome, shard.lease_valid_until(), || shard.redirect_target(now))
+        heartbeat_response(outcome, shard.lease_valid_until(), || shard.redirect_target(now))
     }
 
     async fn handle_submission(&self, body: &[u8]) -> Outgoing {
@@ -76,7 +76,7 @@
             self.count_cancellation(id, lookup, received_at);
         }
         log::debug!("job request answered verb={verb:?} job={id} lookup={lookup:?}");
-        about_answer(verb, id, lookup, self.leader_lease_valid_until(id))
+        lookup_response(verb, id, lookup, self.leader_lease_valid_until(id))
     }
 
     /// Counts a cancellation for the job's class and team, which only the job's leader knows.
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -8,7 +8,7 @@
 use crate::jobs::{JobRecord, RECORD_GROWS_BY, job_key};
 use crate::node::{Node, ShardRuntime};
 use crate::peer::Verb;
-use crate::responses::{job_answer, resubmission_answer, status_from_record, unavailable};
+use crate::responses::{job_response, resubmission_response, status_from_record, unavailable};
 use crate::shard::{AdmissionError, Shard, check_admission};
 use crate::state::{COMMIT_TIMEOUT, CompareAndSwap, RequestPriority, StateError};
 use crate::wire::{Compare, JobRequest, JobState, Kind, Mutation};
@@ -92,9 +92,9 @@
     async fn answer_if_known(&self, id: &str, now: f64) -> Option<Outgoing> {
         if let Some(shard) = self.shard_knowing_job(id, now) {
             let lookup = shard.look_up_as_leader(Verb::Show, id).await;
-            return Some(resubmission_answer(id, lookup, shard.lease_valid_until()));
+            return Some(resubmission_response(id, lookup, shard.lease_valid_until()));
         }
-        self.known_end(id).map(|status| job_answer(200, id, status, false))
+        self.known_end(id).map(|status| job_response(200, id, status, false))
     }
 
     /// Checks whether the job can ever run, and makes the record of its acceptance.
@@ -173,7 +173,7 @@
         if shard.and_then(|shard| shard.with_shard(now, add_job)).flatten().is_some() {
             self.wake();
         }
-        job_answer(201, acceptance.id(), JobStatus { state: JobState::Queued, done: 0, running: 0 }, false)
+        job_response(201, acceptance.id(), JobStatus { state: JobState::Queued, done: 0, running: 0 }, false)
     }
 
     /// The answer to a submission of a job that is stored.
@@ -186,7 +186,7 @@
                 _ => Lookup::Unavailable,
             };
         }
-        resubmission_answer(id, lookup, self.leader_lease_valid_until(id))
+        resubmission_response(id, lookup, self.leader_lease_valid_until(id))
     }
 
     /// Refuses a submission that can never run, unless it was accepted already: then a repetition
--- a/src/health.rs
+++ b/src/health.rs
@@ -25,7 +25,7 @@
 impl Health {
     /// Can this node take requests? `can_decide`: it has what every decision needs; `is_leader`: it need ask nobody;
     /// `state_answered_at`: when the state service last answered it. Times are seconds of the steady clock.
-    pub fn says(&mut self, can_decide: bool, is_leader: bool, state_answered_at: f64, now: f64) -> bool {
+    pub fn check(&mut self, can_decide: bool, is_leader: bool, state_answered_at: f64, now: f64) -> bool {
         while self.refused_at.front().is_some_and(|refused_at| now - refused_at > REMOVAL_WINDOW_S) {
             self.refused_at.pop_front();
         }
--- a/src/health/tests.rs
+++ b/src/health/tests.rs
@@ -12,7 +12,7 @@
         if now % 10.0 < 4.0 {
             answered = now;
         }
-        let yes = h.says(true, false, answered, now);
+        let yes = h.check(true, false, answered, now);
         if said && !yes {
             removals.push(now);
         }
@@ -21,7 +21,7 @@
     assert!(!removals.is_empty(), "a node that is refused says so");
     let most = removals.iter().map(|t| removals.iter().filter(|o| (*t..t + 120.0).contains(*o)).count()).max();
     assert!(most <= Some(3), "{most:?} removals within two minutes: {removals:?}");
-    assert!(!h.says(true, false, answered, answered + MAX_GRACE_S + 0.1), "not for ever");
-    assert!(h.says(true, true, 0.0, 500.0), "an owner need ask nobody");
-    assert!(!h.says(false, false, 500.0, 500.0), "without the machine types nothing can be judged");
+    assert!(!h.check(true, false, answered, answered + MAX_GRACE_S + 0.1), "not for ever");
+    assert!(h.check(true, true, 0.0, 500.0), "an owner need ask nobody");
+    assert!(!h.check(false, false, 500.0, 500.0), "without the machine types nothing can be judged");
 }
--- a/src/http/admission.rs
+++ b/src/http/admission.rs
@@ -70,7 +70,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestKind {
     /// A machine's report.
-    Report,
+    Heartbeat,
     /// A question for a job's state: it comes again anyway.
     Poll,
     /// Another request of a user.
@@ -82,7 +82,7 @@
 impl RequestKind {
     pub(super) fn of(method: Method, path: &str) -> RequestKind {
         match path {
-            crate::wire::REPORT_PATH => RequestKind::Report,
+            crate::wire::REPORT_PATH => RequestKind::Heartbeat,
             crate::wire::HEALTH_PATH => RequestKind::Health,
             _ if method == Method::Get => RequestKind::Poll,
             _ => RequestKind::User,
@@ -90,9 +90,9 @@
     }
 
     /// How long the peer waits for an answer, by the protocol, in seconds.
-    pub(super) fn patience_s(self) -> f64 {
+    pub(super) fn response_timeout_s(self) -> f64 {
         match self {
-            RequestKind::Report => 4.0,
+            RequestKind::Heartbeat => 4.0,
             RequestKind::Poll => 2.0,
             RequestKind::User => 5.0,
             RequestKind::Health => 1.0,
@@ -130,7 +130,7 @@
     /// Is a request of this kind refused now?
     pub(super) fn refuses(&self, kind: RequestKind) -> bool {
         let refused = match kind {
-            RequestKind::Report | RequestKind::Health => false,
+            RequestKind::Heartbeat | RequestKind::Health => false,
             RequestKind::Poll => self.shortage() >= Shortage::NoPolls,
             RequestKind::User => self.shortage() >= Shortage::NoUsers,
         };
@@ -142,6 +142,6 @@
 
     /// Is a connection given back after the answer to such a request?
     pub(super) fn closes_after(&self, kind: RequestKind) -> bool {
-        self.shortage() >= if kind == RequestKind::Report { Shortage::NoUsers } else { Shortage::CloseAfterAnswer }
+        self.shortage() >= if kind == RequestKind::Heartbeat { Shortage::NoUsers } else { Shortage::CloseAfterAnswer }
     }
 }
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -17,23 +17,23 @@
     pub retry_after_s: Option<u32>,
     /// Until when this may be sent, in seconds of the steady clock; a pause may lie between its making and
     /// its sending.
-    pub good_until: Option<f64>,
+    pub valid_until: Option<f64>,
 }
 
 impl Outgoing {
     /// An answer with this value as its body.
     pub fn json(status: u16, value: &impl serde::Serialize) -> Outgoing {
-        Outgoing { status, body: serde_json::to_vec(value).unwrap_or_default(), retry_after_s: None, good_until: None }
+        Outgoing { status, body: serde_json::to_vec(value).unwrap_or_default(), retry_after_s: None, valid_until: None }
     }
 
     /// The same, to be sent only until then; none: at any time.
-    pub fn until(self, good_until: Option<f64>) -> Outgoing {
-        Outgoing { good_until, ..self }
+    pub fn valid_until(self, valid_until: Option<f64>) -> Outgoing {
+        Outgoing { valid_until, ..self }
     }
 
     /// What is sent at this moment: 503 in place of an answer that is no longer valid.
-    pub(super) fn now(self, now: f64) -> Outgoing {
-        if self.good_until.is_some_and(|good_until| now >= good_until) {
+    pub(super) fn unless_expired(self, now: f64) -> Outgoing {
+        if self.valid_until.is_some_and(|valid_until| now >= valid_until) {
             Outgoing::error(503, "not able to act now")
         } else {
             self
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -148,7 +148,7 @@
             return refuse_unread(&conn, 503, "too much at once", method).await;
         };
         let kind = RequestKind::of(method, request.head.url().path());
-        is_machine = kind == RequestKind::Report;
+        is_machine = kind == RequestKind::Heartbeat;
         if admission.refuses(kind) {
             return refuse(&conn, 503, "connections run short", method).await;
         }
@@ -180,10 +180,10 @@
     // After a pause of this process the clock has run on: the peer has given up and asks
     // elsewhere, and what the answer rests on may be over.
     let now = clock::now();
-    if now - read_at > kind.patience_s() {
+    if now - read_at > kind.response_timeout_s() {
         return None;
     }
-    Some(answer.now(now))
+    Some(answer.unless_expired(now))
 }
 
 /// Connections stay where they are: a user whose question this node could not answer would ask
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -84,10 +84,10 @@
     let handler = |req: Incoming| async move {
         if req.method == Method::Post {
             // Its lease was over a moment ago.
-            return Outgoing::json(200, &1).until(Some(clock::now()));
+            return Outgoing::json(200, &1).valid_until(Some(clock::now()));
         }
         Timer::after(Duration::from_millis(1100)).await;
-        Outgoing::json(200, &1).until(Some(clock::now() + 1.0))
+        Outgoing::json(200, &1).valid_until(Some(clock::now() + 1.0))
     };
     let bounds = Bounds { connections: 8, body_bytes: 1 << 20 };
     EX.spawn(serve(&EX, listener, bounds, Arc::new(handler))).detach();
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -169,7 +169,7 @@
             machine_types: Mutex::default(),
             known_ends: Mutex::new(LruCache::new(CACHED_JOBS)),
             accepted_jobs: Mutex::new(LruCache::new(CACHED_JOBS)),
-            ingress: Mutex::new(ServiceLevelTracker::new(settings.terms.clone())),
+            ingress: Mutex::new(ServiceLevelTracker::new(settings.objectives.clone())),
             state_answered_at: Mutex::new(-100.0),
             health: Mutex::default(),
             types_stored: Mutex::default(),
@@ -236,7 +236,7 @@
         let now = clock::now();
         let (knows_types, leads) = (!lock(&self.machine_types).is_empty(), self.leads_any_shard(now));
         let answered = *lock(&self.state_answered_at);
-        lock(&self.health).says(knows_types, leads, answered, now)
+        lock(&self.health).check(knows_types, leads, answered, now)
     }
 
     /// The status of a job that is over. Final states never change: any node may answer with them once it has
--- a/src/responses.rs
+++ b/src/responses.rs
@@ -14,7 +14,7 @@
 }
 
 /// A job as its user sees it; `counts`: with how many tasks are done and running.
-pub fn job_answer(status: u16, id: &str, job: JobStatus, counts: bool) -> Outgoing {
+pub fn job_response(status: u16, id: &str, job: JobStatus, counts: bool) -> Outgoing {
     let count = |tasks| counts.then_some(tasks);
     let answer = JobAnswer { id, state: job.state, done: count(job.done), running: count(job.running) };
     Outgoing::json(status, &answer)
@@ -23,12 +23,12 @@
 /// What is known of a job. What may yet change is sent only until `lease_valid_until`, the end of this
 /// controller's lease if it leads the job's shard; final states never change.
 fn known_answer(id: &str, job: JobStatus, counts: bool, lease_valid_until: Option<f64>) -> Outgoing {
-    let answer = job_answer(200, id, job, counts);
-    if job.is_final() { answer } else { answer.until(lease_valid_until) }
+    let answer = job_response(200, id, job, counts);
+    if job.is_final() { answer } else { answer.valid_until(lease_valid_until) }
 }
 
 /// The answer to a question or a cancellation.
-pub fn about_answer(verb: Verb, id: &str, lookup: Lookup, lease_valid_until: Option<f64>) -> Outgoing {
+pub fn lookup_response(verb: Verb, id: &str, lookup: Lookup, lease_valid_until: Option<f64>) -> Outgoing {
     match lookup {
         Lookup::Known(job) => known_answer(id, job, verb == Verb::Show, lease_valid_until),
         Lookup::Absent => Outgoing::error(404, "no such job"),
@@ -37,7 +37,7 @@
 }
 
 /// The answer to a submission of a job that was accepted before.
-pub fn resubmission_answer(id: &str, lookup: Lookup, lease_valid_until: Option<f64>) -> Outgoing {
+pub fn resubmission_response(id: &str, lookup: Lookup, lease_valid_until: Option<f64>) -> Outgoing {
     match lookup {
         Lookup::Known(job) => known_answer(id, job, false, lease_valid_until),
         Lookup::Absent | Lookup::Unavailable => unavailable(),
@@ -47,13 +47,13 @@
 /// The answer to a worker's heartbeat. `outcome`: what the shard makes of it, none where this controller may not
 /// act; `lease_valid_until`: the end of its lease, after which the answer is not sent any more; `leader`: the
 /// controller to report to instead, looked up only where this one does not take the heartbeat.
-pub fn report_answer(
+pub fn heartbeat_response(
     outcome: Option<HeartbeatOutcome>,
     lease_valid_until: Option<f64>,
     leader: impl FnOnce() -> Option<String>,
 ) -> Outgoing {
     match outcome {
-        Some(HeartbeatOutcome::Reply(reply)) => Outgoing::json(200, &reply).until(lease_valid_until),
+        Some(HeartbeatOutcome::Reply(reply)) => Outgoing::json(200, &reply).valid_until(lease_valid_until),
         Some(HeartbeatOutcome::Stale) => unavailable(),
         Some(HeartbeatOutcome::Superseded) | None => match leader() {
             Some(node) => Outgoing::json(421, &Redirect { report_to: Some(node) }),
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -26,7 +26,7 @@
 /// The state service's limits from some moment on, which comes without notice. What the
 /// platform does not name stays as it is.
 #[derive(Debug, Clone)]
-pub struct StateNext {
+pub struct StateLimits {
     pub rps: f64,
     pub write_rps: f64,
     pub value_kb: f64,
@@ -47,7 +47,7 @@
     pub zones: Vec<String>,
     pub teams: Vec<Team>,
     /// What each class of jobs is promised.
-    pub terms: HashMap<String, ServiceLevelObjectives>,
+    pub objectives: HashMap<String, ServiceLevelObjectives>,
     pub report_s: f64,
     pub lease_s: f64,
     pub cancel_s: f64,
@@ -55,7 +55,7 @@
     pub write_rps: f64,
     pub value_kb: f64,
     pub txn_ops: usize,
-    pub state_next: StateNext,
+    pub state_next: StateLimits,
     /// Seconds by which the time of day of any controller may be wrong.
     pub time_bound_s: f64,
     pub cloud_rps: f64,
@@ -94,7 +94,7 @@
         Params {
             teams: self.teams.clone(),
             zones: self.zones.clone(),
-            terms: self.terms.clone(),
+            terms: self.objectives.clone(),
             report_s: self.report_s,
             lease_s: self.lease_s,
             cancel_s: self.cancel_s,
@@ -116,7 +116,7 @@
     }
 
     /// What every transaction fits.
-    pub fn least_txn_ops(&self) -> usize {
+    pub fn min_txn_ops(&self) -> usize {
         self.txn_ops.min(self.state_next.txn_ops)
     }
 
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -1,6 +1,6 @@
 //! Parses and checks the text of the settings file, section by section. Reads no file.
 
-use super::{Peer, Settings, SettingsError, StateNext, Team, WrongValue};
+use super::{Peer, Settings, SettingsError, StateLimits, Team, WrongValue};
 use crate::wire;
 use lupinspur_service_levels::{CompletionObjective, ServiceLevelObjectives};
 use std::collections::HashMap;
@@ -36,7 +36,7 @@
         state: address("services.state", &file.services.state)?,
         zones: params.zones,
         teams,
-        terms: objectives(&params.objectives)?,
+        objectives: objectives(&params.objectives)?,
         report_s: positive("cluster.workers.report_s", params.workers.report_s)?,
         lease_s: positive("cluster.workers.lease_s", params.workers.lease_s)?,
         cancel_s: positive("cluster.workers.cancel_s", params.workers.cancel_s)?,
@@ -96,8 +96,8 @@
 }
 
 /// The state service's limits of today.
-fn state_limits(state: &wire::SettingsState) -> Result<StateNext, SettingsError> {
-    Ok(StateNext {
+fn state_limits(state: &wire::SettingsState) -> Result<StateLimits, SettingsError> {
+    Ok(StateLimits {
         value_kb: value_limit("cluster.state.value_kb", state.value_kb)?,
         txn_ops: operation_limit("cluster.state.txn_ops", state.txn_ops)?,
         rps: positive("cluster.state.rps", state.rps)?,
@@ -106,9 +106,9 @@
 }
 
 /// The limits to come: what the platform does not name stays as it is now.
-fn next_state_limits(state: &wire::SettingsState, now: &StateNext) -> Result<StateNext, SettingsError> {
+fn next_state_limits(state: &wire::SettingsState, now: &StateLimits) -> Result<StateLimits, SettingsError> {
     let Some(next) = &state.next else { return Ok(now.clone()) };
-    Ok(StateNext {
+    Ok(StateLimits {
         rps: positive("cluster.state.next.rps", next.rps.unwrap_or(now.rps))?,
         write_rps: positive("cluster.state.next.write_rps", next.write_rps.unwrap_or(now.write_rps))?,
         value_kb: value_limit("cluster.state.next.value_kb", next.value_kb.unwrap_or(now.value_kb))?,
--- a/src/settings/tests.rs
+++ b/src/settings/tests.rs
@@ -20,7 +20,7 @@
 /// ever made larger than either set allows.
 #[test]
 fn what_is_written_fits_the_limits_of_today_and_tomorrow() {
-    let of = |s: Settings| (s.value_bytes(), s.least_txn_ops(), s.state_next.write_rps);
+    let of = |s: Settings| (s.value_bytes(), s.min_txn_ops(), s.state_next.write_rps);
     assert_eq!(of(Settings::parse(EXAMPLE).expect("settings")), (3968, 8, 30.0));
     assert_eq!(of(with_next("value_kb = 2.0").expect("settings")), (1984, 8, 30.0));
     assert_eq!(of(with_next("txn_ops = 5\nwrite_rps = 9.0").expect("settings")), (3968, 5, 9.0));
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -131,7 +131,7 @@
             requests: Mutex::new(RateLimiter::new(1.0, 1.0)),
             writes: Mutex::new(RateLimiter::new(1.0, 1.0)),
             last_outcomes: Mutex::new(LastOutcomes { answered_at: NEVER, failed_at: NEVER }),
-            txn_ops: settings.least_txn_ops(),
+            txn_ops: settings.min_txn_ops(),
             limits: Mutex::new(Limits::new(settings)),
         };
         let ours = client.own_rates(settings, 0, 1);
--- a/tests/responses.rs
+++ b/tests/responses.rs
@@ -3,7 +3,9 @@
 
 use lupinspur::job_status::{JobStatus, Lookup, status_of_item};
 use lupinspur::peer::Verb;
-use lupinspur::responses::{about_answer, report_answer, resubmission_answer, status_from_leader, status_from_record};
+use lupinspur::responses::{
+    heartbeat_response, lookup_response, resubmission_response, status_from_leader, status_from_record,
+};
 use lupinspur::shard::{HeartbeatOutcome, JobView};
 use lupinspur::wire::{HeartbeatReply, JobState, KeyValue};
 use serde_json::{Value, json};
@@ -74,20 +76,20 @@
 fn the_answer_to_a_heartbeat_is_good_until_the_lease_ends() {
     let reply = || Some(HeartbeatOutcome::Reply(HeartbeatReply { token: 41, commands: Vec::new() }));
     let nobody = || -> Option<String> { panic!("a report that was taken goes nowhere else") };
-    let answer = report_answer(reply(), Some(LEASE_ENDS), nobody);
-    assert_eq!((answer.status, answer.good_until), (200, Some(LEASE_ENDS)));
+    let answer = heartbeat_response(reply(), Some(LEASE_ENDS), nobody);
+    assert_eq!((answer.status, answer.valid_until), (200, Some(LEASE_ENDS)));
 }
 
 /// An old report renews nothing, and one that shows a newer token is sent on to the newer leader.
 #[test]
 fn who_is_not_entitled_to_act_answers_421_or_503() {
     let elsewhere = || Some("n1".to_owned());
-    assert_eq!(report_answer(Some(HeartbeatOutcome::Stale), Some(LEASE_ENDS), elsewhere).status, 503);
+    assert_eq!(heartbeat_response(Some(HeartbeatOutcome::Stale), Some(LEASE_ENDS), elsewhere).status, 503);
     for heard in [Some(HeartbeatOutcome::Superseded), None] {
-        let answer = report_answer(heard, None, elsewhere);
+        let answer = heartbeat_response(heard, None, elsewhere);
         assert_eq!((answer.status, body(&answer)), (421, json!({"gardener": "n1"})));
     }
-    assert_eq!(report_answer(None, None, || None).status, 503);
+    assert_eq!(heartbeat_response(None, None, || None).status, 503);
 }
 
 /// What may yet change is told only until the lease ends, to a question as to a repeated submission: a
@@ -95,10 +97,10 @@
 #[test]
 fn what_may_change_is_told_until_the_lease_ends() {
     let until = |word| {
-        let poll = about_answer(Verb::Show, ID, word, Some(LEASE_ENDS));
-        let submission = resubmission_answer(ID, word, Some(LEASE_ENDS));
+        let poll = lookup_response(Verb::Show, ID, word, Some(LEASE_ENDS));
+        let submission = resubmission_response(ID, word, Some(LEASE_ENDS));
         assert_eq!((poll.status, submission.status), (200, 200));
-        (poll.good_until, submission.good_until)
+        (poll.valid_until, submission.valid_until)
     };
     assert_eq!(until(Lookup::Known(QUEUED)), (Some(LEASE_ENDS), Some(LEASE_ENDS)));
     assert_eq!(until(Lookup::Known(CANCELLED)), (None, None), "an end never changes");
@@ -108,7 +110,7 @@
 /// when it is submitted again.
 #[test]
 fn only_an_absent_job_gets_404() {
-    assert_eq!(about_answer(Verb::Show, ID, Lookup::Absent, None).status, 404);
-    assert_eq!(about_answer(Verb::Show, ID, Lookup::Unavailable, None).status, 503);
-    assert_eq!(resubmission_answer(ID, Lookup::Absent, None).status, 503);
+    assert_eq!(lookup_response(Verb::Show, ID, Lookup::Absent, None).status, 404);
+    assert_eq!(lookup_response(Verb::Show, ID, Lookup::Unavailable, None).status, 503);
+    assert_eq!(resubmission_response(ID, Lookup::Absent, None).status, 503);
 }
