--- a/src/api/job_request.rs
+++ b/src/api/job_request.rs
@@ -1,5 +1,5 @@
-//! Parses and validates the body of a job submission. Reads no state of the cluster: whether a valid job can ever run
-//! is decided by the admission check in `submission`.
+//! Parses and validates the body of a job submission. Reads no cluster state: the admission check in `submission`
+//! decides whether a valid job can ever run.
 
 use crate::job_status::valid_id;
 use crate::wire::{self, JobRequest, Kind};
@@ -7,10 +7,10 @@
 use serde_json::Value;
 use std::collections::HashSet;
 
-/// Largest number of tasks of one job.
+/// Maximum number of tasks in one job.
 const MAX_TASKS: u32 = 100_000;
 
-/// Why the body of a submission describes no job. Answered with 400.
+/// Why the body of a submission is not a valid job. The response is 400.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum JobRequestError {
     #[error("not JSON")]
@@ -31,7 +31,7 @@
     Elastic(#[from] ElasticSizesError),
 }
 
-/// Why the sizes of an elastic job are not usable.
+/// Why the sizes of an elastic job are invalid.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ElasticSizesError {
     #[error("{field} is not an object", field = wire::ELASTIC_FIELD)]
@@ -44,8 +44,8 @@
     OutOfRange { reason: String },
 }
 
-/// Parses the body of a submission. `elastic_enabled`: whether the field of elastic sizes is read; where it is
-/// not, it is ignored like any unknown field.
+/// Parses the body of a submission. Without `elastic_enabled` the field of elastic sizes is ignored like any unknown
+/// field.
 pub(super) fn parse_job_request(body: &[u8], elastic_enabled: bool) -> Result<JobRequest, JobRequestError> {
     let mut value: Value = serde_json::from_slice(body).map_err(JobRequestError::NotJson)?;
     let fields = value.as_object_mut().ok_or(JobRequestError::NotAnObject)?;
@@ -60,7 +60,7 @@
     Ok(job)
 }
 
-/// The elastic sizes that a submission declares; null declares none.
+/// Parses the elastic sizes that a submission declares. A null value declares none.
 fn parse_sizes(value: &Value) -> Result<Option<Sizes>, ElasticSizesError> {
     if value.is_null() {
         return Ok(None);
@@ -80,7 +80,7 @@
     if job.tasks == 0 || job.tasks > MAX_TASKS {
         return Err(JobRequestError::TaskCount(job.tasks));
     }
-    // Stored records of earlier versions may lack it, a submission may not.
+    // The field is optional only because records stored by earlier versions may lack it.
     if job.image.is_none() {
         return Err(JobRequestError::MissingImage);
     }
@@ -112,7 +112,7 @@
     }
 }
 
-/// A dependency that is given twice counts once, and an empty list is as none.
+/// Removes repeated dependencies. Returns `None` for an empty list.
 fn unique_dependencies(mut dependencies: Vec<String>) -> Option<Vec<String>> {
     let mut seen = HashSet::new();
     dependencies.retain(|id| seen.insert(id.clone()));
--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -1,5 +1,6 @@
-//! Questions about jobs and cancellations: answered by the job's leader, by asking it, or from the stored record alone.
-//! Never reports a final state that is not stored, nor a job as absent unless the state service says so.
+//! Job status requests and cancellations. They are answered by the leader of the job's shard, by forwarding to that
+//! leader, or from the stored record alone. A final state is never reported before it is stored, and a job is reported
+//! as absent only if the state service has no record of it.
 
 use super::request_priority;
 use crate::clock;
@@ -11,22 +12,22 @@
 use crate::wire::{JobState, KeyValue};
 use std::time::Duration;
 
-/// How long a question waits for a final state that is being stored, in seconds.
+/// How long a status request waits for a final state to be stored, in seconds.
 const SHOW_TIMEOUT_S: f64 = 0.9;
-/// How long a cancellation waits until it is stored, in seconds.
+/// How long a cancellation request waits for the cancellation to be stored, in seconds.
 const CANCEL_TIMEOUT_S: f64 = 3.2;
-/// How long a follower waits for the leader's answer to a cancellation.
+/// How long a follower waits for the leader's response to a forwarded cancellation.
 const FORWARDED_CANCEL_TIMEOUT: Duration = Duration::from_millis(3500);
-/// How often a leader looks again for a final state that is being stored.
+/// How often the leader checks whether a final state has been stored.
 const COMMIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What is stored of a job.
+/// The stored state of a job.
 enum StoredJob {
     Final(JobStatus),
-    /// Open, or a record that cannot be read.
+    /// An open job, or a record that cannot be parsed.
     NotFinal(KeyValue),
     Absent,
-    /// The state service gave no answer.
+    /// The state service did not respond.
     Unavailable,
 }
 
@@ -35,7 +36,7 @@
 }
 
 impl Node {
-    /// Shows or cancels a job, here if this node is its leader, else by asking the leader.
+    /// Shows or cancels a job: locally if this node leads its shard, otherwise through the leader.
     pub async fn look_up_job(&self, verb: Verb, id: &str) -> Lookup {
         let shard = match self.locate_job(id, request_priority(verb)).await {
             JobLocation::In(shard) => shard,
@@ -52,7 +53,7 @@
         lookup
     }
 
-    /// Asks the leader; where it does not answer, the stored record.
+    /// Asks the leader. If it does not respond, falls back to the stored record.
     async fn look_up_at_leader(&self, leader: &str, shard: &ShardRuntime, verb: Verb, id: &str) -> Lookup {
         if let Some(status) = self.known_end(id) {
             return Lookup::Known(status);
@@ -76,9 +77,9 @@
         }
     }
 
-    /// Without the leader: what the record says. One that is open was open when it was read, which
-    /// was after the question: final states are stored before anybody is told of them. Questions about open
-    /// jobs once got no answer by nodes that could not reach the leader, for as long as that lasted.
+    /// Looks up a job from its stored record, without the leader. Final states are stored before they are reported, so
+    /// an open record proves that the job was open after the request arrived. Without this fallback, a node that cannot
+    /// reach the leader could not answer requests about open jobs.
     async fn look_up_stored(&self, verb: Verb, id: &str) -> Lookup {
         match self.stored_job(verb, id).await {
             StoredJob::Final(status) => Lookup::Known(status),
@@ -108,8 +109,8 @@
 }
 
 impl ShardRuntime {
-    /// Shows or cancels a job as its leader. Waits until a final state or a cancellation is stored, for up to
-    /// `SHOW_TIMEOUT_S` or `CANCEL_TIMEOUT_S`.
+    /// Shows or cancels a job as the leader of its shard. Waits up to `SHOW_TIMEOUT_S` or `CANCEL_TIMEOUT_S` for a final
+    /// state or a cancellation to be stored.
     pub async fn look_up_as_leader(&self, verb: Verb, id: &str) -> Lookup {
         let started_at = clock::now();
         let mut has_read_record = false;
@@ -144,13 +145,13 @@
         }
     }
 
-    /// Reads the record of a job that the shard does not know: final and absent jobs need not be known to the
-    /// shard. None: the record was applied to the shard, if it is one of its jobs.
+    /// Reads the record of a job that is not in the shard's memory, as final jobs need not be. Returns `None` for an open
+    /// record, after adding the job to the shard if it belongs there.
     async fn read_unknown_job(&self, verb: Verb, id: &str, token: u64) -> Option<Lookup> {
         match self.stored_job(verb, id).await {
             StoredJob::Final(status) => Some(Lookup::Known(status)),
             StoredJob::NotFinal(item) => {
-                // Another shard's job is not added, and nothing can be said of it here.
+                // A job of another shard is not added; the lookup then ends as unavailable.
                 self.apply_job(token, &item);
                 None
             }
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -1,5 +1,5 @@
-//! The HTTP interface for users, workers and the load balancer: one handler for each request. Decides nothing about
-//! jobs or machines; answers are made in `responses`.
+//! The HTTP API for users, workers and the load balancer, with one handler per request. Makes no decisions about jobs
+//! or machines; `responses` builds the responses.
 
 mod job_request;
 mod lookup;
@@ -18,16 +18,16 @@
 use lupinspur_service_levels::Reading;
 use route::{Route, route};
 
-/// The class and team that a cancellation is counted for where the job is not known.
+/// The class and team under which a cancellation is counted if the job is not known.
 const UNKNOWN: &str = "(unknown)";
 
-/// The priority of reads for a request: a poll is repeated anyway, a user waits for a cancellation.
+/// Returns the priority of a request's reads. A client repeats a failed poll anyway, but waits for a cancellation.
 fn request_priority(verb: Verb) -> RequestPriority {
     if verb == Verb::Show { RequestPriority::BestEffort } else { RequestPriority::Normal }
 }
 
 impl Node {
-    /// Answers one request of a user, a worker or the load balancer.
+    /// Handles one request from a user, a worker or the load balancer.
     pub async fn handle(&self, request: Incoming) -> Outgoing {
         match route(request.method, &request.path) {
             Ok(Route::Heartbeat) => self.handle_heartbeat(&request.body).await,
@@ -79,7 +79,7 @@
         lookup_response(verb, id, lookup, self.leader_lease_valid_until(id))
     }
 
-    /// Counts a cancellation for the job's class and team, which only the job's leader knows.
+    /// Counts a cancellation for the job's class and team, which only the leader of its shard knows.
     fn count_cancellation(&self, id: &str, lookup: Lookup, received_at: f64) {
         let class_and_team = |state: &mut Shard| state.class_and_team(id);
         let known = self
@@ -90,7 +90,8 @@
         self.note_answer(&class, &team, Reading::Cancelled, served, received_at);
     }
 
-    /// The end of this controller's lease if it leads this job's shard, in seconds of the steady clock.
+    /// Returns the end of this controller's lease on the job's shard, in seconds of the monotonic clock, if it leads that
+    /// shard.
     fn leader_lease_valid_until(&self, id: &str) -> Option<f64> {
         self.shard_knowing_job(id, clock::now()).and_then(|shard| shard.lease_valid_until())
     }
--- a/src/api/route.rs
+++ b/src/api/route.rs
@@ -1,24 +1,24 @@
-//! Routing of HTTP requests: what a method and a path stand for. Reads no body and no state.
+//! Routes HTTP requests by method and path. Reads neither bodies nor state.
 
 use crate::job_status::valid_id;
 use crate::peer::Verb;
 use crate::wire;
 use http_types::Method;
 
-/// A request, by its method and path.
+/// A request that the API handles.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Route<'a> {
     Heartbeat,
     Health,
     SubmitJob,
-    /// A question about a job, or its cancellation.
+    /// A status request for a job, or its cancellation.
     Job {
         id: &'a str,
         verb: Verb,
     },
 }
 
-/// Why a method and a path stand for no request.
+/// Why no handler matches a method and path.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(super) enum RouteError {
     #[error("no such path")]
@@ -30,7 +30,7 @@
 }
 
 impl RouteError {
-    /// The HTTP status that it is answered with.
+    /// Returns the HTTP status of the response.
     pub(super) fn status(self) -> u16 {
         match self {
             RouteError::NoSuchPath => 404,
@@ -40,7 +40,7 @@
     }
 }
 
-/// Finds the request that a method and a path stand for.
+/// Returns the route for a method and path.
 pub(super) fn route(method: Method, path: &str) -> Result<Route<'_>, RouteError> {
     match (method, path) {
         (Method::Post, wire::REPORT_PATH) => Ok(Route::Heartbeat),
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -1,5 +1,5 @@
-//! Submissions: admits a job, stores its acceptance once, and answers repetitions with what is stored. Never answers
-//! 201 before the acceptance is stored, nor 422 for a job that was accepted before.
+//! Job submissions: checks admission, stores the acceptance exactly once, and answers a resubmission from the stored
+//! record. Never responds with 201 before the acceptance is stored, nor with 422 for a job that was accepted before.
 
 use super::job_request::parse_job_request;
 use crate::clock;
@@ -16,35 +16,35 @@
 use lupinspur_sharding::ShardId;
 use std::time::Duration;
 
-/// How long after its arrival a submission may still be sent to the state service, in seconds.
+/// How long after its arrival a submission may still be written to the state service, in seconds.
 const ACCEPT_TIMEOUT_S: f64 = 4.0;
-/// An acceptance without an answer for so long is sent again, then after twice as long each time: it is
-/// conditional on the record's absence, so that it may be. The state service mostly answers within
-/// milliseconds, and sometimes takes a few hundred.
+/// Timeout of the first attempt to store an acceptance; it doubles with each retry. A retry is safe because the write
+/// is conditional on the record's absence. The state service mostly responds within milliseconds, sometimes after a few
+/// hundred.
 const ACCEPT_FIRST_TIMEOUT: Duration = Duration::from_millis(350);
 
-/// What a job is that a submission names as a dependency.
+/// The validity of a dependency that a submission names.
 enum Dependency {
     Accepted,
     Invalid(&'static str),
-    /// The state service gave no answer, or the record cannot be read.
+    /// The state service did not respond, or the record cannot be parsed.
     Undecided,
 }
 
-/// Why a submission is not sent to the state service.
+/// Why a submission is not written to the state service.
 enum Refusal {
     /// The job can never run, for this reason.
     NeverRuns(String),
-    /// It cannot be decided now whether the job can run.
+    /// The information to decide whether the job can run is not available now.
     Undecided,
 }
 
-/// An acceptance that is ready to be stored.
+/// The acceptance of a job, ready to be stored.
 struct Acceptance {
     record: JobRecord,
     key: String,
     value: serde_json::Value,
-    /// The shard that the job's team belongs to; none where there is one shard only.
+    /// The shard that the job's team belongs to; `None` without sharding.
     home: Option<ShardId>,
 }
 
@@ -59,7 +59,7 @@
 }
 
 impl Node {
-    /// Answers a submission, and counts the answer for the job's class and team.
+    /// Handles a submission, and counts the outcome for the job's class and team.
     pub(super) async fn submit_and_count(&self, body: &[u8], received_at: f64) -> Outgoing {
         let job = match parse_job_request(body, self.elastic_plan.is_some()) {
             Ok(job) => job,
@@ -67,7 +67,7 @@
         };
         let (class, team) = (job.class.clone(), job.team.clone());
         let answer = self.submit(job).await;
-        // A job that can never run was answered correctly, and demands nothing of the cluster.
+        // A job that can never run was refused correctly and puts no demand on the cluster.
         if answer.status != 422 {
             let served = matches!(answer.status, 200 | 201);
             self.note_answer(&class, &team, Reading::Accepted, served, received_at);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The answer to a job that this node knows already.
+    /// Returns the response to the submission of a job that this node already knows.
     async fn answer_if_known(&self, id: &str, now: f64) -> Option<Outgoing> {
         if let Some(shard) = self.shard_knowing_job(id, now) {
             let lookup = shard.look_up_as_leader(Verb::Show, id).await;
@@ -97,9 +97,9 @@
         self.known_end(id).map(|status| job_response(200, id, status, false))
     }
 
-    /// Checks whether the job can ever run, and makes the record of its acceptance.
+    /// Checks whether the job can ever run, and builds the record of its acceptance.
     async fn prepare_acceptance(&self, job: JobRequest, started_at: f64) -> Result<Acceptance, Refusal> {
-        // A job that was accepted stays accepted: limits and machine types may have changed since.
+        // Limits and machine types may change later. A job that was accepted stays accepted.
         check_admission(&job, &self.settings.teams, &self.machine_types()).map_err(|error| match error {
             AdmissionError::Rejected(reason) => Refusal::NeverRuns(reason),
             AdmissionError::Undecided => Refusal::Undecided,
@@ -131,7 +131,8 @@
 
     async fn store_acceptance(&self, acceptance: &Acceptance, started_at: f64) -> Outgoing {
         let shard = self.shard(acceptance.shard_id());
-        // Another leader may have ended the job by the time of the answer: only the shard of this moment adds it.
+        // By the time the write is confirmed, another leader may have ended the job. `on_accepted` adds the job only if
+        // the fencing token is still the same.
         let token = shard.as_ref().and_then(|shard| shard.with_shard(started_at, |state| state.token));
         let mut timeout = ACCEPT_FIRST_TIMEOUT;
         loop {
@@ -140,7 +141,7 @@
                     return self.on_accepted(acceptance, shard.as_deref(), token, version);
                 }
                 Ok(CompareAndSwap::Conflict(_)) => return self.answer_from_stored(acceptance.id()).await,
-                // It may or may not be stored: the next try shows.
+                // The outcome is unknown; a retry finds the record if it was stored.
                 Err(StateError::Unknown) if clock::now() - started_at < ACCEPT_TIMEOUT_S => {
                     timeout = (timeout * 2).min(COMMIT_TIMEOUT);
                 }
@@ -149,14 +150,14 @@
         }
     }
 
-    /// Stores the record if there is none: of a submission and its repetitions, on any nodes, one is accepted.
+    /// Stores the record if there is none. Of a submission and its resubmissions to any nodes, exactly one is accepted.
     async fn commit_if_absent(&self, acceptance: &Acceptance, timeout: Duration) -> Result<CompareAndSwap, StateError> {
         let absent = Compare { key: acceptance.key.clone(), version: 0 };
         let put = Mutation::Put { key: acceptance.key.clone(), value: acceptance.value.clone(), lease: None };
         self.state.commit_within(timeout, vec![absent], vec![put], RequestPriority::Urgent).await
     }
 
-    /// Adds a job that was stored to its shard, if this node leads it with the same token as before.
+    /// Adds a stored job to its shard if this node still leads the shard under the same fencing token.
     fn on_accepted(
         &self,
         acceptance: &Acceptance,
@@ -176,11 +177,11 @@
         job_response(201, acceptance.id(), JobStatus { state: JobState::Queued, done: 0, running: 0 }, false)
     }
 
-    /// The answer to a submission of a job that is stored.
+    /// Returns the response to a submission of a job that is already stored.
     async fn answer_from_stored(&self, id: &str) -> Outgoing {
         let mut lookup = self.look_up_job(Verb::Show, id).await;
         if !matches!(lookup, Lookup::Known(_)) {
-            // It is stored, and so accepted: what its record says was true after it was submitted again.
+            // The record exists, so the job was accepted. The record is read after the resubmission arrived.
             lookup = match self.state.get(&job_key(id), RequestPriority::Normal).await {
                 Ok(Some(item)) => status_from_record(Verb::Show, &item),
                 _ => Lookup::Unavailable,
@@ -189,8 +190,8 @@
         resubmission_response(id, lookup, self.leader_lease_valid_until(id))
     }
 
-    /// Refuses a submission that can never run, unless it was accepted already: then a repetition
-    /// must not be answered with a refusal, whatever has become of limits since.
+    /// Refuses a job that can never run, unless it was accepted before: limits may have changed since then, and a
+    /// resubmission must not turn an accepted job into a refused one.
     async fn refuse_unless_stored(&self, id: &str, reason: &str) -> Outgoing {
         match self.state.get(&job_key(id), RequestPriority::Normal).await {
             Ok(None) => Outgoing::error(422, reason),
@@ -199,8 +200,8 @@
         }
     }
 
-    /// May a submission name this job as a dependency? Only the state service's answer says whether it was
-    /// accepted; a failure to answer does not.
+    /// Checks whether a submission may name this job as a dependency. Only a response of the state service shows whether
+    /// the job was accepted; a failed read leaves it undecided.
     async fn dependency(&self, dependency: &str, submitted_id: &str) -> Dependency {
         if dependency == submitted_id {
             return Dependency::Invalid("a job cannot wait for itself");
@@ -224,7 +225,7 @@
         }
     }
 
-    /// The kind of an accepted job, as far as this node knows it without the state service.
+    /// Returns the kind of an accepted job if this node knows it without asking the state service.
     fn known_kind(&self, id: &str) -> Option<Kind> {
         let now = clock::now();
         let kind = |state: &mut Shard| state.jobs.find(id).map(|index| state.jobs[index].spec.kind);
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -1,7 +1,7 @@
-//! `lupinspur state check`: reads the whole state and reports what is wrong with it. Writes nothing.
+//! `lupinspur state check`: reads all stored records and reports malformed and contradictory ones. Writes nothing.
 //!
-//! [`Audit`] takes every key in order and keeps only what is open; [`run`] reads the pages, at a
-//! rate that leaves the state service to the controllers.
+//! [`Audit`] checks the records in key order and remembers only open jobs; [`run`] reads the pages at a limited rate, so
+//! that the controllers keep most of the state service's capacity.
 
 mod kind;
 mod reader;
@@ -23,16 +23,16 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::fmt::Write as _;
 
-/// Faults that are reported one by one; the rest are counted.
+/// Maximum number of faults listed one by one; the rest are only counted.
 const MAX_REPORTED: usize = 200;
 
-/// How much is stored of one kind.
+/// Number and size of the records of one kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Size {
     pub keys: u64,
-    /// Bytes of all values.
+    /// Total size of the values, in bytes.
     pub bytes: u64,
-    /// Bytes of the largest value.
+    /// Size of the largest value, in bytes.
     pub largest: u64,
 }
 
@@ -44,62 +44,70 @@
     }
 }
 
-/// What is wrong with one value.
+/// A fault found in one record.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
     pub key: String,
-    pub what: String,
+    #[serde(rename = "what")]
+    pub problem: String,
 }
 
-/// Everything that is reported. Sizes are of the values, in bytes.
+/// The result of an audit.
 #[derive(Debug, Default, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Findings {
     pub kinds: BTreeMap<String, Size>,
     pub faults: Vec<Fault>,
-    pub faults_not_told: u64,
-    /// What is left over and will be deleted by the leader in time: no fault.
+    /// Number of faults beyond [`MAX_REPORTED`].
+    #[serde(rename = "faults_not_told")]
+    pub omitted_faults: u64,
+    /// Number of obsolete records that the leader will delete; these are not faults.
     pub left_over: u64,
 }
 
-/// Checks values one by one, in the order of their keys.
+/// Checks records one by one, in key order.
 #[derive(Debug, Default)]
 pub struct Audit {
     findings: Findings,
+    /// Ids of open jobs.
     open: HashSet<String>,
-    /// Jobs that depend on others, with their dependencies.
+    /// Open jobs with dependencies, and those dependencies.
     dependencies: Vec<(String, Vec<String>)>,
+    /// Keys of progress records, with the id of their job.
     progress: Vec<(String, String)>,
-    /// Machines, with the key of the value that names them.
+    /// Names of machines, with the key of the last record that lists each.
     machines: HashMap<String, String>,
-    /// The checkpoint's values, and what they say once they are all there: they come before
-    /// the jobs.
+    /// Records of the checkpoint. Their keys sort before those of the jobs, so all are collected when the first job is
+    /// checked.
     checkpoint_values: Vec<KeyValue>,
     checkpoint: Option<Checkpoint>,
-    /// The generation of quotas that holds.
+    /// The generation of quotas in force.
     quota_generation: Option<u64>,
     quota_part_keys: Vec<String>,
 }
 
 #[derive(Debug)]
 struct Checkpoint {
-    at: u64,
+    /// Revision of the state as of which the checkpoint was taken.
+    revision: u64,
+    /// Ids of the jobs that were open then.
     open: HashSet<String>,
 }
 
 impl Audit {
-    fn fault(&mut self, key: &str, what: impl Into<String>) {
+    fn record_fault(&mut self, key: &str, problem: impl Into<String>) {
         if self.findings.faults.len() < MAX_REPORTED {
-            self.findings.faults.push(Fault { key: key.to_owned(), what: what.into() });
+            self.findings.faults.push(Fault { key: key.to_owned(), problem: problem.into() });
         } else {
-            self.findings.faults_not_told += 1;
+            self.findings.omitted_faults += 1;
         }
     }
 
-    fn read<T: DeserializeOwned>(&mut self, item: &KeyValue) -> Option<T> {
+    /// Parses a record; records a fault if it is malformed.
+    fn parse<T: DeserializeOwned>(&mut self, item: &KeyValue) -> Option<T> {
         match T::deserialize(&item.value) {
-            Ok(v) => Some(v),
-            Err(e) => {
-                self.fault(&item.key, format!("is malformed: {e}"));
+            Ok(record) => Some(record),
+            Err(error) => {
+                self.record_fault(&item.key, format!("is malformed: {error}"));
                 None
             }
         }
@@ -110,43 +118,43 @@
         self.findings.kinds.entry(kind.to_owned()).or_default().add(bytes);
     }
 
-    /// Checks one value; they come in the order of their keys.
-    pub fn take(&mut self, item: KeyValue) {
+    /// Checks one record. Records must be passed in key order.
+    pub fn check(&mut self, item: KeyValue) {
         let kind = RecordKind::of(&item.key);
         self.count(kind.name(), &item);
         match kind {
             RecordKind::Job => {
                 self.read_checkpoint();
-                self.job(&item);
+                self.check_job(&item);
             }
             RecordKind::Progress => {
                 let id = item.key.split('/').nth(1).unwrap_or_default().to_owned();
-                if let Some(r) = self.read::<ProgressRecord>(&item)
-                    && !r.done.chars().all(|c| c.is_ascii_hexdigit())
+                if let Some(record) = self.parse::<ProgressRecord>(&item)
+                    && !record.done.chars().all(|digit| digit.is_ascii_hexdigit())
                 {
-                    self.fault(&item.key, "is malformed: tasks that are done are no hexadecimal digits");
+                    self.record_fault(&item.key, "is malformed: done is not a string of hexadecimal digits");
                 }
                 self.progress.push((item.key, id));
             }
-            RecordKind::MachineGroup => self.machine_group(&item),
+            RecordKind::MachineGroup => self.check_machine_group(&item),
             RecordKind::Machine => {
-                _ = self.read::<MachineRecord>(&item);
+                _ = self.parse::<MachineRecord>(&item);
                 let name = item.key.trim_start_matches(MACHINE_PREFIX).to_owned();
-                self.machine(name, &item.key);
+                self.add_machine(name, &item.key);
             }
-            RecordKind::MachineTypes => _ = self.read::<Vec<wire::MachineType>>(&item),
+            RecordKind::MachineTypes => _ = self.parse::<Vec<wire::MachineType>>(&item),
             RecordKind::Shards => {}
-            RecordKind::Leadership => _ = self.read::<LeadershipRecord>(&item),
-            RecordKind::Fleet => _ = self.read::<FleetRecord>(&item),
+            RecordKind::Leadership => _ = self.parse::<LeadershipRecord>(&item),
+            RecordKind::Fleet => _ = self.parse::<FleetRecord>(&item),
             RecordKind::Checkpoint => self.checkpoint_values.push(item),
             RecordKind::Quotas if item.key == QUOTA_HEAD => {
-                self.quota_generation = self.read::<Head>(&item).map(|h| h.generation)
+                self.quota_generation = self.parse::<Head>(&item).map(|head| head.generation)
             }
             RecordKind::Quotas => {
-                _ = self.read::<Part>(&item);
+                _ = self.parse::<Part>(&item);
                 self.quota_part_keys.push(item.key);
             }
-            RecordKind::Unknown => self.fault(&item.key, "is of no kind that is known here"),
+            RecordKind::Unknown => self.record_fault(&item.key, "has an unknown kind of key"),
         }
     }
 
@@ -156,21 +164,21 @@
             return;
         }
         match lupinspur_recovery::read(values.iter().map(|item| (item.key.as_str(), &item.value))) {
-            // Chunks alone may stand there before the first head does.
+            // Chunks are written before the first head, so they may be stored without one.
             Err(lupinspur_recovery::CheckpointError::None) => {}
-            Err(e) => self.fault(lupinspur_recovery::HEAD, e.to_string()),
-            Ok(r) => {
-                let open: HashSet<String> = r.open.into_iter().map(|o| o.id).collect();
+            Err(error) => self.record_fault(lupinspur_recovery::HEAD, error.to_string()),
+            Ok(checkpoint) => {
+                let open: HashSet<String> = checkpoint.open.into_iter().map(|job| job.id).collect();
                 self.findings.kinds.entry("checkpoint, open jobs".into()).or_default().keys = open.len() as u64;
-                self.checkpoint = Some(Checkpoint { at: r.head.at, open });
+                self.checkpoint = Some(Checkpoint { revision: checkpoint.head.at, open });
             }
         }
     }
 
-    fn job(&mut self, item: &KeyValue) {
+    fn check_job(&mut self, item: &KeyValue) {
         let record = match parse_job_record(&item.key, &item.value) {
             Ok(record) => record,
-            Err(reason) => return self.fault(&item.key, reason),
+            Err(reason) => return self.record_fault(&item.key, reason),
         };
         let phase = match record.phase {
             Phase::Open => "jobs, open",
@@ -178,17 +186,17 @@
             Phase::Cancelled => "jobs, cancelled",
         };
         self.count(phase, item);
-        // What was stored by the checkpoint's revision, it has to say as well.
+        // The checkpoint must agree with every record that was last written at or before its revision.
         let open_by_checkpoint = self
             .checkpoint
             .as_ref()
-            .filter(|c| item.version <= c.at && record.shard.is_none())
-            .map(|c| c.open.contains(&record.job.id));
+            .filter(|checkpoint| item.version <= checkpoint.revision && record.shard.is_none())
+            .map(|checkpoint| checkpoint.open.contains(&record.job.id));
         match (open_by_checkpoint, record.phase) {
             (Some(true), Phase::Done | Phase::Cancelled) => {
-                self.fault(&item.key, "is over, and open by the checkpoint")
+                self.record_fault(&item.key, "has ended, but is open in the checkpoint")
             }
-            (Some(false), Phase::Open) => self.fault(&item.key, "is open, and not in the checkpoint"),
+            (Some(false), Phase::Open) => self.record_fault(&item.key, "is open, but is not in the checkpoint"),
             _ => {}
         }
         if record.phase == Phase::Open {
@@ -199,39 +207,41 @@
         }
     }
 
-    fn machine_group(&mut self, item: &KeyValue) {
-        let Some(r) = self.read::<MachineGroupRecord>(item) else { return };
-        let names = |what: &str, at: &[u32], of: usize| {
-            at.iter().find(|n| **n as usize >= of).map(|n| format!("names {what} {n} of {of}"))
+    fn check_machine_group(&mut self, item: &KeyValue) {
+        let Some(group) = self.parse::<MachineGroupRecord>(item) else { return };
+        let out_of_range = |list: &str, indexes: &[u32], count: usize| {
+            let wrong = indexes.iter().find(|index| **index as usize >= count);
+            wrong.map(|index| format!("refers to {list} {index}, but lists only {count}"))
         };
-        for m in &r.machines {
-            let wrong = names("job", &m.jobs, r.jobs.len()).or_else(|| names("image", &m.images, r.images.len()));
-            if let Some(w) = wrong {
-                self.fault(&item.key, format!("{w} for machine {}", m.machine));
+        for machine in &group.machines {
+            let wrong = out_of_range("job", &machine.jobs, group.jobs.len())
+                .or_else(|| out_of_range("image", &machine.images, group.images.len()));
+            if let Some(wrong) = wrong {
+                self.record_fault(&item.key, format!("{wrong}, for machine {}", machine.machine));
             }
-            self.machine(m.machine.clone(), &item.key);
+            self.add_machine(machine.machine.clone(), &item.key);
         }
     }
 
-    /// A machine in two values is no fault while one of them is being replaced.
-    fn machine(&mut self, name: String, key: &str) {
+    /// Adds a machine. One that is listed in two records is not a fault, because one record may be replacing the other.
+    fn add_machine(&mut self, name: String, key: &str) {
         if self.machines.insert(name, key.to_owned()).is_some() {
             self.findings.left_over += 1;
         }
     }
 
-    /// After the last key: what belongs to nothing.
+    /// Ends the audit after the last key: counts obsolete records, and reports jobs that depend on themselves.
     pub fn finish(mut self) -> Findings {
         self.read_checkpoint();
         for (key, id) in std::mem::take(&mut self.progress) {
             if !self.open.contains(&id) {
-                log::debug!("progress of a job that is over key={key}");
+                log::debug!("progress record of an ended job key={key}");
                 self.findings.left_over += 1;
             }
         }
         for (id, dependencies) in std::mem::take(&mut self.dependencies) {
             if dependencies.contains(&id) {
-                self.fault(&format!("{JOB_PREFIX}{id}"), "waits for itself");
+                self.record_fault(&format!("{JOB_PREFIX}{id}"), "depends on itself");
             }
         }
         for key in std::mem::take(&mut self.quota_part_keys) {
@@ -243,7 +253,7 @@
     }
 }
 
-/// For people: what there is, then what is wrong.
+/// Formats the findings as text: a table of the kinds of records, then the faults.
 pub fn table(findings: &Findings) -> String {
     let mut out = String::new();
     let _ = writeln!(out, "{:<32}{:>12}{:>14}{:>10}{:>10}", "kind", "keys", "bytes", "mean", "largest");
@@ -252,13 +262,13 @@
         let _ = writeln!(out, "{kind:<32}{:>12}{:>14}{mean:>10}{:>10}", size.keys, size.bytes, size.largest);
     }
     if findings.left_over > 0 {
-        let _ = writeln!(out, "{} values are left over; the owner deletes them in time", findings.left_over);
+        let _ = writeln!(out, "{} obsolete records; the leader will delete them", findings.left_over);
     }
     for fault in &findings.faults {
-        let _ = writeln!(out, "fault: {} {}", fault.key, fault.what);
+        let _ = writeln!(out, "fault: {} {}", fault.key, fault.problem);
     }
-    if findings.faults_not_told > 0 {
-        let _ = writeln!(out, "and {} more faults", findings.faults_not_told);
+    if findings.omitted_faults > 0 {
+        let _ = writeln!(out, "{} more faults are not listed", findings.omitted_faults);
     }
     out
 }
--- a/src/audit/kind.rs
+++ b/src/audit/kind.rs
@@ -1,4 +1,4 @@
-//! Kinds of stored values, by their keys.
+//! Kinds of stored records, determined by their keys.
 
 use crate::election::{LEADERSHIP_PREFIX, MACHINE_TYPES_KEY};
 use crate::fleet::machine_groups::MACHINE_GROUP_PREFIX;
@@ -6,16 +6,16 @@
 use crate::jobs::{JOB_PREFIX, PART_PREFIX, PROGRESS_PREFIX};
 use lupinspur_quota::stored::PREFIX as QUOTA_PREFIX;
 
-/// What a stored value is.
+/// The kind of a stored record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RecordKind {
     Job,
     Progress,
     MachineGroup,
-    /// A machine as earlier versions stored it.
+    /// A record of a single machine, written by earlier versions.
     Machine,
     MachineTypes,
-    /// The plan of shards, and all values of shards other than the first.
+    /// The sharding plan, and all records of shards other than the first.
     Shards,
     Leadership,
     Checkpoint,
@@ -25,7 +25,7 @@
 }
 
 impl RecordKind {
-    /// The kind of the value with this key.
+    /// Returns the kind of the record with this key.
     pub(super) fn of(key: &str) -> RecordKind {
         if is_of_other_shard(key) {
             return RecordKind::Shards;
@@ -48,7 +48,7 @@
         found.map_or(RecordKind::Unknown, |(_, kind)| kind)
     }
 
-    /// The name that reports carry.
+    /// Returns the name shown in reports.
     pub(super) fn name(self) -> &'static str {
         match self {
             RecordKind::Job => "jobs",
@@ -66,7 +66,7 @@
     }
 }
 
-/// Is this a value of a shard other than the first?
+/// Returns whether the key belongs to a shard other than the first.
 fn is_of_other_shard(key: &str) -> bool {
     let number = key.strip_prefix('c').and_then(|rest| rest.split_once('/')).map(|(number, _)| number);
     number.is_some_and(|number| !number.is_empty() && number.bytes().all(|byte| byte.is_ascii_digit()))
--- a/src/audit/reader.rs
+++ b/src/audit/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the whole state from the state service, page by page, at a limited rate. Writes nothing.
+//! Reads all records from the state service, page by page, at a limited rate. Writes nothing.
 
 use super::{Audit, Findings};
 use crate::clock;
@@ -15,7 +15,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Every prefix that a version of this program has written under, in order.
+/// Every key prefix that any version of this program has written, in key order.
 const PREFIXES: [&str; 9] = [
     lupinspur_recovery::PREFIX,
     FLEET_KEY,
@@ -27,28 +27,29 @@
     QUOTA_PREFIX,
     MACHINE_GROUP_PREFIX,
 ];
-/// Values on a page.
+/// Records per page.
 const PAGE_SIZE: usize = 1000;
 const PAGE_TIMEOUT: Duration = Duration::from_secs(10);
-/// The wait after the state service refused a page for its rate limit.
+/// Delay before a retry after the state service refused a page because of its rate limit.
 const REFUSED_DELAY: Duration = Duration::from_secs(1);
 
-/// Why the state could not be read to its end.
+/// Why the records could not all be read.
 #[derive(Debug, thiserror::Error)]
 pub enum AuditError {
-    #[error("a page after {after:?}: {source}")]
+    #[error("the page of records after key {after:?} is malformed: {source}")]
     MalformedPage { after: String, source: serde_json::Error },
-    #[error("the state service answers {status} after {after:?}")]
+    #[error("the state service refused the page of records after key {after:?} with status {status}")]
     Refused { status: u16, after: String },
-    #[error("the state service at {addr}: {source}")]
+    #[error("state service at {addr}: {source}")]
     Call { addr: SocketAddr, source: CallError },
 }
 
-/// Reads everything, no more than `rate` requests a second.
+/// Reads and checks all records, with at most `rate` requests per second.
 pub async fn run(settings: &Settings, rate: f64) -> Result<Findings, AuditError> {
     let http = Client::new(1, 1);
     let mut audit = Audit::default();
-    // All keys at once, those of no known kind included; one by one where that is refused.
+    // The empty prefix covers all keys, also those of unknown kinds. If the service refuses it, the known prefixes are
+    // read one by one.
     let mut prefixes = vec![""];
     let mut prefix_index = 0;
     let mut after = String::new();
@@ -73,7 +74,7 @@
         if !page.has_more || page.items.is_empty() {
             (prefix_index, after) = (prefix_index + 1, String::new());
         }
-        page.items.into_iter().for_each(|item| audit.take(item));
+        page.items.into_iter().for_each(|item| audit.check(item));
         let pause_s = (1.0 / rate - (clock::now() - started_at)).max(0.0);
         Timer::after(Duration::from_secs_f64(pause_s)).await;
     }
--- a/src/audit/tests.rs
+++ b/src/audit/tests.rs
@@ -10,25 +10,25 @@
 }
 
 fn findings(items: Vec<(&str, Value, u64)>) -> Findings {
-    let mut a = Audit::default();
+    let mut audit = Audit::default();
     for (key, value, version) in items {
-        a.take(KeyValue { key: key.into(), value, version, lease: None });
+        audit.check(KeyValue { key: key.into(), value, version, lease: None });
     }
-    a.finish()
+    audit.finish()
 }
 
-/// A checkpoint of one open job, as of a revision.
+/// Returns the records of a checkpoint with one open job, as of the given revision.
 fn checkpoint(at: u64) -> Vec<(&'static str, Value, u64)> {
-    let mut w = lupinspur_recovery::Writer::new(4000, 0.0);
-    w.on_opened("req-1");
-    let mut out = Vec::new();
-    while w.is_due(at, at, 100.0) {
-        let Some(p) = w.next_value(at, 100.0, |_| Some((2, job("req-1", "open")))) else { break };
-        w.on_applied(&p.key);
-        let key = ["ckpt/c/0", "ckpt/head", "ckpt/i/0/0"].into_iter().find(|k| *k == p.key).expect("a key");
-        out.push((key, p.value, 9));
+    let mut writer = lupinspur_recovery::Writer::new(4000, 0.0);
+    writer.on_opened("req-1");
+    let mut records = Vec::new();
+    while writer.is_due(at, at, 100.0) {
+        let Some(put) = writer.next_value(at, 100.0, |_| Some((2, job("req-1", "open")))) else { break };
+        writer.on_applied(&put.key);
+        let key = ["ckpt/c/0", "ckpt/head", "ckpt/i/0/0"].into_iter().find(|key| *key == put.key).expect("a key");
+        records.push((key, put.value, 9));
     }
-    out
+    records
 }
 
 #[test]
@@ -36,17 +36,18 @@
     let mut items = checkpoint(5);
     items.push(("job/req-1", job("req-1", "open"), 2));
     items.push(("job/req-2", job("req-2", "done"), 4));
-    // Accepted after the checkpoint.
+    // This job was accepted after the checkpoint.
     items.push(("job/req-3", job("req-3", "open"), 7));
     items.push(("prog/req-1/0", json!({"done": "3f"}), 8));
     items.push(("prog/req-2/0", json!({"done": "7f"}), 3));
-    let f = findings(items);
-    assert_eq!(f.faults, []);
-    assert_eq!((f.left_over, f.kinds["jobs, open"].keys, f.kinds["checkpoint, open jobs"].keys), (1, 2, 1));
-    assert!(table(&f).contains("jobs, done"));
+    let findings = findings(items);
+    assert_eq!(findings.faults, []);
+    let kinds = &findings.kinds;
+    assert_eq!((findings.left_over, kinds["jobs, open"].keys, kinds["checkpoint, open jobs"].keys), (1, 2, 1));
+    assert!(table(&findings).contains("jobs, done"));
 }
 
-/// Malformed, contradictory, out of place: each is told by its key.
+/// Malformed, contradictory and misplaced records are each reported with their key.
 #[test]
 fn each_fault_is_told_by_its_key() {
     let mut items = checkpoint(5);
@@ -62,14 +63,18 @@
         8,
     ));
     items.push(("what/1", json!(1), 8));
-    let told: Vec<String> = findings(items).faults.iter().map(|f| format!("{} {}", f.key, f.what)).collect();
-    assert_eq!(told[0], "job/req-1 is over, and open by the checkpoint");
-    assert_eq!(told[1], "job/req-2 is open, and not in the checkpoint");
-    assert_eq!(told[2], "job/req-4 holds the record of another job, req-5");
-    assert!(told[3].starts_with("job/req-6 holds something unknown"), "{told:?}");
-    assert!(told[4].starts_with("prog/req-2/0 is malformed"));
-    assert_eq!(told[5], "rack/0 names job 3 of 1 for machine h1");
-    assert_eq!(told[6], "what/1 is of no kind that is known here");
-    let torn = checkpoint(5).into_iter().filter(|i| i.0 != "ckpt/c/0").collect();
-    assert_eq!(findings(torn).faults[0], Fault { key: "ckpt/head".into(), what: "ckpt/c/0 is missing".into() });
+    let reported: Vec<String> =
+        findings(items).faults.iter().map(|fault| format!("{} {}", fault.key, fault.problem)).collect();
+    assert_eq!(reported[0], "job/req-1 has ended, but is open in the checkpoint");
+    assert_eq!(reported[1], "job/req-2 is open, but is not in the checkpoint");
+    assert_eq!(reported[2], "job/req-4 holds the record of another job, req-5");
+    assert!(reported[3].starts_with("job/req-6 holds something unknown"), "{reported:?}");
+    assert!(reported[4].starts_with("prog/req-2/0 is malformed"));
+    assert_eq!(reported[5], "rack/0 refers to job 3, but lists only 1, for machine h1");
+    assert_eq!(reported[6], "what/1 has an unknown kind of key");
+    let incomplete = checkpoint(5).into_iter().filter(|record| record.0 != "ckpt/c/0").collect();
+    assert_eq!(
+        findings(incomplete).faults[0],
+        Fault { key: "ckpt/head".into(), problem: "ckpt/c/0 is missing".into() }
+    );
 }
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -1,5 +1,5 @@
-//! Client of the cloud: machine types, rentals, deletions, the machine list. Keeps within this controller's share of
-//! the rate limit; never repeats a call.
+//! Client of the cloud API: machine types, rentals, deletions and the list of machines. Stays within this controller's
+//! share of the rate limit and never retries a call.
 
 use crate::clock;
 use crate::http::{CallError, Client};
@@ -12,33 +12,33 @@
 use std::sync::Mutex;
 use std::time::Duration;
 
-/// The fractions of the cloud's rate limit that all leaders and all followers take.
+/// The fractions of the cloud's rate limit for all leaders together and for all followers together.
 const LEADERS_FRACTION: f64 = 0.8;
 const FOLLOWERS_FRACTION: f64 = 0.1;
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
-/// How often a call that waits looks at the rate limit.
+/// How often a waiting call checks whether the rate limit allows it.
 const RATE_POLL_INTERVAL: Duration = Duration::from_millis(25);
-/// Machines on a page of the list.
+/// Machines per page of the list.
 const LIST_PAGE_SIZE: usize = 500;
-/// What the body of a 503 says where the cloud has no machine of a type.
+/// Text in the body of a 503 by which the cloud reports that it has no free machine of the type.
 const NO_CAPACITY: &[u8] = b"no capacity";
 
 fn is_no_capacity(body: &[u8]) -> bool {
     body.windows(NO_CAPACITY.len()).any(|window| window == NO_CAPACITY)
 }
 
-/// Why a call to the cloud has no result.
+/// Why a call to the cloud failed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CloudError {
     #[error("no capacity")]
     NoCapacity,
-    /// With the HTTP status; 0 where it could not be sent.
+    /// The HTTP status of the response; 0 if the call could not be sent.
     #[error("refused ({0})")]
     Refused(u16),
-    /// It may or may not have been executed.
+    /// The call may or may not have been executed.
     #[error("no answer")]
     NoAnswer,
-    /// Not sent: the caller may not act any more.
+    /// Not sent, because the caller was no longer allowed to act.
     #[error("withheld")]
     Withheld,
 }
@@ -51,7 +51,7 @@
 }
 
 impl CloudClient {
-    /// A client with the share of a follower.
+    /// Creates a client with a follower's share of the rate limit.
     pub fn new(settings: &Settings) -> CloudClient {
         let client = CloudClient {
             addr: settings.cloud,
@@ -62,8 +62,8 @@
         client
     }
 
-    /// Leaders make nearly all calls, each by its part of the shards (`led` of `shards`); followers only read the machine
-    /// types.
+    /// Sets this controller's share of the rate limit. Leaders make nearly all calls, and each gets a share in proportion
+    /// to the shards it leads (`led` of `shards`). Followers only read the machine types.
     pub fn set_share(&self, settings: &Settings, led: usize, shards: usize) {
         let is_leader = led > 0;
         let rate = if is_leader {
@@ -75,10 +75,10 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, RateLimiter> {
-        self.rate_limiter.lock().unwrap_or_else(|e| e.into_inner())
+        self.rate_limiter.lock().unwrap_or_else(|error| error.into_inner())
     }
 
-    /// Waits until the rate limit allows the call, which may take long.
+    /// Makes a call once the rate limit allows it, which may take long.
     async fn call(
         &self,
         may_be_sent: impl FnOnce() -> bool,
@@ -92,6 +92,7 @@
         self.call_now(may_be_sent, method, path, body).await
     }
 
+    /// Makes a call without waiting for the rate limit.
     async fn call_now(
         &self,
         may_be_sent: impl FnOnce() -> bool,
@@ -111,8 +112,8 @@
         }
     }
 
-    /// The machine types. `first`: nothing can be done before they are known, so this call does not
-    /// wait for the rate limit.
+    /// Returns the machine types. The `first` call does not wait for the rate limit, because a controller can decide
+    /// nothing before it knows the types.
     pub async fn types(&self, first: bool) -> Result<Vec<MachineType>, CloudError> {
         let outcome = if first {
             self.call_now(|| true, Method::Get, wire::TYPES_PATH, None).await
@@ -127,7 +128,7 @@
         }
     }
 
-    /// Rents machines, if that may still be done when the call is sent. The names of the machines.
+    /// Rents machines if `may_be_sent` still allows it when the call is sent. Returns the names of the machines.
     pub async fn rent(
         &self,
         request: &RentRequest,
@@ -143,7 +144,7 @@
         }
     }
 
-    /// Deletes machines, if that may still be done when the call is sent.
+    /// Deletes machines if `may_be_sent` still allows it when the call is sent.
     pub async fn delete(&self, machines: Vec<String>, may_be_sent: impl FnOnce() -> bool) -> Result<(), CloudError> {
         let body = serde_json::to_vec(&MachineNames { machines }).map_err(|_| CloudError::Refused(400))?;
         match self.call(may_be_sent, Method::Post, wire::MACHINES_DELETE_PATH, Some(body)).await? {
@@ -152,7 +153,7 @@
         }
     }
 
-    /// All machines that the cloud lists, page by page. Fails as a whole if a page fails.
+    /// Returns all machines of the cloud, read page by page. Fails if any page fails.
     pub async fn list(&self) -> Result<Vec<ListedMachine>, CloudError> {
         let mut all: Vec<ListedMachine> = Vec::new();
         loop {
--- a/src/health.rs
+++ b/src/health.rs
@@ -1,42 +1,44 @@
-//! The health check that the load balancer asks for. Decides alone; reads neither clock nor state.
+//! The health check for the load balancer. Its result depends only on its arguments and on its recent results; it reads
+//! neither the clock nor any state.
 //!
-//! The load balancer takes a node away after two refusals and lets it wait before it is back, twice as long for each
-//! further time within two minutes, up to a minute. A node that lost the state service again and again
-//! for a few seconds was away for that minute after all was well; where all lost it together, nobody
-//! was there to be asked.
+//! The load balancer removes a node after two failed checks, and waits before it adds the node again. The wait doubles
+//! with each removal within two minutes, up to a minute. A node that repeatedly lost the state service for a few seconds
+//! therefore stayed removed for up to a minute after the service had recovered; where all nodes lost the service at the
+//! same time, no node was left to serve requests. The grace period below limits how often a node is removed.
 
 use std::collections::VecDeque;
 
-/// A follower is unhealthy once the state service has not answered for so long, in seconds.
+/// A follower becomes unhealthy once the state service has not responded for this long, in seconds.
 const GRACE_S: f64 = 4.0;
-/// The grace doubles with each recent refusal, up to this, in seconds.
+/// Upper limit of the grace period, which doubles with each recent change to unhealthy, in seconds.
 const MAX_GRACE_S: f64 = 32.0;
-/// For so long the load balancer counts removals, in seconds.
+/// The period over which the load balancer counts removals, in seconds.
 const REMOVAL_WINDOW_S: f64 = 120.0;
 
-/// The health check's recent answers.
+/// The recent results of the health check.
 #[derive(Debug, Default)]
 pub struct Health {
-    is_refusing: bool,
-    /// When it began to refuse, each time within the window, in seconds of the steady clock.
-    refused_at: VecDeque<f64>,
+    is_unhealthy: bool,
+    /// Times within the window at which the node became unhealthy, in seconds of the monotonic clock.
+    unhealthy_since: VecDeque<f64>,
 }
 
 impl Health {
-    /// Can this node take requests? `can_decide`: it has what every decision needs; `is_leader`: it need ask nobody;
-    /// `state_answered_at`: when the state service last answered it. Times are seconds of the steady clock.
+    /// Returns whether this node can serve requests. `can_decide`: it has the data that every decision needs;
+    /// `is_leader`: it can serve requests without asking another node; `state_answered_at`: when the state service last
+    /// responded to it. Times are in seconds of the monotonic clock.
     pub fn check(&mut self, can_decide: bool, is_leader: bool, state_answered_at: f64, now: f64) -> bool {
-        while self.refused_at.front().is_some_and(|refused_at| now - refused_at > REMOVAL_WINDOW_S) {
-            self.refused_at.pop_front();
+        while self.unhealthy_since.front().is_some_and(|since| now - since > REMOVAL_WINDOW_S) {
+            self.unhealthy_since.pop_front();
         }
-        let grace = GRACE_S * f64::from(1u32 << self.refused_at.len().min(8) as u32);
-        // Once it refuses, it refuses until the state service answers again.
-        let patience = if self.is_refusing { GRACE_S } else { grace.min(MAX_GRACE_S) };
-        let is_healthy = can_decide && (is_leader || now - state_answered_at < patience);
-        if can_decide && !is_healthy && !self.is_refusing {
-            self.refused_at.push_back(now);
+        let grace_s = GRACE_S * f64::from(1u32 << self.unhealthy_since.len().min(8) as u32);
+        // An unhealthy node stays unhealthy until the state service responds again.
+        let allowed_silence_s = if self.is_unhealthy { GRACE_S } else { grace_s.min(MAX_GRACE_S) };
+        let is_healthy = can_decide && (is_leader || now - state_answered_at < allowed_silence_s);
+        if can_decide && !is_healthy && !self.is_unhealthy {
+            self.unhealthy_since.push_back(now);
         }
-        self.is_refusing = !is_healthy;
+        self.is_unhealthy = !is_healthy;
         is_healthy
     }
 }
--- a/src/heartbeat.rs
+++ b/src/heartbeat.rs
@@ -1,12 +1,12 @@
-//! Parses and validates workers' heartbeats. A body that is no heartbeat is refused before it changes anything.
+//! Parses and validates workers' heartbeats. An invalid body is refused before it changes any state.
 
 use crate::wire::Heartbeat;
 use std::net::SocketAddr;
 
-/// Incarnations of workers are counted from this.
+/// The smallest incarnation number of a worker process.
 const FIRST_INCARNATION: u64 = 1;
 
-/// Why a body is no heartbeat. Answered with 400.
+/// Why a body is not a valid heartbeat. The response is 400.
 #[derive(Debug, thiserror::Error)]
 pub enum HeartbeatError {
     #[error("not a heartbeat: {0}")]
--- a/src/http/admission.rs
+++ b/src/http/admission.rs
@@ -1,29 +1,31 @@
-//! Admission control: what all connections to one listener may take together, and which requests are refused first
-//! where connections are short. Never refuses a worker's report or the load balancer's question.
+//! Admission control: limits the total resources of all connections to one listener, and decides which requests to
+//! refuse first when few connections are free. Never refuses a worker's heartbeat or a health check.
 
 use http_types::Method;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::{Duration, Instant};
 
-/// What all connections to one listener may take together.
+/// Limits on all connections to one listener together.
 #[derive(Debug, Clone, Copy)]
 pub struct Bounds {
-    /// Open connections.
+    /// Maximum number of open connections.
     pub connections: usize,
-    /// Bytes of the bodies that are being read or handled.
+    /// Maximum total size of the request bodies that are being read or handled, in bytes.
     pub body_bytes: usize,
 }
 
+/// The resources in use by the connections to one listener.
 #[derive(Debug)]
 pub(super) struct Admission {
     pub(super) bounds: Bounds,
+    /// Number of open connections.
     pub(super) open: AtomicUsize,
     pub(super) body_bytes: AtomicUsize,
     pub(super) refusals: Mutex<RefusalLog>,
 }
 
-/// Users' requests that were refused since the last log line about them.
+/// Counts the users' requests that were refused since the last log line about them.
 #[derive(Debug, Default)]
 pub(super) struct RefusalLog {
     refused: u64,
@@ -31,11 +33,11 @@
 }
 
 impl RefusalLog {
-    /// Counts one; logs no more often than [`REFUSAL_LOG_INTERVAL`].
+    /// Counts a refused request. Logs at most once per [`REFUSAL_LOG_INTERVAL`].
     fn count(&mut self) {
         self.refused += 1;
         if self.logged_at.is_none_or(|logged_at| logged_at.elapsed() >= REFUSAL_LOG_INTERVAL) {
-            log::warn!("connections are short, requests of users refused count={}", self.refused);
+            log::warn!("few free connections, user requests refused count={}", self.refused);
             *self = RefusalLog { refused: 0, logged_at: Some(Instant::now()) };
         }
     }
@@ -49,7 +51,7 @@
 
 const REFUSAL_LOG_INTERVAL: Duration = Duration::from_secs(10);
 
-/// A part of what connections may take together, given back when dropped.
+/// A reserved amount of a limited resource, released when dropped.
 pub(super) struct Reservation<'a>(&'a AtomicUsize, usize);
 
 impl Drop for Reservation<'_> {
@@ -58,24 +60,24 @@
     }
 }
 
-/// Takes `amount` of what is counted by `used`, if no more than `limit` is used then.
+/// Reserves `amount` of the resource counted by `used` if the total stays within `limit`.
 pub(super) fn reserve(used: &AtomicUsize, amount: usize, limit: usize) -> Option<Reservation<'_>> {
     let is_within_limit = used.fetch_add(amount, Ordering::Relaxed) + amount <= limit;
-    // Given back at once where it is not within the limit.
+    // Beyond the limit, the reservation is dropped on return, which releases the amount at once.
     let reservation = Reservation(used, amount);
     is_within_limit.then_some(reservation)
 }
 
-/// What a request is, as far as its admission goes.
+/// The kind of a request, as admission control distinguishes it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum RequestKind {
-    /// A machine's report.
+    /// A heartbeat of a worker.
     Heartbeat,
-    /// A question for a job's state: it comes again anyway.
+    /// A status request for a job, which the client repeats anyway.
     Poll,
-    /// Another request of a user.
+    /// Any other request of a user.
     User,
-    /// The load balancer's question: without an answer users are sent elsewhere for minutes.
+    /// A health check of the load balancer, which sends users elsewhere for minutes after a missing response.
     Health,
 }
 
@@ -89,7 +91,7 @@
         }
     }
 
-    /// How long the peer waits for an answer, by the protocol, in seconds.
+    /// Returns how long the client waits for a response by the protocol, in seconds.
     pub(super) fn response_timeout_s(self) -> f64 {
         match self {
             RequestKind::Heartbeat => 4.0,
@@ -100,34 +102,35 @@
     }
 }
 
-/// How short connections are. What comes first here is given up first; machines' reports never
-/// are: a machine that is not heard is lost with all that runs on it.
+/// How few connections are free, and which requests are refused then, in the order of the variants. Heartbeats are never
+/// refused: a machine whose heartbeats do not arrive is considered lost, with all its tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Shortage {
     None,
-    /// Users' connections are given back after each answer.
-    CloseAfterAnswer,
+    /// Users' connections are closed after each response.
+    CloseAfterResponse,
     /// Polls are refused.
     NoPolls,
-    /// Whatever users ask is refused, and machines take turns. Whoever held a connection once
-    /// kept it for ever, and the machines that came last were never heard.
+    /// All requests of users are refused, and workers' connections are closed after each response. Otherwise the workers
+    /// that connected first would keep their connections forever, and heartbeats of the others would never arrive.
     NoUsers,
 }
 
 impl Admission {
+    /// Returns how few connections are free now.
     pub(super) fn shortage(&self) -> Shortage {
         let (open, limit) = (self.open.load(Ordering::Relaxed), self.bounds.connections);
-        // A few take turns, however few there are.
+        // Keeps at least two connections free, however small the limit.
         let leaves_less_than = |part: usize| open > limit - (limit / part).max(2);
         match () {
             () if leaves_less_than(16) => Shortage::NoUsers,
             () if leaves_less_than(8) => Shortage::NoPolls,
-            () if leaves_less_than(4) => Shortage::CloseAfterAnswer,
+            () if leaves_less_than(4) => Shortage::CloseAfterResponse,
             () => Shortage::None,
         }
     }
 
-    /// Is a request of this kind refused now?
+    /// Returns whether a request of this kind is refused now. Counts the refusal.
     pub(super) fn refuses(&self, kind: RequestKind) -> bool {
         let refused = match kind {
             RequestKind::Heartbeat | RequestKind::Health => false,
@@ -140,8 +143,8 @@
         refused
     }
 
-    /// Is a connection given back after the answer to such a request?
+    /// Returns whether a connection is closed after the response to a request of this kind.
     pub(super) fn closes_after(&self, kind: RequestKind) -> bool {
-        self.shortage() >= if kind == RequestKind::Heartbeat { Shortage::NoUsers } else { Shortage::CloseAfterAnswer }
+        self.shortage() >= if kind == RequestKind::Heartbeat { Shortage::NoUsers } else { Shortage::CloseAfterResponse }
     }
 }
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -1,4 +1,4 @@
-//! Calls to other services, over a small pool of open connections. Never repeats a call by itself.
+//! HTTP client for calls to other services, with a small pool of open connections. Never retries a call by itself.
 
 use super::{Conn, timed};
 use futures_lite::AsyncReadExt;
@@ -8,21 +8,21 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Largest response body that is read, in bytes (a watch may return many changes).
+/// Maximum size of a response body, in bytes. The response to a watch may hold many changes.
 const MAX_RESPONSE: u64 = 16 * 1024 * 1024;
 /// How long an idle connection is kept.
 const MAX_IDLE: Duration = Duration::from_secs(20);
 /// How long a connection may take to open.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How a call went wrong.
+/// Why a call failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
     #[error("could not connect")]
     NotSent,
     #[error("no answer")]
     NoAnswer,
-    /// Not sent: whoever asked may not do so any more.
+    /// Not sent, because the caller was no longer allowed to act.
     #[error("withheld")]
     Withheld,
 }
@@ -31,25 +31,28 @@
 pub struct Client {
     idle: Mutex<Idle>,
     per_addr: usize,
-    /// Most idle connections to all addresses.
+    /// Maximum number of idle connections to all addresses together.
     max_idle_connections: usize,
 }
 
+/// The pool of idle connections.
 #[derive(Default)]
 struct Idle {
+    /// Connections by address, with the time since which each is idle.
     open: HashMap<SocketAddr, Vec<(Conn, Instant)>>,
     count: usize,
+    /// When connections that had been idle for too long were last closed.
     swept: Option<Instant>,
 }
 
 impl Client {
-    /// Keeps no more than so many idle connections to one address, and to all.
+    /// Creates a client that keeps at most `per_addr` idle connections to one address and `max_idle_connections` in total.
     pub fn new(per_addr: usize, max_idle_connections: usize) -> Client {
         Client { idle: Mutex::default(), per_addr, max_idle_connections }
     }
 
     fn pooled(&self, addr: SocketAddr) -> Option<Conn> {
-        let mut idle = self.idle.lock().unwrap_or_else(|e| e.into_inner());
+        let mut idle = self.idle.lock().unwrap_or_else(|error| error.into_inner());
         loop {
             let (conn, since) = idle.open.get_mut(&addr)?.pop()?;
             idle.count -= 1;
@@ -60,9 +63,9 @@
     }
 
     fn keep(&self, addr: SocketAddr, conn: Conn) {
-        let mut idle = self.idle.lock().unwrap_or_else(|e| e.into_inner());
+        let mut idle = self.idle.lock().unwrap_or_else(|error| error.into_inner());
         let now = Instant::now();
-        // Now and then, not for each call: there may be hundreds of addresses.
+        // Expired connections are closed only at intervals, because there may be hundreds of addresses.
         if idle.swept.is_none_or(|swept| now - swept > MAX_IDLE / 4) {
             idle.swept = Some(now);
             idle.open.retain(|_, connections| {
@@ -81,8 +84,8 @@
         }
     }
 
-    /// One request and its response. A failure on the way to the first byte of a
-    /// new connection is `NotSent`; anything later may have been executed.
+    /// Sends one request and returns the status and body of the response. A failure to connect is `NotSent`; after any
+    /// later failure the request may have been executed.
     pub async fn call(
         &self,
         addr: SocketAddr,
@@ -94,7 +97,8 @@
         self.call_if(|| true, addr, method, path, body, limit).await
     }
 
-    /// The same, if it may be sent still once the connection is open: opening it takes time.
+    /// Like `call`, but sends the request only if `may_be_sent` returns true once the connection is open, because opening
+    /// it takes time.
     pub async fn call_if(
         &self,
         may_be_sent: impl FnOnce() -> bool,
@@ -124,8 +128,8 @@
             let mut out = Vec::new();
             let mut body = response.take_body().take(MAX_RESPONSE);
             body.read_to_end(&mut out).await.map_err(|_| CallError::NoAnswer)?;
-            // A server that ended in the middle of its answer has not given one.
-            if announced.is_some_and(|n| n != out.len()) {
+            // A body shorter than announced means that the server ended while it sent the response.
+            if announced.is_some_and(|bytes| bytes != out.len()) {
                 return Err(CallError::NoAnswer);
             }
             Ok::<_, CallError>((response.status() as u16, out, close))
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -1,8 +1,8 @@
-//! Requests and answers as handlers see them. Knows no sockets.
+//! Requests and responses as handlers see them, independent of sockets.
 
 use http_types::{Body, Method, Response, StatusCode};
 
-/// A request as the service sees it: small, whole and checked for size.
+/// A request that was read completely and is within the size limits.
 pub struct Incoming {
     pub method: Method,
     pub path: String,
@@ -10,28 +10,28 @@
     pub body: Vec<u8>,
 }
 
-/// An answer: JSON with its status.
+/// A response: a status and a JSON body.
 pub struct Outgoing {
     pub status: u16,
     pub body: Vec<u8>,
     pub retry_after_s: Option<u32>,
-    /// Until when this may be sent, in seconds of the steady clock; a pause may lie between its making and
-    /// its sending.
+    /// The time until which the response may be sent, in seconds of the monotonic clock. The process may be paused between
+    /// building a response and sending it.
     pub valid_until: Option<f64>,
 }
 
 impl Outgoing {
-    /// An answer with this value as its body.
+    /// Creates a response with this value as its body.
     pub fn json(status: u16, value: &impl serde::Serialize) -> Outgoing {
         Outgoing { status, body: serde_json::to_vec(value).unwrap_or_default(), retry_after_s: None, valid_until: None }
     }
 
-    /// The same, to be sent only until then; none: at any time.
+    /// Returns the response with the time until which it may be sent; `None` sets no limit.
     pub fn valid_until(self, valid_until: Option<f64>) -> Outgoing {
         Outgoing { valid_until, ..self }
     }
 
-    /// What is sent at this moment: 503 in place of an answer that is no longer valid.
+    /// Returns the response to send at time `now`: 503 in place of a response that is no longer valid.
     pub(super) fn unless_expired(self, now: f64) -> Outgoing {
         if self.valid_until.is_some_and(|valid_until| now >= valid_until) {
             Outgoing::error(503, "not able to act now")
@@ -40,7 +40,7 @@
         }
     }
 
-    /// An error; one that may pass asks for another try after a second.
+    /// Creates an error response. A temporary error asks the client to retry after a second.
     pub fn error(status: u16, reason: &str) -> Outgoing {
         let mut answer = Outgoing::json(status, &crate::wire::ErrorAnswer { error: reason });
         if matches!(status, 429 | 503 | 504) {
@@ -50,6 +50,7 @@
     }
 }
 
+/// Builds the HTTP response; `close` announces that the connection will be closed.
 pub(super) fn response(answer: Outgoing, close: bool) -> Response {
     let mut response = Response::new(StatusCode::try_from(answer.status).unwrap_or(StatusCode::InternalServerError));
     response.set_body(Body::from_bytes(answer.body));
--- a/src/http/mod.rs
+++ b/src/http/mod.rs
@@ -1,7 +1,6 @@
-//! HTTP/1.1 over async-io sockets, both sides, on async-h1's encoder and decoder.
+//! HTTP/1.1 client and server over async-io sockets, with async-h1's encoder and decoder.
 //!
-//! Every exchange has a time limit and every body a size limit, so that a slow
-//! or hostile peer costs a bounded amount.
+//! Every exchange has a time limit and every body a size limit, which bounds the cost of a slow or hostile peer.
 
 mod admission;
 mod client;
@@ -24,7 +23,7 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Largest request body that is read, in bytes.
+/// Maximum size of a request body, in bytes.
 pub const MAX_BODY: usize = 64 * 1024;
 
 /// A socket shared by the two directions of an exchange.
@@ -32,12 +31,12 @@
 pub struct Conn(Arc<Async<TcpStream>>);
 
 impl Conn {
-    /// A connection that was accepted.
+    /// Wraps an accepted connection.
     pub fn new(stream: Async<TcpStream>) -> Conn {
         Conn(Arc::new(stream))
     }
 
-    /// Connects, within `limit`.
+    /// Opens a connection within `limit`.
     pub async fn open(addr: SocketAddr, limit: Duration) -> io::Result<Conn> {
         let stream = timed(limit, Async::<TcpStream>::connect(addr)).await??;
         stream.get_ref().set_nodelay(true)?;
@@ -63,7 +62,7 @@
     }
 }
 
-/// Runs a future for no longer than `limit`; fails with `TimedOut`.
+/// Runs a future for at most `limit`, then fails with `TimedOut`.
 pub async fn timed<T>(limit: Duration, fut: impl Future<Output = T>) -> io::Result<T> {
     async { Ok(fut.await) }
         .or(async {
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -1,5 +1,5 @@
-//! Serves connections: reads requests, calls the handler, sends its answers. Knows nothing of what is asked beyond its
-//! kind; never sends an answer that is no longer valid.
+//! Serves connections: reads requests, calls the handler and sends its responses. Interprets no more of a request than
+//! its kind, and never sends a response that is no longer valid.
 
 use super::admission::{Admission, Bounds, RequestKind, Reservation, Shortage, reserve};
 use super::message::response;
@@ -13,16 +13,16 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// How long, and how much, is read of a connection after an answer that closes it.
+/// How long, and how many bytes, unread input is read after a response that closes the connection.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_LINGER_BYTES: u64 = 256 * 1024;
-/// How long a connection is kept without a request.
+/// How long an idle connection is kept open.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(90);
-/// How often an idle connection that is no machine's is checked: it is closed where connections are short.
+/// How often an idle connection of a user is checked; it is closed when few connections are free.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(5);
-/// How long a request may take from its first byte to its last, and an answer to be sent.
+/// Time limit for reading a request from its first byte to its last, and for sending a response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(5);
-/// The wait after a connection could not be accepted.
+/// Delay before the next attempt after accepting a connection failed.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 async fn send(conn: &Conn, res: Response, method: Method) -> io::Result<()> {
@@ -31,8 +31,8 @@
     Ok(())
 }
 
-/// Takes in some of what was not read before the connection is closed: closing it at once
-/// would reset it, and the answer would be lost on the way.
+/// Reads and discards some of the unread input before the connection is closed. Closing it at once would reset the
+/// connection, and the response could be lost.
 async fn linger(conn: &Conn) -> io::Result<()> {
     conn.0.get_ref().shutdown(Shutdown::Write)?;
     let rest = io::copy(conn.clone().take(MAX_LINGER_BYTES), io::sink());
@@ -40,7 +40,8 @@
     Ok(())
 }
 
-/// Waits for the next request on a connection. One of a user goes early where they are short.
+/// Waits for the next request on a connection. When few connections are free, an idle connection of a user is closed
+/// early.
 async fn next_request(conn: &Conn, admission: &Admission, is_machine: bool) -> io::Result<()> {
     if is_machine {
         return timed(IDLE_TIMEOUT, conn.0.readable()).await?;
@@ -48,24 +49,26 @@
     let idle_since = Instant::now();
     loop {
         match timed(IDLE_CHECK_INTERVAL, conn.0.readable()).await {
-            Ok(r) => return r,
-            Err(e) if idle_since.elapsed() >= IDLE_TIMEOUT || admission.shortage() > Shortage::None => return Err(e),
+            Ok(readable) => return readable,
+            Err(error) if idle_since.elapsed() >= IDLE_TIMEOUT || admission.shortage() > Shortage::None => {
+                return Err(error);
+            }
             Err(_) => {}
         }
     }
 }
 
-/// A request as far as it was read.
+/// A request, read completely or refused before its body was read.
 struct ReadRequest<'a> {
     head: Request,
-    /// Empty where it was refused before it was read.
+    /// Empty if the request was refused before its body was read.
     body: Vec<u8>,
     is_too_large: bool,
-    /// The body's part of the memory for bodies; none where nothing is left. Held until the answer is sent.
+    /// Memory reserved for the body, held until the response is sent; `None` if too little memory was left.
     body_reservation: Option<Reservation<'a>>,
 }
 
-/// Why no request was read of a connection.
+/// Why no request could be read from a connection.
 enum ReadError {
     /// The peer closed the connection.
     Closed,
@@ -73,7 +76,7 @@
     TooSlow,
 }
 
-/// Reads a request, for no longer than [`REQUEST_TIMEOUT`].
+/// Reads a request within [`REQUEST_TIMEOUT`].
 async fn read_request<'a>(conn: &Conn, admission: &'a Admission) -> Result<ReadRequest<'a>, ReadError> {
     match timed(REQUEST_TIMEOUT, decode_request(conn, admission)).await {
         Ok(Ok(Some(request))) => Ok(request),
@@ -83,7 +86,7 @@
     }
 }
 
-/// Reads a request; none where the peer closed the connection.
+/// Reads a request; returns `None` if the peer closed the connection.
 async fn decode_request<'a>(
     conn: &Conn,
     admission: &'a Admission,
@@ -93,14 +96,14 @@
     };
     let announced_bytes = head.len();
     let mut is_too_large = announced_bytes.is_some_and(|bytes| bytes > MAX_BODY);
-    // Of a body that does not say how long it is, the most is assumed.
+    // For a body of unknown length, the maximum is reserved.
     let reserved_bytes = announced_bytes.unwrap_or(MAX_BODY);
     let body_reservation = reserve(&admission.body_bytes, reserved_bytes, admission.bounds.body_bytes);
     let mut body = Vec::new();
     if !is_too_large && body_reservation.is_some() {
         head.take_body().take(MAX_BODY as u64 + 1).read_to_end(&mut body).await?;
         is_too_large = body.len() > MAX_BODY;
-        // The decoder's own copy of the body's end must be read before the next request.
+        // The rest of the body that the decoder still holds must be read before the next request.
         if !is_too_large {
             io::copy(&mut rest, &mut io::sink()).await?;
         }
@@ -108,12 +111,12 @@
     Ok(Some(ReadRequest { head, body, is_too_large, body_reservation }))
 }
 
-/// Sends an error, and closes the connection.
+/// Sends an error with the announcement that the connection will be closed.
 async fn refuse(conn: &Conn, status: u16, reason: &str, method: Method) -> io::Result<()> {
     send(conn, response(Outgoing::error(status, reason), true), method).await
 }
 
-/// Sends an error to a peer that may still be sending its body, and closes the connection.
+/// Sends an error to a peer that may still be sending its body.
 async fn refuse_unread(conn: &Conn, status: u16, reason: &str, method: Method) -> io::Result<()> {
     refuse(conn, status, reason, method).await?;
     linger(conn).await
@@ -123,8 +126,8 @@
     head.header("connection").is_some_and(|value| value.as_str().eq_ignore_ascii_case("close"))
 }
 
-/// Serves one connection until it closes. Returns when the peer is done, too
-/// slow or malformed.
+/// Serves one connection until it is to be closed: at the end of input, after a request that was too slow or malformed,
+/// or after a response that closes it.
 async fn serve_connection<F, Fut>(conn: Conn, admission: &Admission, handler: &F) -> io::Result<()>
 where
     F: Fn(Incoming) -> Fut,
@@ -132,7 +135,7 @@
 {
     let mut is_machine = false;
     loop {
-        // Waiting for a next request is cheap and may last; a request once begun may not.
+        // An idle connection is cheap and may wait long; a request that has started has a time limit.
         next_request(&conn, admission, is_machine).await?;
         let request = match read_request(&conn, admission).await {
             Ok(request) => request,
@@ -153,8 +156,8 @@
             return refuse(&conn, 503, "connections run short", method).await;
         }
         let peer_closes = closes_connection(&request.head);
-        let Some(answer) = answer_in_time(request.head, request.body, kind, handler).await else { return Ok(()) };
-        let close = peer_closes || closes_after_answer(&answer, kind, admission);
+        let Some(answer) = respond_in_time(request.head, request.body, kind, handler).await else { return Ok(()) };
+        let close = peer_closes || closes_after_response(&answer, kind, admission);
         send(&conn, response(answer, close), method).await?;
         if close {
             return Ok(());
@@ -162,8 +165,8 @@
     }
 }
 
-/// The handler's answer; none where it came after the peer has given up.
-async fn answer_in_time<F, Fut>(head: Request, body: Vec<u8>, kind: RequestKind, handler: &F) -> Option<Outgoing>
+/// Calls the handler. Returns `None` if the response came after the peer stopped waiting.
+async fn respond_in_time<F, Fut>(head: Request, body: Vec<u8>, kind: RequestKind, handler: &F) -> Option<Outgoing>
 where
     F: Fn(Incoming) -> Fut,
     Fut: Future<Output = Outgoing>,
@@ -177,8 +180,8 @@
     };
     let read_at = clock::now();
     let answer = handler(incoming).await;
-    // After a pause of this process the clock has run on: the peer has given up and asks
-    // elsewhere, and what the answer rests on may be over.
+    // If this process was paused, the peer has timed out and asks another node, and the response may rest on outdated
+    // state.
     let now = clock::now();
     if now - read_at > kind.response_timeout_s() {
         return None;
@@ -186,15 +189,15 @@
     Some(answer.unless_expired(now))
 }
 
-/// Connections stay where they are: a user whose question this node could not answer would ask
-/// it again and again, beside others that can.
-fn closes_after_answer(answer: &Outgoing, kind: RequestKind, admission: &Admission) -> bool {
+/// Returns whether the connection is closed after this response. A user whose request this node could not serve would
+/// otherwise retry on the same connection, although other nodes could serve it.
+fn closes_after_response(answer: &Outgoing, kind: RequestKind, admission: &Admission) -> bool {
     let is_user = matches!(kind, RequestKind::Poll | RequestKind::User);
     (answer.status == 503 && is_user) || admission.closes_after(kind)
 }
 
-/// Accepts connections for ever. One over the bound is closed at once: its peer asks
-/// another controller.
+/// Accepts connections forever. A connection beyond the limit is closed at once, so that its peer turns to another
+/// controller.
 pub async fn serve<F, Fut>(
     ex: &'static async_executor::Executor<'static>,
     listener: Async<TcpListener>,
@@ -207,9 +210,9 @@
     let admission = Arc::new(Admission::new(bounds));
     loop {
         let stream = match listener.accept().await {
-            Ok((s, _)) => s,
-            Err(e) => {
-                log::warn!("accept failed error={e}");
+            Ok((stream, _)) => stream,
+            Err(error) => {
+                log::warn!("accept failed error={error}");
                 Timer::after(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
