--- a/src/job_status.rs
+++ b/src/job_status.rs
@@ -1,53 +1,53 @@
-//! The status of a job as users see it, and what its stored record alone says of it. Reads no state.
+//! The status of a job as users see it, and how it is derived from a stored record. Reads no state.
 
 use crate::jobs::{JobRecord, Phase};
 use crate::wire::{self, JobState, KeyValue};
 
-/// Most digits of a job's id.
+/// Maximum number of digits in a job id.
 const MAX_ID_DIGITS: usize = 32;
 
-/// A job as a user sees it.
+/// The status of a job as users see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct JobStatus {
     pub state: JobState,
-    /// Tasks that are done.
+    /// Number of completed tasks.
     pub done: u64,
-    /// Tasks that are running.
+    /// Number of running tasks.
     pub running: u64,
 }
 
 impl JobStatus {
-    /// Final states never change: any node may report one that it has seen.
+    /// Returns whether the state is final. Final states never change, so any node may report one that it has seen.
     pub fn is_final(&self) -> bool {
         matches!(self.state, JobState::Done | JobState::Cancelled)
     }
 }
 
-/// What a node can say of a job.
+/// The result of looking up a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lookup {
     Known(JobStatus),
-    /// The state service itself has no such job.
+    /// The state service has no record of the job.
     Absent,
-    /// Nothing can be said now.
+    /// The status cannot be determined now.
     Unavailable,
 }
 
-/// Is this a well-formed id of a job?
+/// Returns whether this is a well-formed job id.
 pub fn valid_id(id: &str) -> bool {
-    id.strip_prefix(wire::JOB_ID_START)
-        .is_some_and(|n| !n.is_empty() && n.len() <= MAX_ID_DIGITS && n.bytes().all(|b| b.is_ascii_digit()))
+    id.strip_prefix(wire::JOB_ID_START).is_some_and(|digits| {
+        !digits.is_empty() && digits.len() <= MAX_ID_DIGITS && digits.bytes().all(|byte| byte.is_ascii_digit())
+    })
 }
 
-/// What a stored record alone says of a job; none where it cannot be read. A repeated submission was once answered
-/// with "queued" because the record was there, whatever it said: the job had been
-/// called cancelled before.
+/// Returns the status that a stored record implies, or `None` if the record cannot be parsed. The record's content
+/// matters, not only its existence: otherwise the resubmission of a cancelled job would be answered with "queued".
 pub fn status_of_item(item: &KeyValue) -> Option<JobStatus> {
     let record: JobRecord = serde::Deserialize::deserialize(&item.value).ok()?;
     Some(status_of(&record))
 }
 
-/// The status that a record stands for; tasks of an open job are not counted in it.
+/// Returns the status that a record implies. A record holds no task counts, so those of an open job are zero.
 pub fn status_of(record: &JobRecord) -> JobStatus {
     match record.phase {
         Phase::Open => JobStatus { state: JobState::Queued, done: 0, running: 0 },
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! lupinspur: a cluster scheduler for services and batch work, on spot machines
-//! with on-demand machines for the gap. docs/architecture.md shows the whole, docs/design.md says why.
+//! lupinspur: a cluster scheduler for services and batch jobs on spot machines, with on-demand machines where spot
+//! capacity is insufficient. docs/architecture.md gives an overview, docs/design.md explains the design decisions.
 
-// Standard output belongs to the command line.
+// Only the command line prints to standard output.
 #![warn(clippy::print_stdout)]
 
 pub mod api;
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logging to standard error, one line an event, at the amount `LOG_LEVEL` gives.
+//! Logging to standard error, one line per event, at the level that `LOG_LEVEL` sets.
 
 use std::io::Write;
 
@@ -20,13 +20,13 @@
 /// Why logging could not be set up.
 #[derive(Debug, thiserror::Error)]
 pub enum LoggingError {
-    #[error("{0:?} is not one of off, error, warn, info, debug")]
+    #[error("{0:?} is not a log level: use off, error, warn, info or debug")]
     UnknownLevel(String),
     #[error(transparent)]
     AlreadySet(#[from] log::SetLoggerError),
 }
 
-/// Sends this program's log to standard error, down to `level`. Fails if called twice.
+/// Starts logging this program's events of `level` and above to standard error. Fails if called twice.
 pub fn init(level: &str) -> Result<(), LoggingError> {
     let level = level.to_ascii_lowercase();
     let filter = level.parse().map_err(|_| LoggingError::UnknownLevel(level))?;
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The program: reads its command line and settings, then runs the node.
+//! The program: reads the command line and the settings, then runs a controller or a query.
 
 use clap::Parser;
 use lupinspur::logging::LoggingError;
@@ -19,20 +19,21 @@
     /// Settings file (TOML).
     #[arg(long, required = true)]
     config: Option<PathBuf>,
-    /// Check the settings and other files and exit without starting anything.
+    /// Check the settings and the other files, then exit.
     #[arg(long)]
     check: bool,
-    /// How much is logged to standard error: error, warn, info, debug or off; info for a controller,
-    /// warn for a question, unless told otherwise.
+    /// Level of the log on standard error: error, warn, info, debug or off. The default is info for a
+    /// controller and warn for a query.
     #[arg(long, env = "LOG_LEVEL", global = true)]
     log_level: Option<String>,
-    /// File of organisations whose quotas nest (TOML); without it teams stand side by side.
+    /// Quota file (TOML) of organisations with nested quotas. Without it, each team has only its own limits.
     #[arg(long, env = "LUPINSPUR_QUOTAS", value_name = "FILE")]
     quotas: Option<PathBuf>,
-    /// File of elastic jobs (TOML); without it every array is as large as there is room.
+    /// Elastic jobs file (TOML). Without it, the elastic sizes of submissions are ignored.
     #[arg(long, env = "LUPINSPUR_ELASTIC", value_name = "FILE")]
     elastic: Option<PathBuf>,
-    /// File of shards (TOML): machines and teams parted among leaders; without it there is one.
+    /// Sharding file (TOML), which divides machines and teams among several leaders. Without it there is
+    /// one shard.
     #[arg(long, env = "LUPINSPUR_CELLS", value_name = "FILE")]
     cells: Option<PathBuf>,
     #[command(flatten)]
@@ -41,31 +42,31 @@
     query: Option<Query>,
 }
 
-/// Why the program ends with a failure.
+/// Why the program fails.
 #[derive(Debug, thiserror::Error)]
 enum ProgramError {
     #[error("LOG_LEVEL: {0}")]
     Logging(#[from] LoggingError),
     #[error(transparent)]
     Flag(#[from] FlagError),
-    #[error("--config is needed")]
+    #[error("--config is required")]
     MissingConfig,
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// Each fault of a file on a line of its own.
+    /// The faults of a file, one per line.
     #[error("{0}")]
     File(String),
-    #[error("--quotas and --cells cannot be used together: nested quotas are not parted among cells yet")]
+    #[error("--quotas and --cells cannot be used together: nested quotas cannot be divided among cells yet")]
     QuotasWithShards,
     #[error(transparent)]
     Query(#[from] QueryError),
-    #[error("there are faults")]
+    #[error("faults were found")]
     FaultsFound,
     #[error(transparent)]
     Listen(#[from] std::io::Error),
 }
 
-/// Reads the quota file; fails with each fault on a line of its own.
+/// Reads the quota file. On failure, the error lists the faults one per line.
 fn load_quotas(path: &Path, settings: &Settings) -> Result<Plan, ProgramError> {
     let teams = lupinspur::shard::team_limits(&settings.teams);
     let parse = |text: &str| {
@@ -81,12 +82,13 @@
     Ok(plan)
 }
 
-/// Reads the file of shards; fails with each fault on a line of its own.
+/// Reads the sharding file. On failure, the error lists the faults one per line.
 fn load_shards(path: &Path, settings: &Settings) -> Result<ShardingPlan, ProgramError> {
     let teams: Vec<String> = settings.teams.iter().map(|team| team.name.clone()).collect();
     load(path, |text| ShardingPlan::parse(text, &teams)).map_err(ProgramError::File)
 }
 
+/// Reads the elastic jobs file. On failure, the error lists the faults one per line.
 fn load_elastic(path: &Path) -> Result<lupinspur_elastic::Plan, ProgramError> {
     load(path, lupinspur_elastic::Plan::parse).map_err(ProgramError::File)
 }
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -1,5 +1,5 @@
-//! gRPC between controllers: tonic's code over hyper's HTTP/2 on async-io sockets. Carries questions and answers;
-//! what is answered is made in `peer_server`.
+//! gRPC between controllers: tonic's generated code over hyper's HTTP/2 on async-io sockets. This module transports
+//! requests and responses; `peer_server` builds the responses.
 
 use crate::http::timed;
 use crate::settings::Settings;
@@ -29,16 +29,17 @@
     ServiceQuestion, Verb,
 };
 
+/// Runs hyper's tasks on the program's executor.
 #[derive(Clone, Copy)]
 struct Spawn(&'static Executor<'static>);
 
 impl<F: Future<Output = ()> + Send + 'static> hyper::rt::Executor<F> for Spawn {
-    fn execute(&self, f: F) {
-        self.0.spawn(f).detach();
+    fn execute(&self, future: F) {
+        self.0.spawn(future).detach();
     }
 }
 
-/// An HTTP/2 connection as the service that tonic's client calls.
+/// An HTTP/2 connection as a service for tonic's client.
 #[derive(Clone)]
 struct Channel(hyper::client::conn::http2::SendRequest<Body>);
 
@@ -53,13 +54,13 @@
         self.0.poll_ready(cx).map_err(Into::into)
     }
 
-    fn call(&mut self, req: http::Request<Body>) -> Self::Future {
-        let sent = self.0.send_request(req);
-        Box::pin(async move { Ok(sent.await?) })
+    fn call(&mut self, request: http::Request<Body>) -> Self::Future {
+        let response = self.0.send_request(request);
+        Box::pin(async move { Ok(response.await?) })
     }
 }
 
-/// Connections to the other controllers, kept while they work.
+/// Connections to the other controllers, kept open until they fail.
 pub struct Peers {
     ex: &'static Executor<'static>,
     addrs: HashMap<String, SocketAddr>,
@@ -68,9 +69,10 @@
 
 /// How long a connection may take to open.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(700);
-/// How long a controller has for an answer to another; an operator waits twice as long.
+/// How long a controller waits for a response of another one; an operator waits twice as long.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1300);
-/// A failure within this is a connection that is over, not a question that was lost.
+/// A call that fails within this time failed because the connection was already closed; the request was not lost on the
+/// way, and is repeated.
 const CLOSED_CONNECTION_WITHIN: Duration = Duration::from_millis(200);
 
 fn origin() -> http::Uri {
@@ -80,8 +82,8 @@
 async fn connect(ex: &'static Executor<'static>, addr: SocketAddr) -> Option<Channel> {
     let stream = timed(CONNECT_TIMEOUT, Async::<TcpStream>::connect(addr)).await.ok()?.ok()?;
     let _ = stream.get_ref().set_nodelay(true);
-    let shake = hyper::client::conn::http2::handshake(Spawn(ex), FuturesIo::new(stream));
-    let (send, conn) = timed(CONNECT_TIMEOUT, shake).await.ok()?.ok()?;
+    let handshake = hyper::client::conn::http2::handshake(Spawn(ex), FuturesIo::new(stream));
+    let (send, conn) = timed(CONNECT_TIMEOUT, handshake).await.ok()?.ok()?;
     ex.spawn(async move {
         let _ = conn.await;
     })
@@ -89,19 +91,19 @@
     Some(Channel(send))
 }
 
-/// Why an operator's question to a controller has no answer.
+/// Why an operator's query to a controller failed.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerQueryError {
-    #[error("{0} cannot be reached")]
+    #[error("cannot connect to the controller at {0}")]
     Unreachable(SocketAddr),
-    #[error("{0} does not answer")]
+    #[error("the controller at {0} did not respond in time")]
     NoAnswer(SocketAddr),
-    /// The controller's own reason.
+    /// The reason that the controller gave.
     #[error("{0}")]
     Refused(String),
 }
 
-/// A connection for one question of an operator to any controller.
+/// Opens a connection for one query of an operator to any controller.
 async fn operator_client(
     ex: &'static Executor<'static>,
     addr: SocketAddr,
@@ -110,7 +112,7 @@
     Ok(OwnerClient::with_origin(channel, origin()))
 }
 
-async fn await_answer<Answer>(
+async fn await_response<Answer>(
     addr: SocketAddr,
     call: impl Future<Output = Result<tonic::Response<Answer>, tonic::Status>>,
 ) -> Result<Answer, PeerQueryError> {
@@ -121,38 +123,38 @@
     }
 }
 
-/// Asks a controller about quotas, and why this job waits; an empty id asks about no job.
+/// Queries a controller for the quotas and for the reason why a job waits. An empty id names no job.
 pub async fn query_quotas(
     ex: &'static Executor<'static>,
     addr: SocketAddr,
     job: &str,
 ) -> Result<QuotaAnswer, PeerQueryError> {
     let question = QuotaQuestion { job: job.to_owned(), passed_on: false, cell: 0 };
-    await_answer(addr, operator_client(ex, addr).await?.quotas(question)).await
+    await_response(addr, operator_client(ex, addr).await?.quotas(question)).await
 }
 
-/// Asks a controller about the elastic jobs of a shard.
+/// Queries a controller for the elastic jobs of a shard.
 pub async fn query_elastic(
     ex: &'static Executor<'static>,
     addr: SocketAddr,
     shard: u32,
 ) -> Result<ServiceAnswer, PeerQueryError> {
     let question = ServiceQuestion { passed_on: false, cell: shard };
-    await_answer(addr, operator_client(ex, addr).await?.elastic(question)).await
+    await_response(addr, operator_client(ex, addr).await?.elastic(question)).await
 }
 
-/// Asks a controller about the service levels of a shard.
+/// Queries a controller for the service levels of a shard.
 pub async fn query_service(
     ex: &'static Executor<'static>,
     addr: SocketAddr,
     shard: u32,
 ) -> Result<ServiceAnswer, PeerQueryError> {
     let question = ServiceQuestion { passed_on: false, cell: shard };
-    await_answer(addr, operator_client(ex, addr).await?.service(question)).await
+    await_response(addr, operator_client(ex, addr).await?.service(question)).await
 }
 
 impl Peers {
-    /// No connection is opened before the first question.
+    /// Creates the client without opening connections; each is opened for the first request to its controller.
     pub fn new(ex: &'static Executor<'static>, settings: &Settings) -> Peers {
         Peers {
             ex,
@@ -162,17 +164,17 @@
     }
 
     async fn channel(&self, node: &str) -> Option<Channel> {
-        if let Some(c) = self.open.lock().unwrap_or_else(|e| e.into_inner()).get(node)
-            && !c.0.is_closed()
+        if let Some(channel) = self.open.lock().unwrap_or_else(|error| error.into_inner()).get(node)
+            && !channel.0.is_closed()
         {
-            return Some(c.clone());
+            return Some(channel.clone());
         }
-        let c = connect(self.ex, *self.addrs.get(node)?).await?;
-        self.open.lock().unwrap_or_else(|e| e.into_inner()).insert(node.to_owned(), c.clone());
-        Some(c)
+        let channel = connect(self.ex, *self.addrs.get(node)?).await?;
+        self.open.lock().unwrap_or_else(|error| error.into_inner()).insert(node.to_owned(), channel.clone());
+        Some(channel)
     }
 
-    /// The leader's answer to one question; without one, the next question opens a new connection.
+    /// Sends one request and returns the leader's response. After a failure, the connection is dropped.
     async fn call<Answer>(
         &self,
         node: &str,
@@ -186,28 +188,28 @@
         Some(answer.ok()?.ok()?.into_inner())
     }
 
-    /// Asks the leader about quotas.
+    /// Forwards a query about quotas to the leader.
     pub async fn ask_quotas(&self, node: &str, question: QuotaQuestion) -> Option<QuotaAnswer> {
         self.call(node, async |mut client| client.quotas(question).await).await
     }
 
-    /// Asks the leader about elastic jobs.
+    /// Forwards a query about elastic jobs to the leader.
     pub async fn ask_elastic(&self, node: &str, cell: u32) -> Option<ServiceAnswer> {
         self.call(node, async |mut client| client.elastic(ServiceQuestion { passed_on: true, cell }).await).await
     }
 
-    /// Asks the leader about service levels.
+    /// Forwards a query about service levels to the leader.
     pub async fn ask_service(&self, node: &str, cell: u32) -> Option<ServiceAnswer> {
         self.call(node, async |mut client| client.service(ServiceQuestion { passed_on: true, cell }).await).await
     }
 
-    /// Asks a leader whether one of its shards knows this machine, or this job.
+    /// Asks a leader whether one of its shards knows a machine or a job.
     pub async fn ask_expects(&self, node: &str, question: MachineQuestion) -> Option<MachineAnswer> {
         self.call(node, async |mut client| client.expects(question).await).await
     }
 
-    /// Asks the leader about a job. None when it cannot be reached or cannot act. A connection
-    /// to a process that has ended meanwhile fails at once, and a new one is tried.
+    /// Asks the leader about a job. Returns `None` if it cannot be reached or cannot act. A connection to a process that
+    /// has ended fails at once; the request is then retried once on a new connection.
     pub async fn ask(
         &self,
         node: &str,
@@ -226,14 +228,14 @@
                     return Some(response.into_inner()).filter(|answer| answer.outcome() != Outcome::Unable);
                 }
                 Ok(Err(status)) => {
-                    log::debug!("job question failed node={node} status={status}");
+                    log::debug!("job request to leader failed node={node} status={status}");
                     self.drop_channel(node);
                     if !std::mem::take(&mut may_retry) || asked_at.elapsed() > CLOSED_CONNECTION_WITHIN {
                         return None;
                     }
                 }
                 Err(_) => {
-                    // A silent connection may be cut for good: the next question opens a new one.
+                    // After a timeout the connection may be dead, so the next request opens a new one.
                     self.drop_channel(node);
                     return None;
                 }
@@ -242,28 +244,29 @@
     }
 
     fn drop_channel(&self, node: &str) {
-        self.open.lock().unwrap_or_else(|e| e.into_inner()).remove(node);
+        self.open.lock().unwrap_or_else(|error| error.into_inner()).remove(node);
     }
 }
 
-/// Serves the leader's side for ever.
+/// Accepts connections of other controllers and operators, forever.
 pub async fn serve<T: Owner>(ex: &'static Executor<'static>, listener: Async<TcpListener>, leader: std::sync::Arc<T>) {
     loop {
         let stream = match listener.accept().await {
-            Ok((s, _)) => s,
-            Err(e) => {
-                log::warn!("accept from peers failed error={e}");
+            Ok((stream, _)) => stream,
+            Err(error) => {
+                log::warn!("accept from peers failed error={error}");
                 async_io::Timer::after(Duration::from_millis(100)).await;
                 continue;
             }
         };
         let _ = stream.get_ref().set_nodelay(true);
         let server = OwnerServer::from_arc(leader.clone());
-        let service = hyper::service::service_fn(move |req: http::Request<hyper::body::Incoming>| {
+        let service = hyper::service::service_fn(move |request: http::Request<hyper::body::Incoming>| {
             let mut server = server.clone();
             async move {
-                let req = req.map(|b| Body::new(b.map_err(|e| tonic::Status::from_error(e.into()))));
-                server.call(req).await
+                let request =
+                    request.map(|body| Body::new(body.map_err(|error| tonic::Status::from_error(error.into()))));
+                server.call(request).await
             }
         });
         ex.spawn(async move {
--- a/src/peer_server.rs
+++ b/src/peer_server.rs
@@ -1,5 +1,5 @@
-//! The gRPC service for other controllers and operators. Answers as the leader of a shard, or passes an operator's
-//! question on to the leader once; decides nothing.
+//! The gRPC service for other controllers and operators. Responds as the leader of a shard, or forwards an operator's
+//! query to the leader once. Makes no decisions.
 
 use crate::clock;
 use crate::job_status::{Lookup, valid_id};
@@ -14,12 +14,12 @@
 use std::sync::Arc;
 use tonic::{Request, Response, Status};
 
-/// This node, as other controllers and operators call it.
+/// This node as the gRPC service for other controllers and operators.
 pub struct LeaderService(pub Arc<Node>);
 
 impl LeaderService {
     fn shard(&self, number: u32) -> Result<Arc<ShardRuntime>, Status> {
-        self.0.shard(ShardId(number)).ok_or_else(|| Status::not_found(format!("there is no shard {number}")))
+        self.0.shard(ShardId(number)).ok_or_else(|| Status::not_found(format!("shard {number} does not exist")))
     }
 }
 
@@ -96,7 +96,7 @@
             _ => None,
         };
         let mut report = report.ok_or_else(no_leader)?;
-        // Answers to users are counted by the node that gave them.
+        // Responses to users are counted by the node that sent them.
         report.rows.retain(|row| !matches!(row.reading, Reading::Accepted | Reading::Cancelled));
         report.rows.extend(self.0.ingress_report(now).rows);
         Ok(Response::new(ServiceAnswer { json: encode(&report)? }))
--- a/src/query.rs
+++ b/src/query.rs
@@ -1,5 +1,5 @@
-//! Operators' questions by the command line: to a running controller, to the state service, to the model. Changes
-//! nothing anywhere; answers are returned as text, a table or JSON.
+//! Operators' queries on the command line: to a running controller, to the state service, or to the simulation model.
+//! Queries change nothing; results are returned as text, either a table or JSON.
 
 mod tables;
 
@@ -16,100 +16,100 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// What operators ask by the command line.
+/// Operators' queries on the command line.
 #[derive(Subcommand, Debug)]
 pub enum Query {
-    /// Shows what each level of the quotas has, uses, lends, borrows and waits for.
+    /// Show the guarantee, limit and use of each quota level, and what it lends, borrows and waits for.
     Quotas {
-        /// Where any controller listens for its peers (peer_listen in its settings).
+        /// Address at which any controller listens for its peers (peer_listen in its settings).
         #[arg(long, value_name = "ADDRESS")]
         peer: SocketAddr,
-        /// Also say why this job waits.
+        /// Also show why this job waits.
         #[arg(long, default_value = "")]
         job: String,
-        /// JSON instead of a table.
+        /// Print JSON instead of a table.
         #[arg(long)]
         json: bool,
     },
-    /// Shows each elastic job's sizes, the shrinks under way, and how long shrinks took.
+    /// Show the sizes of each elastic job, the shrinks in progress, and how long shrinks took.
     Elastic {
-        /// Where any controller listens for its peers (peer_listen in its settings).
+        /// Address at which any controller listens for its peers (peer_listen in its settings).
         #[arg(long, value_name = "ADDRESS")]
         peer: SocketAddr,
-        /// Of this shard, where there are several.
+        /// Number of the shard, if there are several.
         #[arg(long, default_value_t = 0)]
         cell: u32,
-        /// JSON instead of a table.
+        /// Print JSON instead of a table.
         #[arg(long)]
         json: bool,
     },
-    /// Looks at what the state service holds, without the controllers.
+    /// Inspect the records in the state service, without the controllers.
     #[command(subcommand)]
     State(StateQuery),
-    /// Plays a scenario in virtual time, with the decisions as they are and stand-ins for everything else,
-    /// and tells what came of it. Fails where a rule is broken.
+    /// Simulate a scenario in virtual time, with the controller's decisions and a model of everything else,
+    /// and show the results. Fails if a rule is violated.
     Simulate {
         /// Scenario file (TOML); deploy/scenario.toml is an example.
         scenario: PathBuf,
-        /// How many times, each with the next seed.
+        /// Number of runs, each with the next seed.
         #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(1..=100_000))]
         seeds: u64,
-        /// The first seed.
+        /// Seed of the first run.
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// JSON instead of a table.
+        /// Print JSON instead of a table.
         #[arg(long)]
         json: bool,
     },
-    /// Shows what each class of jobs and each team asked for, and what it was served.
+    /// Show what each class of jobs and each team requested, and how much of it was served.
     Service {
-        /// Where any controller listens for its peers (peer_listen in its settings). Submissions
-        /// and cancellations are those that this controller answered.
+        /// Address at which any controller listens for its peers (peer_listen in its settings). Submissions
+        /// and cancellations are counted only as far as this controller answered them.
         #[arg(long, value_name = "ADDRESS")]
         peer: SocketAddr,
-        /// Of this shard, where there are several.
+        /// Number of the shard, if there are several.
         #[arg(long, default_value_t = 0)]
         cell: u32,
-        /// JSON instead of a table.
+        /// Print JSON instead of a table.
         #[arg(long)]
         json: bool,
     },
 }
 
-/// What operators ask of the state service itself.
+/// Operators' queries to the state service.
 #[derive(Subcommand, Debug)]
 pub enum StateQuery {
-    /// Reads everything and tells every value that is malformed, out of place or contradicts
-    /// another, with counts and sizes by kind. Writes nothing; fails where there is a fault.
+    /// Read all records and report each one that is malformed, misplaced or contradicts another, with counts
+    /// and sizes by kind. Writes nothing. Fails if a fault is found.
     Check {
         /// Settings file (TOML) of any controller.
         #[arg(long)]
         config: PathBuf,
-        /// Requests a second, of up to a thousand values each.
+        /// Requests per second, each for up to 1000 records.
         #[arg(long, default_value_t = 2.0)]
         rate: f64,
-        /// JSON instead of a table.
+        /// Print JSON instead of a table.
         #[arg(long)]
         json: bool,
     },
 }
 
-/// Why a question has no answer.
+/// Why a query failed.
 #[derive(Debug, thiserror::Error)]
 pub enum QueryError {
     #[error(transparent)]
     Peer(#[from] PeerQueryError),
-    #[error("the answer is malformed: {0}")]
+    #[error("the controller's response is malformed: {0}")]
     MalformedAnswer(#[source] serde_json::Error),
-    #[error("{0}")]
+    #[error("cannot encode the result as JSON: {0}")]
     Encoding(#[source] serde_json::Error),
-    #[error("no job is elastic here: the controllers run without --elastic")]
+    #[error("there are no elastic jobs: the controllers run without --elastic")]
     ElasticDisabled,
-    #[error("quotas do not nest here: the controllers run without --quotas")]
+    #[error("there are no nested quotas: the controllers run without --quotas")]
     QuotasDisabled,
-    #[error("--rate: {0} must be above zero")]
+    #[error("--rate: {0} must be greater than zero")]
     Rate(f64),
-    /// Each fault of the file on a line of its own.
+    /// The faults of the scenario file, one per line.
     #[error("{0}")]
     Scenario(String),
     #[error(transparent)]
@@ -118,11 +118,11 @@
     Audit(#[from] AuditError),
 }
 
-/// The answer to a question.
+/// The result of a query.
 pub struct Answer {
-    /// What is printed: a table, or JSON.
+    /// The text to print: a table or JSON.
     pub text: String,
-    /// No rule was broken and no fault found.
+    /// Whether no rule was violated and no fault was found.
     pub is_sound: bool,
 }
 
@@ -134,10 +134,10 @@
 
 static EXECUTOR: Executor<'static> = Executor::new();
 
-/// More at once gain nothing: each run keeps one processor busy.
+/// Maximum number of threads for simulation runs; each run keeps one processor busy.
 const MAX_THREADS: usize = 32;
 
-/// Asks, and waits for the answer.
+/// Runs a query and waits for its result.
 pub fn run(query: &Query) -> Result<Answer, QueryError> {
     match query {
         Query::Quotas { peer, job, json } => quotas(*peer, job, *json).map(Answer::sound),
@@ -187,7 +187,7 @@
     as_json_or_table(answer.json, json, |report: &QuotaReport| tables::quotas(report))
 }
 
-/// A controller's report as it was sent, or as a table.
+/// Returns a controller's report as the JSON that it sent, or as a table.
 fn as_json_or_table<Report: DeserializeOwned>(
     sent: String,
     json: bool,
--- a/src/query/tables.rs
+++ b/src/query/tables.rs
@@ -1,14 +1,14 @@
-//! Reports as tables for people. Every table is laid out by [`Table`].
+//! Formats reports as text tables, laid out by [`Table`].
 
 use crate::shard::{ElasticReport, QuotaReport, QuotaRow};
 use lupinspur_model::Run;
 use lupinspur_service_levels::ServiceLevelReport;
 use std::fmt::{self, Display, Formatter, Write as _};
 
-/// Rows below a heading, each column as wide as its widest cell.
+/// A heading and rows, with each column as wide as its widest cell.
 struct Table {
     rows: Vec<Vec<String>>,
-    /// So many first columns are text, aligned left; the others are numbers, aligned right.
+    /// Number of leading text columns, aligned left; the other columns hold numbers, aligned right.
     text_columns: usize,
 }
 
@@ -41,7 +41,7 @@
     }
 }
 
-/// A row for each seed, then every rule that was broken.
+/// Formats simulation runs: a row for each seed, then every violated rule.
 pub(super) fn runs(runs: &[Run]) -> String {
     let heading = [
         "seed",
@@ -63,7 +63,7 @@
     let mut text = table.to_string();
     for run in runs {
         if let Some(broken) = &run.broken {
-            let _ = writeln!(text, "broken with seed {}: {broken}", run.seed);
+            let _ = writeln!(text, "rule violated with seed {}: {broken}", run.seed);
         }
     }
     text
@@ -82,7 +82,7 @@
     row
 }
 
-/// Sizes job by job, then the shrinks.
+/// Formats the sizes of each elastic job, then statistics of the shrinks.
 pub(super) fn elastic(report: &ElasticReport) -> String {
     let mut table = Table::new(&["job", "smallest", "largest", "wanted", "held", "shrinks"], 1);
     for job in &report.jobs {
@@ -95,7 +95,7 @@
     let times = &report.times;
     let _ = writeln!(
         text,
-        "{} shrinks took {:.1} s (half), {:.1} s (19 in 20), {:.1} s (the longest); {} under way\n{}",
+        "{} shrinks took {:.1} s (median), {:.1} s (95th percentile), {:.1} s (longest); {} in progress\n{}",
         times.shrinks,
         times.half,
         times.most,
@@ -106,7 +106,7 @@
     text
 }
 
-/// Shares, class by class and team by team.
+/// Formats the served shares of each class and team.
 pub(super) fn service_levels(report: &ServiceLevelReport) -> String {
     let heading = ["", "", "reading", "asked", "served", "minute", "10 minutes", "unknown", "waits p50/p90/max s"];
     let mut table = Table::new(&heading, 3);
@@ -119,14 +119,14 @@
         row.extend([unknown, waits]);
         table.rows.push(row);
     }
-    format!("shares of what was asked for, since this owner began\n{table}")
+    format!("served shares of what was requested, since this leader took over\n{table}")
 }
 
 fn share(share: Option<f64>) -> String {
     share.map_or("-".to_owned(), |share| format!("{share:.3}"))
 }
 
-/// Cpus, level by level; accelerators too where there are any.
+/// Formats the quota levels in cpus, and in accelerators if any level has or uses them.
 pub(super) fn quotas(report: &QuotaReport) -> String {
     let has_accelerators =
         report.levels.iter().any(|level| level.guarantee_gpus + level.limit_gpus + level.used_gpus > 0.0);
@@ -138,7 +138,7 @@
     table.rows.extend(report.levels.iter().map(|level| quota_row(level, has_accelerators)));
     let mut text = format!("quotas of generation {}, in cpus\n{table}", report.generation);
     if let Some(reason) = &report.job {
-        let _ = writeln!(text, "the job: {reason}");
+        let _ = writeln!(text, "job: {reason}");
     }
     text
 }
--- a/src/rate_limiter.rs
+++ b/src/rate_limiter.rs
@@ -1,31 +1,33 @@
-//! Token buckets that keep this controller within its share of a service's limits. Reads no clock: times are given, in
-//! seconds of the steady clock.
+//! Token buckets that keep this controller within its share of a service's rate limits. Callers pass the time, in seconds
+//! of the monotonic clock.
 
-/// A new process begins with the burst divided by this; urgent requests borrow as much.
+/// A new process starts with the burst divided by this; urgent requests may borrow the same amount.
 const BURST_DIVISOR: f64 = 4.0;
 
-/// Allows `rate` units a second, with bursts of `burst` units.
+/// Allows `rate` units per second, with bursts of `burst` units.
 #[derive(Debug, Clone)]
 pub struct RateLimiter {
     rate: f64,
     burst: f64,
+    /// Negative while there is debt.
     available_units: f64,
     refilled_at: f64,
 }
 
 impl RateLimiter {
-    /// A limiter that begins with a full burst.
+    /// Creates a limiter that starts with a full burst.
     pub fn new(rate: f64, burst: f64) -> RateLimiter {
         RateLimiter { rate, burst: burst.max(1.0), available_units: burst.max(1.0), refilled_at: 0.0 }
     }
 
-    /// The same, of a process that has just begun: an earlier process may have spent the burst a
-    /// moment ago. One that ended again and again once had a whole burst each time.
+    /// Creates the limiter of a process that has just started. It starts with a part of the burst, because the previous
+    /// process may have spent the burst just before. Otherwise a process that keeps restarting would spend a full burst
+    /// each time.
     pub fn new_after_restart(rate: f64, burst: f64) -> RateLimiter {
         RateLimiter { available_units: (burst / BURST_DIVISOR).max(1.0), ..RateLimiter::new(rate, burst) }
     }
 
-    /// Other limits from now on; what was taken stays taken.
+    /// Changes the limits; units that were taken stay taken.
     pub fn set_rate(&mut self, now: f64, rate: f64, burst: f64) {
         self.refill(now);
         (self.rate, self.burst) = (rate, burst.max(1.0));
@@ -39,16 +41,16 @@
         }
     }
 
-    /// Whole units that may be taken now.
+    /// Returns the number of whole units that are available now.
     pub fn available(&mut self, now: f64) -> usize {
         self.refill(now);
         self.available_units.max(0.0) as usize
     }
 
-    /// Takes `units` if they are there.
+    /// Takes `units` if they are available.
     pub fn try_acquire(&mut self, now: f64, units: usize) -> bool {
         self.refill(now);
-        // More than a full burst is let through when full, and paid back afterwards.
+        // A request for more than a full burst is allowed once the bucket is full; the excess becomes debt.
         if self.available_units >= (units as f64).min(self.burst) {
             self.available_units -= units as f64;
             true
@@ -57,14 +59,14 @@
         }
     }
 
-    /// Takes what may not wait, if need be as debt: of one burst at the most. Other requests would otherwise wait for as
-    /// long as ever more was taken.
+    /// Takes units for a request that cannot wait, as debt if necessary. The debt is limited to one burst, because other
+    /// requests would otherwise wait ever longer.
     pub fn acquire_with_debt(&mut self, now: f64, units: usize) {
         self.refill(now);
         self.available_units = (self.available_units - units as f64).max(-self.burst);
     }
 
-    /// Takes only while at least half of a burst is left for others.
+    /// Takes one unit only if at least half a burst is available, so that the rest is left for other requests.
     pub fn try_acquire_spare(&mut self, now: f64) -> bool {
         self.refill(now);
         let is_spare = self.available_units >= (self.burst / 2.0).max(1.0);
@@ -74,8 +76,8 @@
         is_spare
     }
 
-    /// Takes before other requests: up to a quarter of a burst as debt, which they
-    /// then wait for.
+    /// Takes units ahead of other requests, with up to a quarter of a burst as debt. Other requests then wait until it is
+    /// paid back.
     pub fn try_acquire_urgent(&mut self, now: f64, units: usize) -> bool {
         self.refill(now);
         let is_available = self.available_units + self.burst / BURST_DIVISOR >= (units as f64).min(self.burst);
@@ -85,7 +87,7 @@
         is_available
     }
 
-    /// The service answered that its limit is reached: another client spent this share.
+    /// Empties the bucket after the service reported that its limit is reached, because another client spent this share.
     pub fn drain(&mut self, now: f64) {
         self.refill(now);
         self.available_units = self.available_units.min(0.0);
--- a/src/responses.rs
+++ b/src/responses.rs
@@ -1,5 +1,5 @@
-//! Answers to questions about jobs and to workers' heartbeats, from what is known at that moment. Decides alone:
-//! `api` reads what is known, and sends the answer.
+//! Builds the HTTP responses to job requests and to workers' heartbeats. The functions depend only on their arguments:
+//! `api` gathers the data and sends the response.
 
 use crate::http::Outgoing;
 use crate::job_status::{JobStatus, Lookup, status_of_item};
@@ -8,26 +8,27 @@
 use crate::shard::{HeartbeatOutcome, JobView};
 use crate::wire::{JobAnswer, KeyValue, Redirect};
 
-/// The answer of a node that cannot or may not act.
+/// Returns the response of a node that cannot act or is not allowed to.
 pub fn unavailable() -> Outgoing {
     Outgoing::error(503, "not able to act now")
 }
 
-/// A job as its user sees it; `counts`: with how many tasks are done and running.
+/// Returns the response with the status of a job. `counts`: whether it includes the numbers of completed and running
+/// tasks.
 pub fn job_response(status: u16, id: &str, job: JobStatus, counts: bool) -> Outgoing {
     let count = |tasks| counts.then_some(tasks);
     let answer = JobAnswer { id, state: job.state, done: count(job.done), running: count(job.running) };
     Outgoing::json(status, &answer)
 }
 
-/// What is known of a job. What may yet change is sent only until `lease_valid_until`, the end of this
-/// controller's lease if it leads the job's shard; final states never change.
+/// Returns the response for a known job. A state that may still change is sent only until `lease_valid_until`, the end of
+/// this controller's lease if it leads the job's shard; final states never change.
 fn known_answer(id: &str, job: JobStatus, counts: bool, lease_valid_until: Option<f64>) -> Outgoing {
     let answer = job_response(200, id, job, counts);
     if job.is_final() { answer } else { answer.valid_until(lease_valid_until) }
 }
 
-/// The answer to a question or a cancellation.
+/// Returns the response to a status request or a cancellation.
 pub fn lookup_response(verb: Verb, id: &str, lookup: Lookup, lease_valid_until: Option<f64>) -> Outgoing {
     match lookup {
         Lookup::Known(job) => known_answer(id, job, verb == Verb::Show, lease_valid_until),
@@ -36,7 +37,7 @@
     }
 }
 
-/// The answer to a submission of a job that was accepted before.
+/// Returns the response to a submission of a job that was accepted before.
 pub fn resubmission_response(id: &str, lookup: Lookup, lease_valid_until: Option<f64>) -> Outgoing {
     match lookup {
         Lookup::Known(job) => known_answer(id, job, false, lease_valid_until),
@@ -44,9 +45,10 @@
     }
 }
 
-/// The answer to a worker's heartbeat. `outcome`: what the shard makes of it, none where this controller may not
-/// act; `lease_valid_until`: the end of its lease, after which the answer is not sent any more; `leader`: the
-/// controller to report to instead, looked up only where this one does not take the heartbeat.
+/// Returns the response to a worker's heartbeat. `outcome`: the result of the heartbeat in the shard, `None` if this
+/// controller is not allowed to act; `lease_valid_until`: the end of its lease, after which the response is no longer
+/// sent; `leader`: looks up the controller that the worker should report to instead, called only if this one does not
+/// accept the heartbeat.
 pub fn heartbeat_response(
     outcome: Option<HeartbeatOutcome>,
     lease_valid_until: Option<f64>,
@@ -62,8 +64,8 @@
     }
 }
 
-/// What the leader reports of a job that it knows; none: not yet. A cancellation is confirmed only once it is
-/// stored, and is not answered until then.
+/// Returns the status that the leader reports for a job in its shard, or `None` if it must still wait. A cancellation is
+/// answered only once it is stored.
 pub fn status_from_leader(verb: Verb, view: JobView) -> Option<JobStatus> {
     match view {
         JobView::Visible(state, done, running) => {
@@ -74,10 +76,10 @@
     }
 }
 
-/// What a stored record allows to report where the leader cannot be asked. Final states are stored before they
-/// are reported, so that an open record was true when it was read, unless the job may be cancelled together
-/// with one of its dependencies: that is stored for the dependency first. A cancellation is confirmed by no node
-/// that cannot store it.
+/// Returns the status that a stored record allows to report without the leader. Final states are stored before they are
+/// reported, so an open record proves that the job was open when it was read. The exception is a job with dependencies:
+/// it is cancelled together with a dependency, whose own cancellation is stored first. A node that cannot store a
+/// cancellation confirms none.
 pub fn status_from_record(verb: Verb, item: &KeyValue) -> Lookup {
     match status_of_item(item) {
         Some(job) if job.is_final() => Lookup::Known(job),
@@ -86,7 +88,7 @@
     }
 }
 
-/// Is this an open record of a job that waits or waited for others?
+/// Returns whether this is an open record of a job with dependencies.
 fn may_be_cancelled_by_dependency(item: &KeyValue) -> bool {
     serde_json::from_value::<JobRecord>(item.value.clone())
         .is_ok_and(|record| record.phase == Phase::Open && !record.job.dependencies().is_empty())
--- a/src/run.rs
+++ b/src/run.rs
@@ -1,4 +1,4 @@
-//! One controller, from its settings to its loops.
+//! Starts one controller: its listeners, its background loops and its servers.
 
 use crate::clock;
 use crate::node::{EXECUTOR, Features, Node};
@@ -10,19 +10,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// An earlier process may still be ending, and hold its addresses: binding is tried for so long, in seconds.
+/// How long binding an address is retried while a previous process that is still shutting down holds it, in seconds since
+/// the start of this process.
 const BIND_TIMEOUT_S: f64 = 20.0;
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Listens, as soon as an earlier process has closed the address: a process that is started again
-/// at once and refuses to start would only be started again.
+/// Listens at the address, and waits for a previous process to release it. Failing at once would only cause another
+/// restart.
 fn listen_on(addr: std::net::SocketAddr) -> std::io::Result<Async<TcpListener>> {
     let mut is_logged = false;
     loop {
         match Async::<TcpListener>::bind(addr) {
             Err(error) if error.kind() == std::io::ErrorKind::AddrInUse && clock::now() < BIND_TIMEOUT_S => {
                 if !std::mem::replace(&mut is_logged, true) {
-                    log::warn!("address in use, waiting address={addr}");
+                    log::warn!("address is in use, waiting for it address={addr}");
                 }
                 std::thread::sleep(BIND_RETRY_DELAY);
             }
@@ -32,7 +33,7 @@
     }
 }
 
-/// Runs the node until the process ends. Fails if an address cannot be listened on.
+/// Runs the node until the process ends. Fails if it cannot listen at one of its addresses.
 pub fn run(settings: Settings, tuning: Tuning, features: Features) -> std::io::Result<()> {
     clock::now();
     let listener = listen_on(settings.listen)?;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file that the platform hands over. Never changes while the process runs.
+//! The settings file provided by the platform. The settings do not change while the process runs.
 
 mod error;
 mod parse;
@@ -23,18 +23,21 @@
     pub addr: SocketAddr,
 }
 
-/// The state service's limits from some moment on, which comes without notice. What the
-/// platform does not name stays as it is.
+/// Limits of the state service: those in force, or the upcoming ones, which take effect at an unannounced time.
 #[derive(Debug, Clone)]
 pub struct StateLimits {
+    /// Requests per second.
     pub rps: f64,
+    /// Writing requests per second.
     pub write_rps: f64,
+    /// Maximum size of a value, in KiB.
     pub value_kb: f64,
+    /// Maximum number of operations in a transaction.
     pub txn_ops: usize,
 }
 
-/// What the platform says of this controller and its cluster. Fields that end in `_s` are seconds, in `_rps` requests
-/// a second.
+/// The settings of this controller and its cluster. Fields that end in `_s` are in seconds, those that end in `_rps` in
+/// requests per second.
 #[derive(Debug, Clone)]
 pub struct Settings {
     pub node: String,
@@ -46,7 +49,7 @@
     pub state: SocketAddr,
     pub zones: Vec<String>,
     pub teams: Vec<Team>,
-    /// What each class of jobs is promised.
+    /// Service-level objectives by class of jobs.
     pub objectives: HashMap<String, ServiceLevelObjectives>,
     pub report_s: f64,
     pub lease_s: f64,
@@ -55,8 +58,9 @@
     pub write_rps: f64,
     pub value_kb: f64,
     pub txn_ops: usize,
+    /// Upcoming limits of the state service; equal to the current ones if the platform announces none.
     pub state_next: StateLimits,
-    /// Seconds by which the time of day of any controller may be wrong.
+    /// Maximum error of any controller's wall clock, in seconds.
     pub time_bound_s: f64,
     pub cloud_rps: f64,
     pub list_lag_s: f64,
@@ -64,32 +68,33 @@
     pub memory_mb: f64,
 }
 
-/// The fraction of the sockets that workers and users may hold; the rest is for this controller's own calls.
+/// The fraction of the sockets for connections of workers and users; the rest is for this controller's own calls.
 const INBOUND_SOCKETS_NUMERATOR: usize = 4;
 const INBOUND_SOCKETS_DENOMINATOR: usize = 5;
-/// Connections that workers and users may hold at least.
+/// Minimum limit on connections of workers and users.
 const MIN_INBOUND_CONNECTIONS: usize = 8;
-/// The fraction of the memory that bodies of requests may take.
+/// The fraction of the memory for request bodies.
 const BODY_MEMORY_FRACTION: f64 = 0.125;
-/// Bodies of the largest size that fit at once at least.
+/// Minimum number of bodies of the maximum size for which there is memory at the same time.
 const MIN_LARGEST_BODIES: usize = 4;
 
-/// Of a value's limit, the part left free: for how the service may count what we do not see.
-const VALUE_SLACK: usize = 32;
+/// The fraction 1/`VALUE_SLACK_DIVISOR` of the limit on a value stays unused, because the service may count bytes that this
+/// process does not see.
+const VALUE_SLACK_DIVISOR: usize = 32;
 
 impl Settings {
-    /// What every new value fits: the smaller of the limits that hold and that will hold.
+    /// Returns the maximum size of a new value in bytes: it fits both the current and the upcoming limit.
     pub fn value_bytes(&self) -> usize {
         let bytes = (self.value_kb.min(self.state_next.value_kb) * 1024.0) as usize;
-        bytes - bytes / VALUE_SLACK
+        bytes - bytes / VALUE_SLACK_DIVISOR
     }
 
-    /// The names of all controllers, this one's last.
+    /// Returns the names of all controllers, with this one's last.
     pub fn nodes(&self) -> Vec<&str> {
-        self.peers.iter().map(|p| p.node.as_str()).chain([self.node.as_str()]).collect()
+        self.peers.iter().map(|peer| peer.node.as_str()).chain([self.node.as_str()]).collect()
     }
 
-    /// What a shard needs to know.
+    /// Returns the settings that a shard needs.
     pub fn params(&self) -> Params {
         Params {
             teams: self.teams.clone(),
@@ -105,7 +110,7 @@
         }
     }
 
-    /// What workers and users together may take of this controller.
+    /// Returns the limits on all connections of workers and users together.
     pub fn http_bounds(&self) -> Bounds {
         let body_bytes = (self.memory_mb * 1024.0 * 1024.0 * BODY_MEMORY_FRACTION) as usize;
         let connections = self.sockets * INBOUND_SOCKETS_NUMERATOR / INBOUND_SOCKETS_DENOMINATOR;
@@ -115,7 +120,7 @@
         }
     }
 
-    /// What every transaction fits.
+    /// Returns the maximum number of operations in a transaction that fits both the current and the upcoming limit.
     pub fn min_txn_ops(&self) -> usize {
         self.txn_ops.min(self.state_next.txn_ops)
     }
@@ -127,13 +132,13 @@
         Settings::parse(&text)
     }
 
-    /// Checks the text of a settings file. The first field that is wrong is named by the error.
+    /// Parses and checks the text of a settings file. The error names the first wrong field.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         parse::parse(text)
     }
 }
 
-/// A file as the platform hands it over, for tests.
+/// A settings file for tests, as the platform provides it.
 #[cfg(test)]
 pub const EXAMPLE: &str = r#"
 host_name = "n0"
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,11 +1,11 @@
-//! Errors of the settings file, each with the value that was wrong.
+//! Errors of the settings file, each with the wrong value.
 
 use std::path::PathBuf;
 
-/// Why the settings are not usable.
+/// Why the settings cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    #[error("settings file {path}: {source}", path = path.display())]
+    #[error("cannot read settings file {path}: {source}", path = path.display())]
     Unreadable { path: PathBuf, source: std::io::Error },
     #[error("settings file: {0}")]
     Malformed(String),
@@ -16,22 +16,22 @@
 /// What is wrong with the value of a field.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum WrongValue {
-    #[error("{0:?} is not an address and port")]
+    #[error("{0:?} is not an IP address with a port")]
     NotAnAddress(String),
-    #[error("{0} must be above zero")]
+    #[error("{0} must be greater than zero")]
     NotPositive(f64),
     #[error("{0} must not be negative")]
     Negative(f64),
     #[error("must not be empty")]
     Empty,
-    #[error("{0} is named twice")]
+    #[error("{0:?} occurs twice")]
     Duplicate(String),
-    #[error("{value} is too small: at least {min} needed")]
+    #[error("{value} is too small: the minimum is {min}")]
     TooSmall { value: f64, min: f64 },
 }
 
 impl WrongValue {
-    /// The error of the field that holds this value.
+    /// Returns the error for the field with this value.
     pub(super) fn of(self, field: &str) -> SettingsError {
         SettingsError::Wrong { field: field.to_owned(), reason: self }
     }
--- a/src/settings/parse.rs
+++ b/src/settings/parse.rs
@@ -1,4 +1,4 @@
-//! Parses and checks the text of the settings file, section by section. Reads no file.
+//! Parses and checks the text of the settings file, section by section.
 
 use super::{Peer, Settings, SettingsError, StateLimits, Team, WrongValue};
 use crate::wire;
@@ -6,13 +6,13 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-/// Smallest limit of a stored value that records fit, in KiB.
+/// Smallest limit on a stored value that is enough for all records, in KiB.
 const MIN_VALUE_KB: f64 = 2.0;
-/// Fewest sockets that a controller works with.
+/// Minimum number of sockets that a controller needs.
 const MIN_SOCKETS: usize = 16;
-/// Sockets where the platform names no limit.
+/// Number of sockets if the settings give no limit.
 const DEFAULT_SOCKETS: usize = 1000;
-/// Memory where the platform names no limit, in MiB.
+/// Memory if the settings give no limit, in MiB.
 const DEFAULT_MEMORY_MB: f64 = 100.0;
 
 pub(super) fn parse(text: &str) -> Result<Settings, SettingsError> {
@@ -53,7 +53,7 @@
     })
 }
 
-/// The error in one line, with the text that it is about.
+/// Returns the error on one line, with the excerpt of the text to which it refers.
 fn malformed(text: &str, error: &toml::de::Error) -> SettingsError {
     let excerpt = text.get(error.span().unwrap_or_default()).unwrap_or("").trim();
     let place = if excerpt.is_empty() { String::new() } else { format!(" at {excerpt:.60}") };
@@ -95,7 +95,7 @@
     Ok(teams)
 }
 
-/// The state service's limits of today.
+/// Parses the current limits of the state service.
 fn state_limits(state: &wire::SettingsState) -> Result<StateLimits, SettingsError> {
     Ok(StateLimits {
         value_kb: value_limit("cluster.state.value_kb", state.value_kb)?,
@@ -105,7 +105,7 @@
     })
 }
 
-/// The limits to come: what the platform does not name stays as it is now.
+/// Parses the upcoming limits. A limit that is not given stays as it is now.
 fn next_state_limits(state: &wire::SettingsState, now: &StateLimits) -> Result<StateLimits, SettingsError> {
     let Some(next) = &state.next else { return Ok(now.clone()) };
     Ok(StateLimits {
@@ -136,8 +136,8 @@
     Ok(sockets)
 }
 
-/// What each class of jobs is promised. An objective that names no class, or is of a kind that is
-/// not known, promises nothing that can be counted by class.
+/// Parses the service-level objectives of each class of jobs. An objective without a class or of an unknown kind is
+/// ignored, because it cannot be counted by class.
 fn objectives(entries: &[wire::SettingsObjective]) -> Result<HashMap<String, ServiceLevelObjectives>, SettingsError> {
     let mut by_class: HashMap<String, ServiceLevelObjectives> = HashMap::new();
     for entry in entries {
@@ -148,12 +148,12 @@
         let within_s = checked("within_s", entry.within_s)?;
         let times = checked("times", entry.times)?;
         let after_s = checked("after_s", entry.after_s)?;
-        let promised = by_class.entry(class.clone()).or_default();
+        let class_objectives = by_class.entry(class.clone()).or_default();
         match (entry.kind.as_str(), within_s) {
-            ("wait", Some(seconds)) => promised.wait(seconds),
-            ("finished", Some(seconds)) => promised.done.push(CompletionObjective::Within(seconds)),
-            ("deadline", _) => promised.done.push(CompletionObjective::Deadline(times.unwrap_or(1.0))),
-            ("up", _) => promised.grace_s = after_s,
+            ("wait", Some(seconds)) => class_objectives.wait(seconds),
+            ("finished", Some(seconds)) => class_objectives.done.push(CompletionObjective::Within(seconds)),
+            ("deadline", _) => class_objectives.done.push(CompletionObjective::Deadline(times.unwrap_or(1.0))),
+            ("up", _) => class_objectives.grace_s = after_s,
             _ => {}
         }
     }
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -1,4 +1,4 @@
-//! Client of the workers' direct interface. Never repeats a command.
+//! Client of the workers' own HTTP interface. Never retries a command.
 
 use crate::http::{CallError, Client};
 use crate::settings::Settings;
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How long a worker has for an answer to a push without commands, and to one with commands.
+/// Time limits for a response to a push without commands (a probe), to a push with commands, and to a status request.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1200);
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(2500);
 const STATUS_TIMEOUT: Duration = Duration::from_millis(2000);
@@ -19,13 +19,13 @@
 }
 
 impl WorkerClient {
-    /// Idle connections take no more than a part of the sockets: the workers' own
-    /// reports and the users need the rest.
+    /// Creates a client whose idle connections take only a part of the sockets, because workers' heartbeats and users need
+    /// the rest.
     pub fn new(settings: &Settings) -> WorkerClient {
         WorkerClient { http: Client::new(1, settings.sockets / 8) }
     }
 
-    /// Sends commands straight to a worker, if that may still be done at that moment.
+    /// Sends commands directly to a worker if `may_be_sent` still allows it once the connection is open.
     pub async fn commands(
         &self,
         addr: SocketAddr,
@@ -33,7 +33,7 @@
         may_be_sent: impl FnOnce() -> bool,
     ) -> PushOutcome {
         let Ok(body) = serde_json::to_vec(pushed) else { return PushOutcome::NotSent };
-        // A probe is repeated; a command that is given up may still arrive.
+        // A probe is repeated later, so it may time out early. A command that timed out may still arrive.
         let timeout = if pushed.commands.is_empty() { PROBE_TIMEOUT } else { COMMAND_TIMEOUT };
         match self.http.call_if(may_be_sent, addr, Method::Post, wire::COMMANDS_PATH, Some(body), timeout).await {
             Ok((status, body)) => {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// A worker's heartbeat, asked for; none where it gives no answer.
+    /// Requests a worker's heartbeat. Returns `None` if it does not respond.
     pub async fn status(&self, addr: SocketAddr) -> Option<Heartbeat> {
         match self.http.call(addr, Method::Get, wire::STATUS_PATH, None, STATUS_TIMEOUT).await {
             Ok((200, body)) => serde_json::from_slice(&body).ok(),
