--- a/src/audit.rs
+++ b/src/audit.rs
@@ -57,7 +57,7 @@
 pub struct Findings {
     pub kinds: BTreeMap<String, Size>,
     pub faults: Vec<Fault>,
-    /// Number of faults beyond [`MAX_REPORTED`].
+    /// Number of faults beyond the first `MAX_REPORTED`.
     #[serde(rename = "faults_not_told")]
     pub omitted_faults: u64,
     /// Number of obsolete records that the leader will delete; these are not faults.
