--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -59,14 +59,14 @@
 
     async fn handle_submission(&self, body: &[u8]) -> Outgoing {
         let received_at = clock::now();
-        let answer = self.submit_and_count(body, received_at).await;
+        let response = self.submit_and_count(body, received_at).await;
         log::debug!(
             "submission answered status={} body={} seconds={:.3}",
-            answer.status,
-            String::from_utf8_lossy(&answer.body),
+            response.status,
+            String::from_utf8_lossy(&response.body),
             clock::now() - received_at
         );
-        answer
+        response
     }
 
     async fn handle_job(&self, id: &str, verb: Verb) -> Outgoing {
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -66,19 +66,19 @@
             Err(error) => return Outgoing::error(400, &error.to_string()),
         };
         let (class, team) = (job.class.clone(), job.team.clone());
-        let answer = self.submit(job).await;
+        let response = self.submit(job).await;
         // A job that can never run was refused correctly and puts no demand on the cluster.
-        if answer.status != 422 {
-            let served = matches!(answer.status, 200 | 201);
+        if response.status != 422 {
+            let served = matches!(response.status, 200 | 201);
             self.note_answer(&class, &team, Reading::Accepted, served, received_at);
         }
-        answer
+        response
     }
 
     async fn submit(&self, job: JobRequest) -> Outgoing {
         let started_at = clock::now();
-        if let Some(answer) = self.answer_if_known(&job.id, started_at).await {
-            return answer;
+        if let Some(response) = self.respond_if_known(&job.id, started_at).await {
+            return response;
         }
         let id = job.id.clone();
         match self.prepare_acceptance(job, started_at).await {
@@ -89,7 +89,7 @@
     }
 
     /// Returns the response to the submission of a job that this node already knows.
-    async fn answer_if_known(&self, id: &str, now: f64) -> Option<Outgoing> {
+    async fn respond_if_known(&self, id: &str, now: f64) -> Option<Outgoing> {
         if let Some(shard) = self.shard_knowing_job(id, now) {
             let lookup = shard.look_up_as_leader(Verb::Show, id).await;
             return Some(resubmission_response(id, lookup, shard.lease_valid_until()));
@@ -140,7 +140,7 @@
                 Ok(CompareAndSwap::Applied(version)) => {
                     return self.on_accepted(acceptance, shard.as_deref(), token, version);
                 }
-                Ok(CompareAndSwap::Conflict(_)) => return self.answer_from_stored(acceptance.id()).await,
+                Ok(CompareAndSwap::Conflict(_)) => return self.respond_from_stored(acceptance.id()).await,
                 // The outcome is unknown; a retry finds the record if it was stored.
                 Err(StateError::Unknown) if clock::now() - started_at < ACCEPT_TIMEOUT_S => {
                     timeout = (timeout * 2).min(COMMIT_TIMEOUT);
@@ -178,7 +178,7 @@
     }
 
     /// Returns the response to a submission of a job that is already stored.
-    async fn answer_from_stored(&self, id: &str) -> Outgoing {
+    async fn respond_from_stored(&self, id: &str) -> Outgoing {
         let mut lookup = self.look_up_job(Verb::Show, id).await;
         if !matches!(lookup, Lookup::Known(_)) {
             // The record exists, so the job was accepted. The record is read after the resubmission arrived.
@@ -195,7 +195,7 @@
     async fn refuse_unless_stored(&self, id: &str, reason: &str) -> Outgoing {
         match self.state.get(&job_key(id), RequestPriority::Normal).await {
             Ok(None) => Outgoing::error(422, reason),
-            Ok(Some(_)) => self.answer_from_stored(id).await,
+            Ok(Some(_)) => self.respond_from_stored(id).await,
             Err(_) => unavailable(),
         }
     }
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -33,11 +33,11 @@
     #[error("no capacity")]
     NoCapacity,
     /// The HTTP status of the response; 0 if the call could not be sent.
-    #[error("refused ({0})")]
+    #[error("refused with status {0}")]
     Refused(u16),
     /// The call may or may not have been executed.
-    #[error("no answer")]
-    NoAnswer,
+    #[error("no valid response")]
+    NoResponse,
     /// Not sent, because the caller was no longer allowed to act.
     #[error("withheld")]
     Withheld,
@@ -108,7 +108,7 @@
             }
             Ok(response) => Ok(response),
             Err(CallError::NotSent) => Err(CloudError::Refused(0)),
-            Err(CallError::NoAnswer) => Err(CloudError::NoAnswer),
+            Err(CallError::NoResponse) => Err(CloudError::NoResponse),
         }
     }
 
@@ -121,9 +121,9 @@
             self.call(|| true, Method::Get, wire::TYPES_PATH, None).await
         };
         match outcome? {
-            (200, body) => {
-                serde_json::from_slice::<Types>(&body).map(|answer| answer.types).map_err(|_| CloudError::NoAnswer)
-            }
+            (200, body) => serde_json::from_slice::<Types>(&body)
+                .map(|response| response.types)
+                .map_err(|_| CloudError::NoResponse),
             (status, _) => Err(CloudError::Refused(status)),
         }
     }
@@ -137,8 +137,8 @@
         let body = serde_json::to_vec(request).map_err(|_| CloudError::Refused(400))?;
         match self.call(may_be_sent, Method::Post, wire::MACHINES_PATH, Some(body)).await? {
             (200, body) => serde_json::from_slice::<MachineNames>(&body)
-                .map(|answer| answer.machines)
-                .map_err(|_| CloudError::NoAnswer),
+                .map(|response| response.machines)
+                .map_err(|_| CloudError::NoResponse),
             (503, body) if is_no_capacity(&body) => Err(CloudError::NoCapacity),
             (status, _) => Err(CloudError::Refused(status)),
         }
@@ -160,7 +160,7 @@
             let after = all.last().map(|machine| machine.id.clone()).unwrap_or_default();
             match self.call(|| true, Method::Get, &wire::machines_query(&after, LIST_PAGE_SIZE), None).await? {
                 (200, body) => {
-                    let page: MachineList = serde_json::from_slice(&body).map_err(|_| CloudError::NoAnswer)?;
+                    let page: MachineList = serde_json::from_slice(&body).map_err(|_| CloudError::NoResponse)?;
                     let has_more = page.more && !page.machines.is_empty();
                     all.extend(page.machines);
                     if !has_more {
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -20,8 +20,8 @@
 pub enum CallError {
     #[error("could not connect")]
     NotSent,
-    #[error("no answer")]
-    NoAnswer,
+    #[error("no complete response")]
+    NoResponse,
     /// Not sent, because the caller was no longer allowed to act.
     #[error("withheld")]
     Withheld,
@@ -122,15 +122,15 @@
             return Err(CallError::Withheld);
         }
         let exchange = async {
-            let mut response = async_h1::connect(conn.clone(), request).await.map_err(|_| CallError::NoAnswer)?;
+            let mut response = async_h1::connect(conn.clone(), request).await.map_err(|_| CallError::NoResponse)?;
             let close = response.header("connection").is_some_and(|value| value.as_str().eq_ignore_ascii_case("close"));
             let announced = response.len();
             let mut out = Vec::new();
             let mut body = response.take_body().take(MAX_RESPONSE);
-            body.read_to_end(&mut out).await.map_err(|_| CallError::NoAnswer)?;
+            body.read_to_end(&mut out).await.map_err(|_| CallError::NoResponse)?;
             // A body shorter than announced means that the server ended while it sent the response.
             if announced.is_some_and(|bytes| bytes != out.len()) {
-                return Err(CallError::NoAnswer);
+                return Err(CallError::NoResponse);
             }
             Ok::<_, CallError>((response.status() as u16, out, close))
         };
@@ -141,7 +141,7 @@
                 }
                 Ok((status, out))
             }
-            _ => Err(CallError::NoAnswer),
+            _ => Err(CallError::NoResponse),
         }
     }
 }
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -42,20 +42,20 @@
 
     /// Creates an error response. A temporary error asks the client to retry after a second.
     pub fn error(status: u16, reason: &str) -> Outgoing {
-        let mut answer = Outgoing::json(status, &crate::wire::ErrorAnswer { error: reason });
+        let mut outgoing = Outgoing::json(status, &crate::wire::ErrorAnswer { error: reason });
         if matches!(status, 429 | 503 | 504) {
-            answer.retry_after_s = Some(1);
+            outgoing.retry_after_s = Some(1);
         }
-        answer
+        outgoing
     }
 }
 
 /// Builds the HTTP response; `close` announces that the connection will be closed.
-pub(super) fn response(answer: Outgoing, close: bool) -> Response {
-    let mut response = Response::new(StatusCode::try_from(answer.status).unwrap_or(StatusCode::InternalServerError));
-    response.set_body(Body::from_bytes(answer.body));
+pub(super) fn response(outgoing: Outgoing, close: bool) -> Response {
+    let mut response = Response::new(StatusCode::try_from(outgoing.status).unwrap_or(StatusCode::InternalServerError));
+    response.set_body(Body::from_bytes(outgoing.body));
     response.insert_header("content-type", "application/json");
-    if let Some(seconds) = answer.retry_after_s {
+    if let Some(seconds) = outgoing.retry_after_s {
         response.insert_header("retry-after", seconds.to_string());
     }
     if close {
--- a/src/http/server.rs
+++ b/src/http/server.rs
@@ -156,9 +156,9 @@
             return refuse(&conn, 503, "connections run short", method).await;
         }
         let peer_closes = closes_connection(&request.head);
-        let Some(answer) = respond_in_time(request.head, request.body, kind, handler).await else { return Ok(()) };
-        let close = peer_closes || closes_after_response(&answer, kind, admission);
-        send(&conn, response(answer, close), method).await?;
+        let Some(outgoing) = respond_in_time(request.head, request.body, kind, handler).await else { return Ok(()) };
+        let close = peer_closes || closes_after_response(&outgoing, kind, admission);
+        send(&conn, response(outgoing, close), method).await?;
         if close {
             return Ok(());
         }
@@ -179,21 +179,21 @@
         body,
     };
     let read_at = clock::now();
-    let answer = handler(incoming).await;
+    let outgoing = handler(incoming).await;
     // If this process was paused, the peer has timed out and asks another node, and the response may rest on outdated
     // state.
     let now = clock::now();
     if now - read_at > kind.response_timeout_s() {
         return None;
     }
-    Some(answer.unless_expired(now))
+    Some(outgoing.unless_expired(now))
 }
 
 /// Returns whether the connection is closed after this response. A user whose request this node could not serve would
 /// otherwise retry on the same connection, although other nodes could serve it.
-fn closes_after_response(answer: &Outgoing, kind: RequestKind, admission: &Admission) -> bool {
+fn closes_after_response(outgoing: &Outgoing, kind: RequestKind, admission: &Admission) -> bool {
     let is_user = matches!(kind, RequestKind::Poll | RequestKind::User);
-    (answer.status == 503 && is_user) || admission.closes_after(kind)
+    (outgoing.status == 503 && is_user) || admission.closes_after(kind)
 }
 
 /// Accepts connections forever. A connection beyond the limit is closed at once, so that its peer turns to another
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -85,7 +85,7 @@
 /// Guards against outdated responses after a pause of the process: a response that is no longer valid is replaced by 503,
 /// and a client that has stopped waiting gets no response.
 #[test]
-fn what_was_made_up_before_a_pause_is_not_said() {
+fn outdated_responses_are_not_sent_after_a_pause() {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
     let addr = listener.get_ref().local_addr().expect("its address");
     let handler = |req: Incoming| async move {
@@ -115,7 +115,7 @@
         );
         assert_eq!(
             ask(Method::Get, crate::wire::HEALTH_PATH).await,
-            Err(CallError::NoAnswer),
+            Err(CallError::NoResponse),
             "the load balancer has timed out"
         );
     }));
@@ -162,6 +162,6 @@
         std::io::Write::write_all(&mut stream, cut).expect("sent");
     });
     let call = async { Client::new(0, 0).call(addr, Method::Get, "/up", None, Duration::from_secs(2)).await };
-    assert_eq!(async_io::block_on(call), Err(CallError::NoAnswer));
+    assert_eq!(async_io::block_on(call), Err(CallError::NoResponse));
     server.join().expect("served");
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -113,9 +113,9 @@
 }
 
 fn run_query(query: &Query) -> Result<(), ProgramError> {
-    let answer = lupinspur::query::run(query)?;
-    print!("{}", answer.text);
-    if answer.is_sound { Ok(()) } else { Err(ProgramError::FaultsFound) }
+    let result = lupinspur::query::run(query)?;
+    print!("{}", result.text);
+    if result.is_sound { Ok(()) } else { Err(ProgramError::FaultsFound) }
 }
 
 fn run_controller(args: &Args) -> Result<(), ProgramError> {
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -97,7 +97,7 @@
     #[error("cannot connect to the controller at {0}")]
     Unreachable(SocketAddr),
     #[error("the controller at {0} did not respond in time")]
-    NoAnswer(SocketAddr),
+    NoResponse(SocketAddr),
     /// The reason that the controller gave.
     #[error("{0}")]
     Refused(String),
@@ -119,7 +119,7 @@
     match timed(ANSWER_TIMEOUT * 2, call).await {
         Ok(Ok(response)) => Ok(response.into_inner()),
         Ok(Err(status)) => Err(PeerQueryError::Refused(status.message().to_owned())),
-        Err(_) => Err(PeerQueryError::NoAnswer(addr)),
+        Err(_) => Err(PeerQueryError::NoResponse(addr)),
     }
 }
 
--- a/src/query.rs
+++ b/src/query.rs
@@ -119,16 +119,16 @@
 }
 
 /// The result of a query.
-pub struct Answer {
+pub struct QueryResult {
     /// The text to print: a table or JSON.
     pub text: String,
     /// Whether no rule was violated and no fault was found.
     pub is_sound: bool,
 }
 
-impl Answer {
-    fn sound(text: String) -> Answer {
-        Answer { text, is_sound: true }
+impl QueryResult {
+    fn sound(text: String) -> QueryResult {
+        QueryResult { text, is_sound: true }
     }
 }
 
@@ -138,53 +138,53 @@
 const MAX_THREADS: usize = 32;
 
 /// Runs a query and waits for its result.
-pub fn run(query: &Query) -> Result<Answer, QueryError> {
+pub fn run(query: &Query) -> Result<QueryResult, QueryError> {
     match query {
-        Query::Quotas { peer, job, json } => quotas(*peer, job, *json).map(Answer::sound),
-        Query::Service { peer, cell, json } => service(*peer, *cell, *json).map(Answer::sound),
-        Query::Elastic { peer, cell, json } => elastic(*peer, *cell, *json).map(Answer::sound),
+        Query::Quotas { peer, job, json } => quotas(*peer, job, *json).map(QueryResult::sound),
+        Query::Service { peer, cell, json } => service(*peer, *cell, *json).map(QueryResult::sound),
+        Query::Elastic { peer, cell, json } => elastic(*peer, *cell, *json).map(QueryResult::sound),
         Query::Simulate { scenario, seeds, seed, json } => simulate(scenario, *seed, *seeds, *json),
         Query::State(StateQuery::Check { config, rate, json }) => check_state(config, *rate, *json),
     }
 }
 
-fn simulate(path: &Path, first_seed: u64, seeds: u64, json: bool) -> Result<Answer, QueryError> {
+fn simulate(path: &Path, first_seed: u64, seeds: u64, json: bool) -> Result<QueryResult, QueryError> {
     let scenario = lupinspur_files::load(path, Scenario::parse).map_err(QueryError::Scenario)?;
     let threads = std::thread::available_parallelism().map_or(1, usize::from).min(MAX_THREADS);
     let runs = lupinspur_model::simulate(&scenario, first_seed, seeds, threads);
     let text = if json { encode(&runs)? } else { tables::runs(&runs) };
-    Ok(Answer { text, is_sound: runs.iter().all(|run| run.broken.is_none()) })
+    Ok(QueryResult { text, is_sound: runs.iter().all(|run| run.broken.is_none()) })
 }
 
-fn check_state(config: &Path, rate: f64, json: bool) -> Result<Answer, QueryError> {
+fn check_state(config: &Path, rate: f64, json: bool) -> Result<QueryResult, QueryError> {
     if !(rate.is_finite() && rate > 0.0) {
         return Err(QueryError::Rate(rate));
     }
     let settings = Settings::load(config)?;
     let findings = async_io::block_on(EXECUTOR.run(audit::run(&settings, rate)))?;
     let text = if json { encode(&findings)? } else { audit::table(&findings) };
-    Ok(Answer { text, is_sound: findings.faults.is_empty() })
+    Ok(QueryResult { text, is_sound: findings.faults.is_empty() })
 }
 
 fn service(peer: SocketAddr, shard: u32, json: bool) -> Result<String, QueryError> {
-    let answer = async_io::block_on(EXECUTOR.run(query_service(&EXECUTOR, peer, shard)))?;
-    as_json_or_table(answer.json, json, |report: &ServiceLevelReport| tables::service_levels(report))
+    let response = async_io::block_on(EXECUTOR.run(query_service(&EXECUTOR, peer, shard)))?;
+    as_json_or_table(response.json, json, |report: &ServiceLevelReport| tables::service_levels(report))
 }
 
 fn elastic(peer: SocketAddr, shard: u32, json: bool) -> Result<String, QueryError> {
-    let answer = async_io::block_on(EXECUTOR.run(query_elastic(&EXECUTOR, peer, shard)))?;
-    if answer.json.is_empty() {
+    let response = async_io::block_on(EXECUTOR.run(query_elastic(&EXECUTOR, peer, shard)))?;
+    if response.json.is_empty() {
         return Err(QueryError::ElasticDisabled);
     }
-    as_json_or_table(answer.json, json, |report: &ElasticReport| tables::elastic(report))
+    as_json_or_table(response.json, json, |report: &ElasticReport| tables::elastic(report))
 }
 
 fn quotas(peer: SocketAddr, job: &str, json: bool) -> Result<String, QueryError> {
-    let answer = async_io::block_on(EXECUTOR.run(query_quotas(&EXECUTOR, peer, job)))?;
-    if !answer.enabled {
+    let response = async_io::block_on(EXECUTOR.run(query_quotas(&EXECUTOR, peer, job)))?;
+    if !response.enabled {
         return Err(QueryError::QuotasDisabled);
     }
-    as_json_or_table(answer.json, json, |report: &QuotaReport| tables::quotas(report))
+    as_json_or_table(response.json, json, |report: &QuotaReport| tables::quotas(report))
 }
 
 /// Returns a controller's report as the JSON that it sent, or as a table.
--- a/src/rate_limiter/tests.rs
+++ b/src/rate_limiter/tests.rs
@@ -12,7 +12,7 @@
 /// Guards against a controller that restarts every quarter of a second and spends four times its share: each process
 /// starts with the units of a quarter of a second.
 #[test]
-fn short_lives_spend_no_more_than_a_long_one() {
+fn restarting_processes_spend_no_more_than_a_share() {
     let spent = |limiter: &mut RateLimiter, seconds: f64| {
         (0..100).filter(|step| limiter.try_acquire(f64::from(*step) / 100.0 * seconds, 1)).count()
     };
@@ -25,7 +25,7 @@
 /// Guards against a controller that can accept no submission for minutes after a fault during which its leases and watches
 /// took more than its share.
 #[test]
-fn what_cannot_wait_is_owed_for_no_longer_than_a_burst() {
+fn debt_is_limited_to_one_burst() {
     let mut limiter = RateLimiter::new(10.0, 10.0);
     (0..500).for_each(|step| limiter.acquire_with_debt(f64::from(step) * 0.05, 1));
     assert!(!limiter.try_acquire(25.5, 1));
@@ -34,7 +34,7 @@
 
 /// Guards against polls that starve leases, watches and submissions.
 #[test]
-fn what_can_wait_leaves_half_and_what_cannot_goes_ahead() {
+fn spare_requests_leave_half_a_burst_and_urgent_ones_go_first() {
     let mut limiter = RateLimiter::new(10.0, 10.0);
     let spare = (0..100).filter(|_| limiter.try_acquire_spare(0.0)).count();
     assert_eq!(spare, 6, "down to half of a burst");
--- a/src/responses.rs
+++ b/src/responses.rs
@@ -17,15 +17,15 @@
 /// tasks.
 pub fn job_response(status: u16, id: &str, job: JobStatus, counts: bool) -> Outgoing {
     let count = |tasks| counts.then_some(tasks);
-    let answer = JobAnswer { id, state: job.state, done: count(job.done), running: count(job.running) };
-    Outgoing::json(status, &answer)
+    let body = JobAnswer { id, state: job.state, done: count(job.done), running: count(job.running) };
+    Outgoing::json(status, &body)
 }
 
 /// Returns the response for a known job. A state that may still change is sent only until `lease_valid_until`, the end of
 /// this controller's lease if it leads the job's shard; final states never change.
 fn known_answer(id: &str, job: JobStatus, counts: bool, lease_valid_until: Option<f64>) -> Outgoing {
-    let answer = job_response(200, id, job, counts);
-    if job.is_final() { answer } else { answer.valid_until(lease_valid_until) }
+    let response = job_response(200, id, job, counts);
+    if job.is_final() { response } else { response.valid_until(lease_valid_until) }
 }
 
 /// Returns the response to a status request or a cancellation.
--- a/src/state/requests.rs
+++ b/src/state/requests.rs
@@ -135,7 +135,7 @@
             Ok(Response { status: 503, .. }) => Err(StateError::NotExecuted(503)),
             Ok(response) => Ok(response),
             Err(CallError::NotSent | CallError::Withheld) => Err(StateError::NotExecuted(0)),
-            Err(CallError::NoAnswer) => Err(StateError::Unknown),
+            Err(CallError::NoResponse) => Err(StateError::Unknown),
         }
     }
 
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -41,7 +41,7 @@
             }
             Err(CallError::NotSent) => PushOutcome::NotSent,
             Err(CallError::Withheld) => PushOutcome::Withheld,
-            Err(CallError::NoAnswer) => PushOutcome::Unknown,
+            Err(CallError::NoResponse) => PushOutcome::Unknown,
         }
     }
 
--- a/tests/clients.rs
+++ b/tests/clients.rs
@@ -186,7 +186,7 @@
     };
     async_io::block_on(executor.run(async {
         assert_eq!(rented(200, "{\"plots\": [\"host-1\"]}").await, Ok(vec!["host-1".into()]));
-        assert_eq!(rented(200, "{\"plots\": [\"host").await, Err(CloudError::NoAnswer));
+        assert_eq!(rented(200, "{\"plots\": [\"host").await, Err(CloudError::NoResponse));
         assert_eq!(rented(503, "{\"error\": \"no capacity\"}").await, Err(CloudError::NoCapacity));
         assert_eq!(rented(503, "{\"error\": \"trouble\"}").await, Err(CloudError::Refused(503)));
         assert_eq!(rented(429, "{}").await, Err(CloudError::Refused(429)));
--- a/tests/cut_answers.rs
+++ b/tests/cut_answers.rs
@@ -26,9 +26,9 @@
 #[test]
 fn a_body_that_is_cut_short_is_no_answer() {
     let at = server_that_answers("HTTP/1.1 200 OK\r\ncontent-length: 40\r\n\r\n{\"bloom\":");
-    assert!(matches!(ask(at), Err(CallError::NoAnswer)));
+    assert!(matches!(ask(at), Err(CallError::NoResponse)));
     let at = server_that_answers("HTTP/1.1 200 OK\r\ncontent-length: 40\r\n\r\n");
-    assert!(matches!(ask(at), Err(CallError::NoAnswer)));
+    assert!(matches!(ask(at), Err(CallError::NoResponse)));
 }
 
 #[test]
--- a/tests/unanswered.rs
+++ b/tests/unanswered.rs
@@ -115,7 +115,7 @@
     let executor = Executor::new();
     let outcome = async |address| CloudClient::new(&settings(address)).delete(vec!["host-1".into()], || true).await;
     async_io::block_on(executor.run(async {
-        assert_eq!(outcome(stand_in(&executor, Then::Closes)).await, Err(CloudError::NoAnswer));
+        assert_eq!(outcome(stand_in(&executor, Then::Closes)).await, Err(CloudError::NoResponse));
         assert_eq!(outcome(stand_in(&executor, Then::Refuses)).await, Err(CloudError::Refused(503)));
         assert_eq!(outcome(stand_in(&executor, Then::Executes)).await, Ok(()));
         assert_eq!(outcome(nobody()).await, Err(CloudError::Refused(0)));
@@ -131,6 +131,6 @@
         RentRequest { request: "r-1".into(), type_name: "m8".into(), zone: "a".into(), spot: false, count: 1 };
     async_io::block_on(executor.run(async {
         let cloud = CloudClient::new(&settings(stand_in(&executor, Then::Closes)));
-        assert_eq!(cloud.rent(&request, || true).await, Err(CloudError::NoAnswer));
+        assert_eq!(cloud.rent(&request, || true).await, Err(CloudError::NoResponse));
     }));
 }
