--- a/src/audit.rs
+++ b/src/audit.rs
@@ -85,6 +85,7 @@
     quota_part_keys: Vec<String>,
 }
 
+/// The content of the checkpoint that the audit compares with job records.
 #[derive(Debug)]
 struct Checkpoint {
     /// Revision of the state as of which the checkpoint was taken.
@@ -113,6 +114,7 @@
         }
     }
 
+    /// Adds a record to the totals of a kind.
     fn count(&mut self, kind: &str, item: &KeyValue) {
         let bytes = item.value.to_string().len() as u64;
         self.findings.kinds.entry(kind.to_owned()).or_default().add(bytes);
@@ -158,6 +160,7 @@
         }
     }
 
+    /// Parses the collected records of the checkpoint, once.
     fn read_checkpoint(&mut self) {
         let values = std::mem::take(&mut self.checkpoint_values);
         if values.is_empty() {
@@ -175,6 +178,7 @@
         }
     }
 
+    /// Checks the record of a job, and compares it with the checkpoint.
     fn check_job(&mut self, item: &KeyValue) {
         let record = match parse_job_record(&item.key, &item.value) {
             Ok(record) => record,
@@ -207,6 +211,7 @@
         }
     }
 
+    /// Checks the record of a machine group: each index must lie within its list.
     fn check_machine_group(&mut self, item: &KeyValue) {
         let Some(group) = self.parse::<MachineGroupRecord>(item) else { return };
         let out_of_range = |list: &str, indexes: &[u32], count: usize| {
--- a/src/health.rs
+++ b/src/health.rs
@@ -3,8 +3,8 @@
 //!
 //! The load balancer removes a node after two failed checks, and waits before it adds the node again. The wait doubles
 //! with each removal within two minutes, up to a minute. A node that repeatedly lost the state service for a few seconds
-//! therefore stayed removed for up to a minute after the service had recovered; where all nodes lost the service at the
-//! same time, no node was left to serve requests. The grace period below limits how often a node is removed.
+//! would therefore stay removed for up to a minute after the service had recovered; if all nodes lost the service at the
+//! same time, no node would be left to serve requests. The grace period below limits how often a node is removed.
 
 use std::collections::VecDeque;
 
--- a/src/http/admission.rs
+++ b/src/http/admission.rs
@@ -120,7 +120,7 @@
     /// Returns how few connections are free now.
     pub(super) fn shortage(&self) -> Shortage {
         let (open, limit) = (self.open.load(Ordering::Relaxed), self.bounds.connections);
-        // Keeps at least two connections free, however small the limit.
+        // Each level applies at the latest when fewer than two connections are free, however small the limit.
         let leaves_less_than = |part: usize| open > limit - (limit / part).max(2);
         match () {
             () if leaves_less_than(16) => Shortage::NoUsers,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -56,7 +56,9 @@
     pub cancel_s: f64,
     pub state_rps: f64,
     pub write_rps: f64,
+    /// Current maximum size of a stored value, in KiB.
     pub value_kb: f64,
+    /// Current maximum number of operations in a transaction of the state service.
     pub txn_ops: usize,
     /// Upcoming limits of the state service; equal to the current ones if the platform announces none.
     pub state_next: StateLimits,
@@ -64,7 +66,9 @@
     pub time_bound_s: f64,
     pub cloud_rps: f64,
     pub list_lag_s: f64,
+    /// Maximum number of open sockets of this process.
     pub sockets: usize,
+    /// Maximum memory of this process, in MiB.
     pub memory_mb: f64,
 }
 
