--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -246,7 +246,7 @@
         let now = clock::now();
         let (knows_types, leads) = (!lock(&self.machine_types).is_empty(), self.leads_any_shard(now));
         let state_responded_at = *lock(&self.state_responded_at);
-        lock(&self.health).says(knows_types, leads, state_responded_at, now)
+        lock(&self.health).check(knows_types, leads, state_responded_at, now)
     }
 
     /// Returns the status of a job that is known to be over. Final statuses never change, so any node that knows one
