--- a/crates/quota/examples/cost.rs
+++ b/crates/quota/examples/cost.rs
@@ -1,5 +1,5 @@
-//! What one decision costs in trees of 10, 1,000 and 10,000 teams, measured in one run, with
-//! the distributions of nanoseconds; and how much the ratios are.
+//! Measures the latency of one quota decision in trees of 10, 1,000 and 10,000 teams. Prints
+//! the median and 99th percentile in nanoseconds, and the ratio of each median to that of 10 teams.
 //!
 //!     cargo run --release -p lupinspur-quota --example cost
 
@@ -10,16 +10,16 @@
 
 const ROUNDS: u32 = 200_000;
 
-/// Teams by tens below wards, wards by tens below trusts.
+/// Builds a tree of three levels: ten teams in each ward, ten wards in each trust.
 fn ledger(teams: usize) -> Ledger {
     let name = |i: usize| format!("t{i}");
     let mut text = "generation = 1\n".to_owned();
-    for w in 0..teams.div_ceil(10) {
-        let below: Vec<String> = (w * 10..((w + 1) * 10).min(teams)).map(name).collect();
-        text += &format!("[[organisation]]\nname = \"w{w}\"\nwithin = \"o{}\"\nteams = {below:?}\n", w / 10);
+    for ward in 0..teams.div_ceil(10) {
+        let below: Vec<String> = (ward * 10..((ward + 1) * 10).min(teams)).map(name).collect();
+        text += &format!("[[organisation]]\nname = \"w{ward}\"\nwithin = \"o{}\"\nteams = {below:?}\n", ward / 10);
     }
-    for o in 0..teams.div_ceil(100) {
-        text += &format!("[[organisation]]\nname = \"o{o}\"\ncpus_max = 100000.0\n");
+    for trust in 0..teams.div_ceil(100) {
+        text += &format!("[[organisation]]\nname = \"o{trust}\"\ncpus_max = 100000.0\n");
     }
     let limits = |i: usize| TeamLimits { name: name(i), guarantee: Amount::new(10.0, 0.0), limit: Amount::NONE };
     let all: Vec<TeamLimits> = (0..teams).map(limits).collect();
@@ -27,29 +27,29 @@
 }
 
 fn main() {
-    let mut first = None;
+    let mut smallest_tree_p50 = None;
     for teams in [10usize, 1_000, 10_000] {
-        let mut l = ledger(teams);
-        let mut h = Histogram::<u64>::new(3).expect("a histogram");
+        let mut ledger = ledger(teams);
+        let mut latency_ns = Histogram::<u64>::new(3).expect("a histogram");
         let need = Amount::new(1.0, 0.0);
         for i in 0..ROUNDS {
-            let t = TeamIndex(i.wrapping_mul(2_654_435_761) % teams as u32);
-            let began = Instant::now();
-            let may = black_box(l.may_start(t, need)).is_ok();
-            black_box(l.standing(t, need));
+            let team = TeamIndex(i.wrapping_mul(2_654_435_761) % teams as u32);
+            let started_at = Instant::now();
+            let may = black_box(ledger.may_start(team, need)).is_ok();
+            black_box(ledger.standing(team, need));
             if may {
-                l.count(t, need);
-                l.count(t, need.times(-1.0));
+                ledger.count(team, need);
+                ledger.count(team, need.times(-1.0));
             }
-            h.saturating_record(began.elapsed().as_nanos() as u64);
+            latency_ns.saturating_record(started_at.elapsed().as_nanos() as u64);
         }
-        let (p50, p99) = (h.value_at_quantile(0.5), h.value_at_quantile(0.99));
-        let base = *first.get_or_insert(p50.max(1));
+        let (p50, p99) = (latency_ns.value_at_quantile(0.5), latency_ns.value_at_quantile(0.99));
+        let base = *smallest_tree_p50.get_or_insert(p50.max(1));
         println!(
-            "{teams:>6} teams: a start and an end p50 {p50} ns, p99 {p99} ns, {:.2} times that of 10",
+            "{teams:>6} teams: one start and one end take p50 {p50} ns, p99 {p99} ns; p50 is {:.2} times that of 10 teams",
             p50 as f64 / base as f64
         );
-        // A parent that shrinks: every team holds a task, and half of it all has to go.
+        // The root limit drops to half of what is in use, so half of the tasks must be preempted.
         let held: Vec<BorrowedTask<u32>> = (0..teams as u32)
             .map(|t| BorrowedTask {
                 task: t,
@@ -60,16 +60,16 @@
                 priority: 2,
             })
             .collect();
-        held.iter().for_each(|h| l.count(h.team, h.need));
-        let mut tree = l.tree().clone();
+        held.iter().for_each(|task| ledger.count(task.team, task.need));
+        let mut tree = ledger.tree().clone();
         tree.levels[0].limit = Amount::new(teams as f64 / 2.0, 0.0);
-        l.change(tree);
-        let began = Instant::now();
-        let gone = l.give_way(&held, &[]).len();
+        ledger.change(tree);
+        let started_at = Instant::now();
+        let preempted = ledger.give_way(&held, &[]).len();
         println!(
-            "{:>13} half of {teams} tasks chosen to give way ({gone}) in {:.2} ms",
+            "{:>13} {preempted} of {teams} tasks selected for preemption in {:.2} ms",
             "",
-            began.elapsed().as_secs_f64() * 1e3
+            started_at.elapsed().as_secs_f64() * 1e3
         );
     }
 }
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -1,38 +1,42 @@
-//! What every level uses, and what follows from that.
+//! Tracks the resources that each level of the tree uses, and makes the decisions that depend on
+//! it: admission, fair-share order and preemption.
 
 use crate::tree::{LevelIndex, TeamIndex, Tree, WHOLE};
 use crate::{Amount, EPSILON};
 
-/// How a start stands: what is lent by nearer levels goes first, then who has least of it.
+/// The fair-share order of a possible start. Smaller goes first: a start that borrows from a nearer
+/// level, then the borrower with the smallest weighted share of the lender.
 #[derive(Debug, Clone, Copy, PartialEq, PartialOrd)]
 pub struct FairSharePosition {
-    /// 0: within the team's own guarantee; 1: lent by a sibling; and so on upwards. Beyond
-    /// the guarantee of the whole, one more than the path has levels.
+    /// 0: within the team's own guarantee; 1: borrowed from a sibling; and so on upwards. Beyond
+    /// the guarantee of the root: the number of levels on the team's path.
     pub distance: u8,
-    /// Of those that ask the same lender, the one with the least for its weight goes first.
+    /// Share of the lender's guarantee that the borrower already uses, divided by its weight.
     pub share: f64,
 }
 
-/// A task that holds something, as a candidate to give way.
+/// A task that holds resources and is a candidate for preemption.
 #[derive(Debug, Clone, Copy)]
 pub struct BorrowedTask<T> {
     pub task: T,
     pub team: TeamIndex,
     pub need: Amount,
-    /// Seconds of work that are lost with it.
+    /// Seconds of work that preempting the task loses.
     pub loses: f64,
     pub service: bool,
-    /// 0 for the most important work, and so on.
+    /// 0 for the most important work; higher numbers are less important.
     pub priority: u8,
 }
 
+/// The resource usage of every level of a quota tree.
 #[derive(Debug, Clone)]
 pub struct Ledger {
     tree: Tree,
     used: Vec<Amount>,
-    /// What machines that nobody heard may hold, of any team: it counts at every level.
+    /// Resources that may be in use on machines that have not reported yet. The team is unknown,
+    /// so the amount counts at every level.
     pub unseen: Amount,
-    /// Levels that were looked at or written: what deciding costs.
+    /// Number of levels read or written so far: a measure of the cost of decisions.
     pub touched: std::cell::Cell<u64>,
 }
 
@@ -56,7 +60,7 @@
         path
     }
 
-    /// Another tree from now on. What is held stays held, and counts where the team stands now.
+    /// Replaces the tree. The usage of each team is kept and counted along its path in the new tree.
     pub fn change(&mut self, tree: Tree) {
         let teams: Vec<(TeamIndex, Amount)> =
             self.tree.levels.iter().zip(&self.used).filter_map(|(l, u)| Some((l.team?, *u))).collect();
@@ -68,24 +72,25 @@
         }
     }
 
-    /// A use begins (or ends, with less than none).
+    /// Adds an amount to the usage of a team and of every level above it; a negative amount is a release.
     pub fn count(&mut self, t: TeamIndex, by: Amount) {
         self.touched.set(self.touched.get() + self.tree.path(t).len() as u64);
         for l in self.tree.path(t) {
-            let u = &mut self.used[l.0 as usize];
-            *u = u.plus(by);
-            // Sums of fractions must not drift below none.
-            let floor = |v: f64| if v.abs() < EPSILON { 0.0 } else { v };
-            *u = Amount::new(floor(u.cpus), floor(u.gpus));
+            let used = &mut self.used[l.0 as usize];
+            *used = used.plus(by);
+            // Rounds to zero, so that rounding errors of sums do not leave a small negative usage.
+            let snap_to_zero = |v: f64| if v.abs() < EPSILON { 0.0 } else { v };
+            *used = Amount::new(snap_to_zero(used.cpus), snap_to_zero(used.gpus));
         }
     }
 
-    /// The same tree with nothing used: to count what is wanted against its limits.
+    /// Returns a ledger over the same tree without usage, to count requested resources against the limits.
     pub fn empty(&self) -> Ledger {
         Ledger::new(self.tree.clone())
     }
 
-    /// How many tasks of this need fit under all limits above a team; endless if none binds.
+    /// Returns how many tasks with this resource request fit under all limits on the team's path;
+    /// infinity if no limit applies.
     pub fn room(&self, t: TeamIndex, need: Amount) -> f64 {
         let left = |limit: f64, used: f64, need: f64| {
             if limit > 0.0 && need > 0.0 { ((limit - used).max(0.0) + EPSILON) / need } else { f64::INFINITY }
@@ -96,47 +101,49 @@
         })
     }
 
-    /// May this start now? If not: the first level whose limit it would exceed.
+    /// Checks whether a task may start now. The error is the first level whose limit it would exceed.
     pub fn may_start(&self, t: TeamIndex, need: Amount) -> Result<(), LevelIndex> {
-        let over = |l: &&LevelIndex| {
+        let exceeds = |l: &&LevelIndex| {
             let with = self.used(**l).plus(need).plus(self.unseen);
             !with.under(self.tree.at(**l).limit, need)
         };
-        self.path(t).iter().find(over).map_or(Ok(()), |l| Err(*l))
+        self.path(t).iter().find(exceeds).map_or(Ok(()), |l| Err(*l))
     }
 
-    /// How a start of this need would stand.
+    /// Returns the fair-share order of starting a task with this resource request.
     pub fn standing(&self, t: TeamIndex, need: Amount) -> FairSharePosition {
         let path = self.path(t);
-        let lends = |l: &LevelIndex| self.used(*l).plus(need).within(self.tree.at(*l).guarantee, need);
-        let distance = path.iter().position(lends).unwrap_or(path.len());
+        let has_spare_guarantee = |l: &LevelIndex| self.used(*l).plus(need).within(self.tree.at(*l).guarantee, need);
+        let distance = path.iter().position(has_spare_guarantee).unwrap_or(path.len());
         let share = match distance {
             0 => 0.0,
-            // What the lender's child on the way has, for its weight: siblings compete as
-            // whole levels, however many teams are below them.
+            // The share of the lender's child on this path: siblings compete as whole levels,
+            // however many teams each of them contains.
             d => path.get(d - 1).map_or(0.0, |child| self.share(*child, path.get(d).copied().unwrap_or(WHOLE))),
         };
         FairSharePosition { distance: distance as u8, share }
     }
 
-    /// The larger part of the lender's that this level uses, by its weight.
+    /// Returns the larger of the cpu and gpu fractions of the lender's guarantee that `child` uses,
+    /// divided by the weight of `child`.
     fn share(&self, child: LevelIndex, lender: LevelIndex) -> f64 {
         let (used, of) = (self.used(child), self.tree.at(lender).guarantee);
         let part = |used: f64, of: f64| if used <= 0.0 { 0.0 } else { used / of.max(1.0) };
         part(used.cpus, of.cpus).max(part(used.gpus, of.gpus)) / self.tree.at(child).weight
     }
 
-    /// How far away what a team holds last was lent; 0: nothing of it is.
+    /// Returns the number of levels on the team's path, from the team upwards, that use more than their
+    /// guarantee before the first one that does not; 0 if the team borrows nothing.
     pub fn borrows(&self, t: TeamIndex) -> u8 {
         let path = self.path(t);
-        let kept = |l: &LevelIndex| {
-            let (u, g) = (self.used(*l), self.tree.at(*l).guarantee);
-            u.cpus <= g.cpus + EPSILON && u.gpus <= g.gpus + EPSILON
+        let within_guarantee = |l: &LevelIndex| {
+            let (used, guarantee) = (self.used(*l), self.tree.at(*l).guarantee);
+            used.cpus <= guarantee.cpus + EPSILON && used.gpus <= guarantee.gpus + EPSILON
         };
-        path.iter().position(kept).unwrap_or(path.len()) as u8
+        path.iter().position(within_guarantee).unwrap_or(path.len()) as u8
     }
 
-    /// Levels that use more than their limit, as after a parent that shrank.
+    /// Returns the levels that use more than their limit, for instance after a limit was lowered.
     pub fn over(&self) -> Vec<LevelIndex> {
         (0..self.used.len() as u32)
             .map(LevelIndex)
@@ -144,11 +151,11 @@
             .collect()
     }
 
-    /// Which of the tasks that are held give way so that a service of this team may start one
-    /// task more, where a limit above it stands in the way: what has the lowest priority
-    /// first, then what loses least work, and services never. Nothing gives way where that
-    /// would not be enough. What nobody has heard of does not count here: it may be nothing,
-    /// and is known soon.
+    /// Selects the held tasks to preempt so that a service of this team may start one more task
+    /// where a limit on its path blocks it: lowest priority first, then least lost work, never
+    /// services. Returns nothing if preemption could not free enough. `leaving` lists tasks that
+    /// were already told to stop and still count. Usage of machines that have not reported is
+    /// ignored here: it may be nothing, and is known soon.
     pub fn preempt_for<T: Copy>(
         &self,
         team: TeamIndex,
@@ -156,72 +163,77 @@
         held: &[BorrowedTask<T>],
         leaving: &[(TeamIndex, Amount)],
     ) -> Vec<T> {
-        let mut short: Vec<(LevelIndex, Amount)> = Vec::new();
+        let mut shortage: Vec<(LevelIndex, Amount)> = Vec::new();
         for &l in self.path(team) {
             let limit = self.tree.at(l).limit;
             let with = self.used(l).plus(need);
             if !with.under(limit, need) {
-                let of = |limit: f64, with: f64, need: f64| if limit > 0.0 && need > 0.0 { with - limit } else { 0.0 };
-                short
-                    .push((l, Amount::new(of(limit.cpus, with.cpus, need.cpus), of(limit.gpus, with.gpus, need.gpus))));
+                let excess =
+                    |limit: f64, with: f64, need: f64| if limit > 0.0 && need > 0.0 { with - limit } else { 0.0 };
+                shortage.push((
+                    l,
+                    Amount::new(excess(limit.cpus, with.cpus, need.cpus), excess(limit.gpus, with.gpus, need.gpus)),
+                ));
             }
         }
-        for (t, a) in leaving {
-            let path = self.path(*t);
-            short.iter_mut().filter(|(l, _)| path.contains(l)).for_each(|(_, s)| *s = s.minus(*a));
+        for (team, amount) in leaving {
+            let path = self.path(*team);
+            shortage.iter_mut().filter(|(l, _)| path.contains(l)).for_each(|(_, s)| *s = s.minus(*amount));
         }
-        let lacks = |s: &Amount, of: Amount| s.cpus > EPSILON && of.cpus > 0.0 || s.gpus > EPSILON && of.gpus > 0.0;
+        let lacks = |missing: &Amount, requested: Amount| {
+            missing.cpus > EPSILON && requested.cpus > 0.0 || missing.gpus > EPSILON && requested.gpus > 0.0
+        };
         let all = Amount::new(1.0, 1.0);
-        if !short.iter().any(|(_, s)| lacks(s, all)) {
+        if !shortage.iter().any(|(_, s)| lacks(s, all)) {
             return Vec::new();
         }
-        let mut order: Vec<&BorrowedTask<T>> = held.iter().filter(|h| !h.service).collect();
-        order.sort_by(|a, b| b.priority.cmp(&a.priority).then(a.loses.total_cmp(&b.loses)));
-        let mut out = Vec::new();
-        for h in order {
-            let path = self.path(h.team);
-            if short.iter().any(|(l, s)| path.contains(l) && lacks(s, h.need)) {
-                out.push(h.task);
-                short.iter_mut().filter(|(l, _)| path.contains(l)).for_each(|(_, s)| *s = s.minus(h.need));
+        let mut candidates: Vec<&BorrowedTask<T>> = held.iter().filter(|h| !h.service).collect();
+        candidates.sort_by(|a, b| b.priority.cmp(&a.priority).then(a.loses.total_cmp(&b.loses)));
+        let mut preempted = Vec::new();
+        for task in candidates {
+            let path = self.path(task.team);
+            if shortage.iter().any(|(l, s)| path.contains(l) && lacks(s, task.need)) {
+                preempted.push(task.task);
+                shortage.iter_mut().filter(|(l, _)| path.contains(l)).for_each(|(_, s)| *s = s.minus(task.need));
             }
         }
-        if short.iter().any(|(_, s)| lacks(s, all)) { Vec::new() } else { out }
+        if shortage.iter().any(|(_, s)| lacks(s, all)) { Vec::new() } else { preempted }
     }
 
-    /// Which of the tasks that are held give way, so that no level is over its limit:
-    /// services last, what is lent from farthest away first, then what loses least work.
-    /// `leaving`: what was told to go already and still counts.
+    /// Selects the held tasks to preempt so that no level stays over its limit: services last,
+    /// tasks of the teams that borrow from farthest away first, then least lost work. `leaving`
+    /// lists tasks that were already told to stop and still count.
     pub fn give_way<T: Copy>(&self, held: &[BorrowedTask<T>], leaving: &[(TeamIndex, Amount)]) -> Vec<T> {
         let over = self.over();
         if over.is_empty() {
             return Vec::new();
         }
-        let mut order: Vec<&BorrowedTask<T>> = held.iter().collect();
+        let mut candidates: Vec<&BorrowedTask<T>> = held.iter().collect();
         let key = |h: &BorrowedTask<T>| (h.service, std::cmp::Reverse(self.borrows(h.team)));
-        order.sort_by(|a, b| key(a).cmp(&key(b)).then(a.loses.total_cmp(&b.loses)));
+        candidates.sort_by(|a, b| key(a).cmp(&key(b)).then(a.loses.total_cmp(&b.loses)));
         let mut excess: Vec<(LevelIndex, Amount)> =
             over.iter().map(|l| (*l, self.used(*l).minus(self.tree.at(*l).limit))).collect();
-        for (t, a) in leaving {
-            let path = self.path(*t);
-            excess.iter_mut().filter(|(l, _)| path.contains(l)).for_each(|(_, e)| *e = e.minus(*a));
+        for (team, amount) in leaving {
+            let path = self.path(*team);
+            excess.iter_mut().filter(|(l, _)| path.contains(l)).for_each(|(_, e)| *e = e.minus(*amount));
         }
-        let mut out = Vec::new();
-        for h in order {
-            let path = self.path(h.team);
+        let mut preempted = Vec::new();
+        for task in candidates {
+            let path = self.path(task.team);
             let limit = |l: LevelIndex| self.tree.at(l).limit;
             let helps = excess.iter().any(|(l, e)| {
                 let of = limit(*l);
                 path.contains(l)
-                    && (of.cpus > 0.0 && e.cpus > EPSILON && h.need.cpus > 0.0
-                        || of.gpus > 0.0 && e.gpus > EPSILON && h.need.gpus > 0.0)
+                    && (of.cpus > 0.0 && e.cpus > EPSILON && task.need.cpus > 0.0
+                        || of.gpus > 0.0 && e.gpus > EPSILON && task.need.gpus > 0.0)
             });
             if helps {
-                out.push(h.task);
+                preempted.push(task.task);
                 for (_, e) in excess.iter_mut().filter(|(l, _)| path.contains(l)) {
-                    *e = e.minus(h.need);
+                    *e = e.minus(task.need);
                 }
             }
         }
-        out
+        preempted
     }
 }
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -1,15 +1,15 @@
-//! Quotas that nest.
+//! Hierarchical quotas.
 //!
 //! Organisations contain organisations, down to the teams of the platform's settings. Each
-//! level has a guarantee and a limit; what one leaves unused is lent to its siblings before
-//! strangers. Everything here decides and nothing waits: no sockets, no files, no clock.
+//! level has a guarantee and a limit; the unused part of a guarantee is lent to siblings before
+//! more distant levels. The crate only computes decisions: it uses no sockets, files or clock.
 //!
-//! - [`plan`]: the operators' file, its schema, and everything that can be wrong with it
-//! - [`stored`]: a plan as it is kept at the state service
-//! - [`tree`]: the checked tree by dense indices, with guarantees scaled to their parents'
-//! - [`ledger`]: what every level uses, whether a task may start, who goes first, who gives way
+//! - [`plan`]: the operators' file, its schema and its validation
+//! - [`stored`]: the layout of a plan in the state service
+//! - [`tree`]: the validated tree, addressed by dense indices, with guarantees scaled to fit their parents'
+//! - [`ledger`]: usage of every level, admission, fair-share order and preemption
 
-// What is decided must not follow the order of a hash.
+// Decisions must not depend on the iteration order of a hash map.
 #![warn(clippy::iter_over_hash_type)]
 
 pub mod ledger;
@@ -22,14 +22,14 @@
 pub use plan::{Plan, TeamLimits};
 pub use tree::{Level, LevelIndex, TeamIndex, Tree};
 
-/// Cpus and accelerator accelerators.
+/// An amount of cpus and accelerator cards.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Amount {
     pub cpus: f64,
     pub gpus: f64,
 }
 
-/// Sums of fractions differ by this much.
+/// Tolerance for rounding errors when sums of fractions are compared.
 pub const EPSILON: f64 = 1e-6;
 
 impl Amount {
@@ -51,15 +51,15 @@
         self.plus(o.times(-1.0))
     }
 
-    /// Is this no more than `most` of everything that `need` asks for?
+    /// Returns whether this is at most `most` in each resource that `need` asks for.
     fn within(self, most: Amount, need: Amount) -> bool {
         let ok = |used: f64, most: f64, need: f64| need <= 0.0 || used <= most + EPSILON;
         ok(self.cpus, most.cpus, need.cpus) && ok(self.gpus, most.gpus, need.gpus)
     }
 
-    /// Is this no more than a limit, of which 0 means none?
+    /// Returns whether this is within a limit in each resource that `need` asks for; 0 means no limit.
     fn under(self, limit: Amount, need: Amount) -> bool {
-        let or_endless = |l: f64| if l > 0.0 { l } else { f64::INFINITY };
-        self.within(Amount::new(or_endless(limit.cpus), or_endless(limit.gpus)), need)
+        let or_unlimited = |limit: f64| if limit > 0.0 { limit } else { f64::INFINITY };
+        self.within(Amount::new(or_unlimited(limit.cpus), or_unlimited(limit.gpus)), need)
     }
 }
--- a/crates/quota/src/plan.rs
+++ b/crates/quota/src/plan.rs
@@ -1,4 +1,4 @@
-//! The operators' file: what may be written in it, and everything that is wrong with it.
+//! The operators' quota file: its format and its validation.
 
 use crate::Amount;
 use garde::Validate;
@@ -7,8 +7,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most organisations in a tree, and most levels of them above a team.
+/// Maximum number of organisations in a tree.
 pub const MAX_ORGANISATIONS: usize = 20_000;
+/// Maximum number of organisation levels above a team.
 pub const MAX_DEPTH: usize = 16;
 
 /// A tree of organisations above the teams of the platform's settings.
@@ -72,7 +73,7 @@
     if fits { Ok(()) } else { Err(garde::Error::new("must be from 0.001 to 1000")) }
 }
 
-/// A team as the platform's settings have it.
+/// The guarantee and the limit of a team in the platform's settings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TeamLimits {
     pub name: String,
@@ -81,12 +82,12 @@
 }
 
 impl Plan {
-    /// Reads a plan from TOML. What is no plan at all is one fault.
+    /// Reads a plan from TOML. A text that cannot be parsed gives a single fault.
     pub fn parse(text: &str) -> Result<Plan, Fault> {
         lupinspur_files::read(text)
     }
 
-    /// Everything that is wrong, in the order of the file; empty if nothing is.
+    /// Returns all faults of the plan, in the order of the file; empty if it is valid.
     pub fn faults(&self, teams: &[TeamLimits]) -> Vec<Fault> {
         let mut out = out_of_bounds(self, &[("organisations[", "organisation[")]);
         let mut fault = |path: String, what: String| out.push(Fault { path, what });
@@ -94,7 +95,10 @@
         let mut by_name: BTreeMap<&str, usize> = BTreeMap::new();
         for (i, o) in self.organisations.iter().enumerate() {
             if let Some(first) = by_name.get(o.name.as_str()) {
-                fault(at(i, "name"), format!("{:?} is the name of organisation[{first}] already", o.name));
+                fault(
+                    at(i, "name"),
+                    format!("{:?} is already the name of organisation[{first}]; names must be unique", o.name),
+                );
             } else {
                 by_name.insert(&o.name, i);
             }
@@ -107,7 +111,13 @@
             }
             for (name, guarantee, limit) in [("cpus", o.cpus, o.cpus_max), ("gpus", o.gpus, o.gpus_max)] {
                 if limit > 0.0 && guarantee.is_some_and(|g| g > limit) {
-                    fault(at(i, &format!("{name}_max")), format!("{limit} is under the guarantee"));
+                    fault(
+                        at(i, &format!("{name}_max")),
+                        format!(
+                            "{limit} is less than the guarantee of {}; raise it or set 0 for no limit",
+                            guarantee.unwrap_or_default()
+                        ),
+                    );
                 }
             }
             for (k, t) in o.teams.iter().enumerate() {
@@ -115,35 +125,38 @@
                 if !known.contains(t.as_str()) {
                     fault(path, format!("there is no team {t:?} in the settings"));
                 } else if let Some(first) = placed.get(t.as_str()) {
-                    fault(path, format!("{t:?} stands in organisation[{first}] already"));
+                    fault(
+                        path,
+                        format!("{t:?} is already listed in organisation[{first}]; a team belongs to one organisation"),
+                    );
                 } else {
                     placed.insert(t, i);
                 }
             }
         }
         for t in teams.iter().filter(|t| !placed.contains_key(t.name.as_str())) {
-            fault("organisation".into(), format!("team {:?} of the settings stands in none", t.name));
+            fault("organisation".into(), format!("team {:?} of the settings is listed in no organisation", t.name));
         }
-        // Each is followed upwards once: a way that comes back to itself is a cycle, one that
-        // meets what was followed before is not.
+        // Each organisation is followed upwards once. A path that returns to itself is a cycle; a
+        // path that reaches an organisation with a known depth is not.
         let parent = |i: usize| self.organisations[i].within.as_deref().and_then(|p| by_name.get(p)).copied();
         let mut depth: Vec<Option<usize>> = vec![None; self.organisations.len()];
         for i in 0..self.organisations.len() {
-            let (mut way, mut on_way) = (Vec::new(), BTreeSet::new());
+            let (mut path, mut on_path) = (Vec::new(), BTreeSet::new());
             let mut next = Some(i);
-            while let Some(j) = next.filter(|&j| depth[j].is_none() && on_way.insert(j)) {
-                way.push(j);
+            while let Some(j) = next.filter(|&j| depth[j].is_none() && on_path.insert(j)) {
+                path.push(j);
                 next = parent(j);
             }
-            if let Some(j) = next.filter(|j| on_way.contains(j)) {
-                fault(at(j, "within"), format!("{:?} contains itself", self.organisations[j].name));
+            if let Some(j) = next.filter(|j| on_path.contains(j)) {
+                fault(at(j, "within"), format!("{:?} contains itself through `within`", self.organisations[j].name));
             }
             let mut below = next.and_then(|j| depth[j]).unwrap_or(0);
-            for j in way.into_iter().rev() {
+            for j in path.into_iter().rev() {
                 below += 1;
                 depth[j] = Some(below);
                 if below == MAX_DEPTH + 1 {
-                    fault(at(j, "within"), format!("more than {MAX_DEPTH} levels"));
+                    fault(at(j, "within"), format!("more than {MAX_DEPTH} levels of organisations above it"));
                 }
             }
         }
@@ -169,7 +182,7 @@
         names.iter().map(team).collect()
     }
 
-    /// All that is wrong is said at once, each with its place.
+    /// All faults are reported at once, each with its path in the file.
     #[test]
     fn every_fault_is_told_with_its_path() {
         let text = r#"
@@ -234,6 +247,6 @@
             Plan::parse(&format!("generation = 1\n{text}")).expect("TOML").faults(&teams(&["red"]))
         };
         assert_eq!(chain(MAX_DEPTH), []);
-        assert_eq!(chain(MAX_DEPTH + 2).len(), 1, "said once, where it begins");
+        assert_eq!(chain(MAX_DEPTH + 2).len(), 1, "reported once, at the first level that is too deep");
     }
 }
--- a/crates/quota/src/stored.rs
+++ b/crates/quota/src/stored.rs
@@ -1,34 +1,39 @@
-//! A plan at the state service: in several values that fit its limit, and a head that says
-//! which of them hold. The head is switched in one write, so that no two trees are in force.
+//! The layout of a plan in the state service: several values within its size limit, and a head
+//! that names the current ones. The head is replaced in a single write, so that two trees are
+//! never in force at the same time.
 
 use crate::plan::{Organisation, Plan};
 use serde::{Deserialize, Serialize};
 
+/// Prefix of all keys of stored plans.
 pub const PREFIX: &str = "quota/";
+/// Key of the head.
 pub const HEAD: &str = "quota/head";
 
-/// Which plan holds.
+/// Names the plan in force: its generation and the number of its parts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct Head {
     pub generation: u64,
     pub parts: usize,
 }
 
+/// One stored value of a plan.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Part {
     pub organisations: Vec<Organisation>,
 }
 
+/// Returns the key of the `n`-th part of a generation.
 pub fn part_key(generation: u64, n: usize) -> String {
     format!("{PREFIX}{generation}/{n}")
 }
 
-/// The generation that a part's key belongs to.
+/// Returns the generation in the key of a part; `None` for other keys.
 pub fn generation_of(key: &str) -> Option<u64> {
     key.strip_prefix(PREFIX)?.split_once('/')?.0.parse().ok()
 }
 
-/// The parts of a plan, none longer than `bytes`. None where one organisation alone is.
+/// Splits a plan into parts of at most `bytes` each; `None` if a single organisation is longer.
 pub fn parts(plan: &Plan, bytes: usize, length: impl Fn(&Part) -> usize) -> Option<Vec<Part>> {
     let mut out: Vec<Part> = Vec::new();
     for o in &plan.organisations {
@@ -48,7 +53,7 @@
     Some(out)
 }
 
-/// The plan that a head names, if all its parts are there.
+/// Joins the plan that a head names; `None` if a part is missing.
 pub fn join(head: Head, part: impl Fn(usize) -> Option<Part>) -> Option<Plan> {
     let parts: Option<Vec<Part>> = (0..head.parts).map(part).collect();
     let organisations = parts?.into_iter().flat_map(|p| p.organisations).collect();
--- a/crates/quota/src/tree.rs
+++ b/crates/quota/src/tree.rs
@@ -1,75 +1,79 @@
-//! The checked tree, by dense indices.
+//! The validated quota tree, addressed by dense indices.
 
 use crate::Amount;
 use crate::plan::{Plan, TeamLimits};
 use lupinspur_files::Fault;
 use std::collections::BTreeMap;
 
-/// A level of the tree: the whole, an organisation, or a team.
+/// Index of a level of the tree: the root, an organisation, or a team.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct LevelIndex(pub u32);
 
-/// A team, by its place in the platform's settings.
+/// Index of a team in the platform's settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TeamIndex(pub u32);
 
+/// One level of the tree.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Level {
-    /// Names from the top, with dots between them; empty for the whole.
+    /// Names from the top down, joined by dots; empty for the root.
     pub name: String,
     pub parent: Option<LevelIndex>,
-    /// As it was stated, and as it is after scaling it down to its part of its parent's.
+    /// The guarantee in the plan, or the sum of the children's where the plan gives none.
     pub stated: Amount,
+    /// The stated guarantee, scaled down where the siblings together exceed their parent's.
     pub guarantee: Amount,
-    /// 0: none.
+    /// 0 means no limit.
     pub limit: Amount,
     pub weight: f64,
     pub team: Option<TeamIndex>,
 }
 
+/// A quota tree: the root, the organisations and the teams.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tree {
     pub generation: u64,
     pub levels: Vec<Level>,
-    /// Of each team, its levels from itself to the whole.
+    /// For each team, its levels from the team itself to the root.
     paths: Vec<Vec<LevelIndex>>,
 }
 
+/// The root of every tree.
 pub const WHOLE: LevelIndex = LevelIndex(0);
 
 impl Tree {
-    /// What the settings alone say: all teams side by side.
+    /// Builds the tree without organisations: all teams directly below the root.
     pub fn flat(teams: &[TeamLimits]) -> Tree {
-        let mut t = Tree::begin(0);
+        let mut tree = Tree::begin(0);
         for (i, team) in teams.iter().enumerate() {
-            t.add_team(i, team, WHOLE);
+            tree.add_team(i, team, WHOLE);
         }
-        t.settle();
-        t
+        tree.scale_guarantees();
+        tree
     }
 
-    /// The tree of a plan, and warnings; or all that is wrong with it.
+    /// Builds the tree of a plan and returns it with warnings, or returns all faults of the plan.
     pub fn of(plan: &Plan, teams: &[TeamLimits]) -> Result<(Tree, Vec<Fault>), Vec<Fault>> {
         let faults = plan.faults(teams);
         if !faults.is_empty() {
             return Err(faults);
         }
-        let mut t = Tree::begin(plan.generation);
-        let mut made: BTreeMap<&str, LevelIndex> = BTreeMap::new();
-        let mut left: Vec<usize> = (0..plan.organisations.len()).collect();
-        // Parents may stand after their children in the file. There are no cycles, so each
-        // round makes one more level of them at least.
-        while !left.is_empty() {
-            left.retain(|&i| {
+        let mut tree = Tree::begin(plan.generation);
+        let mut added: BTreeMap<&str, LevelIndex> = BTreeMap::new();
+        let mut remaining: Vec<usize> = (0..plan.organisations.len()).collect();
+        // Parents may come after their children in the file. There are no cycles, so each round
+        // adds at least one organisation.
+        while !remaining.is_empty() {
+            remaining.retain(|&i| {
                 let o = &plan.organisations[i];
                 let parent = match &o.within {
                     None => Some(WHOLE),
-                    Some(p) => made.get(p.as_str()).copied(),
+                    Some(p) => added.get(p.as_str()).copied(),
                 };
                 let Some(parent) = parent else { return true };
                 let stated = Amount::new(o.cpus.unwrap_or(f64::NAN), o.gpus.unwrap_or(f64::NAN));
                 let level = Level {
-                    name: t.name_below(parent, &o.name),
+                    name: tree.name_below(parent, &o.name),
                     parent: Some(parent),
                     stated,
                     guarantee: Amount::NONE,
@@ -77,18 +81,18 @@
                     weight: o.weight,
                     team: None,
                 };
-                made.insert(&o.name, t.push(level));
+                added.insert(&o.name, tree.push(level));
                 false
             });
         }
-        let place = |name: &str| teams.iter().position(|t| t.name == name);
+        let team_index = |name: &str| teams.iter().position(|t| t.name == name);
         for o in &plan.organisations {
-            for (i, level) in o.teams.iter().filter_map(|n| Some((place(n)?, *made.get(o.name.as_str())?))) {
-                t.add_team(i, &teams[i], level);
+            for (i, level) in o.teams.iter().filter_map(|n| Some((team_index(n)?, *added.get(o.name.as_str())?))) {
+                tree.add_team(i, &teams[i], level);
             }
         }
-        let warnings = t.settle();
-        Ok((t, warnings))
+        let warnings = tree.scale_guarantees();
+        Ok((tree, warnings))
     }
 
     fn begin(generation: u64) -> Tree {
@@ -136,13 +140,14 @@
         self.paths[i] = path;
     }
 
-    /// Guarantees that nobody stated are what is below them together; those of children that
-    /// are more than their parent's are scaled down in proportion, from the top.
-    fn settle(&mut self) -> Vec<Fault> {
-        let n = self.levels.len();
-        let mut below = vec![Amount::NONE; n];
-        // Children have higher numbers than their parents.
-        for i in (0..n).rev() {
+    /// Sets the guarantees and returns warnings. A guarantee that is not stated is the sum of those
+    /// of the children. Where the children's guarantees exceed their parent's, they are scaled down
+    /// in proportion, from the root downwards.
+    fn scale_guarantees(&mut self) -> Vec<Fault> {
+        let count = self.levels.len();
+        let mut below = vec![Amount::NONE; count];
+        // Children have higher indices than their parents.
+        for i in (0..count).rev() {
             let l = &mut self.levels[i];
             let or = |stated: f64, sum: f64| if stated.is_nan() { sum } else { stated };
             l.stated = Amount::new(or(l.stated.cpus, below[i].cpus), or(l.stated.gpus, below[i].gpus));
@@ -151,7 +156,7 @@
             }
         }
         let mut warnings = Vec::new();
-        for i in 0..n {
+        for i in 0..count {
             let l = &self.levels[i];
             let part = match l.parent {
                 None => Amount::new(1.0, 1.0),
@@ -166,7 +171,9 @@
             for (what, has, sum) in [("cpus", scaled.cpus, below[i].cpus), ("gpus", scaled.gpus, below[i].gpus)] {
                 if sum > has + crate::EPSILON {
                     let path = self.levels[i].name.clone();
-                    let what = format!("guarantees {has} {what}, and what is below it {sum}: scaled down");
+                    let what = format!(
+                        "guarantees {has} {what}, but its children state {sum} together: their guarantees are scaled down"
+                    );
                     warnings.push(Fault { path, what });
                 }
             }
@@ -178,7 +185,7 @@
         &self.levels[l.0 as usize]
     }
 
-    /// A team's levels, from itself to the whole.
+    /// Returns the levels of a team, from the team itself to the root.
     pub fn path(&self, t: TeamIndex) -> &[LevelIndex] {
         self.paths.get(t.0 as usize).map_or(&[], Vec::as_slice)
     }
@@ -192,8 +199,8 @@
         TeamLimits { name: name.into(), guarantee: Amount::new(cpus, 0.0), limit: Amount::NONE }
     }
 
-    /// The county guarantees 60; its trusts state 80 and 40, so they have 40 and 20. The
-    /// wards of the first state 30 and 50 of its 80, and have half of that.
+    /// The county guarantees 60 and its trusts state 80 and 40, so they get 40 and 20. The teams
+    /// of the first trust state 30 and 50 and get half of that, 15 and 25.
     #[test]
     fn guarantees_that_are_more_than_their_parent_s_are_scaled_in_proportion() {
         let plan = Plan::parse(
@@ -217,14 +224,14 @@
         .expect("TOML");
         let teams = [team("a", 30.0), team("b", 50.0), team("c", 10.0)];
         let (tree, warnings) = Tree::of(&plan, &teams).expect("a tree");
-        let has = |name: &str| tree.levels.iter().find(|l| l.name == name).map(|l| l.guarantee.cpus);
-        assert_eq!(has("county.north"), Some(40.0));
-        assert_eq!(has("county.south"), Some(20.0));
-        assert_eq!(has("county.north.a"), Some(15.0));
-        assert_eq!(has("county.north.b"), Some(25.0));
-        assert_eq!(has("county.south.c"), Some(10.0), "it fits");
-        let told: Vec<&str> = warnings.iter().map(|w| w.path.as_str()).collect();
-        assert_eq!(told, ["county", "county.north"]);
+        let guarantee_of = |name: &str| tree.levels.iter().find(|l| l.name == name).map(|l| l.guarantee.cpus);
+        assert_eq!(guarantee_of("county.north"), Some(40.0));
+        assert_eq!(guarantee_of("county.south"), Some(20.0));
+        assert_eq!(guarantee_of("county.north.a"), Some(15.0));
+        assert_eq!(guarantee_of("county.north.b"), Some(25.0));
+        assert_eq!(guarantee_of("county.south.c"), Some(10.0), "below its parent's guarantee, so not scaled");
+        let warned_paths: Vec<&str> = warnings.iter().map(|w| w.path.as_str()).collect();
+        assert_eq!(warned_paths, ["county", "county.north"]);
         let names: Vec<&str> = tree.path(TeamIndex(0)).iter().map(|l| tree.at(*l).name.as_str()).collect();
         assert_eq!(names, ["county.north.a", "county.north", "county", ""]);
     }
--- a/crates/quota/tests/lending.rs
+++ b/crates/quota/tests/lending.rs
@@ -1,5 +1,5 @@
-//! How long lending and taking back take where nothing is stopped for it: one machine park,
-//! tasks that end by themselves, places given in the ledger's order.
+//! Bounds the time that lending a guarantee and returning it take without preemption: a simulated
+//! cluster of fixed capacity, tasks that end by themselves, and starts in the ledger's fair-share order.
 
 use hdrhistogram::Histogram;
 use lupinspur_quota::{Amount, Ledger, Plan, TeamIndex, TeamLimits, Tree};
@@ -12,7 +12,7 @@
 const B: TeamIndex = TeamIndex(1);
 const C: TeamIndex = TeamIndex(2);
 
-/// a and b are siblings, c is a stranger; each is guaranteed a third.
+/// a and b are siblings, c belongs to another organisation; each is guaranteed a third of the cpus.
 fn ledger() -> Ledger {
     let text = "generation = 1\n[[organisation]]\nname = \"north\"\nteams = [\"a\", \"b\"]\n\
                 [[organisation]]\nname = \"south\"\nteams = [\"c\"]\n";
@@ -21,40 +21,42 @@
     Ledger::new(Tree::of(&plan, &["a", "b", "c"].map(team)).expect("a tree").0)
 }
 
-struct Park {
+/// A simulated cluster of `CPUS` cpus; every task uses one.
+struct Cluster {
     ledger: Ledger,
-    /// The end of each task that runs, in tenths of a second.
-    held: Vec<(u64, TeamIndex)>,
+    /// The end time, in tenths of a second, and the team of each running task.
+    running: Vec<(u64, TeamIndex)>,
+    /// Task durations in tenths of a second, used in turn.
     lengths: Vec<u64>,
     started: usize,
 }
 
-impl Park {
-    /// Gives what is free to those that ask, in order.
+impl Cluster {
+    /// Starts tasks of the teams that ask, in fair-share order, until no cpu is free.
     fn place(&mut self, now: u64, asking: &[TeamIndex]) {
-        while self.held.len() < CPUS {
-            let stands = |t: &TeamIndex| self.ledger.standing(*t, ONE);
-            let first = asking.iter().min_by(|a, b| stands(a).partial_cmp(&stands(b)).expect("numbers"));
-            let Some(&t) = first else { return };
-            self.ledger.count(t, ONE);
-            self.held.push((now + self.lengths[self.started % self.lengths.len()], t));
+        while self.running.len() < CPUS {
+            let position = |t: &TeamIndex| self.ledger.standing(*t, ONE);
+            let first = asking.iter().min_by(|a, b| position(a).partial_cmp(&position(b)).expect("numbers"));
+            let Some(&team) = first else { return };
+            self.ledger.count(team, ONE);
+            self.running.push((now + self.lengths[self.started % self.lengths.len()], team));
             self.started += 1;
         }
     }
 
     fn end_by(&mut self, now: u64) {
-        for (_, t) in self.held.extract_if(.., |h| h.0 <= now) {
+        for (_, t) in self.running.extract_if(.., |h| h.0 <= now) {
             self.ledger.count(t, ONE.times(-1.0));
         }
     }
 
     fn has(&self, t: TeamIndex) -> usize {
-        self.held.iter().filter(|h| h.1 == t).count()
+        self.running.iter().filter(|h| h.1 == t).count()
     }
 }
 
-/// While a asks for nothing its third is b's, its sibling's, and none of it c's. When a comes
-/// back it has all of it no later than the longest task takes.
+/// While team a is idle, its sibling b borrows all of its third, and c none of it. When a asks
+/// again, it has all of its guarantee back within the duration of the longest task.
 #[test]
 fn a_lender_has_its_guarantee_back_within_the_longest_task() {
     let mut lent = Histogram::<u64>::new(3).expect("a histogram");
@@ -63,25 +65,28 @@
     let (lent_in, back_in) = (std::cell::RefCell::new(&mut lent), std::cell::RefCell::new(&mut back));
     let run = |(lengths, idle_at): (Vec<u64>, u64)| {
         let longest = *lengths.iter().max().expect("some");
-        let mut park = Park { ledger: ledger(), held: Vec::new(), lengths, started: 0 };
+        let mut cluster = Cluster { ledger: ledger(), running: Vec::new(), lengths, started: 0 };
         let comes_back = idle_at + 2 * longest;
         let (mut all_lent, mut all_back) = (None, None);
         for now in 0..=comes_back + longest + 1 {
-            park.end_by(now);
+            cluster.end_by(now);
             let a_asks = now < idle_at || now >= comes_back;
-            park.place(now, if a_asks { &[A, B, C] } else { &[B, C] });
-            prop_assert!(park.has(C) <= 20, "a stranger has {}", park.has(C));
-            if (idle_at..comes_back).contains(&now) && park.has(B) == 40 {
+            cluster.place(now, if a_asks { &[A, B, C] } else { &[B, C] });
+            prop_assert!(cluster.has(C) <= 20, "team c of another organisation has {} cpus", cluster.has(C));
+            if (idle_at..comes_back).contains(&now) && cluster.has(B) == 40 {
                 all_lent.get_or_insert(now - idle_at);
             }
-            if now >= comes_back && park.has(A) == 20 {
+            if now >= comes_back && cluster.has(A) == 20 {
                 all_back.get_or_insert(now - comes_back);
             }
         }
-        let (l, b) = (all_lent.unwrap_or(u64::MAX), all_back.unwrap_or(u64::MAX));
-        prop_assert!(l <= longest && b <= longest, "lent after {l}, back after {b}, longest {longest}");
-        lent_in.borrow_mut().saturating_record(100 * l / longest);
-        back_in.borrow_mut().saturating_record(100 * b / longest);
+        let (lent_after, back_after) = (all_lent.unwrap_or(u64::MAX), all_back.unwrap_or(u64::MAX));
+        prop_assert!(
+            lent_after <= longest && back_after <= longest,
+            "lent after {lent_after}, back after {back_after}, longest {longest}"
+        );
+        lent_in.borrow_mut().saturating_record(100 * lent_after / longest);
+        back_in.borrow_mut().saturating_record(100 * back_after / longest);
         Ok(())
     };
     let lengths = prop::collection::vec(1u64..200, 40..90);
--- a/crates/quota/tests/properties.rs
+++ b/crates/quota/tests/properties.rs
@@ -1,13 +1,12 @@
-//! Properties of the ledger over random trees and histories; what fails is shrunk to a
-//! readable case.
+//! Property tests of the ledger over random trees and histories.
 
 use lupinspur_quota::plan::Organisation;
 use lupinspur_quota::{Amount, BorrowedTask, EPSILON, Ledger, LevelIndex, Plan, TeamIndex, TeamLimits, Tree};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// A tree as numbers: each organisation's parent among those before it, if any, and each
-/// team's organisation.
+/// A random tree. An organisation is (parent among the preceding ones, guarantee, limit), a team
+/// is (organisation, guarantee, limit).
 #[derive(Debug, Clone)]
 struct Shape {
     organisations: Vec<(Option<usize>, Option<u32>, u32)>,
@@ -54,7 +53,7 @@
     Tree::of(&plan, &teams).expect("a tree").0
 }
 
-/// Counted anew from what is held, as nobody would do it at work.
+/// Computes the usage of every level from the held tasks, without the ledger.
 fn counted(tree: &Tree, held: &BTreeMap<usize, (TeamIndex, f64)>) -> Vec<f64> {
     let mut used = vec![0.0; tree.levels.len()];
     for (t, cpus) in held.values() {
@@ -66,8 +65,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 192, failure_persistence: None, rng_seed: prop::test_runner::RngSeed::Fixed(7), ..ProptestConfig::default() })]
 
-    /// No level is ever over its limit, whatever starts and ends in whatever order, with part
-    /// of the machines unseen; and what the ledger says is used is what is held.
+    /// No level exceeds its limit in any order of starts and ends, with some usage on machines
+    /// that have not reported; and the ledger's usage equals that of the held tasks.
     #[test]
     fn no_level_is_over_its_limit(
         s in shapes(),
@@ -76,10 +75,10 @@
         let tree = tree(&s);
         let mut ledger = Ledger::new(tree.clone());
         let mut held = BTreeMap::new();
-        for (i, (who, cpus, unseen, start)) in steps.into_iter().enumerate() {
+        for (i, (index, cpus, unseen, start)) in steps.into_iter().enumerate() {
             ledger.unseen = Amount::new(f64::from(unseen), 0.0);
             if start || held.is_empty() {
-                let (team, need) = (TeamIndex(who.index(s.teams.len()) as u32), Amount::new(f64::from(cpus), 0.0));
+                let (team, need) = (TeamIndex(index.index(s.teams.len()) as u32), Amount::new(f64::from(cpus), 0.0));
                 if ledger.may_start(team, need).is_ok() {
                     ledger.count(team, need);
                     held.insert(i, (team, need.cpus));
@@ -90,7 +89,7 @@
                     }
                 }
             } else {
-                let key = *held.keys().nth(who.index(held.len())).expect("one that is held");
+                let key = *held.keys().nth(index.index(held.len())).expect("a held task");
                 let (team, cpus) = held.remove(&key).expect("held");
                 ledger.count(team, Amount::new(-cpus, 0.0));
             }
@@ -100,8 +99,8 @@
         }
     }
 
-    /// Scaled guarantees of children are never more than their parent's, and a level whose
-    /// children fit leaves them as they were stated.
+    /// The scaled guarantees of the children never exceed their parent's in sum; where the stated
+    /// ones fit, they are not scaled.
     #[test]
     fn guarantees_fit_into_their_parents(s in shapes()) {
         let tree = tree(&s);
@@ -116,14 +115,14 @@
         }
     }
 
-    /// A start within the team's own guarantee stands before any that borrows, and one that a
-    /// nearer level lends before one from farther away.
+    /// The distance of a start is never greater than that of the nearest level with spare guarantee:
+    /// a start within the team's own guarantee comes first, then loans from nearer levels.
     #[test]
     fn what_is_near_is_lent_first(s in shapes(), uses in prop::collection::vec((any::<prop::sample::Index>(), 1u32..9), 0..20)) {
         let tree = tree(&s);
         let mut ledger = Ledger::new(tree.clone());
-        for (who, cpus) in uses {
-            ledger.count(TeamIndex(who.index(s.teams.len()) as u32), Amount::new(f64::from(cpus), 0.0));
+        for (index, cpus) in uses {
+            ledger.count(TeamIndex(index.index(s.teams.len()) as u32), Amount::new(f64::from(cpus), 0.0));
         }
         let need = Amount::new(1.0, 0.0);
         for t in (0..s.teams.len() as u32).map(TeamIndex) {
@@ -137,8 +136,8 @@
         }
     }
 
-    /// After any change of tree, what gives way is enough, is needed, and is a service only
-    /// where nothing else is left; from then on the excess only falls.
+    /// After any change of the tree, preemption selects enough tasks to bring every level under its
+    /// limit, and services only where no other task is left.
     #[test]
     fn a_shrunk_parent_s_excess_gives_way(
         before in shapes(),
@@ -147,8 +146,8 @@
     ) {
         let mut ledger = Ledger::new(tree(&before));
         let mut held = Vec::new();
-        for (i, (who, cpus, loses, service)) in starts.into_iter().enumerate() {
-            let (team, need) = (TeamIndex(who.index(before.teams.len()) as u32), Amount::new(f64::from(cpus), 0.0));
+        for (i, (index, cpus, loses, service)) in starts.into_iter().enumerate() {
+            let (team, need) = (TeamIndex(index.index(before.teams.len()) as u32), Amount::new(f64::from(cpus), 0.0));
             if ledger.may_start(team, need).is_ok() {
                 ledger.count(team, need);
                 held.push(BorrowedTask { task: i, team, need, loses: f64::from(loses), service, priority: 2 });
@@ -159,24 +158,24 @@
             (o.1, o.2) = (None, l);
         }
         ledger.change(tree(&after));
-        let gone = ledger.give_way(&held, &[]);
-        for h in held.iter().filter(|h| gone.contains(&h.task)) {
+        let preempted = ledger.give_way(&held, &[]);
+        for h in held.iter().filter(|h| preempted.contains(&h.task)) {
             ledger.count(h.team, h.need.times(-1.0));
         }
         prop_assert!(ledger.over().is_empty(), "{:?} are still over", ledger.over());
-        // Whoever is a service gave way only where all else below some level had to go.
-        let kept: Vec<_> = held.iter().filter(|h| !gone.contains(&h.task)).collect();
-        for s in held.iter().filter(|h| h.service && gone.contains(&h.task)) {
+        // A service is preempted only if some level on its path keeps no other task.
+        let kept: Vec<_> = held.iter().filter(|h| !preempted.contains(&h.task)).collect();
+        for s in held.iter().filter(|h| h.service && preempted.contains(&h.task)) {
             let levels = ledger.tree().path(s.team);
             let spared = |l: &LevelIndex| kept.iter().any(|k| !k.service && ledger.tree().path(k.team).contains(l));
-            prop_assert!(levels.iter().any(|l| !spared(l)), "a service went before other work");
+            prop_assert!(levels.iter().any(|l| !spared(l)), "a service was preempted before other work");
         }
-        prop_assert!(gone.is_empty() || held.iter().any(|h| gone.contains(&h.task)));
+        prop_assert!(preempted.is_empty() || held.iter().any(|h| preempted.contains(&h.task)));
     }
 
-    /// A service that waits at any level's limit: what gives way lets it start, is no service,
-    /// stands below a limit that is in the way, and nothing more important goes than needed.
-    /// Where nothing gives way, nothing could, or nothing stands in the way.
+    /// A service is blocked by the limit of some level. The preempted tasks are enough for it to
+    /// start, include no service, and of equal tasks the less important ones are preempted first.
+    /// Nothing is preempted only if nothing blocks the service or preemption could not free enough.
     #[test]
     fn a_service_at_a_limit_gets_room_below_it(
         shape in shapes(),
@@ -186,8 +185,8 @@
     ) {
         let mut ledger = Ledger::new(tree(&shape));
         let (mut held, mut leaving) = (Vec::new(), Vec::new());
-        for (i, (who, cpus, loses, priority)) in starts.into_iter().enumerate() {
-            let (team, need) = (TeamIndex(who.index(shape.teams.len()) as u32), Amount::new(f64::from(cpus), 0.0));
+        for (i, (index, cpus, loses, priority)) in starts.into_iter().enumerate() {
+            let (team, need) = (TeamIndex(index.index(shape.teams.len()) as u32), Amount::new(f64::from(cpus), 0.0));
             if ledger.may_start(team, need).is_ok() {
                 ledger.count(team, need);
                 if leaves && i % 3 == 0 {
@@ -198,32 +197,32 @@
             }
         }
         let (team, need) = (TeamIndex(service.0.index(shape.teams.len()) as u32), Amount::new(f64::from(service.1), 0.0));
-        let gone = ledger.preempt_for(team, need, &held, &leaving);
+        let preempted = ledger.preempt_for(team, need, &held, &leaving);
         let blocked = ledger.may_start(team, need).is_err();
-        prop_assert!(gone.is_empty() || blocked, "work gave way that was in nobody's way");
-        prop_assert!(held.iter().all(|h| !h.service || !gone.contains(&h.task)));
+        prop_assert!(preempted.is_empty() || blocked, "tasks were preempted although no limit blocked the service");
+        prop_assert!(held.iter().all(|h| !h.service || !preempted.contains(&h.task)));
         let mut after = ledger.clone();
         for (t, a) in &leaving {
             after.count(*t, a.times(-1.0));
         }
         let soon = after.may_start(team, need).is_ok();
-        prop_assert!(!soon || gone.is_empty(), "what leaves already was enough");
-        for h in held.iter().filter(|h| !h.service && (gone.is_empty() || gone.contains(&h.task))) {
+        prop_assert!(!soon || preempted.is_empty(), "the tasks that already stop would have been enough");
+        for h in held.iter().filter(|h| !h.service && (preempted.is_empty() || preempted.contains(&h.task))) {
             after.count(h.team, h.need.times(-1.0));
         }
         let fits = after.may_start(team, need).is_ok();
-        prop_assert!(gone.is_empty() || fits, "what gave way was not enough");
-        prop_assert!(!gone.is_empty() || soon || !fits, "room could have been made");
-        // Of one size below the same limit, the least important went.
+        prop_assert!(preempted.is_empty() || fits, "the preempted tasks were not enough");
+        prop_assert!(!preempted.is_empty() || soon || !fits, "preemption could have made the start possible");
+        // Of tasks of one team with the same request, the least important are preempted.
         for (a, b) in held.iter().flat_map(|a| held.iter().map(move |b| (a, b))) {
             let same = a.team == b.team && a.need == b.need && !a.service && !b.service;
-            let wrong = same && a.priority < b.priority && gone.contains(&a.task) && !gone.contains(&b.task);
-            prop_assert!(!wrong, "more important work went");
+            let wrong = same && a.priority < b.priority && preempted.contains(&a.task) && !preempted.contains(&b.task);
+            prop_assert!(!wrong, "a more important task was preempted before a less important one");
         }
     }
 }
 
-/// A start and an end touch their path in the tree, however many teams there are.
+/// A start and an end visit only the team's path in the tree, however many teams there are.
 #[test]
 fn a_start_costs_its_path() {
     let cost = |teams: usize| {
@@ -243,6 +242,6 @@
         ledger.count(t, need.times(-1.0));
         ledger.touched.get() - before
     };
-    assert_eq!(cost(10), 12, "three levels, four times");
+    assert_eq!(cost(10), 12, "three levels, visited by four operations");
     assert_eq!([cost(1_000), cost(10_000)], [12, 12]);
 }
--- a/crates/quota/tests/schema.rs
+++ b/crates/quota/tests/schema.rs
@@ -1,4 +1,4 @@
-//! The published schema and the example are what the program reads.
+//! Checks that the published schema is current and that the example file is valid.
 
 use lupinspur_quota::{Amount, Plan, TeamLimits, Tree};
 use std::path::PathBuf;
@@ -7,7 +7,7 @@
     [env!("CARGO_MANIFEST_DIR"), "..", "..", "deploy", name].iter().collect()
 }
 
-/// `UPDATE_SCHEMA=1 cargo test -p lupinspur-quota` writes it anew.
+/// `UPDATE_SCHEMA=1 cargo test -p lupinspur-quota` regenerates the file.
 #[test]
 fn the_published_schema_is_that_of_the_program() {
     let schema = serde_json::to_string_pretty(&Plan::schema()).expect("JSON") + "\n";
