--- a/crates/quota/examples/cost.rs
+++ b/crates/quota/examples/cost.rs
@@ -36,10 +36,10 @@
             let team = TeamIndex(i.wrapping_mul(2_654_435_761) % teams as u32);
             let started_at = Instant::now();
             let may = black_box(ledger.may_start(team, need)).is_ok();
-            black_box(ledger.standing(team, need));
+            black_box(ledger.fair_share_position(team, need));
             if may {
-                ledger.count(team, need);
-                ledger.count(team, need.times(-1.0));
+                ledger.add_usage(team, need);
+                ledger.add_usage(team, need.times(-1.0));
             }
             latency_ns.saturating_record(started_at.elapsed().as_nanos() as u64);
         }
@@ -55,17 +55,17 @@
                 task: t,
                 team: TeamIndex(t),
                 need,
-                loses: f64::from(t % 7),
+                lost_work_s: f64::from(t % 7),
                 service: t % 5 == 0,
                 priority: 2,
             })
             .collect();
-        held.iter().for_each(|task| ledger.count(task.team, task.need));
+        held.iter().for_each(|task| ledger.add_usage(task.team, task.need));
         let mut tree = ledger.tree().clone();
         tree.levels[0].limit = Amount::new(teams as f64 / 2.0, 0.0);
-        ledger.change(tree);
+        ledger.replace_tree(tree);
         let started_at = Instant::now();
-        let preempted = ledger.give_way(&held, &[]).len();
+        let preempted = ledger.preempt_over_limit(&held, &[]).len();
         println!(
             "{:>13} {preempted} of {teams} tasks selected for preemption in {:.2} ms",
             "",
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -1,7 +1,7 @@
 //! Tracks the resources that each level of the tree uses, and makes the decisions that depend on
 //! it: admission, fair-share order and preemption.
 
-use crate::tree::{LevelIndex, TeamIndex, Tree, WHOLE};
+use crate::tree::{LevelIndex, ROOT, TeamIndex, Tree};
 use crate::{Amount, EPSILON};
 
 /// The fair-share order of a possible start. Smaller goes first: a start that borrows from a nearer
@@ -22,7 +22,7 @@
     pub team: TeamIndex,
     pub need: Amount,
     /// Seconds of work that preempting the task loses.
-    pub loses: f64,
+    pub lost_work_s: f64,
     pub service: bool,
     /// 0 for the most important work; higher numbers are less important.
     pub priority: u8,
@@ -35,15 +35,15 @@
     used: Vec<Amount>,
     /// Resources that may be in use on machines that have not reported yet. The team is unknown,
     /// so the amount counts at every level.
-    pub unseen: Amount,
+    pub unreported: Amount,
     /// Number of levels read or written so far: a measure of the cost of decisions.
-    pub touched: std::cell::Cell<u64>,
+    pub levels_visited: std::cell::Cell<u64>,
 }
 
 impl Ledger {
     pub fn new(tree: Tree) -> Ledger {
         let used = vec![Amount::NONE; tree.levels.len()];
-        Ledger { tree, used, unseen: Amount::NONE, touched: std::cell::Cell::new(0) }
+        Ledger { tree, used, unreported: Amount::NONE, levels_visited: std::cell::Cell::new(0) }
     }
 
     pub fn tree(&self) -> &Tree {
@@ -56,25 +56,25 @@
 
     fn path(&self, t: TeamIndex) -> &[LevelIndex] {
         let path = self.tree.path(t);
-        self.touched.set(self.touched.get() + path.len() as u64);
+        self.levels_visited.set(self.levels_visited.get() + path.len() as u64);
         path
     }
 
     /// Replaces the tree. The usage of each team is kept and counted along its path in the new tree.
-    pub fn change(&mut self, tree: Tree) {
+    pub fn replace_tree(&mut self, tree: Tree) {
         let teams: Vec<(TeamIndex, Amount)> =
             self.tree.levels.iter().zip(&self.used).filter_map(|(l, u)| Some((l.team?, *u))).collect();
-        let (unseen, touched) = (self.unseen, self.touched.get());
-        *self = Ledger { unseen, ..Ledger::new(tree) };
-        self.touched.set(touched);
+        let (unreported, levels_visited) = (self.unreported, self.levels_visited.get());
+        *self = Ledger { unreported, ..Ledger::new(tree) };
+        self.levels_visited.set(levels_visited);
         for (t, u) in teams {
-            self.count(t, u);
+            self.add_usage(t, u);
         }
     }
 
     /// Adds an amount to the usage of a team and of every level above it; a negative amount is a release.
-    pub fn count(&mut self, t: TeamIndex, by: Amount) {
-        self.touched.set(self.touched.get() + self.tree.path(t).len() as u64);
+    pub fn add_usage(&mut self, t: TeamIndex, by: Amount) {
+        self.levels_visited.set(self.levels_visited.get() + self.tree.path(t).len() as u64);
         for l in self.tree.path(t) {
             let used = &mut self.used[l.0 as usize];
             *used = used.plus(by);
@@ -91,7 +91,7 @@
 
     /// Returns how many tasks with this resource request fit under all limits on the team's path;
     /// infinity if no limit applies.
-    pub fn room(&self, t: TeamIndex, need: Amount) -> f64 {
+    pub fn tasks_within_limits(&self, t: TeamIndex, need: Amount) -> f64 {
         let left = |limit: f64, used: f64, need: f64| {
             if limit > 0.0 && need > 0.0 { ((limit - used).max(0.0) + EPSILON) / need } else { f64::INFINITY }
         };
@@ -104,14 +104,14 @@
     /// Checks whether a task may start now. The error is the first level whose limit it would exceed.
     pub fn may_start(&self, t: TeamIndex, need: Amount) -> Result<(), LevelIndex> {
         let exceeds = |l: &&LevelIndex| {
-            let with = self.used(**l).plus(need).plus(self.unseen);
+            let with = self.used(**l).plus(need).plus(self.unreported);
             !with.under(self.tree.at(**l).limit, need)
         };
         self.path(t).iter().find(exceeds).map_or(Ok(()), |l| Err(*l))
     }
 
     /// Returns the fair-share order of starting a task with this resource request.
-    pub fn standing(&self, t: TeamIndex, need: Amount) -> FairSharePosition {
+    pub fn fair_share_position(&self, t: TeamIndex, need: Amount) -> FairSharePosition {
         let path = self.path(t);
         let has_spare_guarantee = |l: &LevelIndex| self.used(*l).plus(need).within(self.tree.at(*l).guarantee, need);
         let distance = path.iter().position(has_spare_guarantee).unwrap_or(path.len());
@@ -119,7 +119,7 @@
             0 => 0.0,
             // The share of the lender's child on this path: siblings compete as whole levels,
             // however many teams each of them contains.
-            d => path.get(d - 1).map_or(0.0, |child| self.share(*child, path.get(d).copied().unwrap_or(WHOLE))),
+            d => path.get(d - 1).map_or(0.0, |child| self.share(*child, path.get(d).copied().unwrap_or(ROOT))),
         };
         FairSharePosition { distance: distance as u8, share }
     }
@@ -134,7 +134,7 @@
 
     /// Returns the number of levels on the team's path, from the team upwards, that use more than their
     /// guarantee before the first one that does not; 0 if the team borrows nothing.
-    pub fn borrows(&self, t: TeamIndex) -> u8 {
+    pub fn borrow_distance(&self, t: TeamIndex) -> u8 {
         let path = self.path(t);
         let within_guarantee = |l: &LevelIndex| {
             let (used, guarantee) = (self.used(*l), self.tree.at(*l).guarantee);
@@ -144,7 +144,7 @@
     }
 
     /// Returns the levels that use more than their limit, for instance after a limit was lowered.
-    pub fn over(&self) -> Vec<LevelIndex> {
+    pub fn levels_over_limit(&self) -> Vec<LevelIndex> {
         (0..self.used.len() as u32)
             .map(LevelIndex)
             .filter(|l| !self.used(*l).under(self.tree.at(*l).limit, Amount::new(1.0, 1.0)))
@@ -188,7 +188,7 @@
             return Vec::new();
         }
         let mut candidates: Vec<&BorrowedTask<T>> = held.iter().filter(|h| !h.service).collect();
-        candidates.sort_by(|a, b| b.priority.cmp(&a.priority).then(a.loses.total_cmp(&b.loses)));
+        candidates.sort_by(|a, b| b.priority.cmp(&a.priority).then(a.lost_work_s.total_cmp(&b.lost_work_s)));
         let mut preempted = Vec::new();
         for task in candidates {
             let path = self.path(task.team);
@@ -203,14 +203,14 @@
     /// Selects the held tasks to preempt so that no level stays over its limit: services last,
     /// tasks of the teams that borrow from farthest away first, then least lost work. `leaving`
     /// lists tasks that were already told to stop and still count.
-    pub fn give_way<T: Copy>(&self, held: &[BorrowedTask<T>], leaving: &[(TeamIndex, Amount)]) -> Vec<T> {
-        let over = self.over();
+    pub fn preempt_over_limit<T: Copy>(&self, held: &[BorrowedTask<T>], leaving: &[(TeamIndex, Amount)]) -> Vec<T> {
+        let over = self.levels_over_limit();
         if over.is_empty() {
             return Vec::new();
         }
         let mut candidates: Vec<&BorrowedTask<T>> = held.iter().collect();
-        let key = |h: &BorrowedTask<T>| (h.service, std::cmp::Reverse(self.borrows(h.team)));
-        candidates.sort_by(|a, b| key(a).cmp(&key(b)).then(a.loses.total_cmp(&b.loses)));
+        let key = |h: &BorrowedTask<T>| (h.service, std::cmp::Reverse(self.borrow_distance(h.team)));
+        candidates.sort_by(|a, b| key(a).cmp(&key(b)).then(a.lost_work_s.total_cmp(&b.lost_work_s)));
         let mut excess: Vec<(LevelIndex, Amount)> =
             over.iter().map(|l| (*l, self.used(*l).minus(self.tree.at(*l).limit))).collect();
         for (team, amount) in leaving {
--- a/crates/quota/src/tree.rs
+++ b/crates/quota/src/tree.rs
@@ -39,14 +39,14 @@
 }
 
 /// The root of every tree.
-pub const WHOLE: LevelIndex = LevelIndex(0);
+pub const ROOT: LevelIndex = LevelIndex(0);
 
 impl Tree {
     /// Builds the tree without organisations: all teams directly below the root.
     pub fn flat(teams: &[TeamLimits]) -> Tree {
         let mut tree = Tree::begin(0);
         for (i, team) in teams.iter().enumerate() {
-            tree.add_team(i, team, WHOLE);
+            tree.add_team(i, team, ROOT);
         }
         tree.scale_guarantees();
         tree
@@ -67,7 +67,7 @@
             remaining.retain(|&i| {
                 let o = &plan.organisations[i];
                 let parent = match &o.within {
-                    None => Some(WHOLE),
+                    None => Some(ROOT),
                     Some(p) => added.get(p.as_str()).copied(),
                 };
                 let Some(parent) = parent else { return true };
--- a/crates/quota/tests/lending.rs
+++ b/crates/quota/tests/lending.rs
@@ -35,10 +35,10 @@
     /// Starts tasks of the teams that ask, in fair-share order, until no cpu is free.
     fn place(&mut self, now: u64, asking: &[TeamIndex]) {
         while self.running.len() < CPUS {
-            let position = |t: &TeamIndex| self.ledger.standing(*t, ONE);
+            let position = |t: &TeamIndex| self.ledger.fair_share_position(*t, ONE);
             let first = asking.iter().min_by(|a, b| position(a).partial_cmp(&position(b)).expect("numbers"));
             let Some(&team) = first else { return };
-            self.ledger.count(team, ONE);
+            self.ledger.add_usage(team, ONE);
             self.running.push((now + self.lengths[self.started % self.lengths.len()], team));
             self.started += 1;
         }
@@ -46,7 +46,7 @@
 
     fn end_by(&mut self, now: u64) {
         for (_, t) in self.running.extract_if(.., |h| h.0 <= now) {
-            self.ledger.count(t, ONE.times(-1.0));
+            self.ledger.add_usage(t, ONE.times(-1.0));
         }
     }
 
--- a/crates/quota/tests/properties.rs
+++ b/crates/quota/tests/properties.rs
@@ -75,23 +75,23 @@
         let tree = tree(&s);
         let mut ledger = Ledger::new(tree.clone());
         let mut held = BTreeMap::new();
-        for (i, (index, cpus, unseen, start)) in steps.into_iter().enumerate() {
-            ledger.unseen = Amount::new(f64::from(unseen), 0.0);
+        for (i, (index, cpus, unreported, start)) in steps.into_iter().enumerate() {
+            ledger.unreported = Amount::new(f64::from(unreported), 0.0);
             if start || held.is_empty() {
                 let (team, need) = (TeamIndex(index.index(s.teams.len()) as u32), Amount::new(f64::from(cpus), 0.0));
                 if ledger.may_start(team, need).is_ok() {
-                    ledger.count(team, need);
+                    ledger.add_usage(team, need);
                     held.insert(i, (team, need.cpus));
                     for l in tree.path(team) {
                         let limit = tree.at(*l).limit.cpus;
-                        let used = ledger.used(*l).cpus + ledger.unseen.cpus;
+                        let used = ledger.used(*l).cpus + ledger.unreported.cpus;
                         prop_assert!(limit <= 0.0 || used <= limit + EPSILON, "{} uses {used}", tree.at(*l).name);
                     }
                 }
             } else {
                 let key = *held.keys().nth(index.index(held.len())).expect("a held task");
                 let (team, cpus) = held.remove(&key).expect("held");
-                ledger.count(team, Amount::new(-cpus, 0.0));
+                ledger.add_usage(team, Amount::new(-cpus, 0.0));
             }
             for (l, used) in counted(&tree, &held).into_iter().enumerate() {
                 prop_assert!((ledger.used(LevelIndex(l as u32)).cpus - used).abs() < EPSILON);
@@ -122,11 +122,11 @@
         let tree = tree(&s);
         let mut ledger = Ledger::new(tree.clone());
         for (index, cpus) in uses {
-            ledger.count(TeamIndex(index.index(s.teams.len()) as u32), Amount::new(f64::from(cpus), 0.0));
+            ledger.add_usage(TeamIndex(index.index(s.teams.len()) as u32), Amount::new(f64::from(cpus), 0.0));
         }
         let need = Amount::new(1.0, 0.0);
         for t in (0..s.teams.len() as u32).map(TeamIndex) {
-            let standing = ledger.standing(t, need);
+            let standing = ledger.fair_share_position(t, need);
             let path = tree.path(t);
             for (h, l) in path.iter().enumerate() {
                 let lends = ledger.used(*l).cpus + 1.0 <= tree.at(*l).guarantee.cpus + EPSILON;
@@ -146,23 +146,23 @@
     ) {
         let mut ledger = Ledger::new(tree(&before));
         let mut held = Vec::new();
-        for (i, (index, cpus, loses, service)) in starts.into_iter().enumerate() {
+        for (i, (index, cpus, lost_work_s, service)) in starts.into_iter().enumerate() {
             let (team, need) = (TeamIndex(index.index(before.teams.len()) as u32), Amount::new(f64::from(cpus), 0.0));
             if ledger.may_start(team, need).is_ok() {
-                ledger.count(team, need);
-                held.push(BorrowedTask { task: i, team, need, loses: f64::from(loses), service, priority: 2 });
+                ledger.add_usage(team, need);
+                held.push(BorrowedTask { task: i, team, need, lost_work_s: f64::from(lost_work_s), service, priority: 2 });
             }
         }
         let mut after = before.clone();
         for (o, l) in after.organisations.iter_mut().zip(limits) {
             (o.1, o.2) = (None, l);
         }
-        ledger.change(tree(&after));
-        let preempted = ledger.give_way(&held, &[]);
+        ledger.replace_tree(tree(&after));
+        let preempted = ledger.preempt_over_limit(&held, &[]);
         for h in held.iter().filter(|h| preempted.contains(&h.task)) {
-            ledger.count(h.team, h.need.times(-1.0));
+            ledger.add_usage(h.team, h.need.times(-1.0));
         }
-        prop_assert!(ledger.over().is_empty(), "{:?} are still over", ledger.over());
+        prop_assert!(ledger.levels_over_limit().is_empty(), "{:?} are still over", ledger.levels_over_limit());
         // A service is preempted only if some level on its path keeps no other task.
         let kept: Vec<_> = held.iter().filter(|h| !preempted.contains(&h.task)).collect();
         for s in held.iter().filter(|h| h.service && preempted.contains(&h.task)) {
@@ -185,14 +185,14 @@
     ) {
         let mut ledger = Ledger::new(tree(&shape));
         let (mut held, mut leaving) = (Vec::new(), Vec::new());
-        for (i, (index, cpus, loses, priority)) in starts.into_iter().enumerate() {
+        for (i, (index, cpus, lost_work_s, priority)) in starts.into_iter().enumerate() {
             let (team, need) = (TeamIndex(index.index(shape.teams.len()) as u32), Amount::new(f64::from(cpus), 0.0));
             if ledger.may_start(team, need).is_ok() {
-                ledger.count(team, need);
+                ledger.add_usage(team, need);
                 if leaves && i % 3 == 0 {
                     leaving.push((team, need));
                 } else {
-                    held.push(BorrowedTask { task: i, team, need, loses: f64::from(loses), service: priority == 0, priority });
+                    held.push(BorrowedTask { task: i, team, need, lost_work_s: f64::from(lost_work_s), service: priority == 0, priority });
                 }
             }
         }
@@ -203,12 +203,12 @@
         prop_assert!(held.iter().all(|h| !h.service || !preempted.contains(&h.task)));
         let mut after = ledger.clone();
         for (t, a) in &leaving {
-            after.count(*t, a.times(-1.0));
+            after.add_usage(*t, a.times(-1.0));
         }
         let soon = after.may_start(team, need).is_ok();
         prop_assert!(!soon || preempted.is_empty(), "the tasks that already stop would have been enough");
         for h in held.iter().filter(|h| !h.service && (preempted.is_empty() || preempted.contains(&h.task))) {
-            after.count(h.team, h.need.times(-1.0));
+            after.add_usage(h.team, h.need.times(-1.0));
         }
         let fits = after.may_start(team, need).is_ok();
         prop_assert!(preempted.is_empty() || fits, "the preempted tasks were not enough");
@@ -235,12 +235,12 @@
         let all: Vec<TeamLimits> = names.iter().map(limits).collect();
         let mut ledger = Ledger::new(Tree::of(&Plan::parse(&text).expect("TOML"), &all).expect("a tree").0);
         let (t, need) = (TeamIndex(teams as u32 / 2), Amount::new(1.0, 0.0));
-        let before = ledger.touched.get();
+        let before = ledger.levels_visited.get();
         assert!(ledger.may_start(t, need).is_ok());
-        ledger.standing(t, need);
-        ledger.count(t, need);
-        ledger.count(t, need.times(-1.0));
-        ledger.touched.get() - before
+        ledger.fair_share_position(t, need);
+        ledger.add_usage(t, need);
+        ledger.add_usage(t, need.times(-1.0));
+        ledger.levels_visited.get() - before
     };
     assert_eq!(cost(10), 12, "three levels, visited by four operations");
     assert_eq!([cost(1_000), cost(10_000)], [12, 12]);
--- a/crates/scheduler/src/shard/quotas/mod.rs
+++ b/crates/scheduler/src/shard/quotas/mod.rs
@@ -131,8 +131,8 @@
     /// So many of these tasks may run beside what was taken before; they are taken.
     pub(in crate::shard) fn take(&mut self, job: &Job, n: f64) -> f64 {
         let (team, need) = (of_team(job.team), need_of(job));
-        let n = n.min(self.0.room(team, need));
-        self.0.count(team, need.times(n));
+        let n = n.min(self.0.tasks_within_limits(team, need));
+        self.0.add_usage(team, need.times(n));
         n
     }
 }
@@ -146,13 +146,13 @@
     pub(in crate::shard) fn count_quota(&mut self, job_index: JobIndex, sign: f64) {
         let Some(q) = &mut self.quotas else { return };
         let job = &self.jobs[job_index];
-        q.ledger.count(of_team(job.team), need_of(job).times(sign));
+        q.ledger.add_usage(of_team(job.team), need_of(job).times(sign));
     }
 
     /// What unseen machines may hold counts at every level.
     pub(crate) fn quota_unseen(&mut self, (cpus, accelerators): (f64, f64)) {
         if let Some(q) = &mut self.quotas {
-            q.ledger.unseen = Amount::new(cpus, accelerators);
+            q.ledger.unreported = Amount::new(cpus, accelerators);
         }
     }
 
@@ -163,7 +163,7 @@
 
     /// How many of its tasks fit under all limits above a job's team.
     pub(crate) fn quota_room(&self, j: &Job) -> f64 {
-        self.quotas.as_ref().map_or(f64::INFINITY, |q| q.ledger.room(of_team(j.team), need_of(j)))
+        self.quotas.as_ref().map_or(f64::INFINITY, |q| q.ledger.tasks_within_limits(of_team(j.team), need_of(j)))
     }
 
     /// What a team is guaranteed: as the settings say, or what the levels above leave of it.
@@ -183,7 +183,7 @@
     /// all stand alike.
     pub(crate) fn borrowing(&self, j: &Job) -> (u8, u16) {
         let Some(q) = &self.quotas else { return (0, 0) };
-        let s = q.ledger.standing(of_team(j.team), need_of(j));
+        let s = q.ledger.fair_share_position(of_team(j.team), need_of(j));
         (s.distance, (s.share * 20.0).min(60_000.0) as u16)
     }
 
@@ -212,7 +212,7 @@
             Step::Head => {
                 if let Some((plan, tree, _)) = q.next.take() {
                     log::info!("quota plan in force generation={}", plan.generation);
-                    q.ledger.change(tree);
+                    q.ledger.replace_tree(tree);
                     q.in_force = true;
                     self.placement_due = true;
                     let old: Vec<String> = self
@@ -233,11 +233,11 @@
     /// end is seen it counts, and nothing else is stopped in its place.
     pub(in crate::shard) fn preempt_over_quota(&mut self) {
         let Some(q) = &self.quotas else { return };
-        if !self.state_service_writable || q.ledger.over().is_empty() {
+        if !self.state_service_writable || q.ledger.levels_over_limit().is_empty() {
             return;
         }
         let (held, leaving) = self.held_and_leaving(|_| true);
-        for (m, k) in q.ledger.give_way(&held, &leaving) {
+        for (m, k) in q.ledger.preempt_over_limit(&held, &leaving) {
             log::info!("task preempted reason=lower-quota task={}/{}", self.jobs[k.job].id, k.task);
             self.stop_gently(m, k);
         }
@@ -259,13 +259,13 @@
                 if h.stop_grace_s.is_some() || h.state == AssignmentState::Saving {
                     continue;
                 }
-                let loses = if h.state == AssignmentState::Running && job.spec.checkpoint_s <= 0.0 {
+                let lost_work_s = if h.state == AssignmentState::Running && job.spec.checkpoint_s <= 0.0 {
                     self.ticked_at - h.running_since
                 } else {
                     0.0
                 };
                 let priority = job.spec.priority as u8;
-                held.push(BorrowedTask { task: (m, *k), team, need, loses, service: job.is_service(), priority });
+                held.push(BorrowedTask { task: (m, *k), team, need, lost_work_s, service: job.is_service(), priority });
             }
         }
         (held, leaving)
@@ -286,7 +286,7 @@
                 let specs: Vec<Team> = self.teams.iter().map(|t| t.spec.clone()).collect();
                 let mut flat = Ledger::new(Tree::flat(&team_limits(&specs)));
                 for (i, t) in self.teams.iter().enumerate() {
-                    flat.count(of_team(TeamIndex::new(i)), Amount::new(t.cpus_used, t.accelerators_used));
+                    flat.add_usage(of_team(TeamIndex::new(i)), Amount::new(t.cpus_used, t.accelerators_used));
                 }
                 flat
             }
@@ -309,7 +309,7 @@
             let stays = |h: &HeldTask| !gives.contains(&h.task);
             leaving.extend(held.iter().filter(|h| !stays(h)).map(|h| (h.team, h.need)));
             held.retain(stays);
-            ledger.count(team, need);
+            ledger.add_usage(team, need);
             out.extend(gives.into_iter().map(|t| (t, j)));
         }
         for ((m, k), j) in out {
--- a/crates/scheduler/src/shard/quotas/report.rs
+++ b/crates/scheduler/src/shard/quotas/report.rs
@@ -79,7 +79,7 @@
     pub(in crate::shard) fn quotas_summary(&self) -> String {
         let Some(q) = &self.quotas else { return String::new() };
         let tree = q.ledger.tree();
-        let top = tree.levels.iter().enumerate().filter(|(_, l)| l.parent == Some(quota::tree::WHOLE));
+        let top = tree.levels.iter().enumerate().filter(|(_, l)| l.parent == Some(quota::tree::ROOT));
         let used = |(i, l): (usize, &quota::Level)| {
             let used = q.ledger.used(LevelIndex(i as u32)).cpus;
             (used > 0.0).then(|| format!("{} {used:.0}/{:.0}/{:.0}", l.name, l.guarantee.cpus, l.limit.cpus))
@@ -107,7 +107,7 @@
         match q.ledger.may_start(of_team(job.team), need) {
             Err(l) => format!("{} is at its limit", q.ledger.tree().at(l).name),
             Ok(()) if job.unreconciled_machines > 0 => "machines that may hold its tasks were not heard yet".into(),
-            Ok(()) => match q.ledger.standing(of_team(job.team), need).distance {
+            Ok(()) => match q.ledger.fair_share_position(of_team(job.team), need).distance {
                 0 => "it is within its guarantee and waits for room".into(),
                 d => format!("it would borrow, from {d} levels up, and waits for room"),
             },
