--- a/crates/elastic/src/bound.rs
+++ b/crates/elastic/src/bound.rs
@@ -1,68 +1,73 @@
-//! The longest that a shrink takes, from the settings alone.
+//! The upper bound on the duration of a shrink, computed from the settings.
 //!
-//! A shrink is *asked* when room for a service is decided, and over when the leader knows that
-//! the task is gone, so that its room is free and counts for nobody. Times are in seconds.
+//! A shrink begins when the leader decides to stop a task to free capacity for a service. It ends
+//! when the leader knows that the task has ended and its capacity is free. Times are in seconds.
 
 use serde::{Deserialize, Serialize};
 
-/// What the settings say, all in seconds.
+/// The settings that the bound depends on, all in seconds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Timing {
-    /// Between two reports of a worker, at the most.
+    /// Longest interval between two heartbeats of a worker.
     pub report_s: f64,
-    /// A worker's lease, as the leader counts it: with drift and margin.
+    /// A worker's lease as the leader counts it, with clock drift and margin.
     pub lease_s: f64,
-    /// A reply to a report, or a direct command, is given up after this.
+    /// Timeout of a heartbeat's reply and of a direct command.
     pub answer_s: f64,
-    /// The most that a task gets to save.
+    /// Longest time that a task gets to save its state.
     pub grace_s: f64,
-    /// A controller's claim outlives its last renewal by this, and another takes over.
+    /// Time from the last renewal of a leadership record until another controller may take over.
     pub claim_s: f64,
-    /// A successor reads what is open, and begins to act.
+    /// Time that a new leader needs to read the open jobs before it acts.
     pub read_s: f64,
-    /// Between two looks at what is due.
+    /// Interval between two checks for due work.
     pub look_s: f64,
 }
 
-/// Seconds from the asking to the knowing.
+/// The longest time from the decision to shrink until the leader knows that the task has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Bound {
-    /// The machine answers.
+    /// The machine can be reached.
     pub reachable_s: f64,
-    /// It answers to nothing: it is counted until its lease is surely over.
+    /// The machine receives neither commands nor replies: the task counts until the lease has certainly
+    /// expired.
+    #[serde(rename = "deaf_s")]
     pub deaf_s: f64,
-    /// The leader ends in between; its successor knows of no shrink, and asks anew.
+    /// The leader fails in between. Its successor does not know of the shrink and decides it again.
+    #[serde(rename = "takeover_s")]
     pub takeover_s: f64,
 }
 
 impl Timing {
-    /// A command goes out directly at once; where that is lost, with the reply to the next
-    /// report, which is itself sent again where it got no answer.
+    /// Returns the longest time until a command reaches the worker. It is sent directly at once; if it
+    /// is lost, it goes out with the reply to the next heartbeat, which is repeated if it got no reply.
     fn reported_s(&self) -> f64 {
         self.look_s + self.answer_s + self.report_s
     }
 
-    /// What a machine does is seen in the answer to a command, or in its next report.
+    /// Returns the longest time until the leader sees a change on a machine: in the response to a
+    /// command, or in the next heartbeat.
     fn seen_s(&self) -> f64 {
         self.report_s + self.look_s
     }
 
+    /// Returns the bound that follows from these settings.
     pub fn bound(&self) -> Bound {
-        // The first step, its mercy, and the second step; then the sight of it.
+        // The request to save, its grace period, the forced stop, and the heartbeat that shows the end.
         let reachable_s = self.reported_s() + self.grace_s + self.look_s + self.reported_s() + self.seen_s();
-        // Whatever it was told, it renews nothing once it is deaf.
+        // A machine that receives no replies cannot renew its lease.
         let deaf_s = reachable_s.max(self.lease_s + self.look_s);
-        // A machine that a successor has not heard is counted for a whole lease.
+        // A machine that sent the new leader no heartbeat counts for a whole lease.
         let takeover_s = reachable_s + self.claim_s + self.read_s + self.lease_s + self.look_s;
         Bound { reachable_s, deaf_s, takeover_s }
     }
 }
 
 impl Bound {
-    /// For people.
+    /// Returns the bound as one line of text for operators.
     pub fn told(&self) -> String {
         format!(
-            "a shrink takes {:.1} s at the most; {:.1} s where the machine answers to nothing; {:.1} s with a takeover in between",
+            "a shrink takes at most {:.1} s; {:.1} s if the machine cannot be reached; {:.1} s if a failover happens meanwhile",
             self.reachable_s, self.deaf_s, self.takeover_s
         )
     }
--- a/crates/elastic/src/lib.rs
+++ b/crates/elastic/src/lib.rs
@@ -1,15 +1,15 @@
-//! Elastic arrays: between a smallest and a largest number of tasks held at one time, they grow
-//! into what is idle and give it back to services within a bound that is known beforehand.
+//! Elastic arrays. An elastic array holds between a smallest and a largest number of tasks at a
+//! time: it grows into idle capacity, and shrinks within a known bound when a service needs it.
 //!
-//! Everything here decides and nothing waits: no sockets, no clock. Where tasks go, and whether a
-//! quota allows one, is asked of others.
+//! The crate only computes decisions: it uses no sockets and no clock. Placement of tasks and quota
+//! checks are left to the caller.
 //!
-//! - [`plan`]: the operators' file, its schema, and everything that can be wrong with it
-//! - [`sizes`]: what one job declares
-//! - [`pool`]: every elastic job's wanted size; growing, shrinking, the second step
-//! - [`bound`]: the longest that a shrink takes, from the settings
+//! - [`plan`]: the operators' file, its schema and its validation
+//! - [`sizes`]: the smallest and the largest size that a job declares
+//! - [`pool`]: the wanted size of every elastic job; growth, shrinks and forced stops
+//! - [`bound`]: the upper bound on the duration of a shrink
 
-// What is decided must not follow the order of a hash.
+// Decisions must not depend on the iteration order of a hash map.
 #![warn(clippy::iter_over_hash_type)]
 
 pub mod bound;
--- a/crates/elastic/src/plan.rs
+++ b/crates/elastic/src/plan.rs
@@ -1,4 +1,4 @@
-//! The operators' file: what may be written in it, and everything that is wrong with it.
+//! The operators' file for elastic arrays: its format and its validation.
 
 use crate::Sizes;
 use garde::Validate;
@@ -60,7 +60,7 @@
 }
 
 impl Plan {
-    /// Reads a plan from TOML, or tells all that is wrong with it.
+    /// Reads a plan from TOML, or returns all its faults.
     pub fn parse(text: &str) -> Result<Plan, Vec<Fault>> {
         let plan: Plan = lupinspur_files::read(text).map_err(|f| vec![f])?;
         let faults = plan.faults();
@@ -73,23 +73,23 @@
         for (i, c) in self.classes.iter().enumerate() {
             let mut fault = |field: &str, what: String| out.push(Fault { path: format!("class[{i}].{field}"), what });
             if !seen.insert(c.name.as_str()) {
-                fault("name", format!("{:?} is named twice", c.name));
+                fault("name", format!("{:?} is already the name of another class; names must be unique", c.name));
             }
             if c.smallest > c.largest {
-                fault("smallest", format!("{} is over largest, {}", c.smallest, c.largest));
+                fault("smallest", format!("{} is greater than largest, {}; it must not be", c.smallest, c.largest));
             }
         }
         out.sort();
         out
     }
 
-    /// The sizes of an array of so many tasks that declares none.
+    /// Returns the sizes of an array of `tasks` tasks that declares none; `None` if its class has no default.
     pub fn default_of(&self, class: &str, tasks: u32) -> Option<Sizes> {
         let c = self.classes.iter().find(|c| c.name == class)?;
         Some(Sizes { smallest: c.smallest, largest: c.largest }.within(tasks))
     }
 
-    /// The published schema of the file.
+    /// Returns the published JSON schema of the file.
     pub fn schema() -> schemars::Schema {
         schemars::schema_for!(Plan)
     }
--- a/crates/elastic/src/pool.rs
+++ b/crates/elastic/src/pool.rs
@@ -1,16 +1,17 @@
-//! Every elastic job's wanted size.
+//! The wanted size of every elastic job.
 //!
-//! A job begins with its smallest size, at its own standing. Beyond that it holds a *surplus*:
-//! grown into what has been idle for a while, a part of it at a time, those that have least of
-//! what they may have first. A surplus is the first to go where a service needs room, and the
-//! job then rests. What stops is counted until its end is seen.
+//! A job begins with its smallest size, scheduled by its own priority. Tasks beyond that size are its
+//! *surplus*: jobs grow into capacity that has been idle for a while, a part of it at a time, and the
+//! job with the smallest fraction of its largest size first. The surplus is stopped first when a
+//! service needs capacity; the job then does not grow for a while. A task that was told to stop
+//! counts until its end is known.
 
 use crate::{Plan, Sizes};
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, VecDeque};
 
-/// One job as it stands: tasks that are not done, tasks that are held, and of those the ones
-/// that were told to stop.
+/// Task counts of one job: unfinished tasks, tasks held on machines, and how many of the held ones
+/// were told to stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct JobUsage {
     pub unfinished: u32,
@@ -18,22 +19,25 @@
     pub leaving: u32,
 }
 
+/// The state of one elastic job.
 #[derive(Debug, Clone)]
-struct State {
+struct JobState {
     sizes: Sizes,
     wanted: u32,
-    rests_until: f64,
+    /// The job does not grow before this time.
+    no_growth_before: f64,
 }
 
+/// A task that was told to stop and has not ended yet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Shrink<J> {
     job: J,
-    asked: f64,
-    /// When it is stopped without mercy; none: it was.
-    second_at: Option<f64>,
+    asked_at: f64,
+    /// When the task is stopped without further grace; `None` once that was ordered.
+    forced_stop_at: Option<f64>,
 }
 
-/// What people are told of one job.
+/// One job in the report for operators.
 #[derive(Debug, Clone, PartialEq, serde::Serialize, serde::Deserialize)]
 pub struct Row {
     pub job: String,
@@ -44,38 +48,46 @@
     pub shrinks: usize,
 }
 
-/// What people are told of shrinks, in seconds.
+/// Counts and durations of shrinks in the report for operators.
 #[derive(Debug, Clone, Copy, PartialEq, Default, serde::Serialize, serde::Deserialize)]
 pub struct Times {
     pub shrinks: u64,
     pub under_way: usize,
+    /// Median, in seconds.
+    #[serde(rename = "half")]
     pub half: f64,
+    /// 95th percentile, in seconds.
+    #[serde(rename = "most")]
     pub most: f64,
+    /// Maximum, in seconds.
+    #[serde(rename = "longest")]
     pub longest: f64,
 }
 
+/// All elastic jobs (`J`) and the shrinks of their tasks (`T`).
 #[derive(Debug)]
 pub struct Pool<J, T> {
     plan: Plan,
-    jobs: BTreeMap<J, State>,
+    jobs: BTreeMap<J, JobState>,
     shrinks: BTreeMap<T, Shrink<J>>,
+    /// Since when capacity has been idle, or since the last growth.
     idle_since: Option<f64>,
-    /// How long shrinks took, in milliseconds.
+    /// Durations of the finished shrinks, in milliseconds.
     times: Histogram<u32>,
-    /// The last ones, with the seconds that each took.
+    /// The last finished shrinks with their durations in seconds, the latest first.
     recent: VecDeque<(T, f64)>,
 }
 
-/// Shrinks that are told one by one.
+/// Number of finished shrinks that are listed one by one.
 const MAX_RECENT: usize = 64;
-/// Shrinks of more than a day are told as a day.
+/// Longer durations are recorded as one day.
 const LONGEST_MS: u64 = 86_400_000;
 
 impl<J: Copy + Ord, T: Copy + Ord> Pool<J, T> {
     pub fn new(plan: Plan) -> Pool<J, T> {
         let times = match Histogram::new_with_max(LONGEST_MS, 2) {
             Ok(h) => h,
-            Err(_) => unreachable!("a histogram of a day in milliseconds"),
+            Err(_) => unreachable!("a histogram with a maximum of one day in milliseconds is valid"),
         };
         Pool { plan, jobs: BTreeMap::new(), shrinks: BTreeMap::new(), idle_since: None, times, recent: VecDeque::new() }
     }
@@ -84,11 +96,12 @@
         &self.plan
     }
 
+    /// Adds a job at its smallest size. A job that is already in the pool staying unchanged.
     pub fn enter(&mut self, j: J, sizes: Sizes) {
-        self.jobs.entry(j).or_insert(State { sizes, wanted: sizes.smallest, rests_until: f64::MIN });
+        self.jobs.entry(j).or_insert(JobState { sizes, wanted: sizes.smallest, no_growth_before: f64::MIN });
     }
 
-    /// The job is over; what of it was told to stop is counted still.
+    /// Removes a job that is over. Its unfinished shrinks stay until their tasks end.
     pub fn leave(&mut self, j: J) {
         self.jobs.remove(&j);
     }
@@ -97,31 +110,34 @@
         self.jobs.get(&j).map(|s| s.sizes)
     }
 
-    /// What it may not go below by choice: its smallest size, or what is left of it.
-    fn floor(s: &State, h: JobUsage) -> u32 {
+    /// Returns the number of tasks below which the job is never shrunk: its smallest size, or its
+    /// unfinished tasks if there are fewer.
+    fn min_tasks(s: &JobState, h: JobUsage) -> u32 {
         s.sizes.smallest.min(h.unfinished)
     }
 
-    /// Tasks that may be started more: at the job's own standing, and beyond that with what is
-    /// idle. What leaves is still held, so that the largest size is never passed.
+    /// Returns how many more tasks may start: first those up to the smallest size, which are scheduled
+    /// by the job's own priority, then those beyond it, which use idle capacity. Stopping tasks still
+    /// count as held, so that the largest size is never exceeded.
     pub fn more(&self, j: J, h: JobUsage) -> (u32, u32) {
         let Some(s) = self.jobs.get(&j) else { return (h.unfinished.saturating_sub(h.held), 0) };
-        let room = s.sizes.largest.min(h.unfinished).saturating_sub(h.held);
-        let stays = h.held - h.leaving.min(h.held);
-        let own = Self::floor(s, h).saturating_sub(stays).min(room);
-        let wanted = s.wanted.min(h.unfinished).saturating_sub(stays.max(Self::floor(s, h)));
-        (own, wanted.min(room - own))
+        let headroom = s.sizes.largest.min(h.unfinished).saturating_sub(h.held);
+        let staying = h.held - h.leaving.min(h.held);
+        let own = Self::min_tasks(s, h).saturating_sub(staying).min(headroom);
+        let wanted = s.wanted.min(h.unfinished).saturating_sub(staying.max(Self::min_tasks(s, h)));
+        (own, wanted.min(headroom - own))
     }
 
-    /// Tasks of it that may be stopped to make room.
+    /// Returns how many of the job's tasks may be stopped to free capacity.
     pub fn surplus(&self, j: J, h: JobUsage) -> u32 {
-        let stays = h.held - h.leaving.min(h.held);
-        self.jobs.get(&j).map_or(0, |s| stays.saturating_sub(Self::floor(s, h)))
+        let staying = h.held - h.leaving.min(h.held);
+        self.jobs.get(&j).map_or(0, |s| staying.saturating_sub(Self::min_tasks(s, h)))
     }
 
-    /// What is idle and wanted by nobody else: for each elastic job, how many of its tasks it
-    /// would take, if it had all of it. Jobs grow into a part of it once it has been idle for
-    /// long enough; the one with the least of its span first. True if any wants more.
+    /// Lets jobs grow into idle capacity that no other work wants. `room` holds, for each elastic job,
+    /// how many of its tasks would fit if it got all of the idle capacity. Once capacity has been idle
+    /// for `settle_s`, jobs grow into a part of it, the one with the smallest fraction of its largest
+    /// size first. Returns whether any job now wants more tasks.
     pub fn idle(&mut self, room: &[(J, u32, JobUsage)], now: f64) -> bool {
         if room.iter().all(|(_, n, _)| *n == 0) {
             self.idle_since = None;
@@ -131,23 +147,23 @@
         if now - since < self.plan.settle_s {
             return false;
         }
-        // All of them see the same room: a part of it is given away, task by task.
-        let most = room.iter().map(|(_, n, _)| *n).max().unwrap_or(0);
-        let mut left = ((f64::from(most) * self.plan.step) as u32).max(1);
+        // All entries describe the same idle capacity. A part of it is distributed task by task.
+        let largest_demand = room.iter().map(|(_, n, _)| *n).max().unwrap_or(0);
+        let mut remaining = ((f64::from(largest_demand) * self.plan.step) as u32).max(1);
         let mut grown: BTreeMap<J, u32> = BTreeMap::new();
-        while left > 0 {
-            let span = |(j, n, h): &(J, u32, JobUsage)| {
+        while remaining > 0 {
+            let growth_candidate = |(j, n, h): &(J, u32, JobUsage)| {
                 let s = self.jobs.get(j)?;
                 let more = grown.get(j).copied().unwrap_or(0);
                 let wanted = s.wanted.max(h.held.min(s.sizes.largest)) + more;
-                let open = now >= s.rests_until && more < *n && wanted < s.sizes.largest.min(h.unfinished);
+                let may_grow = now >= s.no_growth_before && more < *n && wanted < s.sizes.largest.min(h.unfinished);
                 let share = f64::from(wanted) / f64::from(s.sizes.largest);
-                open.then_some((share, *j))
+                may_grow.then_some((share, *j))
             };
-            let next = room.iter().filter_map(span).min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+            let next = room.iter().filter_map(growth_candidate).min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
             let Some((_, j)) = next else { break };
             *grown.entry(j).or_default() += 1;
-            left -= 1;
+            remaining -= 1;
         }
         for (j, n) in &grown {
             let held = room.iter().find(|r| r.0 == *j).map_or(0, |r| r.2.held);
@@ -161,50 +177,51 @@
         !grown.is_empty()
     }
 
-    /// One task of its surplus is told to stop, with this mercy; so many stay. The job wants
-    /// no more than those, and rests.
-    pub fn shrink(&mut self, j: J, task: T, mercy_s: f64, stay: u32, now: f64) {
+    /// Records that a surplus task is told to stop within the grace period `grace_s`. The job then
+    /// wants at most the `stay` tasks that are left, and does not grow for `rest_s`.
+    pub fn shrink(&mut self, j: J, task: T, grace_s: f64, stay: u32, now: f64) {
         if let Some(s) = self.jobs.get_mut(&j) {
             s.wanted = s.wanted.min(stay).max(s.sizes.smallest);
-            s.rests_until = now + self.plan.rest_s;
+            s.no_growth_before = now + self.plan.rest_s;
         }
-        let second_at = (mercy_s > 0.0).then_some(now + mercy_s.min(self.plan.grace_s));
-        self.shrinks.entry(task).or_insert(Shrink { job: j, asked: now, second_at });
+        let forced_stop_at = (grace_s > 0.0).then_some(now + grace_s.min(self.plan.grace_s));
+        self.shrinks.entry(task).or_insert(Shrink { job: j, asked_at: now, forced_stop_at });
     }
 
-    /// The mercy that a task of these savings gets.
+    /// Returns the grace period of a task that needs `save_s` to save its state.
     pub fn mercy(&self, save_s: f64) -> f64 {
         save_s.min(self.plan.grace_s)
     }
 
-    /// Tasks whose mercy is over: they are to be stopped without. Each is told once.
+    /// Returns the tasks whose grace period is over and that have to be stopped now, each once.
     pub fn due(&mut self, now: f64) -> Vec<T> {
-        let mut out = Vec::new();
+        let mut due = Vec::new();
         for (t, s) in self.shrinks.iter_mut() {
-            if s.second_at.is_some_and(|at| now >= at) {
-                s.second_at = None;
-                out.push(*t);
+            if s.forced_stop_at.is_some_and(|at| now >= at) {
+                s.forced_stop_at = None;
+                due.push(*t);
             }
         }
-        out
+        due
     }
 
-    /// A task is gone for certain. If it was told to stop: how long that took.
+    /// Records that a task has certainly ended. Returns the duration of its shrink in seconds, if it was
+    /// told to stop.
     pub fn gone(&mut self, task: T, now: f64) -> Option<f64> {
         let s = self.shrinks.remove(&task)?;
-        let took = (now - s.asked).max(0.0);
-        self.times.saturating_record((took * 1000.0) as u64);
+        let duration_s = (now - s.asked_at).max(0.0);
+        self.times.saturating_record((duration_s * 1000.0) as u64);
         self.recent.truncate(MAX_RECENT - 1);
-        self.recent.push_front((task, took));
-        Some(took)
+        self.recent.push_front((task, duration_s));
+        Some(duration_s)
     }
 
-    /// Shrinks that are under way, of one job.
+    /// Returns the number of unfinished shrinks of one job.
     pub fn under_way(&self, j: J) -> usize {
         self.shrinks.values().filter(|s| s.job == j).count()
     }
 
-    /// What is wanted of each job, for people and tests.
+    /// Returns the wanted size of a job.
     pub fn wanted(&self, j: J) -> Option<u32> {
         self.jobs.get(&j).map(|s| s.wanted)
     }
@@ -217,11 +234,12 @@
         self.jobs.is_empty() && self.shrinks.is_empty()
     }
 
-    /// The last shrinks that are over, the latest first.
+    /// Returns the last finished shrinks with their durations in seconds, the latest first.
     pub fn recent(&self) -> impl Iterator<Item = (T, f64)> {
         self.recent.iter().copied()
     }
 
+    /// Returns the counts and durations of all shrinks.
     pub fn times(&self) -> Times {
         let at = |q: f64| self.times.value_at_quantile(q) as f64 / 1000.0;
         Times {
--- a/crates/elastic/src/sizes.rs
+++ b/crates/elastic/src/sizes.rs
@@ -1,8 +1,9 @@
-//! What one job declares.
+//! The sizes that an elastic job declares.
 
 use serde::{Deserialize, Serialize};
 
-/// Tasks held at one time: no fewer by choice, and never more.
+/// Limits on the number of tasks held at one time. The scheduler never shrinks the job below
+/// `smallest` and never exceeds `largest`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Sizes {
     pub smallest: u32,
@@ -10,7 +11,7 @@
 }
 
 impl Sizes {
-    /// What is wrong with these for an array of so many tasks.
+    /// Checks the sizes for an array of `tasks` tasks. The message is part of the response to a submission.
     pub fn check(&self, tasks: u32) -> Result<(), String> {
         if self.smallest == 0 {
             return Err("smallest must be 1 at least".into());
@@ -24,7 +25,7 @@
         Ok(())
     }
 
-    /// These as a default for an array of so many tasks.
+    /// Returns these sizes, reduced to fit an array of `tasks` tasks.
     pub fn within(&self, tasks: u32) -> Sizes {
         let largest = self.largest.min(tasks).max(1);
         Sizes { smallest: self.smallest.clamp(1, largest), largest }
--- a/crates/elastic/tests/model.rs
+++ b/crates/elastic/tests/model.rs
@@ -1,6 +1,6 @@
-//! A model of jobs, machines and a leader that may end: commands are lost and late, machines hang
-//! and are deaf, services come and go. Whatever happens: never over the largest, never under the
-//! smallest by choice, capacity given back within the bound, and no endless swing.
+//! Property tests of elastic jobs on simulated machines with leader failover. Commands arrive late or
+//! never, machines become unreachable, services start and end. Checked: no job exceeds its largest
+//! size or is shrunk below its smallest, shrinks end within the bound, and sizes do not oscillate.
 
 use lupinspur_elastic::{JobUsage, Plan, Pool, Sizes, Timing};
 use proptest::prelude::*;
@@ -14,21 +14,25 @@
     Plan::parse("settle_s = 2.0\nrest_s = 10.0\ngrace_s = 6.0\nstep = 0.5\n").expect("a plan")
 }
 
-/// A task on a machine, as it is and as the leader knows it.
+/// A task on a machine: its real state and the leader's view of it.
 #[derive(Debug, Clone)]
 struct Task {
     job: usize,
-    /// Seconds that it takes to save; longer than its mercy: it ignores the request.
-    saves_s: f64,
-    /// When its machine will have ended it, if it was told.
+    /// Seconds that it takes to save; more than its grace period means that it ignores the request.
+    save_s: f64,
+    /// When its machine ends it, if the command to stop has arrived.
     ends_at: Option<f64>,
-    told: bool,
-    deaf: bool,
-    /// When the leader's last answer to it was sent.
-    renewed: f64,
-    asked: Option<f64>,
+    /// Whether the command to stop has arrived.
+    stop_received: bool,
+    /// Commands and replies to its machine are lost.
+    unreachable: bool,
+    /// When the leader's last reply to its machine was sent.
+    last_reply_at: f64,
+    /// When the leader decided to stop it.
+    stop_decided_at: Option<f64>,
 }
 
+/// The simulated cluster and its leader.
 struct World {
     now: f64,
     pool: Pool<usize, u32>,
@@ -37,9 +41,10 @@
     capacity: u32,
     services: u32,
     sizes: Vec<Sizes>,
-    took: Vec<(f64, bool)>,
-    /// The last failover: what was asked before it is asked anew.
-    took_over: f64,
+    /// Duration of each finished shrink, and whether the machine was unreachable.
+    shrink_times: Vec<(f64, bool)>,
+    /// Time of the last failover. Shrinks decided before it are decided again.
+    failed_over_at: f64,
 }
 
 impl World {
@@ -54,14 +59,14 @@
             capacity,
             services: 0,
             sizes: sizes.to_vec(),
-            took: Vec::new(),
-            took_over: f64::MIN,
+            shrink_times: Vec::new(),
+            failed_over_at: f64::MIN,
         }
     }
 
     fn held(&self, j: usize) -> JobUsage {
         let of = self.tasks.values().filter(|t| t.job == j);
-        let (held, leaving) = of.fold((0, 0), |(h, l), t| (h + 1, l + u32::from(t.asked.is_some())));
+        let (held, leaving) = of.fold((0, 0), |(h, l), t| (h + 1, l + u32::from(t.stop_decided_at.is_some())));
         JobUsage { unfinished: 1000, held, leaving }
     }
 
@@ -69,21 +74,29 @@
         self.capacity.saturating_sub(self.tasks.len() as u32 + self.services)
     }
 
-    fn start(&mut self, j: usize, saves_s: f64, deaf: bool) {
-        let t = Task { job: j, saves_s, ends_at: None, told: false, deaf, renewed: self.now, asked: None };
+    fn start(&mut self, j: usize, save_s: f64, unreachable: bool) {
+        let t = Task {
+            job: j,
+            save_s,
+            ends_at: None,
+            stop_received: false,
+            unreachable,
+            last_reply_at: self.now,
+            stop_decided_at: None,
+        };
         self.tasks.insert(self.next, t);
         self.next += 1;
     }
 
-    /// Half a second: starts, growth, the second step, and what the machines do.
-    fn tick(&mut self, saves: &[f64], deaf: bool) {
+    /// Advances half a second: starts, growth, forced stops, and the machines' actions.
+    fn tick(&mut self, saves: &[f64], unreachable: bool) {
         self.now += 0.5;
         for j in 0..self.sizes.len() {
             let (own, _) = self.pool.more(j, self.held(j));
             // A job starts when its smallest size fits.
             if self.held(j).held > 0 || self.free() >= own {
                 for _ in 0..own.min(self.free()) {
-                    self.start(j, saves[j % saves.len()], deaf);
+                    self.start(j, saves[j % saves.len()], unreachable);
                 }
             }
         }
@@ -95,61 +108,62 @@
         for j in 0..self.sizes.len() {
             let (_, beyond) = self.pool.more(j, self.held(j));
             for _ in 0..beyond.min(if waiting { 0 } else { self.free() }) {
-                self.start(j, saves[j % saves.len()], deaf);
+                self.start(j, saves[j % saves.len()], unreachable);
             }
         }
         for t in self.pool.due(self.now) {
             let now = self.now;
-            if let Some(t) = self.tasks.get_mut(&t).filter(|t| !t.deaf) {
+            if let Some(t) = self.tasks.get_mut(&t).filter(|t| !t.unreachable) {
                 t.ends_at = Some(t.ends_at.map_or(now, |e| e.min(now)).max(now) + TIMING.answer_s / 2.0);
             }
         }
         let now = self.now;
         for t in self.tasks.values_mut() {
-            if !t.deaf {
-                t.renewed = now;
-                if t.asked.is_some() && !t.told {
-                    // The first step reaches it, with the reply to a report at the latest.
-                    (t.told, t.ends_at) = (true, Some(now + TIMING.report_s + t.saves_s));
+            if !t.unreachable {
+                t.last_reply_at = now;
+                if t.stop_decided_at.is_some() && !t.stop_received {
+                    // The request to save arrives with the reply to a heartbeat at the latest.
+                    (t.stop_received, t.ends_at) = (true, Some(now + TIMING.report_s + t.save_s));
                 }
             }
         }
-        let over = |t: &Task| t.ends_at.is_some_and(|e| now >= e) || now - t.renewed > TIMING.lease_s;
+        let over = |t: &Task| t.ends_at.is_some_and(|e| now >= e) || now - t.last_reply_at > TIMING.lease_s;
         let gone: Vec<u32> = self.tasks.iter().filter(|(_, t)| over(t)).map(|(i, _)| *i).collect();
         for i in gone {
             let t = self.tasks.remove(&i).expect("it was there");
             if let Some(took) = self.pool.gone(i, now) {
-                self.took.push((took, t.deaf));
+                self.shrink_times.push((took, t.unreachable));
             }
         }
     }
 
-    /// A service wants so much room: of each job's surplus the latest starts go.
+    /// A service needs `n` tasks' capacity: the latest started surplus tasks are stopped. Returns how
+    /// much is still missing.
     fn service(&mut self, n: u32) -> u32 {
-        let mut short = n.saturating_sub(self.free());
+        let mut missing = n.saturating_sub(self.free());
         let ids: Vec<u32> = self.tasks.keys().rev().copied().collect();
         for i in ids {
             let t = &self.tasks[&i];
             let (j, h) = (t.job, self.held(t.job));
-            if short == 0 || t.asked.is_some() || self.pool.surplus(j, h) == 0 {
+            if missing == 0 || t.stop_decided_at.is_some() || self.pool.surplus(j, h) == 0 {
                 continue;
             }
-            let mercy = self.pool.mercy(t.saves_s);
+            let mercy = self.pool.mercy(t.save_s);
             self.pool.shrink(j, i, mercy, h.held - h.leaving - 1, self.now);
-            self.tasks.get_mut(&i).expect("it is there").asked = Some(self.now);
-            short -= 1;
+            self.tasks.get_mut(&i).expect("it is there").stop_decided_at = Some(self.now);
+            missing -= 1;
         }
-        short
+        missing
     }
 
-    /// A successor knows the tasks, and of no shrink.
-    fn take_over(&mut self) {
+    /// Fails over to a new leader, which knows the tasks but not the shrinks.
+    fn fail_over(&mut self) {
         let mut pool = Pool::new(plan());
         self.sizes.iter().enumerate().for_each(|(j, s)| pool.enter(j, *s));
         self.pool = pool;
-        self.took_over = self.now;
-        for t in self.tasks.values_mut().filter(|t| !t.told) {
-            t.asked = None;
+        self.failed_over_at = self.now;
+        for t in self.tasks.values_mut().filter(|t| !t.stop_received) {
+            t.stop_decided_at = None;
         }
     }
 }
@@ -159,9 +173,9 @@
     Ticks(u8),
     Service(u32),
     ServiceGone(u32),
-    Deaf,
+    Unreachable,
     Ends(prop::sample::Index),
-    TakeOver,
+    FailOver,
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -169,9 +183,9 @@
         6 => (1u8..30).prop_map(Step::Ticks),
         4 => (1u32..12).prop_map(Step::Service),
         2 => (1u32..12).prop_map(Step::ServiceGone),
-        1 => Just(Step::Deaf),
+        1 => Just(Step::Unreachable),
         2 => any::<prop::sample::Index>().prop_map(Step::Ends),
-        1 => Just(Step::TakeOver),
+        1 => Just(Step::FailOver),
     ];
     prop::collection::vec(one, 1..60)
 }
@@ -187,82 +201,82 @@
         steps in steps(),
     ) {
         let sizes: Vec<Sizes> = sizes.iter().map(|(s, more)| Sizes { smallest: *s, largest: s + more }).collect();
-        let mut w = World::new(&sizes, capacity);
+        let mut world = World::new(&sizes, capacity);
         let bound = TIMING.bound();
         for step in steps {
-            let before: Vec<JobUsage> = (0..sizes.len()).map(|j| w.held(j)).collect();
+            let before: Vec<JobUsage> = (0..sizes.len()).map(|j| world.held(j)).collect();
             match step {
-                Step::Ticks(n) => (0..n).for_each(|_| w.tick(&saves, false)),
+                Step::Ticks(n) => (0..n).for_each(|_| world.tick(&saves, false)),
                 Step::Service(n) => {
-                    w.service(n);
+                    world.service(n);
                     for (j, s) in sizes.iter().enumerate() {
-                        let h = w.held(j);
+                        let h = world.held(j);
                         let floor = s.smallest.min(before[j].held - before[j].leaving);
-                        prop_assert!(h.held - h.leaving >= floor, "under its smallest by choice");
+                        prop_assert!(h.held - h.leaving >= floor, "shrunk below its smallest size");
                     }
-                    // Room is taken only once it is there.
-                    w.services += n.min(w.free());
+                    // The service takes only capacity that is free already.
+                    world.services += n.min(world.free());
                 }
-                Step::ServiceGone(n) => w.services = w.services.saturating_sub(n),
-                Step::Deaf => w.tasks.values_mut().for_each(|t| t.deaf = true),
+                Step::ServiceGone(n) => world.services = world.services.saturating_sub(n),
+                Step::Unreachable => world.tasks.values_mut().for_each(|t| t.unreachable = true),
                 Step::Ends(which) => {
-                    let ids: Vec<u32> = w.tasks.keys().copied().collect();
+                    let ids: Vec<u32> = world.tasks.keys().copied().collect();
                     if !ids.is_empty() {
                         let i = *which.get(&ids);
-                        w.tasks.remove(&i);
-                        w.pool.gone(i, w.now);
+                        world.tasks.remove(&i);
+                        world.pool.gone(i, world.now);
                     }
                 }
-                Step::TakeOver => w.take_over(),
+                Step::FailOver => world.fail_over(),
             }
             for (j, s) in sizes.iter().enumerate() {
-                prop_assert!(w.held(j).held <= s.largest, "over its largest");
+                prop_assert!(world.held(j).held <= s.largest, "above its largest size");
             }
-            prop_assert!(w.tasks.len() as u32 + w.services <= capacity.max(w.services));
-            for (took, deaf) in w.took.drain(..) {
-                let most = if deaf { bound.deaf_s } else { bound.reachable_s };
-                prop_assert!(took <= most, "{took} s of {most}, deaf {deaf}");
+            prop_assert!(world.tasks.len() as u32 + world.services <= capacity.max(world.services));
+            for (took, unreachable) in world.shrink_times.drain(..) {
+                let most = if unreachable { bound.deaf_s } else { bound.reachable_s };
+                prop_assert!(took <= most, "a shrink took {took} s, the bound is {most} s, unreachable {unreachable}");
             }
         }
     }
 
-    /// With nothing else going on, what is idle is used and the sizes come to rest.
+    /// Without other events, jobs use all idle capacity and then keep their sizes.
     #[test]
     fn sizes_come_to_rest(sizes in prop::collection::vec((1u32..8, 0u32..20), 1..4), capacity in 30u32..80) {
         let sizes: Vec<Sizes> = sizes.iter().map(|(s, more)| Sizes { smallest: *s, largest: s + more }).collect();
-        let mut w = World::new(&sizes, capacity);
-        (0..400).for_each(|_| w.tick(&[0.0], false));
-        let held: Vec<u32> = (0..sizes.len()).map(|j| w.held(j).held).collect();
+        let mut world = World::new(&sizes, capacity);
+        (0..400).for_each(|_| world.tick(&[0.0], false));
+        let held: Vec<u32> = (0..sizes.len()).map(|j| world.held(j).held).collect();
         let all: u32 = sizes.iter().map(|s| s.largest).sum();
         prop_assert_eq!(held.iter().sum::<u32>(), all.min(capacity), "{:?}", held);
-        let started = w.next;
-        (0..200).for_each(|_| w.tick(&[0.0], false));
-        prop_assert_eq!(w.next, started, "a swing");
+        let started = world.next;
+        (0..200).for_each(|_| world.tick(&[0.0], false));
+        prop_assert_eq!(world.next, started, "sizes oscillate");
     }
 }
 
-/// A job that was shrunk rests before it grows again, so that a service that comes and goes does
-/// not make it swing.
+/// A job that was shrunk does not grow again for `rest_s`, so that a service that starts and ends
+/// repeatedly does not make its size oscillate.
 #[test]
 fn after_a_shrink_a_job_rests() {
-    let mut w = World::new(&[Sizes { smallest: 2, largest: 10 }], 12);
-    (0..40).for_each(|_| w.tick(&[0.0], false));
-    assert_eq!(w.held(0).held, 10);
-    assert_eq!(w.service(6), 0);
-    assert_eq!((w.held(0).leaving, w.pool.wanted(0)), (4, Some(6)), "there were two free");
-    (0..10).for_each(|_| w.tick(&[0.0], false));
-    assert_eq!(w.held(0).held, 6, "it gave four back, and does not take them again at once");
-    (0..40).for_each(|_| w.tick(&[0.0], false));
-    assert_eq!(w.held(0).held, 10, "the service never came: after a rest it grows again");
+    let mut world = World::new(&[Sizes { smallest: 2, largest: 10 }], 12);
+    (0..40).for_each(|_| world.tick(&[0.0], false));
+    assert_eq!(world.held(0).held, 10);
+    assert_eq!(world.service(6), 0);
+    assert_eq!((world.held(0).leaving, world.pool.wanted(0)), (4, Some(6)), "two were free already");
+    (0..10).for_each(|_| world.tick(&[0.0], false));
+    assert_eq!(world.held(0).held, 6, "it gave up four tasks and does not grow again at once");
+    (0..40).for_each(|_| world.tick(&[0.0], false));
+    assert_eq!(world.held(0).held, 10, "the service did not start, so the job grows again after `rest_s`");
 }
 
-/// Of two that may grow, the one with the least of its span goes first: none starves the other.
+/// The job with the smallest fraction of its largest size grows first, so that no job starves another.
 #[test]
 fn those_with_least_grow_first() {
     let sizes = [Sizes { smallest: 1, largest: 20 }, Sizes { smallest: 1, largest: 20 }];
-    let mut w = World::new(&sizes, 22);
-    (0..100).for_each(|_| w.tick(&[0.0], false));
-    let held = [w.held(0).held, w.held(1).held];
+    let mut world = World::new(&sizes, 22);
+    (0..100).for_each(|_| world.tick(&[0.0], false));
+    let held = [world.held(0).held, world.held(1).held];
     assert!(held[0].abs_diff(held[1]) <= 1 && held.iter().sum::<u32>() == 22, "{held:?}");
 }
 
@@ -279,7 +293,7 @@
     assert_eq!(p.default_of("b", 3), None);
 }
 
-/// `UPDATE_SCHEMA=1 cargo test -p lupinspur-elastic` writes it anew.
+/// `UPDATE_SCHEMA=1 cargo test -p lupinspur-elastic` regenerates the file.
 #[test]
 fn the_published_schema_is_that_of_the_program() {
     let at = |n: &str| [env!("CARGO_MANIFEST_DIR"), "..", "..", "deploy", n].iter().collect::<std::path::PathBuf>();
--- a/crates/quota/src/plan.rs
+++ b/crates/quota/src/plan.rs
@@ -163,7 +163,7 @@
         out
     }
 
-    /// The published schema of the file.
+    /// Returns the published JSON schema of the file.
     pub fn schema() -> schemars::Schema {
         schemars::schema_for!(Plan)
     }
