--- a/crates/elastic/src/pool.rs
+++ b/crates/elastic/src/pool.rs
@@ -55,13 +55,13 @@
     pub under_way: usize,
     /// Median, in seconds.
     #[serde(rename = "half")]
-    pub half: f64,
+    pub median_s: f64,
     /// 95th percentile, in seconds.
     #[serde(rename = "most")]
-    pub most: f64,
+    pub p95_s: f64,
     /// Maximum, in seconds.
     #[serde(rename = "longest")]
-    pub longest: f64,
+    pub longest_s: f64,
 }
 
 /// All elastic jobs (`J`) and the shrinks of their tasks (`T`).
@@ -97,12 +97,12 @@
     }
 
     /// Adds a job at its smallest size. A job that is already in the pool staying unchanged.
-    pub fn enter(&mut self, j: J, sizes: Sizes) {
+    pub fn add_job(&mut self, j: J, sizes: Sizes) {
         self.jobs.entry(j).or_insert(JobState { sizes, wanted: sizes.smallest, no_growth_before: f64::MIN });
     }
 
     /// Removes a job that is over. Its unfinished shrinks stay until their tasks end.
-    pub fn leave(&mut self, j: J) {
+    pub fn remove_job(&mut self, j: J) {
         self.jobs.remove(&j);
     }
 
@@ -119,7 +119,7 @@
     /// Returns how many more tasks may start: first those up to the smallest size, which are scheduled
     /// by the job's own priority, then those beyond it, which use idle capacity. Stopping tasks still
     /// count as held, so that the largest size is never exceeded.
-    pub fn more(&self, j: J, h: JobUsage) -> (u32, u32) {
+    pub fn allowed_starts(&self, j: J, h: JobUsage) -> (u32, u32) {
         let Some(s) = self.jobs.get(&j) else { return (h.unfinished.saturating_sub(h.held), 0) };
         let headroom = s.sizes.largest.min(h.unfinished).saturating_sub(h.held);
         let staying = h.held - h.leaving.min(h.held);
@@ -138,7 +138,7 @@
     /// how many of its tasks would fit if it got all of the idle capacity. Once capacity has been idle
     /// for `settle_s`, jobs grow into a part of it, the one with the smallest fraction of its largest
     /// size first. Returns whether any job now wants more tasks.
-    pub fn idle(&mut self, room: &[(J, u32, JobUsage)], now: f64) -> bool {
+    pub fn grow_into_idle(&mut self, room: &[(J, u32, JobUsage)], now: f64) -> bool {
         if room.iter().all(|(_, n, _)| *n == 0) {
             self.idle_since = None;
             return false;
@@ -189,12 +189,12 @@
     }
 
     /// Returns the grace period of a task that needs `save_s` to save its state.
-    pub fn mercy(&self, save_s: f64) -> f64 {
+    pub fn save_grace_s(&self, save_s: f64) -> f64 {
         save_s.min(self.plan.grace_s)
     }
 
     /// Returns the tasks whose grace period is over and that have to be stopped now, each once.
-    pub fn due(&mut self, now: f64) -> Vec<T> {
+    pub fn take_due_stops(&mut self, now: f64) -> Vec<T> {
         let mut due = Vec::new();
         for (t, s) in self.shrinks.iter_mut() {
             if s.forced_stop_at.is_some_and(|at| now >= at) {
@@ -207,7 +207,7 @@
 
     /// Records that a task has certainly ended. Returns the duration of its shrink in seconds, if it was
     /// told to stop.
-    pub fn gone(&mut self, task: T, now: f64) -> Option<f64> {
+    pub fn on_task_ended(&mut self, task: T, now: f64) -> Option<f64> {
         let s = self.shrinks.remove(&task)?;
         let duration_s = (now - s.asked_at).max(0.0);
         self.times.saturating_record((duration_s * 1000.0) as u64);
@@ -245,9 +245,9 @@
         Times {
             shrinks: self.times.len(),
             under_way: self.shrinks.len(),
-            half: at(0.5),
-            most: at(0.95),
-            longest: self.times.max() as f64 / 1000.0,
+            median_s: at(0.5),
+            p95_s: at(0.95),
+            longest_s: self.times.max() as f64 / 1000.0,
         }
     }
 }
--- a/crates/elastic/tests/model.rs
+++ b/crates/elastic/tests/model.rs
@@ -7,8 +7,15 @@
 use proptest::test_runner::RngSeed;
 use std::collections::BTreeMap;
 
-const TIMING: Timing =
-    Timing { report_s: 3.75, lease_s: 20.3, answer_s: 4.0, grace_s: 6.0, claim_s: 4.0, read_s: 1.0, look_s: 0.5 };
+const TIMING: Timing = Timing {
+    heartbeat_interval_s: 3.75,
+    lease_s: 20.3,
+    reply_timeout_s: 4.0,
+    grace_s: 6.0,
+    leader_lease_s: 4.0,
+    recovery_s: 1.0,
+    tick_s: 0.5,
+};
 
 fn plan() -> Plan {
     Plan::parse("settle_s = 2.0\nrest_s = 10.0\ngrace_s = 6.0\nstep = 0.5\n").expect("a plan")
@@ -50,7 +57,7 @@
 impl World {
     fn new(sizes: &[Sizes], capacity: u32) -> World {
         let mut pool = Pool::new(plan());
-        sizes.iter().enumerate().for_each(|(j, s)| pool.enter(j, *s));
+        sizes.iter().enumerate().for_each(|(j, s)| pool.add_job(j, *s));
         World {
             now: 0.0,
             pool,
@@ -92,7 +99,7 @@
     fn tick(&mut self, saves: &[f64], unreachable: bool) {
         self.now += 0.5;
         for j in 0..self.sizes.len() {
-            let (own, _) = self.pool.more(j, self.held(j));
+            let (own, _) = self.pool.allowed_starts(j, self.held(j));
             // A job starts when its smallest size fits.
             if self.held(j).held > 0 || self.free() >= own {
                 for _ in 0..own.min(self.free()) {
@@ -101,20 +108,20 @@
             }
         }
         let free = self.free();
-        let waiting = (0..self.sizes.len()).any(|j| self.pool.more(j, self.held(j)).0 > 0);
+        let waiting = (0..self.sizes.len()).any(|j| self.pool.allowed_starts(j, self.held(j)).0 > 0);
         let free = if waiting { 0 } else { free };
         let room: Vec<(usize, u32, JobUsage)> = (0..self.sizes.len()).map(|j| (j, free, self.held(j))).collect();
-        self.pool.idle(&room, self.now);
+        self.pool.grow_into_idle(&room, self.now);
         for j in 0..self.sizes.len() {
-            let (_, beyond) = self.pool.more(j, self.held(j));
+            let (_, beyond) = self.pool.allowed_starts(j, self.held(j));
             for _ in 0..beyond.min(if waiting { 0 } else { self.free() }) {
                 self.start(j, saves[j % saves.len()], unreachable);
             }
         }
-        for t in self.pool.due(self.now) {
+        for t in self.pool.take_due_stops(self.now) {
             let now = self.now;
             if let Some(t) = self.tasks.get_mut(&t).filter(|t| !t.unreachable) {
-                t.ends_at = Some(t.ends_at.map_or(now, |e| e.min(now)).max(now) + TIMING.answer_s / 2.0);
+                t.ends_at = Some(t.ends_at.map_or(now, |e| e.min(now)).max(now) + TIMING.reply_timeout_s / 2.0);
             }
         }
         let now = self.now;
@@ -123,7 +130,7 @@
                 t.last_reply_at = now;
                 if t.stop_decided_at.is_some() && !t.stop_received {
                     // The request to save arrives with the reply to a heartbeat at the latest.
-                    (t.stop_received, t.ends_at) = (true, Some(now + TIMING.report_s + t.save_s));
+                    (t.stop_received, t.ends_at) = (true, Some(now + TIMING.heartbeat_interval_s + t.save_s));
                 }
             }
         }
@@ -131,7 +138,7 @@
         let gone: Vec<u32> = self.tasks.iter().filter(|(_, t)| over(t)).map(|(i, _)| *i).collect();
         for i in gone {
             let t = self.tasks.remove(&i).expect("it was there");
-            if let Some(took) = self.pool.gone(i, now) {
+            if let Some(took) = self.pool.on_task_ended(i, now) {
                 self.shrink_times.push((took, t.unreachable));
             }
         }
@@ -148,7 +155,7 @@
             if missing == 0 || t.stop_decided_at.is_some() || self.pool.surplus(j, h) == 0 {
                 continue;
             }
-            let mercy = self.pool.mercy(t.save_s);
+            let mercy = self.pool.save_grace_s(t.save_s);
             self.pool.shrink(j, i, mercy, h.held - h.leaving - 1, self.now);
             self.tasks.get_mut(&i).expect("it is there").stop_decided_at = Some(self.now);
             missing -= 1;
@@ -159,7 +166,7 @@
     /// Fails over to a new leader, which knows the tasks but not the shrinks.
     fn fail_over(&mut self) {
         let mut pool = Pool::new(plan());
-        self.sizes.iter().enumerate().for_each(|(j, s)| pool.enter(j, *s));
+        self.sizes.iter().enumerate().for_each(|(j, s)| pool.add_job(j, *s));
         self.pool = pool;
         self.failed_over_at = self.now;
         for t in self.tasks.values_mut().filter(|t| !t.stop_received) {
@@ -224,7 +231,7 @@
                     if !ids.is_empty() {
                         let i = *which.get(&ids);
                         world.tasks.remove(&i);
-                        world.pool.gone(i, world.now);
+                        world.pool.on_task_ended(i, world.now);
                     }
                 }
                 Step::FailOver => world.fail_over(),
@@ -234,7 +241,7 @@
             }
             prop_assert!(world.tasks.len() as u32 + world.services <= capacity.max(world.services));
             for (took, unreachable) in world.shrink_times.drain(..) {
-                let most = if unreachable { bound.deaf_s } else { bound.reachable_s };
+                let most = if unreachable { bound.unreachable_s } else { bound.reachable_s };
                 prop_assert!(took <= most, "a shrink took {took} s, the bound is {most} s, unreachable {unreachable}");
             }
         }
--- a/crates/scheduler/src/shard/elastic.rs
+++ b/crates/scheduler/src/shard/elastic.rs
@@ -35,19 +35,19 @@
 }
 
 /// The bound of a shrink under these settings.
-pub fn bound(params: &Params, claim_s: f64, plan: &Plan) -> Bound {
-    timing(params.report_s, params.lease_s, claim_s, plan).bound()
+pub fn bound(params: &Params, leader_lease_s: f64, plan: &Plan) -> Bound {
+    timing(params.report_s, params.lease_s, leader_lease_s, plan).bound()
 }
 
-fn timing(report_s: f64, lease_s: f64, claim_s: f64, plan: &Plan) -> Timing {
+fn timing(report_s: f64, lease_s: f64, leader_lease_s: f64, plan: &Plan) -> Timing {
     Timing {
-        report_s: report_s * HEARTBEAT_JITTER,
+        heartbeat_interval_s: report_s * HEARTBEAT_JITTER,
         lease_s: stretched(lease_s),
-        answer_s: ANSWER_S,
+        reply_timeout_s: ANSWER_S,
         grace_s: plan.grace_s,
-        claim_s,
-        read_s: READ_WITHIN_S,
-        look_s: 0.5,
+        leader_lease_s,
+        recovery_s: READ_WITHIN_S,
+        tick_s: 0.5,
     }
 }
 
@@ -63,13 +63,13 @@
         // A class's default may be more than a team may ever hold.
         let most = self.most_at_once(job);
         if let (Some(s), Some(pool)) = (sizes, &mut self.elastic) {
-            pool.enter(job_index, Sizes { smallest: s.smallest.min(most.max(1)), ..s });
+            pool.add_job(job_index, Sizes { smallest: s.smallest.min(most.max(1)), ..s });
         }
     }
 
     pub(super) fn elastic_forget(&mut self, job_index: JobIndex) {
         if let Some(pool) = &mut self.elastic {
-            pool.leave(job_index);
+            pool.remove_job(job_index);
         }
     }
 
@@ -93,7 +93,7 @@
     /// Tasks of a job that may be started: at its own standing, and beyond that with what is idle.
     pub(crate) fn additional_tasks(&self, job: &Job) -> (u32, u32) {
         match &self.elastic {
-            Some(pool) if pool.sizes(job.index).is_some() => pool.more(job.index, self.elastic_held(job)),
+            Some(pool) if pool.sizes(job.index).is_some() => pool.allowed_starts(job.index, self.elastic_held(job)),
             _ => (u32::MAX, 0),
         }
     }
@@ -120,7 +120,7 @@
         }
         let (grace, now) = (self.grace(key.job), self.ticked_at);
         let Some(pool) = &mut self.elastic else { return };
-        let mercy = pool.mercy(grace);
+        let mercy = pool.save_grace_s(grace);
         pool.shrink(key.job, key, mercy, held.held - held.leaving - 1, now);
         log::debug!("elastic task preempted task={}/{} grace_s={mercy:.1}", self.jobs[key.job].id, key.task);
         self.stop_task(machine_index, key, mercy);
@@ -129,7 +129,7 @@
     /// A task is gone for certain.
     pub(super) fn on_elastic_task_gone(&mut self, key: TaskKey) {
         let now = self.ticked_at;
-        if let Some(took) = self.elastic.as_mut().and_then(|p| p.gone(key, now)) {
+        if let Some(took) = self.elastic.as_mut().and_then(|p| p.on_task_ended(key, now)) {
             log::debug!("elastic task gone task={}/{} after_s={took:.2}", self.jobs[key.job].id, key.task);
         }
     }
@@ -137,7 +137,7 @@
     /// The second step where the first was not enough; and growth, into what nobody waits for.
     pub(super) fn resize_elastic_jobs(&mut self, now: f64) {
         let Some(pool) = &mut self.elastic else { return };
-        for k in pool.due(now) {
+        for k in pool.take_due_stops(now) {
             let Some(TaskSlot::Assigned(m)) = self.jobs.get(k.job).and_then(|j| j.tasks.get(k.task as usize)).copied()
             else {
                 continue;
@@ -150,7 +150,7 @@
         }
         self.elastic_looked = now;
         let room = if self.others_waiting || !self.state_service_writable { Vec::new() } else { self.idle_room(now) };
-        if self.elastic.as_mut().is_some_and(|p| p.idle(&room, now)) {
+        if self.elastic.as_mut().is_some_and(|p| p.grow_into_idle(&room, now)) {
             self.placement_due = true;
         }
     }
@@ -236,7 +236,7 @@
         format!(
             "; elastic {n} jobs hold {held} tasks, {smallest} smallest and {wanted} wanted, {} shrinks under way, {} over, \
              the longest {:.1} s",
-            t.under_way, t.shrinks, t.longest
+            t.under_way, t.shrinks, t.longest_s
         )
     }
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -124,7 +124,7 @@
     if args.check {
         if let Some(plan) = &features.elastic {
             let bound = lupinspur::shard::elastic_bound(&settings.params(), args.tuning.claim_s, plan);
-            println!("{}", bound.told());
+            println!("{}", bound.summary());
         }
         return Ok(());
     }
--- a/src/query/tables.rs
+++ b/src/query/tables.rs
@@ -97,11 +97,11 @@
         text,
         "{} shrinks took {:.1} s (half), {:.1} s (19 in 20), {:.1} s (the longest); {} under way\n{}",
         times.shrinks,
-        times.half,
-        times.most,
-        times.longest,
+        times.median_s,
+        times.p95_s,
+        times.longest_s,
         times.under_way,
-        report.bound.told()
+        report.bound.summary()
     );
     text
 }
--- a/tests/golden/reports.rs
+++ b/tests/golden/reports.rs
@@ -35,9 +35,9 @@
     let job = pool::Row { job: "req-000412".into(), smallest: 2, largest: 12, wanted: 8, held: 10, shrinks: 1 };
     let report = ElasticReport {
         jobs: vec![job],
-        times: pool::Times { shrinks: 5, under_way: 1, half: 1.5, most: 2.5, longest: 3.5 },
+        times: pool::Times { shrinks: 5, under_way: 1, median_s: 1.5, p95_s: 2.5, longest_s: 3.5 },
         recent: vec![("req-000412/3".into(), 1.25)],
-        bound: Bound { reachable_s: 20.5, deaf_s: 30.5, takeover_s: 40.5 },
+        bound: Bound { reachable_s: 20.5, unreachable_s: 30.5, failover_s: 40.5 },
     };
     sent_and_received(&SAMPLES, "elastic_report", &report);
 }
--- a/tests/traces/events/questions.rs
+++ b/tests/traces/events/questions.rs
@@ -58,7 +58,7 @@
                 if report.times.shrinks > 0 {
                     self.say(&format!(
                         "{} shrinks over, the longest {:.1} s",
-                        report.times.shrinks, report.times.longest
+                        report.times.shrinks, report.times.longest_s
                     ));
                 }
             }
