--- a/crates/service-levels/examples/cost.rs
+++ b/crates/service-levels/examples/cost.rs
@@ -1,5 +1,6 @@
-//! What the accounts cost, by the number of classes and teams: an event of a job, and one look
-//! at all accounts, as the leader takes each second. Times are of this machine; the ratios count.
+//! Measures the cost of the tracker by the number of classes and teams: per event of a job, and per
+//! evaluation of all indicators, which the leader does every second. Compare the ratios: the absolute
+//! times depend on the machine.
 //!
 //!     cargo run --release -p lupinspur-service-levels --example cost
 
@@ -11,12 +12,12 @@
 use std::time::Instant;
 
 const JOBS: u32 = 20_000;
-const LOOKS: u32 = 500;
+const EVALUATIONS: u32 = 500;
 
 fn main() {
-    println!("{:>8} {:>8} {:>14} {:>14}", "classes", "teams", "ns an event", "us a look");
+    println!("{:>8} {:>8} {:>14} {:>14}", "classes", "teams", "ns per event", "us per eval");
     for (classes, teams) in [(2u32, 4u32), (16, 32), (64, 128), (1000, 1000)] {
-        let terms = |i: u32| {
+        let objectives = |i: u32| {
             let done = vec![
                 CompletionObjective::Deadline(1.0),
                 CompletionObjective::Deadline(1.5),
@@ -24,10 +25,10 @@
             ];
             (format!("c{i}"), ServiceLevelObjectives { wait_s: Some(30.0), done, grace_s: None })
         };
-        let mut book = ServiceLevelTracker::new((0..classes).map(terms).collect::<HashMap<_, _>>());
+        let mut tracker = ServiceLevelTracker::new((0..classes).map(objectives).collect::<HashMap<_, _>>());
         let names: Vec<(String, String)> =
             (0..JOBS).map(|i| (format!("c{}", i % classes), format!("t{}", i % teams))).collect();
-        let began = Instant::now();
+        let started_at = Instant::now();
         for (i, (class, team)) in names.iter().enumerate() {
             let now = 1000.0 + i as f64 * 0.01;
             let e = Entry {
@@ -43,20 +44,20 @@
                 may_have_started: false,
                 seen_from: now,
             };
-            let t = book.track(&e, now);
-            (1..=8).for_each(|n| book.on_progress(t, Tasks { begun: n, running: n, done: 0 }, now + f64::from(n)));
-            book.on_ended(t, End::Done, now + 20.0, now + 20.0);
+            let job = tracker.track(&e, now);
+            (1..=8).for_each(|n| tracker.on_progress(job, Tasks { begun: n, running: n, done: 0 }, now + f64::from(n)));
+            tracker.on_ended(job, End::Done, now + 20.0, now + 20.0);
         }
-        let event = began.elapsed().as_nanos() as f64 / f64::from(JOBS * 10);
-        let began = Instant::now();
-        for i in 0..LOOKS {
+        let ns_per_event = started_at.elapsed().as_nanos() as f64 / f64::from(JOBS * 10);
+        let started_at = Instant::now();
+        for i in 0..EVALUATIONS {
             let now = 2000.0 + f64::from(i);
-            book.advance(now);
-            black_box((Underserved::evaluate(&book, &Default::default(), now), book.alerts(now)));
+            tracker.advance(now);
+            black_box((Underserved::evaluate(&tracker, &Default::default(), now), tracker.alerts(now)));
         }
         println!(
-            "{classes:>8} {teams:>8} {event:>14.0} {:>14.1}",
-            began.elapsed().as_micros() as f64 / f64::from(LOOKS)
+            "{classes:>8} {teams:>8} {ns_per_event:>14.0} {:>14.1}",
+            started_at.elapsed().as_micros() as f64 / f64::from(EVALUATIONS)
         );
     }
 }
--- a/crates/service-levels/src/lib.rs
+++ b/crates/service-levels/src/lib.rs
@@ -1,20 +1,19 @@
-//! Service levels: what each class of jobs and each team asked for, and what it was served, in
-//! total and over the last minute and ten minutes.
+//! Service levels: for each class of jobs and each team, how much was requested and which share was
+//! served, in total and over the last minute and ten minutes.
 //!
-//! Everything here decides and nothing waits: no sockets, no files, no clock; times are
-//! seconds of the caller's steady clock. An event costs the same however many classes and
-//! teams there are, and what is kept is bounded: names beyond [`MAX_CLASSES`] and
-//! [`MAX_TEAMS`] share one indicator each.
+//! The crate only computes: it uses no sockets, files or clock; times are seconds of the caller's
+//! steady clock. The cost of an event does not depend on the number of classes and teams, and memory
+//! is bounded: names beyond [`MAX_CLASSES`] and [`MAX_TEAMS`] share one indicator each.
 //!
-//! - [`objectives`]: what a class was promised
+//! - [`objectives`]: the objectives of a class
 //! - [`window`]: sums over the last minutes
-//! - [`tracker`]: the indicators, fed job by job
-//! - [`underserved`]: which indicators lie below the threshold
-//! - [`inheritance`]: the totals that the next leader goes on with
-//! - [`report`]: rows for operators, and alerts
-//! - [`gate`]: the service-level gate: readings of a played day that lie below a half
+//! - [`tracker`]: the indicators, updated by the events of jobs
+//! - [`underserved`]: which indicators are below the threshold
+//! - [`inheritance`]: the totals that the next leader inherits
+//! - [`report`]: report rows for operators, and alerts
+//! - [`gate`]: the service-level gate: readings of a simulated day below the alert threshold
 
-// What is decided must not follow the order of a hash.
+// Decisions must not depend on the iteration order of a hash map.
 #![warn(clippy::iter_over_hash_type)]
 
 pub mod gate;
@@ -29,34 +28,36 @@
 pub use report::{Alert, Row, ServiceLevelReport};
 pub use tracker::{Entry, ServiceLevelTracker, TrackedJobIndex};
 
-/// Classes and teams with indicators of their own; the others share one.
+/// Maximum number of classes with an indicator of their own; the others share one.
 pub const MAX_CLASSES: usize = 64;
+/// Maximum number of teams with an indicator of their own; the others share one.
 pub const MAX_TEAMS: usize = 128;
+/// Maximum number of quota levels with an indicator of their own; the others share one.
 pub const MAX_LEVELS: usize = 128;
-/// The name under which the others are reported.
+/// The name of the shared indicator in reports.
 pub const OTHERS: &str = "(others)";
 
-/// One measure of an indicator: of what was asked for, the share that was served.
+/// One measure of an indicator: the served share of what was requested.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Reading {
-    /// Of a job's tasks, those that began within the stated wait.
+    /// The share of a job's tasks that began within the stated wait.
     Started,
-    /// Arrays done within the latest stated time.
+    /// Arrays that were done within the longest stated time.
     Done,
-    /// Replica time of services that was up.
+    /// Replica time of services that were up.
     Up,
-    /// Of a team's cpu-time asked for within its guarantee, what it held.
+    /// The share that a team held of the cpu time that it requested within its guarantee.
     Held,
-    /// Submissions accepted in time, by this controller.
+    /// Submissions that this controller accepted in time.
     Accepted,
-    /// Cancellations answered.
+    /// Cancellations that this controller answered in time.
     Cancelled,
-    /// Of a class's largest jobs, those that began within four minutes.
+    /// The largest jobs of a class that began within four minutes.
     Largest,
 }
 
-/// In the order in which they are stored for the next leader: new ones come last.
+/// All readings, in the order in which they are stored for the next leader. Append new ones at the end.
 pub const READINGS: [Reading; 7] = [
     Reading::Started,
     Reading::Done,
@@ -68,6 +69,7 @@
 ];
 
 impl Reading {
+    /// Returns the name in reports and logs.
     pub fn name(self) -> &'static str {
         match self {
             Reading::Started => "started",
@@ -81,7 +83,7 @@
     }
 }
 
-/// What an indicator is about: a class of jobs, a team, or a level of nested quotas.
+/// The subject of an indicator: a class of jobs, a team, or a level of the quota tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Serialize, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Subject {
@@ -91,6 +93,7 @@
 }
 
 impl Subject {
+    /// Returns the name in reports and logs.
     pub fn name(self) -> &'static str {
         match self {
             Subject::Class => "class",
--- a/crates/service-levels/src/report.rs
+++ b/crates/service-levels/src/report.rs
@@ -1,14 +1,15 @@
-//! Rows for people, and the warnings.
+//! Report rows for operators, and alerts.
 
 use crate::tracker::ServiceLevelTracker;
 use crate::window::{Share, Span};
 use crate::{READINGS, Reading, Subject};
 use serde::{Deserialize, Serialize};
 
-/// Under this share a class or team counts as not served.
+/// A class or team whose share is below this counts as not served.
 pub const ALERT_THRESHOLD: f64 = 0.5;
-/// So many jobs, or so many seconds of replicas and cpus, make a window worth a warning.
+/// Minimum number of jobs in a window for an alert.
 const MIN_JOBS: f64 = 8.0;
+/// Minimum replica or cpu time in a window for an alert, in seconds.
 const MIN_SECONDS: f64 = 60.0;
 
 fn enough(r: Reading, asked: f64) -> bool {
@@ -16,39 +17,40 @@
     asked >= if seconds { MIN_SECONDS } else { MIN_JOBS }
 }
 
-/// One reading of one account. Shares are from 0 to 1; none where nothing was asked for.
+/// One reading of one indicator. Shares are from 0 to 1; `None` if nothing was requested.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     pub side: Subject,
     pub name: String,
     pub reading: Reading,
-    /// Jobs, or seconds of replicas or cpus.
+    /// Requested jobs, or requested seconds of replicas or cpus.
     pub asked: f64,
     pub share: Option<f64>,
     pub minute: Option<f64>,
     pub ten_minutes: Option<f64>,
-    /// Jobs, or seconds of replicas, of which nobody knows since the failovers so far.
+    /// Jobs, or seconds of replicas, whose outcome is unknown because of failovers.
     pub unknown: u64,
-    /// Seconds until all tasks were begun: half, nine in ten, the longest. Of started only.
+    /// Seconds until all tasks had begun: median, 90th percentile, maximum. Only for `started`.
     pub waits_s: Option<(f64, f64, f64)>,
 }
 
+/// All readings of a tracker at one time.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct ServiceLevelReport {
-    /// Who counted last.
+    /// The leader that made this report.
     #[serde(rename = "owner", default)]
     pub leader: u64,
-    /// The leader that began these accounts: those after it went on with its sums. 0: not told,
-    /// as by a version in which each leader began anew.
+    /// The leader that began these totals; later leaders inherited them. 0 if unknown, as in reports
+    /// of older versions, in which totals were not inherited.
     #[serde(default)]
     pub chain: u64,
-    /// Seconds of the day.
+    /// Time of the report, in seconds of the day.
     #[serde(default)]
     pub at_s: f64,
     pub rows: Vec<Row>,
 }
 
-/// A reading that fell under a half in a window, or came back.
+/// A reading over a window that fell below [`ALERT_THRESHOLD`], or rose above it again.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Alert {
     pub side: Subject,
@@ -61,7 +63,7 @@
 }
 
 impl ServiceLevelTracker {
-    /// Every reading that has something, classes first.
+    /// Returns every reading with requests or unknown outcomes, classes first.
     pub fn report(&self, now: f64) -> ServiceLevelReport {
         let mut rows = Vec::new();
         for a in &self.indicators {
@@ -80,9 +82,9 @@
                     name: a.name.clone(),
                     reading: r,
                     asked: sums.total.asked,
-                    share: sums.total.part(),
-                    minute: sums.over(Span::Minute, now).part(),
-                    ten_minutes: sums.over(Span::TenMinutes, now).part(),
+                    share: sums.total.ratio(),
+                    minute: sums.over(Span::Minute, now).ratio(),
+                    ten_minutes: sums.over(Span::TenMinutes, now).ratio(),
                     unknown,
                     waits_s: waits,
                 });
@@ -92,11 +94,12 @@
         ServiceLevelReport { leader: 0, chain: 0, at_s: now, rows }
     }
 
-    /// The lowest reading over ten minutes of one side, where enough was asked for.
+    /// Returns the lowest reading over ten minutes among the indicators of one kind of subject, if enough
+    /// was requested.
     pub fn lowest(&self, side: Subject, now: f64) -> Option<(&str, Reading, f64)> {
         let of = |a: &'_ crate::tracker::ServiceLevelIndicator, r: Reading| {
             let s = a.sums(r).over(Span::TenMinutes, now);
-            s.part().filter(|_| enough(r, s.asked))
+            s.ratio().filter(|_| enough(r, s.asked))
         };
         self.indicators
             .iter()
@@ -105,9 +108,9 @@
             .min_by(|a, b| a.2.total_cmp(&b.2))
     }
 
-    /// What fell under a half since the last call, or is back above it.
+    /// Returns the readings that crossed [`ALERT_THRESHOLD`] since the last call, in either direction.
     pub fn alerts(&mut self, now: f64) -> Vec<Alert> {
-        let mut out = Vec::new();
+        let mut alerts = Vec::new();
         for i in 0..self.indicators.len() {
             for r in READINGS {
                 for span in [Span::Minute, Span::TenMinutes] {
@@ -119,19 +122,19 @@
                     let share = served / asked;
                     let key = (i, r, span == Span::Minute);
                     let under = share < ALERT_THRESHOLD;
-                    if under != self.low.contains(&key) {
+                    if under != self.below_threshold.contains(&key) {
                         let (side, name) = (a.side, a.name.clone());
-                        out.push(Alert { side, name, reading: r, span, share, asked, under });
+                        alerts.push(Alert { side, name, reading: r, span, share, asked, under });
                         if under {
-                            self.low.insert(key)
+                            self.below_threshold.insert(key)
                         } else {
-                            self.low.remove(&key)
+                            self.below_threshold.remove(&key)
                         };
                     }
                 }
             }
         }
-        out
+        alerts
     }
 }
 
--- a/crates/service-levels/src/tracker/indicator.rs
+++ b/crates/service-levels/src/tracker/indicator.rs
@@ -1,10 +1,10 @@
-//! One indicator: the sums of what was asked for and served.
+//! One indicator: the sums of what was requested and served.
 
 use crate::window::{Share, Sums, TEN_MINUTES_S};
 use crate::{READINGS, Reading, Subject};
 use hdrhistogram::Histogram;
 
-/// Waits are kept in milliseconds up to a day, to one part in a hundred.
+/// Waits are recorded in milliseconds up to a day, with a resolution of one percent.
 const MAX_WAIT_MS: u64 = 86_400_000;
 
 /// The dense index of an indicator.
@@ -12,6 +12,7 @@
 pub struct IndicatorIndex(pub(super) u32);
 
 impl IndicatorIndex {
+    /// Returns the index for a position in the list of indicators.
     pub(crate) fn of(i: usize) -> IndicatorIndex {
         IndicatorIndex(i as u32)
     }
@@ -21,25 +22,27 @@
     }
 }
 
+/// The readings of one class, team or quota level.
 #[derive(Debug)]
 pub struct ServiceLevelIndicator {
     pub name: String,
     pub side: Subject,
     pub(super) sums: [Sums; READINGS.len()],
-    /// Jobs of which a reading is not known, after a failover.
+    /// For each reading, the number of jobs whose outcome is unknown after a failover.
     pub unknown: [u64; READINGS.len()],
-    /// How long jobs waited until all their tasks were begun, in milliseconds.
+    /// Times until all tasks of a job had begun, in milliseconds.
     pub waits: Histogram<u32>,
-    /// Replicas asked for and up, beyond the time that their class grants.
+    /// Replicas requested and up, of services past the grace time of their class.
     pub(super) replicas: Share,
+    /// Time up to which the replica time is integrated.
     since: f64,
 }
 
 impl ServiceLevelIndicator {
     pub(super) fn new(name: &str, side: Subject, now: f64) -> ServiceLevelIndicator {
         let waits = Histogram::new_with_max(MAX_WAIT_MS, 2).unwrap_or_else(|_| {
-            // The bounds are constants for which the library has a histogram.
-            unreachable!("a histogram of a day in milliseconds")
+            // The bounds are constants that the library accepts.
+            unreachable!("a histogram with a maximum of one day in milliseconds is valid")
         });
         ServiceLevelIndicator {
             name: name.to_owned(),
@@ -52,12 +55,13 @@
         }
     }
 
+    /// Returns the sums of one reading.
     pub fn sums(&self, r: Reading) -> &Sums {
         &self.sums[r as usize]
     }
 
-    /// What an earlier leader counted in all, and in ten minutes.
-    pub(crate) fn carried(&mut self, r: Reading, all: Share, unknown: u64, ten: Share, as_of: f64, now: f64) {
+    /// Adds the totals of the previous leader, of which `ten` fell into its last ten minutes.
+    pub(crate) fn add_inherited(&mut self, r: Reading, all: Share, unknown: u64, ten: Share, as_of: f64, now: f64) {
         let sums = &mut self.sums[r as usize];
         sums.add_at(as_of - TEN_MINUTES_S / 2.0, now, ten.asked, ten.served);
         sums.total.add(all.asked - ten.asked, all.served - ten.served);
@@ -68,7 +72,7 @@
         self.sums[r as usize].add(now, asked, served);
     }
 
-    /// Brings the replica time up to now.
+    /// Adds the replica time since the last call.
     pub(super) fn integrate(&mut self, now: f64) {
         let dt = now - self.since;
         if dt > 0.0 && self.replicas.asked > 0.0 {
--- a/crates/service-levels/src/tracker/mod.rs
+++ b/crates/service-levels/src/tracker/mod.rs
@@ -1,4 +1,5 @@
-//! The tracker of service levels, fed job by job. It owns all indicators; it never reads a clock.
+//! The service-level tracker. It owns all indicators, is updated by the events of jobs, and never reads
+//! a clock.
 
 mod indicator;
 mod tracked_job;
@@ -13,14 +14,18 @@
 use std::collections::{BinaryHeap, HashMap, HashSet};
 use tracked_job::TrackedJob;
 
+/// What falls due at a time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Due {
+    /// All tasks should have begun.
     Start,
+    /// The job should be done.
     Done,
+    /// The replicas of a service begin to count.
     Count,
 }
 
-/// Milliseconds of the day, ordered.
+/// Milliseconds of the day: an integer, so that times can be ordered.
 type At = u64;
 
 fn at(s: f64) -> At {
@@ -34,36 +39,41 @@
     Cancelled,
 }
 
+/// Tracks open jobs and updates the indicators of their classes and teams.
 #[derive(Debug)]
 pub struct ServiceLevelTracker {
     objectives: HashMap<String, ServiceLevelObjectives>,
     pub indicators: Vec<ServiceLevelIndicator>,
     by_name: [HashMap<String, IndicatorIndex>; 3],
     tracked: Vec<Option<TrackedJob>>,
-    /// Guards against a moment that belongs to an earlier job under the same number.
+    /// Incremented when a number is freed, so that an entry of `due` that belongs to an earlier job with
+    /// the same number is ignored.
     generations: Vec<u32>,
     free: Vec<u32>,
     due: BinaryHeap<Reverse<(At, Due, u32, u32)>>,
-    /// What fell due before this an earlier leader has counted; what did between the two it may
-    /// have counted or not. Seconds of the day.
+    /// What fell due before this time was counted by the previous leader; what fell due between the two
+    /// times may have been counted or not. Seconds of the day.
     pub(crate) settled_before: f64,
     pub(crate) lost_until: f64,
-    /// Readings that were under a half at the last look, by account and window.
-    pub(crate) low: HashSet<(usize, Reading, bool)>,
+    /// Readings that were below the alert threshold at the last check, by indicator and window.
+    pub(crate) below_threshold: HashSet<(usize, Reading, bool)>,
 }
 
-/// Who counts what fell due at some moment.
+/// Which leader counts an outcome, by the time at which it fell due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CountedBy {
+    /// The previous leader has counted it.
     Earlier,
+    /// Whether it was counted is unknown.
     Nobody,
+    /// This leader counts it.
     Ours,
 }
 
 impl ServiceLevelTracker {
-    pub fn new(terms: HashMap<String, ServiceLevelObjectives>) -> ServiceLevelTracker {
+    pub fn new(objectives: HashMap<String, ServiceLevelObjectives>) -> ServiceLevelTracker {
         ServiceLevelTracker {
-            objectives: terms,
+            objectives,
             indicators: Vec::new(),
             by_name: Default::default(),
             tracked: Vec::new(),
@@ -72,7 +82,7 @@
             due: BinaryHeap::new(),
             settled_before: f64::NEG_INFINITY,
             lost_until: f64::NEG_INFINITY,
-            low: HashSet::new(),
+            below_threshold: HashSet::new(),
         }
     }
 
@@ -90,7 +100,8 @@
         self.objectives.get(class)
     }
 
-    /// The account of this name; one for all others once there are too many.
+    /// Returns the indicator of this name and creates it if needed; once there are too many names, new
+    /// ones share the indicator [`OTHERS`].
     pub fn indicator(&mut self, side: Subject, name: &str, now: f64) -> IndicatorIndex {
         let most = match side {
             Subject::Class => MAX_CLASSES,
@@ -108,7 +119,7 @@
         a
     }
 
-    /// The accounts of an open job's class and team.
+    /// Returns the indicators of an open job's class and team.
     pub fn of(&self, t: TrackedJobIndex) -> Option<[IndicatorIndex; 2]> {
         Some(self.tracked.get(t.0 as usize)?.as_ref()?.indicators)
     }
@@ -121,47 +132,47 @@
         [self.indicator(Subject::Class, class, now), self.indicator(Subject::Team, team, now)]
     }
 
-    /// One job's outcome in a reading, for its class and its team.
-    fn count(&mut self, accounts: [IndicatorIndex; 2], r: Reading, now: f64, served: bool) {
-        self.count_part(accounts, r, now, f64::from(u8::from(served)));
+    /// Counts the outcome of one job in a reading of its class and its team.
+    fn count(&mut self, indicators: [IndicatorIndex; 2], r: Reading, now: f64, served: bool) {
+        self.count_part(indicators, r, now, f64::from(u8::from(served)));
     }
 
-    fn count_part(&mut self, accounts: [IndicatorIndex; 2], r: Reading, now: f64, part: f64) {
-        for a in accounts {
+    fn count_part(&mut self, indicators: [IndicatorIndex; 2], r: Reading, now: f64, part: f64) {
+        for a in indicators {
             self.indicators[a.as_usize()].add(r, now, 1.0, part);
         }
     }
 
-    fn count_unknown(&mut self, accounts: [IndicatorIndex; 2], r: Reading) {
-        for a in accounts {
+    fn count_unknown(&mut self, indicators: [IndicatorIndex; 2], r: Reading) {
+        for a in indicators {
             self.indicators[a.as_usize()].unknown[r as usize] += 1;
         }
     }
 
-    /// A job whose time begins, or began under an earlier leader.
+    /// Starts to track a job, which may have been open under an earlier leader already.
     pub fn track(&mut self, e: &Entry, now: f64) -> TrackedJobIndex {
-        let accounts = self.of_job(e.class, e.team, now);
-        let terms = self.objectives.get(e.class).cloned().unwrap_or_default();
-        let wait = terms.wait_s.map(|w| e.from.max(e.waits_from) + w);
-        let deadline = (!e.service).then(|| terms.latest(e.submitted, e.from, e.deadline_s)).flatten();
-        let grace = terms.grace_s.or(terms.wait_s).unwrap_or(0.0);
-        // A start or an end that fell due under an earlier leader is in its accounts, or lost.
+        let indicators = self.of_job(e.class, e.team, now);
+        let objectives = self.objectives.get(e.class).cloned().unwrap_or_default();
+        let wait = objectives.wait_s.map(|w| e.from.max(e.waits_from) + w);
+        let deadline = (!e.service).then(|| objectives.latest(e.submitted, e.from, e.deadline_s)).flatten();
+        let grace = objectives.grace_s.or(objectives.wait_s).unwrap_or(0.0);
+        // A start or an end that fell due under an earlier leader was counted by it, or is lost.
         let start = wait.map(|due| self.counted_by(due));
         let unknown = |w: Option<CountedBy>| w == Some(CountedBy::Nobody);
-        let doubted = terms.wait_s.is_some_and(|w| w < e.may_have_waited_s);
-        if start.is_some_and(|w| w != CountedBy::Earlier) && (e.may_have_started || doubted) || unknown(start) {
-            self.count_unknown(accounts, Reading::Started);
+        let wait_unknown = objectives.wait_s.is_some_and(|w| w < e.may_have_waited_s);
+        if start.is_some_and(|w| w != CountedBy::Earlier) && (e.may_have_started || wait_unknown) || unknown(start) {
+            self.count_unknown(indicators, Reading::Started);
         }
         let done = deadline.map(|due| self.counted_by(due));
         if unknown(done) {
-            self.count_unknown(accounts, Reading::Done);
+            self.count_unknown(indicators, Reading::Done);
         }
-        let wait = wait.filter(|_| start == Some(CountedBy::Ours) && !doubted);
+        let wait = wait.filter(|_| start == Some(CountedBy::Ours) && !wait_unknown);
         let deadline = deadline.filter(|_| done == Some(CountedBy::Ours));
         let counts_from = e.from + grace;
         if e.service && e.seen_from > counts_from {
             let lost = (e.seen_from - counts_from.max(self.settled_before).max(0.0)).max(0.0);
-            for a in accounts {
+            for a in indicators {
                 self.indicators[a.as_usize()].unknown[Reading::Up as usize] += (lost * f64::from(e.tasks)) as u64;
             }
         }
@@ -171,7 +182,7 @@
             self.tracked.len() as u32 - 1
         });
         self.tracked[n as usize] = Some(TrackedJob {
-            indicators: accounts,
+            indicators,
             service: e.service,
             tasks: e.tasks,
             from: e.from,
@@ -179,7 +190,7 @@
             done_due: deadline,
             running: 0,
             best: 0,
-            waited: e.may_have_started || doubted || start.is_some_and(|w| w != CountedBy::Ours),
+            waited: e.may_have_started || wait_unknown || start.is_some_and(|w| w != CountedBy::Ours),
             counted: false,
         });
         let generation = self.generations[n as usize];
@@ -194,87 +205,87 @@
         TrackedJobIndex(n)
     }
 
-    /// So many of a job's tasks were begun, run, and are done.
+    /// Updates how many of a job's tasks have begun, are running and are done.
     pub fn on_progress(&mut self, t: TrackedJobIndex, tasks: Tasks, now: f64) {
         let Tasks { begun, running, done } = tasks;
-        let Some(ticket) = self.tracked.get_mut(t.0 as usize).and_then(Option::as_mut) else { return };
-        let before = std::mem::replace(&mut ticket.running, running);
-        let accounts = ticket.indicators;
-        let in_time = ticket.start_due.is_some_and(|due| now <= due);
+        let Some(job) = self.tracked.get_mut(t.0 as usize).and_then(Option::as_mut) else { return };
+        let before = std::mem::replace(&mut job.running, running);
+        let indicators = job.indicators;
+        let in_time = job.start_due.is_some_and(|due| now <= due);
         if in_time {
-            ticket.best = ticket.best.max(begun + done);
+            job.best = job.best.max(begun + done);
         }
-        // All of it runs, or whatever began in time is known.
-        let started = ticket.start_due.is_some() && (begun + done >= ticket.tasks || !in_time);
-        let part = ticket.begun();
-        let waited = now - ticket.from;
+        // All tasks have begun, or the time is over and the number that began in time is final.
+        let started = job.start_due.is_some() && (begun + done >= job.tasks || !in_time);
+        let part = job.begun();
+        let waited = now - job.from;
         if started {
-            ticket.start_due = None;
+            job.start_due = None;
         }
-        let all = begun + done >= ticket.tasks && !ticket.waited;
-        ticket.waited |= all;
-        if ticket.counted && before != running {
-            for a in accounts {
-                let account = &mut self.indicators[a.as_usize()];
-                account.integrate(now);
-                account.replicas.served += f64::from(running) - f64::from(before);
+        let all = begun + done >= job.tasks && !job.waited;
+        job.waited |= all;
+        if job.counted && before != running {
+            for a in indicators {
+                let indicator = &mut self.indicators[a.as_usize()];
+                indicator.integrate(now);
+                indicator.replicas.served += f64::from(running) - f64::from(before);
             }
         }
         if started {
-            self.count_part(accounts, Reading::Started, now, part);
+            self.count_part(indicators, Reading::Started, now, part);
         }
         if all {
-            for a in accounts {
+            for a in indicators {
                 self.indicators[a.as_usize()].waits.saturating_record((waited.max(0.0) * 1000.0) as u64);
             }
         }
     }
 
-    /// A job is over, and its number is free for another. A start or an end that is not due
-    /// yet counts for nothing where its user cancelled it.
+    /// Records that a job is over and frees its number. If the user cancelled it, a start or an end
+    /// that was not due yet is not counted.
     pub fn on_ended(&mut self, t: TrackedJobIndex, end: End, ended: f64, now: f64) {
-        let Some(ticket) = self.tracked.get_mut(t.0 as usize).and_then(Option::take) else { return };
+        let Some(job) = self.tracked.get_mut(t.0 as usize).and_then(Option::take) else { return };
         self.generations[t.0 as usize] = self.generations[t.0 as usize].wrapping_add(1);
         self.free.push(t.0);
-        self.stop_counting_replicas(&ticket, now);
+        self.stop_counting_replicas(&job, now);
         if end == End::Done {
-            if let Some(due) = ticket.start_due {
-                // All of it was done before all of it was seen to run at one time.
-                let part = if ended <= due { 1.0 } else { ticket.begun() };
-                self.count_part(ticket.indicators, Reading::Started, now, part);
+            if let Some(due) = job.start_due {
+                // The job was done before all its tasks were seen running at the same time.
+                let part = if ended <= due { 1.0 } else { job.begun() };
+                self.count_part(job.indicators, Reading::Started, now, part);
             }
-            if let Some(due) = ticket.done_due {
-                self.count(ticket.indicators, Reading::Done, now, ended <= due);
+            if let Some(due) = job.done_due {
+                self.count(job.indicators, Reading::Done, now, ended <= due);
             }
         }
     }
 
-    fn stop_counting_replicas(&mut self, ticket: &TrackedJob, now: f64) {
-        for a in ticket.indicators.into_iter().filter(|_| ticket.counted) {
-            let account = &mut self.indicators[a.as_usize()];
-            account.integrate(now);
-            account.replicas.asked -= f64::from(ticket.tasks);
-            account.replicas.served -= f64::from(ticket.running);
+    fn stop_counting_replicas(&mut self, job: &TrackedJob, now: f64) {
+        for a in job.indicators.into_iter().filter(|_| job.counted) {
+            let indicator = &mut self.indicators[a.as_usize()];
+            indicator.integrate(now);
+            indicator.replicas.asked -= f64::from(job.tasks);
+            indicator.replicas.served -= f64::from(job.running);
         }
     }
 
-    /// A job of which only the record is left: when it was submitted and how it ended. Whether
-    /// it started in time nobody can say.
+    /// Counts a job of which only the stored record is left: its submission and its end. Whether it
+    /// started in time is unknown.
     pub fn from_record(&mut self, e: &Entry, end: End, ended: Option<f64>, now: f64) {
-        let accounts = self.of_job(e.class, e.team, now);
-        let terms = self.objectives.get(e.class).cloned().unwrap_or_default();
-        let start = terms.wait_s.map(|w| self.counted_by(e.from.max(e.waits_from) + w));
+        let indicators = self.of_job(e.class, e.team, now);
+        let objectives = self.objectives.get(e.class).cloned().unwrap_or_default();
+        let start = objectives.wait_s.map(|w| self.counted_by(e.from.max(e.waits_from) + w));
         if start.is_some_and(|w| w != CountedBy::Earlier) && end == End::Done {
-            self.count_unknown(accounts, Reading::Started);
+            self.count_unknown(indicators, Reading::Started);
         }
-        let latest = terms.latest(e.submitted, e.from, e.deadline_s);
+        let latest = objectives.latest(e.submitted, e.from, e.deadline_s);
         let (Some(latest), End::Done, false) = (latest, end, e.service) else { return };
-        // It was counted when it ended, or when it fell due.
+        // The outcome was counted when the job ended or when it fell due, whichever came first.
         match ended.map(|ended| (ended, self.counted_by(ended.min(latest)))) {
             Some((_, CountedBy::Earlier)) => {}
-            None | Some((_, CountedBy::Nobody)) => self.count_unknown(accounts, Reading::Done),
+            None | Some((_, CountedBy::Nobody)) => self.count_unknown(indicators, Reading::Done),
             Some((ended, CountedBy::Ours)) => {
-                for a in accounts {
+                for a in indicators {
                     let sums = &mut self.indicators[a.as_usize()].sums[Reading::Done as usize];
                     sums.add_at(ended.min(now), now, 1.0, f64::from(u8::from(ended <= latest)));
                 }
@@ -282,45 +293,45 @@
         }
     }
 
-    /// Of what a team, or a level of nested quotas, asked for within its guarantee, what it held,
-    /// in cpu-seconds.
+    /// Records the cpu-seconds that a team or a quota level requested within its guarantee, and those
+    /// that it held.
     pub fn held(&mut self, side: Subject, name: &str, asked: f64, held: f64, now: f64) {
         let a = self.indicator(side, name, now);
         self.indicators[a.as_usize()].add(Reading::Held, now, asked, held.min(asked));
     }
 
-    /// A submission or a cancellation that a user waited for at this controller's door.
+    /// Records a user's submission or cancellation at this controller, and whether it was served.
     pub fn answered(&mut self, class: &str, team: &str, r: Reading, served: bool, now: f64) {
-        let accounts = self.of_job(class, team, now);
-        self.count(accounts, r, now, served);
+        let indicators = self.of_job(class, team, now);
+        self.count(indicators, r, now, served);
     }
 
-    /// What has become due since: jobs that were not started or not done in their time, and
-    /// replicas that count from now on. Costs what is due.
+    /// Counts what fell due since the last call: jobs that did not start or were not done in time, and
+    /// replicas that begin to count. The cost is proportional to what fell due.
     pub fn advance(&mut self, now: f64) {
         while self.due.peek().is_some_and(|Reverse(d)| d.0 < at(now)) {
             let Some(Reverse((_, what, n, generation))) = self.due.pop() else { break };
             if self.generations[n as usize] != generation {
                 continue;
             }
-            let Some(ticket) = self.tracked[n as usize].as_mut() else { continue };
-            let accounts = ticket.indicators;
+            let Some(job) = self.tracked[n as usize].as_mut() else { continue };
+            let indicators = job.indicators;
             match what {
-                Due::Start if ticket.start_due.take().is_some() => {
-                    let part = ticket.begun();
-                    self.count_part(accounts, Reading::Started, now, part);
+                Due::Start if job.start_due.take().is_some() => {
+                    let part = job.begun();
+                    self.count_part(indicators, Reading::Started, now, part);
                 }
-                Due::Done if ticket.done_due.take().is_some() => {
-                    self.count(accounts, Reading::Done, now, false);
+                Due::Done if job.done_due.take().is_some() => {
+                    self.count(indicators, Reading::Done, now, false);
                 }
-                Due::Count if ticket.service && !ticket.counted => {
-                    ticket.counted = true;
-                    let (tasks, running) = (f64::from(ticket.tasks), f64::from(ticket.running));
-                    for a in accounts {
-                        let account = &mut self.indicators[a.as_usize()];
-                        account.integrate(now);
-                        account.replicas.asked += tasks;
-                        account.replicas.served += running;
+                Due::Count if job.service && !job.counted => {
+                    job.counted = true;
+                    let (tasks, running) = (f64::from(job.tasks), f64::from(job.running));
+                    for a in indicators {
+                        let indicator = &mut self.indicators[a.as_usize()];
+                        indicator.integrate(now);
+                        indicator.replicas.asked += tasks;
+                        indicator.replicas.served += running;
                     }
                 }
                 _ => {}
@@ -329,13 +340,13 @@
         self.indicators.iter_mut().for_each(|a| a.integrate(now));
     }
 
-    /// A reading over a window, if anything was asked for.
-    pub fn part(&self, a: IndicatorIndex, r: Reading, span: Span, now: f64) -> Share {
+    /// Returns a reading over a window.
+    pub fn share_over(&self, a: IndicatorIndex, r: Reading, span: Span, now: f64) -> Share {
         self.indicators[a.as_usize()].sums(r).over(span, now)
     }
 
-    /// Open jobs in the book.
-    pub fn open(&self) -> usize {
+    /// Returns the number of tracked jobs.
+    pub fn open_jobs(&self) -> usize {
         self.tracked.len() - self.free.len()
     }
 }
--- a/crates/service-levels/src/tracker/tracked_job.rs
+++ b/crates/service-levels/src/tracker/tracked_job.rs
@@ -2,46 +2,48 @@
 
 use super::IndicatorIndex;
 
-/// The number of an open tracked job. Valid until [`ServiceLevelTracker::on_ended`](super::ServiceLevelTracker::on_ended).
+/// The number of a tracked job. Valid until [`ServiceLevelTracker::on_ended`](super::ServiceLevelTracker::on_ended).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TrackedJobIndex(pub(super) u32);
 
-/// A job as it is first tracked. Times are seconds of the day.
+/// A job at the time when tracking starts. Times are seconds of the day.
 #[derive(Debug, Clone)]
 pub struct Entry<'a> {
     pub class: &'a str,
     pub team: &'a str,
     pub service: bool,
-    /// Tasks that count: no more than its team's limit lets run at one time.
+    /// Number of tasks that count: at most as many as the team's limit allows at the same time.
     pub tasks: u32,
-    /// From when its times count, its deadline aside.
+    /// Start of all its times except the deadline.
     pub from: f64,
-    /// From when its wait counts, where that is later: a cluster that has only just begun has
-    /// nothing to start anything on.
+    /// Start of its wait, if later than `from`: a cluster that has just started has no machines to
+    /// start anything on.
     pub waits_from: f64,
-    /// Its user may have asked long before it was accepted: whether it waited cannot be told
-    /// where its class is promised less than so many seconds.
+    /// Longest time that the user may have waited before the job was accepted. If the stated wait of
+    /// its class is shorter, it is unknown whether the job started in time.
     pub may_have_waited_s: f64,
-    /// The submission, from which the deadline counts, and its deadline in seconds after it.
+    /// Time of the submission, from which the deadline counts.
     pub submitted: f64,
+    /// The deadline in seconds after the submission.
     pub deadline_s: Option<f64>,
-    /// Whether all its tasks ran before this tracker was created is unknown.
+    /// It is unknown whether all its tasks were running before this tracker was created.
     pub may_have_started: bool,
-    /// Nothing is known of its replicas before this.
+    /// Time before which the state of its replicas is unknown.
     pub seen_from: f64,
 }
 
-/// How many of a job's tasks are how far.
+/// Numbers of a job's tasks by progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Tasks {
-    /// Their machines have taken the start: users' waits end here, though an image may have to
-    /// be fetched yet.
+    /// Tasks whose machine has accepted the start. The user's wait ends here, although the image may
+    /// still have to be fetched.
     pub begun: u32,
-    /// They have their image and run.
+    /// Tasks that have their image and run.
     pub running: u32,
     pub done: u32,
 }
 
+/// The state of a tracked job.
 #[derive(Debug)]
 pub(super) struct TrackedJob {
     pub(super) indicators: [IndicatorIndex; 2],
@@ -51,16 +53,16 @@
     pub(super) start_due: Option<f64>,
     pub(super) done_due: Option<f64>,
     pub(super) running: u32,
-    /// The most of its tasks that were begun or done, as long as a start was in time.
+    /// The greatest number of tasks that had begun or were done while the start was still in time.
     pub(super) best: u32,
-    /// All of it was begun once, or that cannot be told.
+    /// Its wait was recorded, or is unknown: all tasks have begun once, or may have.
     pub(super) waited: bool,
-    /// Its replicas count by now.
+    /// Its replicas count already.
     pub(super) counted: bool,
 }
 
 impl TrackedJob {
-    /// Of its tasks, those that were begun in time.
+    /// Returns the fraction of its tasks that began in time.
     pub(super) fn begun(&self) -> f64 {
         f64::from(self.best.min(self.tasks)) / f64::from(self.tasks.max(1))
     }
--- a/crates/service-levels/src/window.rs
+++ b/crates/service-levels/src/window.rs
@@ -1,12 +1,14 @@
-//! Sums over the last minute and the last ten, in bounded memory.
+//! Sums over the last minute and the last ten minutes, in bounded memory.
 
-/// Seconds that one slot holds, and how many slots there are: ten minutes.
+/// Length of a slot in seconds.
 const SLOT_S: f64 = 10.0;
+/// Number of slots: ten minutes.
 const SLOTS: usize = 60;
-const MINUTE: usize = 6;
+/// Number of slots in a minute.
+const MINUTE_SLOTS: usize = 6;
 pub(crate) const TEN_MINUTES_S: f64 = SLOT_S * SLOTS as f64;
 
-/// Served of asked.
+/// How much was requested, and how much of it was served.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Share {
     pub asked: f64,
@@ -19,8 +21,8 @@
         self.served += served;
     }
 
-    /// None where nothing was asked for.
-    pub fn part(&self) -> Option<f64> {
+    /// Returns the served fraction; `None` if nothing was requested.
+    pub fn ratio(&self) -> Option<f64> {
         (self.asked > 0.0).then(|| self.served / self.asked)
     }
 
@@ -29,22 +31,25 @@
     }
 }
 
-/// How far back a sum goes.
+/// The length of a window.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Span {
     Minute,
     TenMinutes,
 }
 
-/// One reading of one account.
+/// The sums of one reading of one indicator.
 #[derive(Debug, Clone, Default)]
 pub struct Sums {
     pub total: Share,
+    /// A ring of slots; empty until the first use.
     slots: Vec<Share>,
+    /// Number of the current slot, counted from time 0.
     at: u64,
 }
 
 impl Sums {
+    /// Advances the current slot to `now` and clears the slots in between.
     fn forward(&mut self, now: f64) {
         let slot = (now.max(0.0) / SLOT_S) as u64;
         if self.slots.is_empty() {
@@ -56,13 +61,14 @@
         self.at = self.at.max(slot);
     }
 
+    /// Adds to the total and to the current slot.
     pub fn add(&mut self, now: f64, asked: f64, served: f64) {
         self.forward(now);
         self.total.add(asked, served);
         self.slots[self.at as usize % SLOTS].add(asked, served);
     }
 
-    /// The same, of a moment that is over: it counts in its own slot if that is still kept.
+    /// Adds to the total and to the slot of the past time `at`, if that is still kept.
     pub fn add_at(&mut self, at: f64, now: f64, asked: f64, served: f64) {
         self.forward(now);
         self.total.add(asked, served);
@@ -72,14 +78,14 @@
         }
     }
 
-    /// What the last minutes had; the present slot counts with those before it.
+    /// Returns the sum over the window that ends with the current slot.
     pub fn over(&self, span: Span, now: f64) -> Share {
         let slot = (now.max(0.0) / SLOT_S) as u64;
-        let n = if span == Span::Minute { MINUTE } else { SLOTS } as u64;
+        let window_slots = if span == Span::Minute { MINUTE_SLOTS } else { SLOTS } as u64;
         if self.slots.is_empty() {
             return Share::default();
         }
-        let from = (slot + 1).saturating_sub(n).max((self.at + 1).saturating_sub(SLOTS as u64));
+        let from = (slot + 1).saturating_sub(window_slots).max((self.at + 1).saturating_sub(SLOTS as u64));
         (from..=self.at).map(|s| self.slots[s as usize % SLOTS]).fold(Share::default(), Share::plus)
     }
 }
@@ -88,7 +94,7 @@
 mod tests {
     use super::*;
 
-    /// Guards against a slot of an earlier round that is taken for the present one.
+    /// Guards against reading a slot that still holds values of an earlier turn of the ring.
     #[test]
     fn what_is_older_than_the_window_no_longer_counts() {
         let mut s = Sums::default();
--- a/crates/service-levels/tests/gate.rs
+++ b/crates/service-levels/tests/gate.rs
@@ -1,60 +1,64 @@
-//! The gate on small reports written by hand: which pass, and which must not.
+//! Tests of the gate with small reports: which pass and which fail.
 
-use lupinspur_service_levels::gate::{self, Judged, Nothing};
+use lupinspur_service_levels::gate::{self, GateResult, NoReadings};
 use lupinspur_service_levels::report::ServiceLevelReport;
 use lupinspur_service_levels::{Reading, ServiceLevelTracker};
 use std::collections::HashMap;
 
-fn lines(j: &Judged) -> Vec<String> {
+fn lines(j: &GateResult) -> Vec<String> {
     j.under.iter().map(ToString::to_string).collect()
 }
 
 #[test]
 fn a_day_over_a_half_passes() {
     let r = serde_json::from_str(include_str!("gate/good-report.json")).expect("a report");
-    let j = gate::report("good", &r).expect("readings");
-    assert_eq!((j.readings, lines(&j)), (2, vec![]), "a price is no service, and of nothing there is no share");
+    let j = gate::judge_report("good", &r).expect("readings");
+    assert_eq!(
+        (j.readings, lines(&j)),
+        (2, vec![]),
+        "a price is not a share, and a target without requests is ignored"
+    );
     assert_eq!(j.lowest, Some(("wait desk within 1".into(), 0.5)));
 }
 
 #[test]
 fn each_class_under_a_half_has_its_line() {
     let r = serde_json::from_str(include_str!("gate/bad-report.json")).expect("a report");
-    let j = gate::report("bad", &r).expect("readings");
+    let j = gate::judge_report("bad", &r).expect("readings");
     assert_eq!(lines(&j), ["bad: deadline match times 1.5: 0.450", "bad: finished letters within 200: 0.499"]);
     let notes: Vec<String> = j.notes.iter().map(ToString::to_string).collect();
     assert_eq!(notes, ["bad: up desk worst 30: 0.200", "bad: deadline match times 1: 0.310"]);
     let e = serde_json::from_str(include_str!("gate/bad-entry.json")).expect("an entry");
-    let j = gate::entry("journal", &e).expect("readings");
+    let j = gate::judge_entry("journal", &e).expect("readings");
     assert_eq!((j.readings, lines(&j)), (3, vec!["journal: by-hand rough: wait match 80 s: 0.410".to_owned()]));
-    // What was measured of each class and team as a whole is judged, too.
+    // The served shares of whole classes and teams are judged as well.
     let text = r#"{"site":"s","days":[{"name":"d","served":[["match",0.7,0.9],["team red",0.3,0.49]]}]}"#;
-    let j = gate::entry("journal", &serde_json::from_str(text).expect("an entry")).expect("readings");
+    let j = gate::judge_entry("journal", &serde_json::from_str(text).expect("an entry")).expect("readings");
     assert_eq!((j.readings, lines(&j)), (2, vec!["journal: s d: served team red: 0.490".to_owned()]));
 }
 
-/// The leader's own accounts, as they stand in its log.
+/// Service-level reports as the leader logs them.
 #[test]
 fn teams_are_judged_by_the_service_levels() {
-    let mut b = ServiceLevelTracker::new(HashMap::new());
+    let mut tracker = ServiceLevelTracker::new(HashMap::new());
     for i in 0..20 {
-        b.answered("match", if i % 2 == 0 { "red" } else { "blue" }, Reading::Accepted, i % 2 == 0 || i < 6, 5.0);
+        tracker.answered("match", if i % 2 == 0 { "red" } else { "blue" }, Reading::Accepted, i % 2 == 0 || i < 6, 5.0);
     }
-    b.answered("rare", "blue", Reading::Accepted, false, 5.0);
-    let text = serde_json::to_string(&b.report(6.0)).expect("JSON");
-    let told: ServiceLevelReport = serde_json::from_str(&text).expect("the same");
-    let j = gate::accounts("log", std::slice::from_ref(&told)).expect("readings");
-    assert_eq!(lines(&j), ["log: team blue accepted: 0.273"], "one job of a class says nothing");
-    // A successor's accounts come beside the last of the leader before, not in their place.
+    tracker.answered("rare", "blue", Reading::Accepted, false, 5.0);
+    let text = serde_json::to_string(&tracker.report(6.0)).expect("JSON");
+    let logged: ServiceLevelReport = serde_json::from_str(&text).expect("the same");
+    let j = gate::judge_log("log", std::slice::from_ref(&logged)).expect("readings");
+    assert_eq!(lines(&j), ["log: team blue accepted: 0.273"], "a class with a single job is not judged");
+    // The report of a new chain of leaders is added to the last one of the previous chain.
     let mut next = ServiceLevelTracker::new(HashMap::new());
     (0..10).for_each(|_| next.answered("match", "blue", Reading::Accepted, true, 9.0));
     let next = ServiceLevelReport { leader: 7, ..next.report(10.0) };
-    let j = gate::accounts("log", &[told.clone(), told, next]).expect("readings");
+    let j = gate::judge_log("log", &[logged.clone(), logged, next]).expect("readings");
     assert_eq!((lines(&j), j.lowest.map(|l| l.1 > 0.6)), (vec![], Some(true)), "13 of 21");
 }
 
-/// Guards against accounts that cannot be believed: those of one chain of leaders count once, the
-/// last that was logged, and they are held against what was measured, or say that they do not know.
+/// Guards against reports that contradict the measured shares. Of one chain of leaders only the last
+/// report counts; it has to agree with the measured share, or to report enough jobs as unknown.
 #[test]
 fn service_levels_agree_with_what_was_measured_or_say_unknown() {
     let report = r#"{"targets":[
@@ -79,10 +83,10 @@
             waits_s,
         }
     };
-    let told = |owner, rows| ServiceLevelReport { leader: owner, chain: 5, at_s: 0.0, rows };
-    let early = told(5, vec![row("desk", Reading::Started, 50.0, 0.1, 0)]);
+    let logged = |leader, rows| ServiceLevelReport { leader, chain: 5, at_s: 0.0, rows };
+    let early = logged(5, vec![row("desk", Reading::Started, 50.0, 0.1, 0)]);
     let late = |unknown| {
-        told(
+        logged(
             9,
             vec![
                 row("desk", Reading::Started, 100.0, 0.7, unknown),
@@ -99,12 +103,12 @@
     let expected =
         |desk| [("desk started", desk), ("desk up", true), ("match done", true)].map(|(n, a)| (n.to_owned(), a));
     assert_eq!(of(10), expected(false), "0.7 is not 0.9");
-    assert_eq!(of(150), expected(true), "what it does not know may be the difference");
+    assert_eq!(of(150), expected(true), "the unknown jobs can explain the difference");
 }
 
-/// A file that is something else must not pass for a good day.
+/// A file without readings must not pass.
 #[test]
 fn what_says_nothing_does_not_pass() {
     let e = serde_json::from_str(r#"{"v":1,"cmd":"hunt","days":[]}"#).expect("an entry");
-    assert_eq!(gate::entry("empty", &e), Err(Nothing("empty: no reading in it".into())));
+    assert_eq!(gate::judge_entry("empty", &e), Err(NoReadings("empty: no reading in it".into())));
 }
--- a/crates/service-levels/tests/inheritance.rs
+++ b/crates/service-levels/tests/inheritance.rs
@@ -1,4 +1,5 @@
-//! Accounts that are handed from leader to leader: nothing counts twice, and what is lost is told.
+//! Tests of totals that are inherited from leader to leader: nothing counts twice, and what is lost is
+//! reported as unknown.
 
 use lupinspur_service_levels::inheritance::{InheritedTotals, Part, newest_complete_round};
 use lupinspur_service_levels::objectives::{CompletionObjective, ServiceLevelObjectives};
@@ -9,7 +10,7 @@
 
 const MARGIN_S: f64 = 1.0;
 
-/// Tasks that run, with their images there from the beginning, and tasks that are done.
+/// Progress of a job whose begun tasks all have their image and run.
 fn tasks(running: u32, done: u32) -> Tasks {
     Tasks { begun: running, running, done }
 }
@@ -37,27 +38,28 @@
     }
 }
 
-/// As the state service keeps it: text, and no more than `limit` bytes a value.
-fn stored(b: &mut ServiceLevelTracker, round: u64, limit: usize, now: f64) -> Vec<Part> {
-    let parts = b.export(round, 7, limit, now);
+/// Exports a round and passes it through JSON, as the state service stores it; checks that no value is
+/// longer than `limit` bytes.
+fn stored(tracker: &mut ServiceLevelTracker, round: u64, limit: usize, now: f64) -> Vec<Part> {
+    let parts = tracker.export(round, 7, limit, now);
     let texts: Vec<String> = parts.iter().map(|p| serde_json::to_string(p).expect("JSON")).collect();
     assert!(texts.iter().all(|t| t.len() <= limit), "{:?}", texts.iter().map(String::len).collect::<Vec<_>>());
     texts.iter().map(|t| serde_json::from_str(t).expect("the same")).collect()
 }
 
 fn successor(c: &InheritedTotals, now: f64) -> ServiceLevelTracker {
-    let mut b = ServiceLevelTracker::new(terms());
-    b.inherit(c, MARGIN_S, now);
-    b
+    let mut tracker = ServiceLevelTracker::new(terms());
+    tracker.inherit(c, MARGIN_S, now);
+    tracker
 }
 
-fn sums(b: &ServiceLevelTracker, class: &str, r: Reading) -> (f64, f64, u64) {
-    let a = &b.indicators[b.find(Subject::Class, class).expect("an account").as_usize()];
+fn sums(tracker: &ServiceLevelTracker, class: &str, r: Reading) -> (f64, f64, u64) {
+    let a = &tracker.indicators[tracker.find(Subject::Class, class).expect("an indicator").as_usize()];
     (a.sums(r).total.asked, a.sums(r).total.served, a.unknown[r as usize])
 }
 
-/// Guards against the gate that cried wolf: each of several leaders counted the same waiting job
-/// as missed once more, and those that had started and lost their machines as well.
+/// Guards against false alarms of the service-level gate after failovers: each new leader counted the
+/// same waiting job as missed again, and also jobs that had started in time and lost their machines.
 #[test]
 fn a_job_that_waits_through_several_leaders_is_missed_once() {
     let mut first = ServiceLevelTracker::new(terms());
@@ -67,36 +69,36 @@
     }
     first.track(&entry("desk", 100.0), 100.0);
     first.advance(103.0);
-    let mut carried = newest_complete_round(stored(&mut first, 1, 4000, 110.0)).expect("a round");
-    assert_eq!((carried.chain, carried.as_of), (7, 110.0));
+    let mut inherited = newest_complete_round(stored(&mut first, 1, 4000, 110.0)).expect("a round");
+    assert_eq!((inherited.chain, inherited.as_of), (7, 110.0));
     for round in 2..5 {
-        let mut next = successor(&carried, 110.0 + round as f64);
-        // The one that waits, and one that had started and lost its machines.
+        let mut next = successor(&inherited, 110.0 + round as f64);
+        // The waiting job, and one that had started in time and lost its machines.
         next.track(&entry("desk", 100.0), 111.0);
         next.track(&entry("desk", 100.0), 111.0);
         next.advance(112.0);
         assert_eq!(sums(&next, "desk", Reading::Started), (11.0, 10.0, 0));
-        carried = newest_complete_round(stored(&mut next, round, 4000, 110.0 + 2.0 * round as f64)).expect("a round");
+        inherited = newest_complete_round(stored(&mut next, round, 4000, 110.0 + 2.0 * round as f64)).expect("a round");
     }
 }
 
-/// What fell due between the last accounts that were stored and their leader's end is unknown,
-/// neither served nor missed; what falls due later is the successor's.
+/// What fell due between the last stored round and the end of its leader is unknown, neither served
+/// nor missed; what falls due later is counted by the next leader.
 #[test]
 fn what_was_lost_between_two_leaders_is_told_as_unknown() {
     let mut first = ServiceLevelTracker::new(terms());
     first.track(&entry("match", 60.0), 60.0);
-    let carried = newest_complete_round(stored(&mut first, 1, 4000, 100.0)).expect("a round");
-    let mut next = successor(&carried, 130.0);
-    // Due at 90: counted. At 100.5: who knows. At 110: it runs, and may have been in time.
+    let inherited = newest_complete_round(stored(&mut first, 1, 4000, 100.0)).expect("a round");
+    let mut next = successor(&inherited, 130.0);
+    // Due at 90: already counted. At 100.5: unknown. At 110: it runs and may have started in time.
     next.track(&entry("match", 60.0), 130.0);
     next.track(&entry("match", 70.5), 130.0);
     next.track(&Entry { may_have_started: true, ..entry("match", 80.0) }, 130.0);
-    // Due at 115, and never on any machine: nobody else can have counted it.
+    // Due at 115, and never on any machine: the previous leader cannot have counted it.
     next.track(&entry("match", 85.0), 130.0);
     next.advance(131.0);
     assert_eq!(sums(&next, "match", Reading::Started), (2.0, 0.0, 2));
-    // Done under the first leader at 99, at its end, and after it.
+    // Done before the last stored round, close to it, and after it.
     for (ended, known) in [(98.0, 0.0), (100.5, 0.0), (120.0, 1.0)] {
         let before = sums(&next, "match", Reading::Done).0;
         next.from_record(&entry("match", 70.0), End::Done, Some(ended), 131.0);
@@ -105,20 +107,20 @@
     assert_eq!(sums(&next, "match", Reading::Done).2, 1);
 }
 
-/// Guards against a round that was begun and never ended: the one before stays whole.
+/// Guards against reading an incomplete round: the previous one is used instead.
 #[test]
 fn half_a_round_is_none() {
-    let mut b = ServiceLevelTracker::new(terms());
+    let mut tracker = ServiceLevelTracker::new(terms());
     for i in 0..60 {
-        b.answered(&format!("a-class-with-a-long-name-{i}"), "red", Reading::Accepted, true, 5.0);
+        tracker.answered(&format!("a-class-with-a-long-name-{i}"), "red", Reading::Accepted, true, 5.0);
     }
-    let whole = stored(&mut b, 1, 1984, 10.0);
-    b.answered("match", "red", Reading::Accepted, false, 11.0);
-    let torn = stored(&mut b, 2, 1984, 20.0);
-    assert!(whole.len() > 2 && torn.len() > 2);
-    let some = whole.iter().cloned().chain(torn.iter().skip(1).cloned());
+    let whole = stored(&mut tracker, 1, 1984, 10.0);
+    tracker.answered("match", "red", Reading::Accepted, false, 11.0);
+    let second = stored(&mut tracker, 2, 1984, 20.0);
+    assert!(whole.len() > 2 && second.len() > 2);
+    let some = whole.iter().cloned().chain(second.iter().skip(1).cloned());
     assert_eq!(newest_complete_round(some).map(|c| c.round), Some(1));
-    let all = newest_complete_round(whole.into_iter().chain(torn)).expect("two rounds");
+    let all = newest_complete_round(whole.into_iter().chain(second)).expect("two rounds");
     assert_eq!((all.round, all.lines.len()), (2, 62));
     assert_eq!(newest_complete_round(Vec::new()), None);
 }
@@ -130,7 +132,7 @@
     End(usize),
     Wait(u32),
     Store,
-    /// The leader ends; the next begins so many seconds later.
+    /// The leader fails; the next one begins this many seconds later.
     Next(u32),
 }
 
@@ -146,24 +148,24 @@
     proptest::collection::vec(one, 1..120)
 }
 
-/// A job as the world knows it.
+/// The real state of a job.
 struct Job {
     class: &'static str,
     from: f64,
     running: u32,
-    /// Some machine's record names it.
+    /// A machine's record names it.
     placed: bool,
-    ticket: Option<lupinspur_service_levels::TrackedJobIndex>,
+    tracked: Option<lupinspur_service_levels::TrackedJobIndex>,
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
-    /// Whenever leaders end and whatever they had stored: no reading counts more jobs than there
-    /// are, nothing is served that was not asked for, and classes and teams agree.
+    /// With any sequence of failovers and stored rounds: no reading counts more jobs than were
+    /// submitted, no more is served than requested, and the sums of classes and teams agree.
     #[test]
     fn through_any_leaders_a_job_counts_at_most_once(steps in steps()) {
-        let mut b = ServiceLevelTracker::new(terms());
+        let mut tracker = ServiceLevelTracker::new(terms());
         let (mut now, mut round, mut began) = (1000.0, 0u64, 0.0);
         let mut disk: Vec<Part> = Vec::new();
         let mut jobs: Vec<Job> = Vec::new();
@@ -173,59 +175,59 @@
             match s {
                 Step::Enter(desk) => {
                     let class = if desk { "desk" } else { "match" };
-                    let ticket = Some(b.track(&entry(class, now), now));
-                    jobs.push(Job { class, from: now, running: 0, placed: false, ticket });
+                    let tracked = Some(tracker.track(&entry(class, now), now));
+                    jobs.push(Job { class, from: now, running: 0, placed: false, tracked });
                     entered[usize::from(desk)] += 1.0;
                 }
                 Step::Runs(j, n) => if let Some(j) = jobs.get_mut(j) {
                     (j.running, j.placed) = (n, j.placed || n > 0);
-                    if let Some(t) = j.ticket { b.on_progress(t, tasks(n, 0), now) }
+                    if let Some(t) = j.tracked { tracker.on_progress(t, tasks(n, 0), now) }
                 },
                 Step::End(j) => if jobs.get(j).is_some_and(|j| j.class == "match") {
                     let j = jobs.remove(j);
-                    if let Some(t) = j.ticket { b.on_ended(t, End::Done, now, now) }
+                    if let Some(t) = j.tracked { tracker.on_ended(t, End::Done, now, now) }
                     ended.push((j.class, j.from, now));
                 },
-                Step::Wait(s) => { now += f64::from(s); b.advance(now); }
+                Step::Wait(s) => { now += f64::from(s); tracker.advance(now); }
                 Step::Store => {
-                    // Any two rounds may stand beside one another.
+                    // The values of up to two rounds are stored at the same time.
                     round += 1;
                     disk.retain(|p| p.round() + 1 >= round);
-                    disk.extend(stored(&mut b, round, 400, now));
+                    disk.extend(stored(&mut tracker, round, 400, now));
                 }
                 Step::Next(s) => {
                     now += f64::from(s);
-                    b = ServiceLevelTracker::new(terms());
+                    tracker = ServiceLevelTracker::new(terms());
                     let Some(c) = newest_complete_round(disk.clone()) else { return Ok(()) };
-                    b.inherit(&c, MARGIN_S, now);
-                    // The records since the checkpoint, more of them than are needed.
+                    tracker.inherit(&c, MARGIN_S, now);
+                    // Records of all ended jobs, also those that the round has counted.
                     for (class, from, at) in &ended {
-                        b.from_record(&entry(class, *from), End::Done, Some(*at), now);
+                        tracker.from_record(&entry(class, *from), End::Done, Some(*at), now);
                     }
                     for j in &mut jobs {
                         let e = Entry { may_have_started: j.placed, seen_from: now, ..entry(j.class, j.from) };
-                        let t = b.track(&e, now);
-                        b.on_progress(t, tasks(j.running, 0), now);
-                        j.ticket = Some(t);
+                        let t = tracker.track(&e, now);
+                        tracker.on_progress(t, tasks(j.running, 0), now);
+                        j.tracked = Some(t);
                     }
                     began = now;
                 }
             }
             prop_assert!(began <= now);
         }
-        b.advance(now + 10_000.0);
+        tracker.advance(now + 10_000.0);
         for (i, class) in ["match", "desk"].into_iter().enumerate() {
-            let Some(a) = b.find(Subject::Class, class) else { continue };
+            let Some(a) = tracker.find(Subject::Class, class) else { continue };
             for r in [Reading::Started, Reading::Done] {
-                let s = b.indicators[a.as_usize()].sums(r).total;
-                // A start in time that was counted, whose machines are gone by the time that the
-                // next leader looks, is no such case here: a job once placed stays so.
+                let s = tracker.indicators[a.as_usize()].sums(r).total;
+                // The case of a job that started in time and has lost its machines when the next
+                // leader begins does not occur here: a job that was placed once stays placed.
                 prop_assert!(s.asked <= entered[i] + 1e-6, "{class} {}: {} of {}", r.name(), s.asked, entered[i]);
                 prop_assert!(s.served <= s.asked + 1e-6);
             }
         }
         for r in [Reading::Started, Reading::Done] {
-            let of = |side| b.indicators.iter().filter(|a| a.side == side).map(|a| a.sums(r).total.asked).sum::<f64>();
+            let of = |side| tracker.indicators.iter().filter(|a| a.side == side).map(|a| a.sums(r).total.asked).sum::<f64>();
             prop_assert!((of(Subject::Class) - of(Subject::Team)).abs() < 1.0);
         }
     }
