--- a/crates/scheduler/src/shard/large_jobs.rs
+++ b/crates/scheduler/src/shard/large_jobs.rs
@@ -176,7 +176,7 @@
                     log::warn!("large job not begun in time job={} class={}", job.id, job.spec.class);
                 }
                 let (class, team) = (job.spec.class.clone(), job.spec.team.clone());
-                self.service_level_tracker.answered(&class, &team, Reading::Largest, served, t);
+                self.service_level_tracker.record_request(&class, &team, Reading::Largest, served, t);
             }
         }
     }
--- a/crates/scheduler/src/shard/service_levels/mod.rs
+++ b/crates/scheduler/src/shard/service_levels/mod.rs
@@ -218,7 +218,7 @@
                 let tasks = job.progress();
                 let ticket = self.service_level_tracker.track(&entry, t);
                 self.service_level_tracker.on_progress(ticket, tasks, t);
-                let accounts = self.service_level_tracker.of(ticket);
+                let accounts = self.service_level_tracker.indicators_of(ticket);
                 let job = &mut self.jobs[job_index];
                 (job.tracked, job.indicators) = (Some(ticket), accounts);
                 (job.serves_until, job.useful_until) = (until, useful);
@@ -226,7 +226,7 @@
             }
         };
         let ended = (job.ended_ms > 0).then_some(job.ended_ms as f64 / 1000.0);
-        self.service_level_tracker.from_record(&entry, end, ended, t);
+        self.service_level_tracker.count_from_record(&entry, end, ended, t);
     }
 
     /// The number of its tasks that run, or are done, has changed.
@@ -318,7 +318,7 @@
             let asked = asked.min(self.guaranteed(TeamIndex::new(i)).0);
             if asked > 0.0 {
                 let team = &self.teams[i];
-                self.service_level_tracker.held(
+                self.service_level_tracker.record_held(
                     Subject::Team,
                     &team.spec.name,
                     asked * since,
@@ -331,7 +331,7 @@
         for l in self.quota_report("").iter().flat_map(|q| &q.levels).filter(|l| !l.team && l.depth > 0) {
             let asked = (l.used_cpus + l.waits_cpus).min(l.guarantee_cpus);
             if asked > 0.0 {
-                self.service_level_tracker.held(Subject::Level, &l.level, asked * since, l.used_cpus * since, t);
+                self.service_level_tracker.record_held(Subject::Level, &l.level, asked * since, l.used_cpus * since, t);
             }
         }
     }
--- a/crates/service-levels/src/tracker/mod.rs
+++ b/crates/service-levels/src/tracker/mod.rs
@@ -120,7 +120,7 @@
     }
 
     /// Returns the indicators of an open job's class and team.
-    pub fn of(&self, t: TrackedJobIndex) -> Option<[IndicatorIndex; 2]> {
+    pub fn indicators_of(&self, t: TrackedJobIndex) -> Option<[IndicatorIndex; 2]> {
         Some(self.tracked.get(t.0 as usize)?.as_ref()?.indicators)
     }
 
@@ -271,7 +271,7 @@
 
     /// Counts a job of which only the stored record is left: its submission and its end. Whether it
     /// started in time is unknown.
-    pub fn from_record(&mut self, e: &Entry, end: End, ended: Option<f64>, now: f64) {
+    pub fn count_from_record(&mut self, e: &Entry, end: End, ended: Option<f64>, now: f64) {
         let indicators = self.of_job(e.class, e.team, now);
         let objectives = self.objectives.get(e.class).cloned().unwrap_or_default();
         let start = objectives.wait_s.map(|w| self.counted_by(e.from.max(e.waits_from) + w));
@@ -295,13 +295,13 @@
 
     /// Records the cpu-seconds that a team or a quota level requested within its guarantee, and those
     /// that it held.
-    pub fn held(&mut self, side: Subject, name: &str, asked: f64, held: f64, now: f64) {
+    pub fn record_held(&mut self, side: Subject, name: &str, asked: f64, held: f64, now: f64) {
         let a = self.indicator(side, name, now);
         self.indicators[a.as_usize()].add(Reading::Held, now, asked, held.min(asked));
     }
 
     /// Records a user's submission or cancellation at this controller, and whether it was served.
-    pub fn answered(&mut self, class: &str, team: &str, r: Reading, served: bool, now: f64) {
+    pub fn record_request(&mut self, class: &str, team: &str, r: Reading, served: bool, now: f64) {
         let indicators = self.of_job(class, team, now);
         self.count(indicators, r, now, served);
     }
--- a/crates/service-levels/tests/gate.rs
+++ b/crates/service-levels/tests/gate.rs
@@ -42,16 +42,22 @@
 fn teams_are_judged_by_the_service_levels() {
     let mut tracker = ServiceLevelTracker::new(HashMap::new());
     for i in 0..20 {
-        tracker.answered("match", if i % 2 == 0 { "red" } else { "blue" }, Reading::Accepted, i % 2 == 0 || i < 6, 5.0);
+        tracker.record_request(
+            "match",
+            if i % 2 == 0 { "red" } else { "blue" },
+            Reading::Accepted,
+            i % 2 == 0 || i < 6,
+            5.0,
+        );
     }
-    tracker.answered("rare", "blue", Reading::Accepted, false, 5.0);
+    tracker.record_request("rare", "blue", Reading::Accepted, false, 5.0);
     let text = serde_json::to_string(&tracker.report(6.0)).expect("JSON");
     let logged: ServiceLevelReport = serde_json::from_str(&text).expect("the same");
     let j = gate::judge_log("log", std::slice::from_ref(&logged)).expect("readings");
     assert_eq!(lines(&j), ["log: team blue accepted: 0.273"], "a class with a single job is not judged");
     // The report of a new chain of leaders is added to the last one of the previous chain.
     let mut next = ServiceLevelTracker::new(HashMap::new());
-    (0..10).for_each(|_| next.answered("match", "blue", Reading::Accepted, true, 9.0));
+    (0..10).for_each(|_| next.record_request("match", "blue", Reading::Accepted, true, 9.0));
     let next = ServiceLevelReport { leader: 7, ..next.report(10.0) };
     let j = gate::judge_log("log", &[logged.clone(), logged, next]).expect("readings");
     assert_eq!((lines(&j), j.lowest.map(|l| l.1 > 0.6)), (vec![], Some(true)), "13 of 21");
--- a/crates/service-levels/tests/inheritance.rs
+++ b/crates/service-levels/tests/inheritance.rs
@@ -101,7 +101,7 @@
     // Done before the last stored round, close to it, and after it.
     for (ended, known) in [(98.0, 0.0), (100.5, 0.0), (120.0, 1.0)] {
         let before = sums(&next, "match", Reading::Done).0;
-        next.from_record(&entry("match", 70.0), End::Done, Some(ended), 131.0);
+        next.count_from_record(&entry("match", 70.0), End::Done, Some(ended), 131.0);
         assert_eq!(sums(&next, "match", Reading::Done).0 - before, known, "{ended}");
     }
     assert_eq!(sums(&next, "match", Reading::Done).2, 1);
@@ -112,10 +112,10 @@
 fn half_a_round_is_none() {
     let mut tracker = ServiceLevelTracker::new(terms());
     for i in 0..60 {
-        tracker.answered(&format!("a-class-with-a-long-name-{i}"), "red", Reading::Accepted, true, 5.0);
+        tracker.record_request(&format!("a-class-with-a-long-name-{i}"), "red", Reading::Accepted, true, 5.0);
     }
     let whole = stored(&mut tracker, 1, 1984, 10.0);
-    tracker.answered("match", "red", Reading::Accepted, false, 11.0);
+    tracker.record_request("match", "red", Reading::Accepted, false, 11.0);
     let second = stored(&mut tracker, 2, 1984, 20.0);
     assert!(whole.len() > 2 && second.len() > 2);
     let some = whole.iter().cloned().chain(second.iter().skip(1).cloned());
@@ -202,7 +202,7 @@
                     tracker.inherit(&c, MARGIN_S, now);
                     // Records of all ended jobs, also those that the round has counted.
                     for (class, from, at) in &ended {
-                        tracker.from_record(&entry(class, *from), End::Done, Some(*at), now);
+                        tracker.count_from_record(&entry(class, *from), End::Done, Some(*at), now);
                     }
                     for j in &mut jobs {
                         let e = Entry { may_have_started: j.placed, seen_from: now, ..entry(j.class, j.from) };
--- a/crates/service-levels/tests/tracker.rs
+++ b/crates/service-levels/tests/tracker.rs
@@ -119,10 +119,10 @@
 #[test]
 fn after_a_failover_only_what_the_records_tell_is_known() {
     let mut tracker = ServiceLevelTracker::new(terms());
-    tracker.from_record(&entry("match", "red", 100.0), End::Done, Some(130.0), 400.0);
-    tracker.from_record(&entry("match", "red", 100.0), End::Done, Some(190.0), 400.0);
-    tracker.from_record(&entry("match", "red", 100.0), End::Done, None, 400.0);
-    tracker.from_record(&entry("match", "red", 100.0), End::Cancelled, Some(130.0), 400.0);
+    tracker.count_from_record(&entry("match", "red", 100.0), End::Done, Some(130.0), 400.0);
+    tracker.count_from_record(&entry("match", "red", 100.0), End::Done, Some(190.0), 400.0);
+    tracker.count_from_record(&entry("match", "red", 100.0), End::Done, None, 400.0);
+    tracker.count_from_record(&entry("match", "red", 100.0), End::Cancelled, Some(130.0), 400.0);
     let open = Entry { may_have_started: true, ..entry("match", "red", 380.0) };
     let t = tracker.track(&open, 400.0);
     tracker.on_progress(t, tasks(4, 0), 401.0);
@@ -143,14 +143,14 @@
 fn an_alert_is_told_once_and_taken_back_once() {
     let mut tracker = ServiceLevelTracker::new(terms());
     for i in 0..10 {
-        tracker.answered("match", "red", Reading::Accepted, i < 4, 100.0);
+        tracker.record_request("match", "red", Reading::Accepted, i < 4, 100.0);
     }
     let alerts: Vec<String> = tracker.alerts(101.0).iter().map(ToString::to_string).collect();
     assert_eq!(alerts.len(), 4, "a class and a team, over a minute and ten minutes: {alerts:?}");
     assert_eq!(alerts[0], "class match is served under a half: accepted 0.40 over a minute");
     assert!(tracker.alerts(102.0).is_empty());
     for _ in 0..10 {
-        tracker.answered("match", "red", Reading::Accepted, true, 103.0);
+        tracker.record_request("match", "red", Reading::Accepted, true, 103.0);
     }
     let back = tracker.alerts(104.0);
     assert!(back.len() == 4 && back.iter().all(|a| !a.under), "{back:?}");
@@ -163,7 +163,7 @@
 fn beyond_so_many_names_the_rest_share_an_account() {
     let mut tracker = ServiceLevelTracker::new(terms());
     for i in 0..1000 {
-        tracker.answered(&format!("c{i}"), &format!("t{i}"), Reading::Accepted, true, 1.0);
+        tracker.record_request(&format!("c{i}"), &format!("t{i}"), Reading::Accepted, true, 1.0);
     }
     assert!(tracker.indicators.len() <= MAX_CLASSES + MAX_TEAMS + 2);
     assert_eq!(share(&tracker, Subject::Class, OTHERS, Reading::Accepted).0, (1000 - MAX_CLASSES) as f64);
@@ -182,7 +182,7 @@
         }
     }
     let t = tracker.track(&entry("match", "few", 100.0), 100.0);
-    let few = tracker.of(t).expect("an open job");
+    let few = tracker.indicators_of(t).expect("an open job");
     tracker.on_ended(t, End::Done, 500.0, 122.0);
     let of = |class: &str| [tracker.find(Subject::Class, class).expect("a class"), few[1]];
     let underserved = Underserved::evaluate(&tracker, &HashMap::new(), 123.0);
--- a/src/node/mod.rs
+++ b/src/node/mod.rs
@@ -266,7 +266,7 @@
     pub fn note_answer(&self, class: &str, team: &str, reading: Reading, served: bool, began_at: f64) {
         let now = clock::now();
         let in_time = reading != Reading::Accepted || now - began_at <= ACCEPTANCE_OBJECTIVE_S;
-        lock(&self.ingress).answered(class, team, reading, served && in_time, now);
+        lock(&self.ingress).record_request(class, team, reading, served && in_time, now);
     }
 
     fn state_answered(&self) {
