--- a/crates/sharding/src/escrow.rs
+++ b/crates/sharding/src/escrow.rs
@@ -1,10 +1,11 @@
-//! A team's limit, parted among the shards.
+//! Quota shares: the division of each team's limit among the shards.
 //!
-//! One stored value holds what of each team's limit each shard may use. Only a shard itself gives:
-//! it lowers its own share and raises another's in one write, conditional on the value and on its
-//! claim, after it has stopped counting on what it gives. So in every stored state the shares sum
-//! to the limit, nobody has to be asked, and what a shard believes of itself is never more than
-//! what is stored: it learns late of what it was given, and never late of what it gave.
+//! One stored value holds the share of each team's limit that each shard may use. Only a shard itself can
+//! give away a part of its share: it first stops using that part, then lowers its own share and raises
+//! another's in a single write, conditional on the version of the value and on its leadership record. So the
+//! shares sum to the limit in every stored state, no shard has to ask another one, and the share that a
+//! shard assumes is never larger than the stored one: it may learn late of what it received, but never of
+//! what it gave.
 
 use crate::{EPSILON, ShardId};
 use serde::{Deserialize, Serialize};
@@ -15,41 +16,43 @@
 pub struct Amount {
     /// Cpus.
     pub cpus: f64,
-    /// Accelerators; the stored name is older.
+    /// Accelerators; the name in stored data is an older one.
     #[serde(rename = "cards")]
     pub accelerators: f64,
 }
 
 impl Amount {
-    /// So many cpus and accelerators.
+    /// Returns an amount of cpus and accelerators.
     pub fn new(cpus: f64, accelerators: f64) -> Amount {
         Amount { cpus, accelerators }
     }
 
-    /// The sum of both.
+    /// Returns the sum of both amounts.
     pub fn plus(self, o: Amount) -> Amount {
         Amount::new(self.cpus + o.cpus, self.accelerators + o.accelerators)
     }
 
-    /// What is left of it, never less than nothing.
+    /// Returns the difference, at least zero in each resource.
     pub fn minus(self, o: Amount) -> Amount {
         Amount::new((self.cpus - o.cpus).max(0.0), (self.accelerators - o.accelerators).max(0.0))
     }
 
-    /// Is it no more than the other, up to rounding?
+    /// Returns whether it is at most the other amount in each resource, up to rounding.
     pub fn fits(self, o: Amount) -> bool {
         self.cpus <= o.cpus + EPSILON && self.accelerators <= o.accelerators + EPSILON
     }
 
-    fn least(self, o: Amount) -> Amount {
+    /// Returns the minimum in each resource.
+    fn min(self, o: Amount) -> Amount {
         Amount::new(self.cpus.min(o.cpus), self.accelerators.min(o.accelerators))
     }
 
-    fn most(self, other: Amount) -> Amount {
+    /// Returns the maximum in each resource.
+    fn max(self, other: Amount) -> Amount {
         Amount::new(self.cpus.max(other.cpus), self.accelerators.max(other.accelerators))
     }
 
-    /// The part of it that belongs to `part` of `whole`.
+    /// Returns the fraction `part / whole` of this amount in each resource.
     fn in_proportion(self, part: Amount, whole: Amount) -> Amount {
         let of = |all: f64, part: f64, whole: f64| if whole > EPSILON { all * part / whole } else { 0.0 };
         Amount::new(of(self.cpus, part.cpus, whole.cpus), of(self.accelerators, part.accelerators, whole.accelerators))
@@ -60,14 +63,14 @@
     }
 }
 
-/// The shares of every limited team, by shard.
+/// The quota shares of all teams with a limit.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct Ledger {
     /// The shares of each team, by shard.
     pub teams: BTreeMap<String, Vec<Amount>>,
 }
 
-/// One shard gives another a part of its share of a team's limit.
+/// A transfer of a part of one shard's share of a team's limit to another shard.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QuotaTransfer {
     /// The team's name.
@@ -80,18 +83,17 @@
     pub amount: Amount,
 }
 
-/// What a shard uses of a team's limit, what it may yet use without a further word, and what it
-/// wants altogether.
+/// A shard's use of a team's limit.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct QuotaUse {
-    /// What its tasks hold.
+    /// Amount that the team's tasks hold in this shard.
     pub held: Amount,
-    /// What its open jobs want altogether.
+    /// Amount that the team's open jobs in this shard want in total.
     pub wanted: Amount,
 }
 
 impl Ledger {
-    /// All of every limit is `shard`'s. Teams without a limit do not stand in the ledger.
+    /// Returns a ledger that gives all of every limit to `shard`. Teams without a limit have no entry.
     pub fn new(limits: &[(String, Amount)], shards: u32, shard: ShardId) -> Ledger {
         let shares = |limit: Amount| {
             let mut all = vec![Amount::default(); shards as usize];
@@ -103,12 +105,12 @@
         Ledger { teams: limits.iter().map(|(t, l)| (t.clone(), shares(*l))).collect() }
     }
 
-    /// This shard's part of a team's limit; none where the team has no limit.
+    /// Returns a shard's share of a team's limit; `None` if the team has no limit.
     pub fn share(&self, team: &str, shard: ShardId) -> Option<Amount> {
         Some(self.teams.get(team)?.get(shard.as_usize()).copied().unwrap_or_default())
     }
 
-    /// Do the shares of each team sum to no more than its limit?
+    /// Returns whether the shares of each team sum to at most its limit.
     pub fn within(&self, limits: &[(String, Amount)]) -> bool {
         limits.iter().all(|(t, l)| {
             let sum = self.teams.get(t).into_iter().flatten().fold(Amount::default(), |s, a| s.plus(*a));
@@ -116,35 +118,35 @@
         })
     }
 
-    /// The ledger after these gifts; none where somebody would give what is not theirs.
+    /// Returns the ledger after these transfers; `None` if a shard would give more than its share.
     pub fn apply(&self, transfers: &[QuotaTransfer]) -> Option<Ledger> {
         let mut next = self.clone();
-        for g in transfers {
-            let shares = next.teams.get_mut(&g.team)?;
-            let own = shares.get(g.from.as_usize()).copied().unwrap_or_default();
-            if g.from == g.to || !g.amount.fits(own) {
+        for transfer in transfers {
+            let shares = next.teams.get_mut(&transfer.team)?;
+            let own = shares.get(transfer.from.as_usize()).copied().unwrap_or_default();
+            if transfer.from == transfer.to || !transfer.amount.fits(own) {
                 return None;
             }
-            let most = g.from.as_usize().max(g.to.as_usize());
-            if shares.len() <= most {
-                shares.resize(most + 1, Amount::default());
+            let last_index = transfer.from.as_usize().max(transfer.to.as_usize());
+            if shares.len() <= last_index {
+                shares.resize(last_index + 1, Amount::default());
             }
-            shares[g.from.as_usize()] = own.minus(g.amount);
-            shares[g.to.as_usize()] = shares[g.to.as_usize()].plus(g.amount);
+            shares[transfer.from.as_usize()] = own.minus(transfer.amount);
+            shares[transfer.to.as_usize()] = shares[transfer.to.as_usize()].plus(transfer.amount);
         }
         Some(next)
     }
 }
 
-/// The part of a limit that a shard keeps beyond what it uses and wants, so that not every new task
+/// The fraction of a limit that a shard keeps beyond what it uses and wants, so that not every new task
 /// needs a transfer.
 const RESERVE_SHARE: f64 = 0.05;
 
-/// What `own_shard` gives of one team's limit.
+/// Returns the transfers by which `own_shard` gives away parts of its share of one team's limit.
 ///
 /// What it neither uses nor wants goes to the shards that want more than they have, in proportion to
-/// their shortage; the rest goes to the team's home. `uses` holds, by shard, the last report of each
-/// shard that reported lately; a shard without one gets nothing.
+/// their shortage; the rest goes to the team's home shard. `uses` holds, by shard, the use in its last fresh load
+/// snapshot; a shard without one gets nothing.
 pub fn quota_transfers(
     own_shard: ShardId,
     team: &str,
@@ -157,13 +159,13 @@
     let Some(own_use) = uses.get(own_shard.as_usize()).copied().flatten() else { return Vec::new() };
     let limit = shares.iter().fold(Amount::default(), |sum, share| sum.plus(*share));
     let reserve = Amount::new(limit.cpus * RESERVE_SHARE, limit.accelerators * RESERVE_SHARE);
-    let needed = own_use.held.most(own_use.wanted);
+    let needed = own_use.held.max(own_use.wanted);
     let shortages = shortages(own_shard, uses, share_of);
     let total_shortage = shortages.iter().fold(Amount::default(), |sum, shortage| sum.plus(shortage.1));
     let spare = share_of(own_shard).minus(needed);
     // While another shard is short, the reserve is given as well, except at home.
     let offered = if shortages.is_empty() || own_shard == home { spare.minus(reserve) } else { spare };
-    let given = offered.least(total_shortage);
+    let given = offered.min(total_shortage);
     let transfer = |to: ShardId, amount: Amount| QuotaTransfer { team: team.to_owned(), from: own_shard, to, amount };
     let mut transfers: Vec<QuotaTransfer> = shortages
         .iter()
@@ -178,7 +180,7 @@
     transfers
 }
 
-/// What each other shard wants beyond its share, of those that want more.
+/// Returns, for each other shard that wants more than its share, how much it lacks.
 fn shortages(
     own_shard: ShardId,
     uses: &[Option<QuotaUse>],
--- a/crates/sharding/src/lib.rs
+++ b/crates/sharding/src/lib.rs
@@ -1,17 +1,17 @@
-//! Decisions between shards. A shard is a set of machines and teams with one fenced leader and a share
-//! of every limit; a deployment has one or several. Settings and flags call a shard a cell.
+//! Decisions that concern several shards. A shard is a set of machines and teams with one fenced leader and
+//! a share of every limit; a deployment has one or several. Settings and flags call a shard a cell.
 //!
-//! Everything here decides and nothing waits: no sockets, no files, no clock.
+//! The crate only computes decisions: it uses no sockets, files or clock.
 //!
-//! - [`plan`]: the operators' file, and which shard is a team's home
-//! - [`activation`]: which controllers know the plan, when it becomes active, who campaigns for which shard
-//! - [`escrow`]: a team's limit, divided among the shards
-//! - [`load_snapshot`]: what each shard publishes about its load
+//! - [`plan`]: the operators' file, and the home shard of each team
+//! - [`activation`]: when a plan becomes active, and which controller campaigns for which shard
+//! - [`escrow`]: quota shares: each team's limit, divided among the shards
+//! - [`load_snapshot`]: the load that each shard publishes
 //! - [`spill`]: which waiting jobs move to which shard
-//! - [`rebalance`]: which machines and team homes change shards
-//! - [`machine_transfer`]: how a machine moves from one shard to another
+//! - [`rebalance`]: which machines and team homes move to other shards
+//! - [`machine_transfer`]: the protocol that moves a machine from one shard to another
 
-// What is decided must not follow the order of a hash.
+// Decisions must not depend on the iteration order of a hash map.
 #![warn(clippy::iter_over_hash_type, missing_docs)]
 
 pub mod activation;
@@ -27,17 +27,17 @@
 
 use serde::{Deserialize, Serialize};
 
-/// A shard's number, from 0. Shard 0 is the one that there always is.
+/// A shard's number, from 0. Shard 0 always exists.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ShardId(pub u32);
 
 impl ShardId {
-    /// Its position among all shards.
+    /// Returns the number as an index.
     pub fn as_usize(self) -> usize {
         self.0 as usize
     }
 }
 
-/// Room for what is rounded.
+/// Tolerance for rounding errors in comparisons.
 pub(crate) const EPSILON: f64 = 1e-6;
--- a/crates/sharding/src/load_snapshot.rs
+++ b/crates/sharding/src/load_snapshot.rs
@@ -1,13 +1,13 @@
-//! What each shard tells the others now and then, by a stored value.
+//! The load that each shard publishes periodically to the others in a stored value.
 
 use crate::ShardId;
 use crate::escrow::QuotaUse;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The most cpus that one machine of a shard has free while nothing that waits in this shard may take them: the
-/// waiting work is for another kind of machine, or is too large, or has to leave room to services. Work of
-/// another shard may fit.
+/// The greatest number of cpus that are free on one machine while no waiting work of this shard can use them:
+/// the work needs another kind of machine, is too large, or has to leave capacity for services. Work of another
+/// shard may fit.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub struct UnusableCapacity {
     /// For work that may not use spot machines.
@@ -17,66 +17,66 @@
 }
 
 impl UnusableCapacity {
-    /// What a task finds that may use spot machines, or may not.
+    /// Returns the free cpus for a task that may use spot machines (`spot`) or may not.
     pub fn for_task(&self, spot: bool) -> f64 {
         if spot { self.any_kind } else { self.on_demand }
     }
 }
 
-/// One shard, seen by its leader. Amounts in cpus, times in seconds.
+/// The load of one shard as its leader knows it.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct LoadSnapshot {
     /// The shard that it describes.
     #[serde(rename = "cell")]
     pub shard: ShardId,
-    /// The claim of whoever tells it.
+    /// The fencing token of the leader that published it.
     pub token: u64,
-    /// The time of day by its clock, in milliseconds.
+    /// Time of the snapshot by the leader's clock, in milliseconds of the day.
     pub at_ms: u64,
-    /// Idle on machines that take work.
+    /// Free cpus on machines that accept work.
     #[serde(rename = "room")]
     pub free_cpus: f64,
-    /// On machines that stand empty and are not needed here, so that another shard may have them.
+    /// Cpus of machines that are empty and not needed here, so that they may move to another shard.
     #[serde(rename = "idle", default)]
     pub idle_cpus: f64,
-    /// Free beside work that waits and cannot use it.
+    /// Free capacity that no waiting work of this shard can use.
     #[serde(rename = "unusable", default)]
     pub unusable_capacity: UnusableCapacity,
-    /// Wanted by what waits.
+    /// Cpus that the waiting work requests.
     #[serde(rename = "waits")]
     pub waiting_cpus: f64,
-    /// Held by what runs.
+    /// Cpus that running tasks hold.
     #[serde(rename = "held")]
     pub assigned_cpus: f64,
-    /// Of machines that boot.
+    /// Cpus of machines that boot.
     #[serde(rename = "boots")]
     pub booting_cpus: f64,
-    /// The longest that a job has waited without a start.
+    /// Longest time that a job has waited for its start, in seconds.
     #[serde(rename = "longest_s")]
     pub longest_wait_s: f64,
-    /// Of each limited team.
+    /// The quota use of each team with a limit.
     pub teams: BTreeMap<String, QuotaUse>,
 }
 
-/// A picture older than this says nothing any more.
+/// Number of publication intervals after which a snapshot is stale.
 pub const STALE_AFTER: f64 = 4.0;
 
 impl LoadSnapshot {
-    /// Is it of now? `picture_s`: how often it is told; `bound_s`: by how much two clocks may differ.
+    /// Returns whether the snapshot is fresh enough to use. `picture_s` is the publication interval, `bound_s` the
+    /// greatest difference between two clocks.
     pub fn is_fresh(&self, now_ms: u64, picture_s: f64, bound_s: f64) -> bool {
         let age_s = now_ms.abs_diff(self.at_ms) as f64 / 1000.0;
         age_s <= picture_s * STALE_AFTER + bound_s
     }
 
-    /// Seconds until something of so many cpus is likely to start here: at once where there is
-    /// room, with what boots, or when as much as waits before it has been through.
+    /// Estimates the seconds until work of `cpus` cpus can start in this shard: at once in free capacity, after a
+    /// boot on booting machines, or after the waiting work.
     pub fn expected_start_s(&self, cpus: f64, boot_s: f64) -> f64 {
         let free = self.free_cpus - self.waiting_cpus;
         match () {
             () if free >= cpus => 0.0,
             () if free + self.booting_cpus >= cpus => boot_s,
-            // What runs makes room at the rate at which it is begun; nobody knows that better than
-            // by how long the others have waited.
+            // The longest wait so far is the best available estimate of the time until running work frees capacity.
             () => self.longest_wait_s.max(boot_s) + boot_s,
         }
     }
--- a/crates/sharding/src/machine_transfer.rs
+++ b/crates/sharding/src/machine_transfer.rs
@@ -1,27 +1,28 @@
-//! A machine goes from one shard to another, empty, by one stored value for each pair of shards.
+//! The protocol that moves empty machines from one shard to another, by one stored value for each pair of
+//! shards.
 //!
-//! 1. The giver stores the [`MachineTransfer`] under its claim, where none stands. From that write on the
-//!    machines are the taker's, whatever the giver's own records still say; the giver has told them
-//!    nothing that may yet come.
-//! 2. The taker takes them in as soon as it sees the value, and records them. The giver's records
-//!    stop naming them; when that is stored the giver says so in the value ([`MachineTransfer::released_by_sender`]).
-//! 3. When both hold the taker empties the value. It is never deleted: of a key that is absent again a
-//!    write that comes minutes late would think that it is the first.
+//! 1. The sender stores the [`MachineTransfer`], if none is in progress. From that write on the machines belong
+//!    to the receiver, whatever the sender's own records still say. Before, the sender has made sure that none
+//!    of its commands to them can still arrive.
+//! 2. The receiver adds the machines as soon as it sees the value, and records them. The sender removes them
+//!    from its records; once that is stored, it sets [`MachineTransfer::released_by_sender`] in the value.
+//! 3. When both are done, the receiver empties the value. It never deletes the key: a first write that is
+//!    delayed by minutes would find the key absent again and be accepted.
 //!
-//! Each step is one write, conditional on the claim of whoever makes it and on the value's version,
-//! so that it may be repeated, and one that comes late finds something changed. Whoever owns either
-//! shard next goes on from what is stored. In every stored state a shard's own are the machines that its
-//! records name, without those on their way from it, and with those on their way to it.
+//! Each step is one write, conditional on the writer's leadership record and on the value's version. It can
+//! therefore be repeated, and a late one is rejected. A new leader of either shard continues from the stored
+//! value. In every stored state the machines of a shard are those in its records, without those in transfer
+//! from it, and with those in transfer to it.
 
 use crate::{EPSILON, ShardId};
 use serde::{Deserialize, Serialize};
 
-/// What a machine is, for whoever has never met it.
+/// The description of a machine for a shard that does not know it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TransferredMachine {
     /// The machine's name.
     pub machine: String,
-    /// The address of its worker; empty where it is not known.
+    /// The address of its worker; empty if unknown.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub addr: String,
     /// The machine type's name.
@@ -33,54 +34,54 @@
     pub spot: bool,
 }
 
-/// Machines on their way from one shard to another.
+/// Machines in transfer from one shard to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineTransfer {
-    /// The shard that gives them.
+    /// The shard that sends them.
     pub from: ShardId,
     /// The shard that receives them.
     pub to: ShardId,
-    /// None: the one before is over, and another may begin.
+    /// The machines; empty if the last transfer is complete and another one may begin.
     pub machines: Vec<TransferredMachine>,
-    /// The giver's own records name none of them any more.
+    /// Whether the sender's stored records no longer contain any of the machines.
     #[serde(rename = "left", default)]
     pub released_by_sender: bool,
 }
 
-/// Bytes of a value that one machine takes, at the most.
+/// Maximum number of bytes that one machine takes in a stored value.
 pub const MAX_BYTES_PER_MACHINE: usize = 200;
-/// Where a value stands: one for each pair, so that nobody else writes it.
+/// Prefix of the keys of the stored values. There is one key for each ordered pair of shards.
 pub const PREFIX: &str = "cells/hand/";
 
-/// The key of the value for this pair of shards.
+/// Returns the key for this pair of shards.
 pub fn key(from: ShardId, to: ShardId) -> String {
     format!("{PREFIX}{}/{}", from.0, to.0)
 }
 
 impl MachineTransfer {
-    /// Is the last transfer over, so that another may begin?
+    /// Returns whether the last transfer is complete, so that another one may begin.
     pub fn is_complete(&self) -> bool {
         self.machines.is_empty()
     }
 }
 
-/// The value that the giver stores next, if it is its turn. `named`: whether its stored records may
-/// still name this machine.
+/// Returns the value that the sender stores next, if it is the sender's turn. `named` returns whether its
+/// stored records may still contain a machine.
 pub fn next_by_sender(h: &MachineTransfer, named: impl Fn(&str) -> bool) -> Option<MachineTransfer> {
     let due = !h.is_complete() && !h.released_by_sender && !h.machines.iter().any(|m| named(&m.machine));
     due.then(|| MachineTransfer { released_by_sender: true, ..h.clone() })
 }
 
-/// The value that the taker stores next, if it is its turn. `settled`: whether this machine stands in
-/// its own stored records, or is gone.
+/// Returns the value that the receiver stores next, if it is the receiver's turn. `settled` returns whether a
+/// machine is in its stored records, or no longer exists.
 pub fn next_by_receiver(h: &MachineTransfer, settled: impl Fn(&str) -> bool) -> Option<MachineTransfer> {
     let due = !h.is_complete() && h.released_by_sender && h.machines.iter().all(|m| settled(&m.machine));
     due.then(|| MachineTransfer { machines: Vec::new(), released_by_sender: false, ..h.clone() })
 }
 
-/// What a shard gives of its machines, by the leader's word: the first shard for which it has such an
-/// order, that nothing is on its way to, and whose machines would obey it. A machine obeys the
-/// highest token that it has seen: it can only go to a shard with a higher one.
+/// Returns the shard to which `own_shard` should send machines next, and their cpus: the first of the ordered
+/// moves whose receiver has no transfer from here in progress and has a higher fencing token. Machines obey
+/// the highest token that they have seen, so they can only move to a shard with a higher one.
 pub fn next_receiver<'a>(
     own_shard: ShardId,
     token: u64,
--- a/crates/sharding/src/plan.rs
+++ b/crates/sharding/src/plan.rs
@@ -1,4 +1,4 @@
-//! The operators' file, and which cell is a team's home.
+//! The operators' sharding file, and the home shard of each team.
 
 use crate::ShardId;
 use garde::Validate;
@@ -9,7 +9,7 @@
 use std::hash::Hasher;
 use twox_hash::XxHash64;
 
-/// Shards of a deployment, at the most.
+/// Maximum number of shards of a deployment.
 pub const MAX_SHARDS: u32 = 32;
 
 /// How a deployment is parted into cells.
@@ -67,7 +67,7 @@
 }
 
 impl ShardingPlan {
-    /// A plan of so many cells, the rest as it is left out of a file.
+    /// Returns a plan of `cells` shards with the default of every other setting.
     pub fn of(cells: u32) -> ShardingPlan {
         ShardingPlan {
             cells,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Reads a plan from TOML, or tells all that is wrong with it. `teams`: those of the settings.
+    /// Reads a plan from TOML, or returns all its faults. `teams` are the teams of the platform's settings.
     pub fn parse(text: &str, teams: &[String]) -> Result<ShardingPlan, Vec<Fault>> {
         let plan: ShardingPlan = lupinspur_files::read(text).map_err(|f| vec![f])?;
         let mut faults = out_of_bounds(&plan, &[("teams[", "team[")]);
@@ -87,37 +87,45 @@
         for (i, h) in plan.teams.iter().enumerate() {
             let mut fault = |field: &str, what: String| faults.push(Fault { path: format!("team[{i}].{field}"), what });
             if h.cell >= plan.cells {
-                fault("cell", format!("there is no cell {}, they are numbered from 0", h.cell));
+                fault(
+                    "cell",
+                    format!(
+                        "there is no cell {}; the cells are numbered from 0 to {}",
+                        h.cell,
+                        plan.cells.saturating_sub(1)
+                    ),
+                );
             }
             if !seen.insert(&h.name) {
-                fault("name", format!("{:?} is named twice", h.name));
+                fault("name", format!("{:?} is listed twice; a team has one home", h.name));
             }
             if !teams.contains(&h.name) {
-                fault("name", format!("the settings have no team {:?}", h.name));
+                fault("name", format!("there is no team {:?} in the settings", h.name));
             }
         }
         faults.sort();
         if faults.is_empty() { Ok(plan) } else { Err(faults) }
     }
 
-    /// The home of a team: as it is named, or by the highest of the cells' draws for its name, so
-    /// that one cell more or less moves no more teams than it has to.
+    /// Returns the home shard of a team: the one in the file, or else by rendezvous hashing of its name, so that
+    /// adding or removing a shard moves as few teams as possible.
     pub fn home(&self, team: &str) -> ShardId {
         if let Some(h) = self.teams.iter().find(|h| h.name == team) {
             return ShardId(h.cell);
         }
-        ShardId((0..self.cells).max_by_key(|c| draw(team, *c)).unwrap_or(0))
+        ShardId((0..self.cells).max_by_key(|c| hash_weight(team, *c)).unwrap_or(0))
     }
 
-    /// The cell of a machine that nobody knows.
+    /// Returns the shard for a machine that no shard knows, by rendezvous hashing of its name.
     pub fn shard_of_unknown(&self, machine: &str) -> ShardId {
-        ShardId((0..self.cells).max_by_key(|c| draw(machine, *c)).unwrap_or(0))
+        ShardId((0..self.cells).max_by_key(|c| hash_weight(machine, *c)).unwrap_or(0))
     }
 }
 
-/// The same for every controller and version: it decides who owns what.
-pub(crate) fn draw(name: &str, number: u32) -> u64 {
-    let mut h = XxHash64::with_seed(u64::from(number));
-    h.write(name.as_bytes());
-    h.finish()
+/// Returns the weight of a shard for a name. The result must be the same in every controller and version,
+/// since it decides which shard owns a team or machine.
+pub(crate) fn hash_weight(name: &str, number: u32) -> u64 {
+    let mut hasher = XxHash64::with_seed(u64::from(number));
+    hasher.write(name.as_bytes());
+    hasher.finish()
 }
--- a/crates/sharding/src/rebalance.rs
+++ b/crates/sharding/src/rebalance.rs
@@ -1,82 +1,84 @@
-//! What the leader moves: idle machines to shards that are short, and a team's home to a shard that
-//! has room for it. The leader is the leader of shard 0. It is never needed for a start: its word is
-//! stored, and while it says nothing every shard goes on by itself.
+//! Rebalancing between shards: idle machines move to shards that lack capacity, and a team's home moves to a
+//! shard that has free capacity for it. The leader of shard 0 decides and stores its orders. No start of a task
+//! depends on it: without orders every shard continues by itself.
 
 use crate::load_snapshot::LoadSnapshot;
 use crate::{EPSILON, ShardId, ShardingPlan};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Machines that one shard does not need go to another, up to so many cpus.
+/// An order that one shard sends machines that it does not need to another one.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MachineMove {
     /// The shard that gives machines.
     pub from: ShardId,
     /// The shard that receives them.
     pub to: ShardId,
-    /// Cpus of the machines that move.
+    /// Maximum number of cpus of the machines that move.
     pub cpus: f64,
 }
 
-/// The leader's word, as it is stored.
+/// The stored orders of the leader of shard 0.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct RebalancePlan {
-    /// The time of day by the leader's clock, in milliseconds.
+    /// Time of the orders by the leader's clock, in milliseconds of the day.
     pub at_ms: u64,
-    /// Obeyed while they are fresh.
+    /// Moves of machines; shards follow them only while they are fresh.
     #[serde(default)]
     pub moves: Vec<MachineMove>,
-    /// Homes other than the plan's, by team. They hold until the leader says otherwise.
+    /// Home shards that differ from the plan, by team. They apply until the leader changes them.
     #[serde(default)]
     pub homes: BTreeMap<String, ShardId>,
 }
 
-/// So many looks long orders are obeyed.
-const FRESH_ROUNDS: f64 = 5.0;
-/// A team's home moves only after its shard has been short for so many times as long as it takes
-/// for machines to move.
-const HOME_AFTER: f64 = 4.0;
-/// And then rests for so many times as long.
-const HOME_RESTS: f64 = 20.0;
-/// Machines obey the highest token that they have seen. A shard with an older claim than those whose
-/// machines it is to get takes its claim anew, which costs it a failover: only after it has been short for
-/// so many times as long, only for as much as this part of what it holds, and then it rests as well.
+/// Number of snapshot intervals for which orders are fresh.
+const FRESH_INTERVALS: f64 = 5.0;
+/// A team's home moves only after its shard has lacked capacity for this multiple of `reassign_after_s`.
+const MOVE_HOME_AFTER: f64 = 4.0;
+/// After that, it does not move again for this multiple of `reassign_after_s`.
+const HOME_REST: f64 = 20.0;
+/// Machines obey the highest fencing token that they have seen. A shard whose token is lower than that of the
+/// sending shard has to reacquire its leadership first, which costs it a failover. This is ordered only after
+/// the shard has lacked capacity for this multiple of `reassign_after_s`, and then not again for a while.
 const REACQUIRE_AFTER: f64 = 3.0;
+/// It is ordered only for moves of at least this fraction of the cpus that the shard's tasks hold.
 const REACQUIRE_MIN_SHARE: f64 = 0.1;
-/// Of the room that a shard tells, the part that a team whose home moves there may want.
+/// The fraction of a shard's published free capacity that may be planned for a team whose home moves there.
 const USABLE_SHARE: f64 = 0.5;
 
 impl RebalancePlan {
-    /// Are the moves of now? `bound_s`: by how much two clocks may differ.
+    /// Returns whether the moves are fresh. `bound_s` is the greatest difference between two clocks.
     pub fn is_fresh(&self, plan: &ShardingPlan, now_ms: u64, bound_s: f64) -> bool {
-        now_ms.abs_diff(self.at_ms) as f64 / 1000.0 <= plan.picture_s * FRESH_ROUNDS + bound_s
+        now_ms.abs_diff(self.at_ms) as f64 / 1000.0 <= plan.picture_s * FRESH_INTERVALS + bound_s
     }
 
-    /// A team's home: as the leader has it, or else as the plan does.
+    /// Returns a team's home shard: by these orders, or else by the plan.
     pub fn home(&self, plan: &ShardingPlan, team: &str) -> ShardId {
         self.homes.get(team).copied().filter(|c| c.0 < plan.cells).unwrap_or_else(|| plan.home(team))
     }
 
-    /// Do they have to be stored, after those that are?
+    /// Returns whether these orders have to be stored, because they differ from the stored ones or these expire soon.
     pub fn must_be_stored(&self, stored: &RebalancePlan, plan: &ShardingPlan) -> bool {
-        let old = self.at_ms.saturating_sub(stored.at_ms) as f64 / 1000.0 >= plan.picture_s * FRESH_ROUNDS / 2.0;
-        self.homes != stored.homes || self.moves != stored.moves || !self.moves.is_empty() && old
+        let expires_soon =
+            self.at_ms.saturating_sub(stored.at_ms) as f64 / 1000.0 >= plan.picture_s * FRESH_INTERVALS / 2.0;
+        self.homes != stored.homes || self.moves != stored.moves || !self.moves.is_empty() && expires_soon
     }
 }
 
-/// What a leader remembers between two looks. A new one begins with nothing, and so moves nothing
-/// before it has seen for itself that a shard stays short.
+/// The state of the leader of shard 0 between two rounds. A new leader begins without any, and so moves nothing
+/// before it has itself observed that a shard lacks capacity for long enough.
 #[derive(Debug, Default)]
 pub struct Rebalancer {
-    /// Since when each shard has been short, in milliseconds of the day.
+    /// Since when each shard has lacked capacity, in milliseconds of the day.
     short_since: BTreeMap<ShardId, u64>,
-    /// When a team's home was last moved.
-    moved: BTreeMap<String, u64>,
-    /// When a shard was last given an order for which it has to take its claim anew.
+    /// Time of the last move of each team's home, in milliseconds of the day.
+    home_moved_at: BTreeMap<String, u64>,
+    /// Time of the last order for which a shard has to reacquire its leadership, in milliseconds of the day.
     reacquired_at: BTreeMap<ShardId, u64>,
 }
 
-/// Has this shard to take its claim anew before the machines that are ordered to it would obey?
+/// Returns whether this shard has to reacquire its leadership, since machines that are ordered to it would not
+/// obey its present fencing token.
 pub fn must_reacquire(
     own_shard: ShardId,
     token: u64,
@@ -86,13 +88,13 @@
     moves.iter().any(|m| m.to == own_shard && m.from != own_shard && token_of(m.from).is_some_and(|t| t > token))
 }
 
-/// What waits in a shard beyond its room and what boots for it, in cpus.
+/// Returns the cpus that waiting work requests beyond the free and the booting capacity.
 fn shortage(p: &LoadSnapshot) -> f64 {
     (p.waiting_cpus - p.free_cpus - p.booting_cpus).max(0.0)
 }
 
 impl Rebalancer {
-    /// One look at fresh pictures. `stored`: the word that stands.
+    /// Computes the orders of one round from fresh load snapshots. `stored` are the present orders.
     pub fn plan_round(
         &mut self,
         plan: &ShardingPlan,
@@ -102,7 +104,7 @@
     ) -> RebalancePlan {
         let after_ms = (plan.reassign_after_s * 1000.0) as u64;
         let short: BTreeSet<ShardId> = snapshots.iter().filter(|p| shortage(p) > EPSILON).map(|p| p.shard).collect();
-        // A shard of which nothing is known is not known to be short.
+        // A shard without a fresh snapshot counts as not short of capacity.
         self.short_since.retain(|c, _| short.contains(c));
         for c in &short {
             self.short_since.entry(*c).or_insert(now_ms);
@@ -112,32 +114,34 @@
             let since = short_since.get(&c);
             since.is_some_and(|s| now_ms.saturating_sub(*s) as f64 >= after_ms as f64 * times)
         };
-        let mut idle: Vec<(&LoadSnapshot, f64)> =
+        let mut idle_shards: Vec<(&LoadSnapshot, f64)> =
             snapshots.iter().filter(|p| !short.contains(&p.shard)).map(|p| (p, p.idle_cpus)).collect();
-        let mut needy: Vec<(&LoadSnapshot, f64)> =
+        let mut short_shards: Vec<(&LoadSnapshot, f64)> =
             snapshots.iter().filter(|p| lasting(p.shard, 1.0)).map(|p| (p, shortage(p))).collect();
-        needy.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.shard.cmp(&b.0.shard)));
+        short_shards.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.shard.cmp(&b.0.shard)));
         let mut moves = Vec::new();
-        for (to, mut lack) in needy {
-            idle.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.shard.cmp(&b.0.shard)));
-            let may_raise = lasting(to.shard, REACQUIRE_AFTER) && self.may_reacquire(plan, to.shard, now_ms);
-            for (from, left) in idle.iter_mut() {
-                let cpus = left.min(lack);
-                let obeyed = from.token < to.token;
-                if cpus > EPSILON && (obeyed || may_raise && cpus >= to.assigned_cpus * REACQUIRE_MIN_SHARE) {
-                    if !obeyed {
+        for (to, mut missing_cpus) in short_shards {
+            idle_shards.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.shard.cmp(&b.0.shard)));
+            let may_reacquire = lasting(to.shard, REACQUIRE_AFTER) && self.may_reacquire(plan, to.shard, now_ms);
+            for (from, left) in idle_shards.iter_mut() {
+                let cpus = left.min(missing_cpus);
+                let has_higher_token = from.token < to.token;
+                if cpus > EPSILON
+                    && (has_higher_token || may_reacquire && cpus >= to.assigned_cpus * REACQUIRE_MIN_SHARE)
+                {
+                    if !has_higher_token {
                         self.reacquired_at.entry(to.shard).or_insert(now_ms);
                     }
                     *left -= cpus;
-                    lack -= cpus;
+                    missing_cpus -= cpus;
                     moves.push(MachineMove { from: from.shard, to: to.shard, cpus });
                 }
             }
         }
         moves.sort_by_key(|m| (m.from, m.to));
         let mut homes = stored.homes.clone();
-        if let Some((team, to)) = self.home_to_move(plan, snapshots, stored, now_ms, |c| lasting(c, HOME_AFTER)) {
-            self.moved.insert(team.clone(), now_ms);
+        if let Some((team, to)) = self.home_to_move(plan, snapshots, stored, now_ms, |c| lasting(c, MOVE_HOME_AFTER)) {
+            self.home_moved_at.insert(team.clone(), now_ms);
             if plan.home(&team) == to {
                 homes.remove(&team);
             } else {
@@ -147,18 +151,19 @@
         RebalancePlan { at_ms: now_ms, moves, homes }
     }
 
-    /// For a few looks, so that the shard hears of it; then not for long.
+    /// Returns whether a shard may be ordered to reacquire its leadership: for a few rounds, so that it receives the
+    /// order, and then not again for a long time.
     fn may_reacquire(&mut self, plan: &ShardingPlan, shard: ShardId, now_ms: u64) -> bool {
         let Some(at) = self.reacquired_at.get(&shard) else { return true };
         let since_s = now_ms.saturating_sub(*at) as f64 / 1000.0;
-        if since_s > plan.reassign_after_s * HOME_RESTS {
+        if since_s > plan.reassign_after_s * HOME_REST {
             self.reacquired_at.remove(&shard);
         }
-        since_s <= plan.picture_s * FRESH_ROUNDS || since_s > plan.reassign_after_s * HOME_RESTS
+        since_s <= plan.picture_s * FRESH_INTERVALS || since_s > plan.reassign_after_s * HOME_REST
     }
 
-    /// At most one in a look: the team that waits most in a shard that stays short, and the shard
-    /// with the most room, if that is enough for it.
+    /// Selects at most one team whose home moves: the one with the most waiting work in a shard that stays short of
+    /// capacity. It moves to the shard with the most free capacity, if that is enough.
     fn home_to_move(
         &self,
         plan: &ShardingPlan,
@@ -167,21 +172,23 @@
         now_ms: u64,
         stays_short: impl Fn(ShardId) -> bool,
     ) -> Option<(String, ShardId)> {
-        let rest_ms = plan.reassign_after_s * 1000.0 * HOME_RESTS;
-        let rests = |t: &str| self.moved.get(t).is_some_and(|at| (now_ms.saturating_sub(*at) as f64) < rest_ms);
-        let waits = |p: &LoadSnapshot, t: &str| p.teams.get(t).map_or(0.0, |u| u.wanted.minus(u.held).cpus);
-        let of = |p: &LoadSnapshot| p.teams.keys().map(|t| (t.clone(), waits(p, t))).collect::<Vec<_>>();
-        let (team, wants, from) = snapshots
+        let rest_ms = plan.reassign_after_s * 1000.0 * HOME_REST;
+        let moved_lately =
+            |t: &str| self.home_moved_at.get(t).is_some_and(|at| (now_ms.saturating_sub(*at) as f64) < rest_ms);
+        let waiting_cpus = |p: &LoadSnapshot, t: &str| p.teams.get(t).map_or(0.0, |u| u.wanted.minus(u.held).cpus);
+        let waiting_teams =
+            |p: &LoadSnapshot| p.teams.keys().map(|t| (t.clone(), waiting_cpus(p, t))).collect::<Vec<_>>();
+        let (team, wanted_cpus, from) = snapshots
             .iter()
             .filter(|p| stays_short(p.shard))
-            .flat_map(|p| of(p).into_iter().map(|(t, w)| (t, w, p.shard)))
-            .filter(|(t, w, c)| *w > EPSILON && stored.home(plan, t) == *c && !rests(t))
+            .flat_map(|p| waiting_teams(p).into_iter().map(|(t, w)| (t, w, p.shard)))
+            .filter(|(t, w, c)| *w > EPSILON && stored.home(plan, t) == *c && !moved_lately(t))
             .max_by(|a, b| a.1.total_cmp(&b.1).then(b.0.cmp(&a.0)))?;
-        let room = |p: &LoadSnapshot| p.free_cpus - p.waiting_cpus;
+        let spare_cpus = |p: &LoadSnapshot| p.free_cpus - p.waiting_cpus;
         let best = snapshots
             .iter()
             .filter(|p| p.shard != from && p.waiting_cpus <= EPSILON)
-            .max_by(|a, b| room(a).total_cmp(&room(b)))?;
-        (room(best) * USABLE_SHARE >= wants).then_some((team, best.shard))
+            .max_by(|a, b| spare_cpus(a).total_cmp(&spare_cpus(b)))?;
+        (spare_cpus(best) * USABLE_SHARE >= wanted_cpus).then_some((team, best.shard))
     }
 }
--- a/crates/sharding/src/spill.rs
+++ b/crates/sharding/src/spill.rs
@@ -1,24 +1,24 @@
 //! Which waiting jobs move to which shard.
 //!
-//! A shard gives its own work away and never takes any, so that a job that is offered to several
-//! shards is started by one of them only.
+//! A shard only gives its own work away and never fetches work of others, so that each job is in one shard at
+//! a time and is started by that shard alone.
 
 use crate::load_snapshot::{LoadSnapshot, UnusableCapacity};
 use crate::{ShardId, ShardingPlan};
 
-/// How often a job moves without delay. One that goes on waiting may move again, after twice as
-/// long each time: it must neither circle between shards nor wait for ever in one that has come to
-/// have no machines for it.
+/// Number of moves without additional delay. A job that still waits may move again after a wait that doubles
+/// with each move: it must neither circle between shards nor wait forever in a shard that no longer has
+/// machines for it.
 pub const MAX_MOVES: u8 = 2;
-/// The wait before a further move doubles so often at the most.
+/// Maximum number of times that this wait doubles.
 const MAX_DOUBLINGS: u8 = 16;
-/// The part of another shard's free capacity that one round may plan for: the snapshot may be
+/// The fraction of another shard's free capacity that one round may plan for, since the snapshot may be
 /// seconds old.
 const USABLE_SHARE: f64 = 0.5;
-/// Jobs that move in one round, at the most.
+/// Maximum number of jobs that move in one round.
 const MAX_SPILLS_AT_ONCE: usize = 16;
 
-/// A job of this shard that waits and was never started anywhere.
+/// A waiting job of this shard that has never been started in any shard.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SpillCandidate<J> {
     /// The caller's name for the job.
@@ -29,14 +29,14 @@
     pub task_cpus: f64,
     /// Seconds since it could have started.
     pub waited_s: f64,
-    /// How often it has moved between shards.
+    /// Number of its moves between shards so far.
     pub moves: u8,
     /// Whether it may use spot machines.
     pub spot: bool,
 }
 
 impl<J> SpillCandidate<J> {
-    /// Has it waited for long enough to move, given how often it has moved before?
+    /// Returns whether it has waited long enough to move, given the number of its moves so far.
     fn may_move(&self, plan: &ShardingPlan) -> bool {
         if self.waited_s < plan.spill_after_s {
             return false;
@@ -45,8 +45,8 @@
         self.moves < MAX_MOVES || self.waited_s >= plan.spill_after_s * f64::from(1u32 << doublings)
     }
 
-    /// Has it waited for longer than a boot? Then free capacity of this shard does not help it: that
-    /// may be on machines, or of a kind, that it may not use.
+    /// Returns whether it has waited for longer than a boot. Then the free capacity of this shard is of no use to
+    /// it, for instance because it is on machines that the job may not use.
     fn has_waited_long(&self, plan: &ShardingPlan, boot_s: f64) -> bool {
         self.waited_s >= boot_s + 2.0 * plan.spill_after_s
     }
@@ -59,10 +59,10 @@
     snapshot: &'a LoadSnapshot,
 }
 
-/// Where each of these jobs goes, those that have waited longest first.
+/// Returns the jobs that move and their destinations; jobs that have waited longest come first.
 ///
-/// `own` is the snapshot of this shard, `snapshots` are fresh ones of the others, `boot_s` is the
-/// seconds that a machine takes to boot.
+/// `own` is the snapshot of this shard, `snapshots` are fresh ones of the others, `boot_s` is the boot time of a
+/// machine in seconds.
 pub fn plan_spills<J: Clone>(
     plan: &ShardingPlan,
     own: &LoadSnapshot,
@@ -84,8 +84,8 @@
         let waits_long = candidate.has_waited_long(plan, boot_s);
         let here_s =
             own.expected_start_s(candidate.cpus, boot_s).max(if waits_long { candidate.waited_s } else { 0.0 });
-        // A job that is larger than any shard's free capacity would wait for ever in one without machines:
-        // after so long it goes where one task of it can begin.
+        // A job that is larger than the free capacity of any shard would wait forever in a shard without machines:
+        // after a long wait it moves to a shard in which one of its tasks can start.
         let needed_cpus = if waits_long { candidate.task_cpus } else { candidate.cpus };
         let best = destinations
             .iter_mut()
@@ -106,15 +106,15 @@
     spills
 }
 
-/// A shard that is itself short of capacity takes nothing.
+/// Returns the usable free capacity of a shard; `None` if the shard is itself short of capacity.
 fn destination(snapshot: &LoadSnapshot) -> Option<Destination<'_>> {
     let spare_cpus = snapshot.free_cpus - snapshot.waiting_cpus;
     let free_cpus = spare_cpus * USABLE_SHARE;
     (snapshot.free_cpus > snapshot.waiting_cpus).then_some(Destination { shard: snapshot.shard, free_cpus, snapshot })
 }
 
-/// The shard that can begin this job in capacity that its own waiting work cannot use, however much
-/// of that there is. The capacity is taken for this one job until the next snapshot.
+/// Returns the shard with the most capacity that its own waiting work cannot use, if a task of this job fits into
+/// it. Until the next snapshot that capacity is reserved for this job alone.
 fn take_unusable<J>(shards: &mut [(ShardId, UnusableCapacity)], candidate: &SpillCandidate<J>) -> Option<ShardId> {
     let usable = |entry: &(ShardId, UnusableCapacity)| entry.1.for_task(candidate.spot);
     let largest = shards
--- a/crates/sharding/tests/cells.rs
+++ b/crates/sharding/tests/cells.rs
@@ -1,4 +1,4 @@
-//! Small stories of what lies between shards, and properties over random ones.
+//! Tests of the decisions between shards: small scenarios and properties over random histories.
 
 use lupinspur_sharding::activation::{
     ActivePlan, NOBODY, Presence, all_agree_on, campaign_delay_s, has_plan_to_offer, may_absorb_all,
@@ -28,12 +28,19 @@
     if std::env::var_os("UPDATE_SCHEMA").is_some() {
         std::fs::write(file, &schema).expect("written");
     }
-    assert_eq!(std::fs::read_to_string(file).expect("the schema"), schema, "deploy/cells.schema.json is old");
+    assert_eq!(
+        std::fs::read_to_string(file).expect("the schema"),
+        schema,
+        "deploy/cells.schema.json is outdated: run the test with UPDATE_SCHEMA=1"
+    );
     let example = include_str!("../../../deploy/cells.toml");
-    assert!(ShardingPlan::parse(example, &["foglalas".into(), "beutalo".into()]).is_ok(), "the example is a plan");
+    assert!(
+        ShardingPlan::parse(example, &["foglalas".into(), "beutalo".into()]).is_ok(),
+        "the example is a valid plan"
+    );
 }
 
-/// One shard more moves no team but those that go to it.
+/// Adding a shard moves only the teams that get it as their home.
 #[test]
 fn a_team_s_home_is_the_same_everywhere_and_moves_seldom() {
     let (three, four) = (ShardingPlan::of(3), ShardingPlan::of(4));
@@ -41,13 +48,13 @@
     assert_eq!(used.len(), 3);
     let moved: Vec<String> = teams().into_iter().filter(|t| three.home(t) != four.home(t)).collect();
     assert!(!moved.is_empty() && moved.len() < 20 && moved.iter().all(|t| four.home(t) == ShardId(3)), "{moved:?}");
-    // The draw decides who owns what is stored: it must never change.
+    // The hash decides which shard owns stored data, so its results must never change.
     let first: Vec<u32> = teams().iter().take(8).map(|t| three.home(t).0).collect();
     assert_eq!(first, [1, 0, 1, 0, 0, 1, 0, 1]);
 }
 
-/// The value of `own/0` while shards are in force, read by a version that knows of none: a claim
-/// of somebody else, which it must not take over.
+/// A version without sharding reads the value of `own/0` of an active plan as the leadership record of another
+/// controller, and does not campaign.
 #[test]
 fn a_version_without_cells_sees_another_leader() {
     #[derive(serde::Deserialize)]
@@ -59,47 +66,50 @@
     let seen: Before = serde_json::from_str(&text).expect("a claim");
     assert_eq!((seen.node.as_str(), seen.nonce.as_str()), (NOBODY, "plan"));
     assert_eq!(serde_json::from_str::<ActivePlan>(&text).expect("the plan").plan, ShardingPlan::of(3));
-    assert!(serde_json::from_str::<ActivePlan>(r#"{"node":"sprig-1","nonce":"77"}"#).is_err(), "a claim is no plan");
+    assert!(
+        serde_json::from_str::<ActivePlan>(r#"{"node":"sprig-1","nonce":"77"}"#).is_err(),
+        "a leadership record is not a plan"
+    );
 }
 
 #[test]
 fn a_plan_comes_into_force_when_all_understand_it() {
-    let says = |node: &str, plan: Option<ShardingPlan>| Presence { node: node.into(), plan };
-    let mine = ShardingPlan::of(3);
+    let presence = |node: &str, plan: Option<ShardingPlan>| Presence { node: node.into(), plan };
+    let own = ShardingPlan::of(3);
     let all = [
-        says("a", Some(ShardingPlan::of(3))),
-        says("b", Some(ShardingPlan::of(3))),
-        says("c", Some(ShardingPlan::of(3))),
+        presence("a", Some(ShardingPlan::of(3))),
+        presence("b", Some(ShardingPlan::of(3))),
+        presence("c", Some(ShardingPlan::of(3))),
     ];
-    assert!(all_agree_on(&mine, &["a", "b", "c"], &all));
-    assert!(!all_agree_on(&mine, &["a", "b", "c", "d"], &all), "one is missing, or of a version before");
-    assert!(!all_agree_on(&mine, &["a", "b", "c"], &[all[0].clone(), all[1].clone(), says("c", None)]));
+    assert!(all_agree_on(&own, &["a", "b", "c"], &all));
+    assert!(!all_agree_on(&own, &["a", "b", "c", "d"], &all), "one is missing, or runs an older version");
+    assert!(!all_agree_on(&own, &["a", "b", "c"], &[all[0].clone(), all[1].clone(), presence("c", None)]));
     assert!(!all_agree_on(
-        &mine,
+        &own,
         &["a", "b", "c"],
-        &[all[0].clone(), all[1].clone(), says("c", Some(ShardingPlan::of(2)))]
+        &[all[0].clone(), all[1].clone(), presence("c", Some(ShardingPlan::of(2)))]
     ));
-    // A plan of one is offered where there are several: the way back.
-    assert!(!has_plan_to_offer(&ShardingPlan::of(1), None) && has_plan_to_offer(&ShardingPlan::of(1), Some(&mine)));
+    // A plan of one shard is proposed if there are several: it leads back to a single shard.
+    assert!(!has_plan_to_offer(&ShardingPlan::of(1), None) && has_plan_to_offer(&ShardingPlan::of(1), Some(&own)));
     assert!(
-        has_plan_to_offer(&mine, None) && !has_plan_to_offer(&ShardingPlan::of(2), Some(&mine)),
-        "another number goes by way of one"
+        has_plan_to_offer(&own, None) && !has_plan_to_offer(&ShardingPlan::of(2), Some(&own)),
+        "a different number of shards requires a single shard in between"
     );
 }
 
-/// Guards against two leaders of one job: shard 0 takes nothing in while a shard may be owned, and not by a
-/// claim that its machines would not obey.
+/// Guards against two leaders of one job: shard 0 absorbs the others only if none of them can have a leader, and
+/// only with a fencing token that their machines would obey.
 #[test]
 fn cell_0_takes_in_what_is_surely_nobody_s() {
     let nobody = |version| Some((NOBODY, version));
     assert!(may_absorb_all(30, [nobody(20), nobody(29)]));
-    assert!(!may_absorb_all(30, [nobody(20), None]), "one that is free may be claimed yet");
-    assert!(!may_absorb_all(30, [nobody(20), Some(("n1", 25))]), "one that is owned");
-    assert!(!may_absorb_all(30, [nobody(20), nobody(31)]), "its machines may have seen a newer token");
+    assert!(!may_absorb_all(30, [nobody(20), None]), "a controller may still campaign for a shard without a record");
+    assert!(!may_absorb_all(30, [nobody(20), Some(("n1", 25))]), "a shard with a leader");
+    assert!(!may_absorb_all(30, [nobody(20), nobody(31)]), "its machines may have seen a higher token");
 }
 
-/// Shards' claims are spread over the controllers; who has one already lets others go first, and
-/// one that lives alone claims all in the end.
+/// The shards are spread over the controllers: one that leads a shard already waits longer than others, and a
+/// controller that is alone leads all of them in the end.
 #[test]
 fn cells_are_claimed_by_different_controllers() {
     let nodes = ["n0", "n1", "n2", "n3", "n4"];
@@ -120,7 +130,7 @@
     Some(QuotaUse { held: cpus(held), wanted: cpus(wanted) })
 }
 
-/// What nobody uses follows demand: to the shard that waits, as far as it lacks, and home again.
+/// Unused shares follow demand: they go to shards that lack quota, up to their shortage, and otherwise home.
 #[test]
 fn shares_follow_demand_and_go_home() {
     let limits = vec![("red".to_owned(), cpus(100.0))];
@@ -128,23 +138,23 @@
     let home = ShardId(1);
     let given = quota_transfers(ShardId(0), "red", &l, &[usage(10.0, 20.0), usage(0.0, 60.0), None], home);
     assert_eq!(given, [QuotaTransfer { team: "red".into(), from: ShardId(0), to: ShardId(1), amount: cpus(60.0) }]);
-    let l = l.apply(&given).expect("its own");
+    let l = l.apply(&given).expect("a part of its own share");
     assert_eq!((l.share("red", ShardId(0)), l.share("red", ShardId(1))), (Some(cpus(40.0)), Some(cpus(60.0))));
     assert!(l.within(&limits));
-    // What is held is never given, whoever waits.
+    // Amounts in use are never given away.
     let given = quota_transfers(ShardId(0), "red", &l, &[usage(38.0, 0.0), usage(60.0, 100.0), None], home);
     assert_eq!(given[0].amount, cpus(2.0));
-    // Nobody waits: all but a little goes home.
+    // No shard lacks quota: all but the reserve goes home.
     let given = quota_transfers(ShardId(0), "red", &l, &[usage(0.0, 0.0), usage(10.0, 10.0), None], home);
     assert_eq!(given, [QuotaTransfer { team: "red".into(), from: ShardId(0), to: home, amount: cpus(35.0) }]);
-    // Who told nothing of himself gives and gets nothing; home keeps a little of its own.
+    // A shard without a report gives and gets nothing; the home shard keeps its reserve.
     assert!(quota_transfers(ShardId(2), "red", &l, &[None, usage(0.0, 90.0), None], home).is_empty());
     let given = quota_transfers(home, "red", &l, &[usage(40.0, 500.0), usage(0.0, 0.0), None], home);
     assert_eq!(given[0].amount, cpus(55.0));
     assert_eq!(l.apply(&[QuotaTransfer { amount: cpus(61.0), ..given[0].clone() }]), None, "more than it has");
 }
 
-fn picture(cell: u32, room: f64, waits: f64) -> LoadSnapshot {
+fn snapshot(cell: u32, room: f64, waits: f64) -> LoadSnapshot {
     LoadSnapshot {
         shard: ShardId(cell),
         free_cpus: room,
@@ -166,65 +176,73 @@
         moves,
         spot: true,
     };
-    let mine = picture(0, 5.0, 400.0);
-    let others = [picture(1, 100.0, 20.0), picture(2, 30.0, 0.0)];
+    let own = snapshot(0, 5.0, 400.0);
+    let others = [snapshot(1, 100.0, 20.0), snapshot(2, 30.0, 0.0)];
     let waiting =
         [w("new", 10.0, 1.0, 0), w("long", 10.0, 20.0, 0), w("big", 39.0, 10.0, 0), w("moved", 1.0, 39.0, MAX_MOVES)];
-    let out = plan_spills(&plan, &mine, &others, &waiting, 15.0);
-    assert_eq!(out, [("long", ShardId(1))], "half of the room that another tells, and the longest first");
-    let out = plan_spills(&plan, &mine, &others, &waiting[2..3], 15.0);
+    let out = plan_spills(&plan, &own, &others, &waiting, 15.0);
+    assert_eq!(
+        out,
+        [("long", ShardId(1))],
+        "half of the published free capacity is usable, and the longest wait comes first"
+    );
+    let out = plan_spills(&plan, &own, &others, &waiting[2..3], 15.0);
     assert_eq!(out, [("big", ShardId(1))]);
-    // One that has moved twice stays, unless nothing can start it here: then after twice as long each time.
+    // A job that has moved twice moves again only after waits that double each time.
     let moved = |waited_s, moves| [w("moved", 8.0, waited_s, moves)];
-    assert!(plan_spills(&plan, &mine, &others, &moved(39.0, 2), 15.0).is_empty());
-    assert_eq!(plan_spills(&plan, &mine, &others, &moved(40.0, 2), 15.0).len(), 1);
-    assert!(plan_spills(&plan, &mine, &others, &moved(79.0, 3), 15.0).is_empty());
-    // Where it would start at once, or no sooner elsewhere, it stays; not if it has waited there for long.
-    assert!(plan_spills(&plan, &picture(0, 500.0, 400.0), &others, &waiting[..3], 15.0).is_empty());
-    assert_eq!(plan_spills(&plan, &picture(0, 500.0, 400.0), &others, &[w("long", 10.0, 25.0, 0)], 15.0).len(), 1);
+    assert!(plan_spills(&plan, &own, &others, &moved(39.0, 2), 15.0).is_empty());
+    assert_eq!(plan_spills(&plan, &own, &others, &moved(40.0, 2), 15.0).len(), 1);
+    assert!(plan_spills(&plan, &own, &others, &moved(79.0, 3), 15.0).is_empty());
+    // A job stays if it could start at once here, or no sooner elsewhere, unless it has waited long.
+    assert!(plan_spills(&plan, &snapshot(0, 500.0, 400.0), &others, &waiting[..3], 15.0).is_empty());
+    assert_eq!(plan_spills(&plan, &snapshot(0, 500.0, 400.0), &others, &[w("long", 10.0, 25.0, 0)], 15.0).len(), 1);
+    assert!(
+        plan_spills(&plan, &own, &[snapshot(1, 50.0, 60.0)], &waiting, 15.0).is_empty(),
+        "a shard that is short of capacity accepts no jobs"
+    );
+    let moved = LoadSnapshot { booting_cpus: 900.0, ..own.clone() };
     assert!(
-        plan_spills(&plan, &mine, &[picture(1, 50.0, 60.0)], &waiting, 15.0).is_empty(),
-        "who is short takes nothing"
+        plan_spills(&plan, &moved, &others, &waiting[..1], 5.0).is_empty(),
+        "machines of its own shard boot sooner"
     );
-    let moved = LoadSnapshot { booting_cpus: 900.0, ..mine.clone() };
-    assert!(plan_spills(&plan, &moved, &others, &waiting[..1], 5.0).is_empty(), "machines of its own are there sooner");
 }
 
-/// A job that was larger than half of what any shard had room for stayed in a shard without machines for ever.
+/// Guards against a job that stays in a shard without machines forever because it is larger than half of the free
+/// capacity of any other shard.
 #[test]
 fn a_job_larger_than_any_room_goes_where_it_can_begin_once_it_has_waited_long() {
     let plan = ShardingPlan::of(3);
     let large =
         |waited_s| [SpillCandidate { job: "large", cpus: 44.0, task_cpus: 4.0, waited_s, moves: 0, spot: true }];
-    let (mine, others) = (LoadSnapshot { assigned_cpus: 0.0, ..picture(0, 0.0, 44.0) }, [picture(1, 32.0, 0.0)]);
-    assert!(plan_spills(&plan, &mine, &others, &large(24.0), 15.0).is_empty(), "it waits for machines of its own");
-    assert_eq!(plan_spills(&plan, &mine, &others, &large(25.0), 15.0), [("large", ShardId(1))]);
-    assert!(plan_spills(&plan, &mine, &[picture(1, 7.0, 0.0)], &large(25.0), 15.0).is_empty(), "no room for a task");
+    let (own, others) = (LoadSnapshot { assigned_cpus: 0.0, ..snapshot(0, 0.0, 44.0) }, [snapshot(1, 32.0, 0.0)]);
+    assert!(plan_spills(&plan, &own, &others, &large(24.0), 15.0).is_empty(), "its own shard may still get machines");
+    assert_eq!(plan_spills(&plan, &own, &others, &large(25.0), 15.0), [("large", ShardId(1))]);
+    assert!(plan_spills(&plan, &own, &[snapshot(1, 7.0, 0.0)], &large(25.0), 15.0).is_empty(), "too small for a task");
 }
 
-/// A shard as the property knows it.
+/// The state of a shard's leader in the property test.
 #[derive(Debug, Clone, Default)]
 struct Cell {
-    /// What it believes that it may use: never more than what is stored is its own.
-    believes: f64,
+    /// The share that it assumes: never more than its stored share.
+    assumed_share: f64,
     used: f64,
     wanted: f64,
-    /// A write that was sent: the version it is conditional on, what it would store, what is given.
+    /// The pending write: the version that it requires, the new ledger, and the amount given away.
     sent: Option<(u64, Ledger, f64)>,
 }
 
 #[derive(Debug, Clone)]
 enum Step {
     Want(usize, f64),
-    /// Uses as much as it wants and may.
+    /// Starts tasks up to what is wanted and allowed.
     Start(usize),
     End(usize, f64),
     Look(usize),
     Give(usize),
-    /// A write reaches the store; or is lost; or its answer is lost, and the shard asks later.
+    /// A write reaches the store (`Applied`) or is lost (`Lost`); then the shard reads the stored value.
     Applied(usize),
     Lost(usize),
-    /// The leader ends; its successor reads what is stored, and what runs goes on.
+    /// The leader fails; the new one reads the stored value, and running tasks continue.
     Ends(usize),
 }
 
@@ -246,46 +264,46 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, rng_seed: proptest::test_runner::RngSeed::Fixed(5), ..ProptestConfig::default() })]
 
-    /// Whatever is lost, late or ends: the shards together never use more than the team's limit.
-    /// A late write is one that reaches the store after its shard has ended: it finds another claim.
+    /// With any lost writes and failovers, the shards together never use more than the team's limit.
+    /// Writes of a former leader are not simulated: they are rejected, since the leadership record has changed.
     #[test]
     fn a_limit_holds_over_all_cells(steps in steps()) {
         const LIMIT: f64 = 100.0;
         let limits = vec![("red".to_owned(), cpus(LIMIT))];
         let (mut store, mut version) = (Ledger::new(&limits, 4, ShardId(0)), 1u64);
         let mut cells = vec![Cell::default(); 4];
-        cells[0].believes = LIMIT;
+        cells[0].assumed_share = LIMIT;
         let share = |l: &Ledger, c: usize| l.share("red", ShardId(c as u32)).unwrap_or_default().cpus;
         for s in steps {
             match s {
                 Step::Want(c, w) => cells[c].wanted = w,
                 Step::Start(c) => {
                     let me = &mut cells[c];
-                    me.used = me.used.max(me.wanted.min(me.believes));
+                    me.used = me.used.max(me.wanted.min(me.assumed_share));
                 }
                 Step::End(c, part) => cells[c].used *= part,
-                Step::Look(c) => if cells[c].sent.is_none() { cells[c].believes = share(&store, c) },
+                Step::Look(c) => if cells[c].sent.is_none() { cells[c].assumed_share = share(&store, c) },
                 Step::Give(c) => if cells[c].sent.is_none() {
                     let uses: Vec<Option<QuotaUse>> = cells.iter().map(|x| usage(x.used, x.wanted)).collect();
                     let given = quota_transfers(ShardId(c as u32), "red", &store, &uses, ShardId(1));
                     let sum: f64 = given.iter().map(|g| g.amount.cpus).sum();
                     if sum > 0.0 {
-                        let next = store.apply(&given).expect("its own");
-                        // It stops counting on it before the write is sent.
+                        let next = store.apply(&given).expect("a part of its own share");
+                        // It stops using the amount before the write is sent.
                         let left = share(&next, c);
                         prop_assert!(cells[c].used <= left + 1e-3);
-                        cells[c].believes = left;
+                        cells[c].assumed_share = left;
                         cells[c].sent = Some((version, next, sum));
                     }
                 }
                 Step::Applied(c) => if let Some((v, next, _)) = cells[c].sent.take() {
                     if v == version { (store, version) = (next, version + 1); }
-                    cells[c].believes = share(&store, c);
+                    cells[c].assumed_share = share(&store, c);
                 },
-                Step::Lost(c) => if cells[c].sent.take().is_some() { cells[c].believes = share(&store, c) },
+                Step::Lost(c) => if cells[c].sent.take().is_some() { cells[c].assumed_share = share(&store, c) },
                 Step::Ends(c) => {
                     cells[c].sent = None;
-                    cells[c].believes = share(&store, c);
+                    cells[c].assumed_share = share(&store, c);
                 }
             }
             prop_assert!(store.within(&limits));
--- a/crates/sharding/tests/rebalance.rs
+++ b/crates/sharding/tests/rebalance.rs
@@ -1,4 +1,4 @@
-//! What the leader moves, and machines that go from shard to shard through lost and late writes and ends.
+//! Tests of rebalancing, and of machine transfers with lost and late writes and failovers.
 
 use lupinspur_sharding::escrow::{Amount, QuotaUse};
 use lupinspur_sharding::load_snapshot::LoadSnapshot;
@@ -10,36 +10,37 @@
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-fn picture(cell: u32, token: u64, idle: f64, waits: f64) -> LoadSnapshot {
+fn snapshot(cell: u32, token: u64, idle: f64, waits: f64) -> LoadSnapshot {
     LoadSnapshot { shard: ShardId(cell), token, idle_cpus: idle, waiting_cpus: waits, ..LoadSnapshot::default() }
 }
 
-/// A shard that stays short gets what stands idle elsewhere, as far as those machines would obey it; one
-/// that was short for a moment gets nothing, and a new leader looks for itself first.
+/// A shard that lacks capacity for long enough gets idle machines of other shards if these machines would obey
+/// its token. A shard that lacked capacity only briefly gets none, and a new leader starts to measure anew.
 #[test]
 fn idle_machines_go_to_a_cell_that_stays_short() {
     let plan = ShardingPlan::of(3);
     let (mut leader, none) = (Rebalancer::default(), RebalancePlan::default());
-    let all = [picture(0, 10, 64.0, 0.0), picture(1, 20, 0.0, 80.0), picture(2, 30, 96.0, 0.0)];
+    let all = [snapshot(0, 10, 64.0, 0.0), snapshot(1, 20, 0.0, 80.0), snapshot(2, 30, 96.0, 0.0)];
     assert!(leader.plan_round(&plan, &all, &none, 1_000).moves.is_empty());
-    let calm = [all[0].clone(), picture(1, 20, 0.0, 0.0), all[2].clone()];
+    let calm = [all[0].clone(), snapshot(1, 20, 0.0, 0.0), all[2].clone()];
     assert!(leader.plan_round(&plan, &calm, &none, 9_000).moves.is_empty());
-    assert!(leader.plan_round(&plan, &all, &none, 11_500).moves.is_empty(), "it was not short in between");
+    assert!(leader.plan_round(&plan, &all, &none, 11_500).moves.is_empty(), "it did not lack capacity in between");
     let orders = leader.plan_round(&plan, &all, &none, 21_500);
     // Shard 2's machines have seen token 30 and would not obey shard 1.
     assert_eq!(orders.moves, [MachineMove { from: ShardId(0), to: ShardId(1), cpus: 64.0 }]);
     assert!(
         Rebalancer::default().plan_round(&plan, &all, &none, 21_500).moves.is_empty(),
-        "a successor has seen nothing"
+        "a new leader has no measurements"
     );
-    // Still short after a while, it is worth a claim of its own anew: told for a few looks, then not for long.
-    let asked = |s: u64| leader.plan_round(&plan, &all, &none, s * 1000).moves.iter().any(|m| m.from == ShardId(2));
-    let said: Vec<bool> = [30, 42, 48, 60, 200, 260].into_iter().map(asked).collect();
-    assert_eq!(said, [false, true, true, false, false, true]);
+    // If it still lacks capacity, it is ordered to reacquire its leadership: for a few rounds, then not for long.
+    let is_ordered =
+        |s: u64| leader.plan_round(&plan, &all, &none, s * 1000).moves.iter().any(|m| m.from == ShardId(2));
+    let ordered: Vec<bool> = [30, 42, 48, 60, 200, 260].into_iter().map(is_ordered).collect();
+    assert_eq!(ordered, [false, true, true, false, false, true]);
     assert!(orders.must_be_stored(&none, &plan) && !orders.must_be_stored(&orders, &plan));
     assert!(orders.is_fresh(&plan, 30_000, 1.0) && !orders.is_fresh(&plan, 40_000, 1.0));
     let later = RebalancePlan { at_ms: 27_000, ..orders.clone() };
-    assert!(later.must_be_stored(&orders, &plan), "orders that are to be obeyed are renewed");
+    assert!(later.must_be_stored(&orders, &plan), "orders that are still needed are stored again before they expire");
     let token_of = |c: ShardId| Some([10, 20, 30][c.as_usize()]);
     assert_eq!(next_receiver(ShardId(0), 10, orders.moves.iter(), &[], token_of), Some((ShardId(1), 64.0)));
     let wrong_way = [MachineMove { from: ShardId(2), to: ShardId(1), cpus: 32.0 }];
@@ -47,42 +48,50 @@
         must_reacquire(ShardId(1), 20, &wrong_way, token_of) && !must_reacquire(ShardId(1), 31, &wrong_way, token_of)
     );
     assert!(!must_reacquire(ShardId(1), 20, &orders.moves, token_of));
-    assert_eq!(next_receiver(ShardId(0), 25, orders.moves.iter(), &[], token_of), None, "its claim is newer by now");
+    assert_eq!(
+        next_receiver(ShardId(0), 25, orders.moves.iter(), &[], token_of),
+        None,
+        "its own token is higher than that of the receiver"
+    );
     let under_way =
-        MachineTransfer { from: ShardId(0), to: ShardId(1), machines: vec![handed(0)], released_by_sender: false };
-    assert_eq!(next_receiver(ShardId(0), 10, orders.moves.iter(), &[under_way], token_of), None, "one at a time");
+        MachineTransfer { from: ShardId(0), to: ShardId(1), machines: vec![transferred(0)], released_by_sender: false };
+    assert_eq!(
+        next_receiver(ShardId(0), 10, orders.moves.iter(), &[under_way], token_of),
+        None,
+        "a transfer to that shard is in progress"
+    );
 }
 
-/// A team that waits in a shard which stays short gets another home, where there is room for twice as much;
-/// then it rests, and it does not swing back when the picture turns.
+/// A team that waits in a shard that stays short of capacity moves its home to a shard with free capacity for
+/// twice as much. After that it does not move back for a while, even if the load is reversed.
 #[test]
 fn a_team_s_home_moves_once_and_rests() {
     let plan = ShardingPlan::parse("cells = 2\n[[team]]\nname = \"red\"\ncell = 0\n", &["red".into()]).expect("a plan");
     let use_of = |held: f64, wanted: f64| QuotaUse { held: Amount::new(held, 0.0), wanted: Amount::new(wanted, 0.0) };
     let short = |cell: u32, waits: f64| LoadSnapshot {
         teams: BTreeMap::from([("red".to_owned(), use_of(10.0, 10.0 + waits))]),
-        ..picture(cell, 10, 0.0, waits)
+        ..snapshot(cell, 10, 0.0, waits)
     };
-    let roomy = |cell: u32, room: f64| LoadSnapshot { free_cpus: room, ..picture(cell, 20, 0.0, 0.0) };
+    let spacious = |cell: u32, room: f64| LoadSnapshot { free_cpus: room, ..snapshot(cell, 20, 0.0, 0.0) };
     let mut leader = Rebalancer::default();
-    let look = |l: &mut Rebalancer, p: &[LoadSnapshot], o: &RebalancePlan, s: u64| l.plan_round(&plan, p, o, s * 1000);
+    let round = |l: &mut Rebalancer, p: &[LoadSnapshot], o: &RebalancePlan, s: u64| l.plan_round(&plan, p, o, s * 1000);
     let (mut orders, tight, wide) =
-        (RebalancePlan::default(), [short(0, 100.0), roomy(1, 150.0)], [short(0, 100.0), roomy(1, 300.0)]);
-    orders = look(&mut leader, &tight, &orders, 1);
-    orders = look(&mut leader, &tight, &orders, 60);
-    assert_eq!(orders.home(&plan, "red"), ShardId(0), "no room for twice as much");
-    orders = look(&mut leader, &wide, &orders, 62);
+        (RebalancePlan::default(), [short(0, 100.0), spacious(1, 150.0)], [short(0, 100.0), spacious(1, 300.0)]);
+    orders = round(&mut leader, &tight, &orders, 1);
+    orders = round(&mut leader, &tight, &orders, 60);
+    assert_eq!(orders.home(&plan, "red"), ShardId(0), "the free capacity is less than twice as much");
+    orders = round(&mut leader, &wide, &orders, 62);
     assert_eq!(orders.home(&plan, "red"), ShardId(1));
-    let turned = [roomy(0, 900.0), short(1, 100.0)];
+    let turned = [spacious(0, 900.0), short(1, 100.0)];
     for s in [64, 120, 200, 250] {
-        orders = look(&mut leader, &turned, &orders, s);
-        assert_eq!(orders.home(&plan, "red"), ShardId(1), "it rests at {s} s");
+        orders = round(&mut leader, &turned, &orders, s);
+        assert_eq!(orders.home(&plan, "red"), ShardId(1), "moved back too early, at {s} s");
     }
-    orders = look(&mut leader, &turned, &orders, 270);
-    assert!(orders.homes.is_empty(), "home again, which needs no word: {orders:?}");
+    orders = round(&mut leader, &turned, &orders, 270);
+    assert!(orders.homes.is_empty(), "it is back at the home of the plan, which needs no entry: {orders:?}");
 }
 
-fn handed(n: usize) -> TransferredMachine {
+fn transferred(n: usize) -> TransferredMachine {
     TransferredMachine {
         machine: format!("m{n}"),
         addr: String::new(),
@@ -104,90 +113,103 @@
     value: MachineTransfer,
 }
 
-/// A leader, as the shard and its shell are.
+/// The leader of one shard: its in-memory state and its pending write.
 #[derive(Debug, Clone, Default)]
-struct Owner {
+struct Leader {
     token: u64,
+    /// Machines that it considers its own.
     own: BTreeSet<String>,
+    /// Machines that it has set aside for a transfer, with their receivers.
     chosen: BTreeMap<String, usize>,
+    /// Machines that were sent away and are still in its stored records.
     named: BTreeSet<String>,
+    /// Machines in transfer to it.
     arriving: BTreeSet<String>,
-    /// The values as it last saw them, and the step that it waits for.
+    /// The transfers as it last saw them, with their versions.
     seen: BTreeMap<String, (MachineTransfer, u64)>,
+    /// The write owners result it waits for.
     sent: Option<Write>,
 }
 
+/// The stored state and the leaders of all shards.
 #[derive(Debug, Default)]
 struct World {
-    claims: Vec<u64>,
-    machine_groups: Vec<BTreeSet<String>>,
-    hands: BTreeMap<String, (MachineTransfer, u64)>,
+    /// The version of each shard's leadership record.
+    leadership_versions: Vec<u64>,
+    /// The machines in each shard's stored records.
+    recorded_machines: Vec<BTreeSet<String>>,
+    transfers: BTreeMap<String, (MachineTransfer, u64)>,
     revision: u64,
-    leaders: Vec<Owner>,
+    leaders: Vec<Leader>,
+    /// Copies of writes that arrive late.
     late: Vec<Write>,
 }
 
 #[derive(Debug, Clone)]
 enum Step {
-    /// The leader's word reaches a leader, which sets a machine aside.
+    /// A leader receives a rebalance order and sets a machine aside.
     Choose(usize, usize, usize),
-    /// Its look: what it saw last, or what stands now.
+    /// A leader processes the transfers: as it last saw them, or as they are stored now.
     Look(usize, bool),
-    /// Its records are stored as they should be by now.
+    /// A leader stores its records.
     Record(usize),
-    /// Its write arrives; arrives and is not answered, so that it goes again; or comes later.
+    /// A leader's write arrives (`Arrives`); arrives, but its response is lost, so that it is repeated
+    /// (`Unanswered`); or arrives, and a copy of it arrives again later (`Later`).
     Arrives(usize),
     Unanswered(usize),
     Later(usize),
-    /// A write that was late comes.
+    /// A late write arrives.
     Late(usize),
+    /// A leader fails and a new one takes over.
     Ends(usize),
 }
 
 impl World {
     fn new() -> World {
-        let mut w = World { revision: 10, ..World::default() };
+        let mut world = World { revision: 10, ..World::default() };
         for c in 0..CELLS {
-            w.machine_groups.push((0..MACHINES).filter(|m| m % CELLS == c).map(|m| handed(m).machine).collect());
-            w.claims.push(0);
-            w.leaders.push(Owner::default());
+            world
+                .recorded_machines
+                .push((0..MACHINES).filter(|m| m % CELLS == c).map(|m| transferred(m).machine).collect());
+            world.leadership_versions.push(0);
+            world.leaders.push(Leader::default());
         }
-        (0..CELLS).for_each(|c| w.ends(c));
-        w
+        (0..CELLS).for_each(|c| world.ends(c));
+        world
     }
 
     fn ends(&mut self, c: usize) {
         self.revision += 1;
-        self.claims[c] = self.revision;
+        self.leadership_versions[c] = self.revision;
         let away: BTreeSet<String> = self.names(|h| h.from.as_usize() == c);
-        self.leaders[c] = Owner {
+        self.leaders[c] = Leader {
             token: self.revision,
-            own: self.machine_groups[c].difference(&away).cloned().collect(),
-            named: self.machine_groups[c].intersection(&away).cloned().collect(),
-            seen: self.hands.clone(),
-            ..Owner::default()
+            own: self.recorded_machines[c].difference(&away).cloned().collect(),
+            named: self.recorded_machines[c].intersection(&away).cloned().collect(),
+            seen: self.transfers.clone(),
+            ..Leader::default()
         };
     }
 
     fn names(&self, of: impl Fn(&MachineTransfer) -> bool) -> BTreeSet<String> {
-        self.hands.values().filter(|h| of(&h.0)).flat_map(|h| &h.0.machines).map(|m| m.machine.clone()).collect()
+        self.transfers.values().filter(|h| of(&h.0)).flat_map(|h| &h.0.machines).map(|m| m.machine.clone()).collect()
     }
 
     fn apply(&mut self, w: &Write) -> bool {
-        let stands = self.hands.get(&w.key).map_or(0, |h| h.1);
-        let good = self.claims[w.cell] == w.token && stands == w.version;
-        if good {
+        let version = self.transfers.get(&w.key).map_or(0, |h| h.1);
+        let accepted = self.leadership_versions[w.cell] == w.token && version == w.version;
+        if accepted {
             self.revision += 1;
-            self.hands.insert(w.key.clone(), (w.value.clone(), self.revision));
+            self.transfers.insert(w.key.clone(), (w.value.clone(), self.revision));
         }
-        good
+        accepted
     }
 
-    fn look(&mut self, c: usize, fresh: bool) {
-        let (cell, hands) = (ShardId(c as u32), self.hands.clone());
+    fn process_transfers(&mut self, c: usize, fresh: bool) {
+        let (cell, transfers) = (ShardId(c as u32), self.transfers.clone());
         let o = &mut self.leaders[c];
         if fresh {
-            o.seen = hands;
+            o.seen = transfers;
         }
         o.arriving.clear();
         for (h, _) in o.seen.clone().values() {
@@ -204,7 +226,7 @@
         if o.sent.is_some() {
             return;
         }
-        let recorded = &self.machine_groups[c];
+        let recorded = &self.recorded_machines[c];
         let next = o.seen.iter().find_map(|(k, (h, v))| {
             let next = match () {
                 () if h.from == cell => next_by_sender(h, |m| o.named.contains(m)),
@@ -220,7 +242,7 @@
                 Some((_, v)) => *v,
                 None => 0,
             };
-            let machines = vec![TransferredMachine { machine: m.clone(), ..handed(0) }];
+            let machines = vec![TransferredMachine { machine: m.clone(), ..transferred(0) }];
             Some((
                 k,
                 version,
@@ -230,23 +252,23 @@
         o.sent = next.or(begins).map(|(key, version, value)| Write { cell: c, token: o.token, key, version, value });
     }
 
-    /// The write is through: what stands is read before anything else.
+    /// Handles the result of a write: the leader reads the stored transfers before anything else.
     fn settled(&mut self, c: usize, stored: Option<bool>) {
         let Some(w) = self.leaders[c].sent.take() else { return };
-        self.leaders[c].seen = self.hands.clone();
-        let stands = self.hands.get(&w.key).map(|h| h.0.machines.clone()).unwrap_or_default();
+        self.leaders[c].seen = self.transfers.clone();
+        let stands = self.transfers.get(&w.key).map(|h| h.0.machines.clone()).unwrap_or_default();
         if stored == Some(false) && !w.value.released_by_sender && w.value.from.as_usize() == c {
             for m in w.value.machines.iter().filter(|m| !stands.contains(m)) {
                 self.leaders[c].chosen.remove(&m.machine);
             }
         }
-        self.look(c, true);
+        self.process_transfers(c, true);
     }
 
     fn step(&mut self, s: &Step) {
         match *s {
             Step::Choose(c, n, to) => {
-                let higher = to != c && self.claims[to] > self.leaders[c].token;
+                let higher = to != c && self.leadership_versions[to] > self.leaders[c].token;
                 let o = &mut self.leaders[c];
                 let bare = |m: &&String| !o.arriving.contains(*m) && !o.chosen.contains_key(*m);
                 let m = o.own.iter().filter(bare).nth(n).cloned();
@@ -254,9 +276,9 @@
                     o.chosen.insert(m, to);
                 }
             }
-            Step::Look(c, fresh) => self.look(c, fresh),
+            Step::Look(c, fresh) => self.process_transfers(c, fresh),
             Step::Record(c) => {
-                self.machine_groups[c] = self.leaders[c].own.clone();
+                self.recorded_machines[c] = self.leaders[c].own.clone();
                 self.leaders[c].named.clear();
             }
             Step::Arrives(c) => {
@@ -268,7 +290,7 @@
             Step::Unanswered(c) => {
                 if let Some(w) = self.leaders[c].sent.clone() {
                     self.apply(&w);
-                    // It goes again, and finds that something has changed.
+                    // It is repeated and rejected, since the version has changed.
                     let again = self.apply(&w);
                     self.settled(c, again.then_some(true));
                 }
@@ -290,10 +312,10 @@
         }
     }
 
-    /// Whose machines are in every stored state: nobody's twice, and none is nobody's.
+    /// Returns the machines that belong to a shard by the stored state.
     fn stored_own(&self, c: usize) -> BTreeSet<String> {
         let away = self.names(|h| h.from.as_usize() == c);
-        let mut own: BTreeSet<String> = self.machine_groups[c].difference(&away).cloned().collect();
+        let mut own: BTreeSet<String> = self.recorded_machines[c].difference(&away).cloned().collect();
         own.extend(self.names(|h| h.to.as_usize() == c));
         own
     }
@@ -317,30 +339,30 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 600, rng_seed: proptest::test_runner::RngSeed::Fixed(9), ..ProptestConfig::default() })]
 
-    /// Whatever is lost, late or ends: in every stored state each machine is one shard's, and no two
-    /// leaders use it at the same time.
+    /// With any lost or late writes and failovers: in every stored state each machine belongs to exactly one
+    /// shard, and no two leaders use it at the same time.
     #[test]
     fn a_machine_is_one_cell_s(steps in steps()) {
-        let mut w = World::new();
+        let mut world = World::new();
         for s in &steps {
-            w.step(s);
-            let own: Vec<BTreeSet<String>> = (0..CELLS).map(|c| w.stored_own(c)).collect();
-            for m in (0..MACHINES).map(|m| handed(m).machine) {
-                let whose: Vec<usize> = (0..CELLS).filter(|c| own[*c].contains(&m)).collect();
-                prop_assert_eq!(whose.len(), 1, "{} is of {:?} after {:?}", m, whose, s);
-                let uses = |c: &usize| w.leaders[*c].own.contains(&m) && !w.leaders[*c].chosen.contains_key(&m);
+            world.step(s);
+            let own: Vec<BTreeSet<String>> = (0..CELLS).map(|c| world.stored_own(c)).collect();
+            for m in (0..MACHINES).map(|m| transferred(m).machine) {
+                let owners: Vec<usize> = (0..CELLS).filter(|c| own[*c].contains(&m)).collect();
+                prop_assert_eq!(owners.len(), 1, "{} belongs to {:?} after {:?}", m, owners, s);
+                let uses = |c: &usize| world.leaders[*c].own.contains(&m) && !world.leaders[*c].chosen.contains_key(&m);
                 let users: Vec<usize> = (0..CELLS).filter(uses).collect();
                 prop_assert!(users.len() <= 1, "{} is used by {:?} after {:?}", m, users, s);
             }
         }
-        // Then nothing goes wrong any more, and all that is under way gets there.
+        // Without further faults all transfers in progress complete.
         for c in (0..CELLS).cycle().take(CELLS * 8) {
-            w.step(&Step::Look(c, true));
-            w.step(&Step::Arrives(c));
-            w.step(&Step::Record(c));
+            world.step(&Step::Look(c, true));
+            world.step(&Step::Arrives(c));
+            world.step(&Step::Record(c));
         }
-        prop_assert!(w.hands.values().all(|h| h.0.is_complete()), "{:?}", w.hands);
-        let none: usize = w.leaders.iter().map(|o| o.chosen.len()).sum();
-        prop_assert_eq!(none, 0);
+        prop_assert!(world.transfers.values().all(|h| h.0.is_complete()), "{:?}", world.transfers);
+        let still_chosen: usize = world.leaders.iter().map(|o| o.chosen.len()).sum();
+        prop_assert_eq!(still_chosen, 0);
     }
 }
