--- a/crates/quota/src/plan.rs
+++ b/crates/quota/src/plan.rs
@@ -228,7 +228,7 @@
     }
 
     #[test]
-    fn what_is_no_plan_is_told_by_its_line() {
+    fn a_syntax_error_is_reported_with_its_line() {
         let e = Plan::parse("generation = 1\n[[organisation]]\nname = 3\n").expect_err("a number");
         assert_eq!(e.path, "line 3", "{e}");
         let e = Plan::parse("generation = 1\nlimits = 3\n").expect_err("unknown");
--- a/crates/quota/src/tree.rs
+++ b/crates/quota/src/tree.rs
@@ -237,7 +237,7 @@
     }
 
     #[test]
-    fn what_nobody_stated_is_what_is_below() {
+    fn an_unstated_guarantee_is_the_sum_of_the_children() {
         let plan =
             Plan::parse("generation = 1\n[[organisation]]\nname = \"o\"\nteams = [\"a\", \"b\"]\n").expect("TOML");
         let (tree, warnings) = Tree::of(&plan, &[team("a", 3.0), team("b", 4.0)]).expect("a tree");
--- a/crates/quota/tests/properties.rs
+++ b/crates/quota/tests/properties.rs
@@ -118,7 +118,7 @@
     /// The distance of a start is never greater than that of the nearest level with spare guarantee:
     /// a start within the team's own guarantee comes first, then loans from nearer levels.
     #[test]
-    fn what_is_near_is_lent_first(s in shapes(), uses in prop::collection::vec((any::<prop::sample::Index>(), 1u32..9), 0..20)) {
+    fn nearer_levels_lend_first(s in shapes(), uses in prop::collection::vec((any::<prop::sample::Index>(), 1u32..9), 0..20)) {
         let tree = tree(&s);
         let mut ledger = Ledger::new(tree.clone());
         for (index, cpus) in uses {
@@ -224,7 +224,7 @@
 
 /// A start and an end visit only the team's path in the tree, however many teams there are.
 #[test]
-fn a_start_costs_its_path() {
+fn a_start_visits_only_its_path() {
     let cost = |teams: usize| {
         let names: Vec<String> = (0..teams).map(|i| format!("t{i}")).collect();
         let limits = |n: &String| TeamLimits { name: n.clone(), guarantee: Amount::NONE, limit: Amount::NONE };
--- a/crates/service-levels/tests/gate.rs
+++ b/crates/service-levels/tests/gate.rs
@@ -114,7 +114,7 @@
 
 /// A file without readings must not pass.
 #[test]
-fn what_says_nothing_does_not_pass() {
+fn a_file_without_readings_does_not_pass() {
     let e = serde_json::from_str(r#"{"v":1,"cmd":"hunt","days":[]}"#).expect("an entry");
     assert_eq!(gate::judge_entry("empty", &e), Err(NoReadings("empty: no reading in it".into())));
 }
--- a/crates/service-levels/tests/inheritance.rs
+++ b/crates/service-levels/tests/inheritance.rs
@@ -109,7 +109,7 @@
 
 /// Guards against reading an incomplete round: the previous one is used instead.
 #[test]
-fn half_a_round_is_none() {
+fn an_incomplete_round_is_ignored() {
     let mut tracker = ServiceLevelTracker::new(terms());
     for i in 0..60 {
         tracker.record_request(&format!("a-class-with-a-long-name-{i}"), "red", Reading::Accepted, true, 5.0);
--- a/crates/service-levels/tests/tracker.rs
+++ b/crates/service-levels/tests/tracker.rs
@@ -160,7 +160,7 @@
 
 /// Guards against unbounded memory: users choose the names of classes and teams.
 #[test]
-fn beyond_so_many_names_the_rest_share_an_account() {
+fn names_beyond_the_maximum_share_an_indicator() {
     let mut tracker = ServiceLevelTracker::new(terms());
     for i in 0..1000 {
         tracker.record_request(&format!("c{i}"), &format!("t{i}"), Reading::Accepted, true, 1.0);
--- a/crates/sharding/tests/cells.rs
+++ b/crates/sharding/tests/cells.rs
@@ -42,7 +42,7 @@
 
 /// Adding a shard moves only the teams that get it as their home.
 #[test]
-fn a_team_s_home_is_the_same_everywhere_and_moves_seldom() {
+fn adding_a_shard_moves_only_the_teams_that_it_gets() {
     let (three, four) = (ShardingPlan::of(3), ShardingPlan::of(4));
     let used: BTreeSet<ShardId> = teams().iter().map(|t| three.home(t)).collect();
     assert_eq!(used.len(), 3);
@@ -100,7 +100,7 @@
 /// Guards against two leaders of one job: shard 0 absorbs the others only if none of them can have a leader, and
 /// only with a fencing token that their machines would obey.
 #[test]
-fn cell_0_takes_in_what_is_surely_nobody_s() {
+fn shard_0_absorbs_only_shards_without_a_leader() {
     let nobody = |version| Some((NOBODY, version));
     assert!(may_absorb_all(30, [nobody(20), nobody(29)]));
     assert!(!may_absorb_all(30, [nobody(20), None]), "a controller may still campaign for a shard without a record");
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn what_waits_goes_where_it_starts_sooner_and_not_round_and_round() {
+fn jobs_move_to_shards_that_start_them_sooner_without_cycling() {
     let plan = ShardingPlan::of(3);
     let w = |job: &'static str, cpus: f64, waited_s: f64, moves: u8| SpillCandidate {
         job,
@@ -210,7 +210,7 @@
 /// Guards against a job that stays in a shard without machines forever because it is larger than half of the free
 /// capacity of any other shard.
 #[test]
-fn a_job_larger_than_any_room_goes_where_it_can_begin_once_it_has_waited_long() {
+fn a_job_larger_than_any_free_capacity_moves_once_it_has_waited_long() {
     let plan = ShardingPlan::of(3);
     let large =
         |waited_s| [SpillCandidate { job: "large", cpus: 44.0, task_cpus: 4.0, waited_s, moves: 0, spot: true }];
--- a/crates/sharding/tests/rebalance.rs
+++ b/crates/sharding/tests/rebalance.rs
@@ -342,7 +342,7 @@
     /// With any lost or late writes and failovers: in every stored state each machine belongs to exactly one
     /// shard, and no two leaders use it at the same time.
     #[test]
-    fn a_machine_is_one_cell_s(steps in steps()) {
+    fn a_machine_belongs_to_one_shard(steps in steps()) {
         let mut world = World::new();
         for s in &steps {
             world.step(s);
--- a/crates/sharding/tests/spill.rs
+++ b/crates/sharding/tests/spill.rs
@@ -33,7 +33,7 @@
 /// Guards against a job that waits forever in a shard without machines while all shards are short of capacity,
 /// although others have free capacity that their own waiting work cannot use.
 #[test]
-fn a_job_that_waits_long_takes_room_of_a_short_cell_that_is_of_no_use_there() {
+fn a_job_that_waits_long_moves_to_capacity_that_a_short_shard_cannot_use() {
     let spot_capacity = [short(1, 0.0, 32.0), short(2, 0.0, 8.0)];
     assert_eq!(
         spills(&spot_capacity, &[waiting("job", LONG_S, true)]),
@@ -55,7 +55,7 @@
 
 /// Unusable capacity of one snapshot is used once: of several jobs the one that waited longest moves.
 #[test]
-fn one_job_goes_for_each_picture_of_a_short_cell() {
+fn one_job_uses_the_unusable_capacity_of_a_snapshot() {
     let two = [waiting("second", 40.0, true), waiting("first", 60.0, true)];
     assert_eq!(spills(&[short(1, 8.0, 32.0)], &two), [("first", ShardId(1))]);
 }
