--- a/crates/files/src/lib.rs
+++ b/crates/files/src/lib.rs
@@ -1,16 +1,16 @@
-//! Operators' files: read from TOML, and everything that is wrong with one told by its path.
+//! Reads and validates operators' files in TOML. Every fault is reported with its path in the file.
 
 use garde::Validate;
 use serde::de::DeserializeOwned;
 use std::fmt;
 use std::path::Path;
 
-/// Something wrong with a file, and where.
+/// A fault in a file.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fault {
-    /// Where in the file, by field names and positions.
+    /// Path in the file, by field names and positions.
     pub path: String,
-    /// What is wrong there.
+    /// Description of the fault.
     pub what: String,
 }
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// Reads TOML. What cannot be read at all is one fault, with the line where it begins.
+/// Reads TOML. A text that cannot be parsed gives a single fault with the line of the error.
 pub fn read<T: DeserializeOwned>(text: &str) -> Result<T, Fault> {
     toml::from_str(text).map_err(|e| {
         let before = e.span().and_then(|s| text.get(..s.start)).unwrap_or("");
@@ -29,14 +29,15 @@
     })
 }
 
-/// What is out of its bounds. `names`: parts of paths that the file names otherwise than the program.
+/// Returns all values that violate their bounds. `names` lists parts of paths that differ between the program
+/// and the file, as pairs (program, file).
 pub fn out_of_bounds(value: &impl Validate<Context = ()>, names: &[(&str, &str)]) -> Vec<Fault> {
     let Err(report) = value.validate() else { return Vec::new() };
-    let named = |p: String| names.iter().fold(p, |p, (ours, theirs)| p.replace(ours, theirs));
-    report.iter().map(|(p, e)| Fault { path: named(p.to_string()), what: e.message().to_owned() }).collect()
+    let file_path = |path: String| names.iter().fold(path, |path, (program, file)| path.replace(program, file));
+    report.iter().map(|(p, e)| Fault { path: file_path(p.to_string()), what: e.message().to_owned() }).collect()
 }
 
-/// What `parse` makes of a file, or each fault on a line of its own, with the file's name.
+/// Reads a file and parses it with `parse`. The error has one line per fault, each with the name of the file.
 pub fn load<T>(path: &Path, parse: impl FnOnce(&str) -> Result<T, Vec<Fault>>) -> Result<T, String> {
     let text = std::fs::read_to_string(path).map_err(|e| format!("{}: {e}", path.display()))?;
     parse(&text).map_err(|faults| {
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -1,13 +1,15 @@
-//! What the cloud is asked for and answers.
+//! Requests to the cloud's API and its responses.
 
 use serde::{Deserialize, Serialize};
 
+/// The machine types that the cloud offers.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 pub struct Types {
     #[serde(rename = "strains")]
     pub types: Vec<MachineType>,
 }
 
+/// A machine type: its capacity, prices, boot time and zones. Prices are per hour.
 #[derive(Deserialize, Serialize, Clone, Debug, PartialEq)]
 pub struct MachineType {
     pub name: String,
@@ -29,6 +31,7 @@
     pub zones: Vec<String>,
 }
 
+/// A request to rent `count` machines of one type.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 pub struct RentRequest {
     #[serde(rename = "tenancy")]
@@ -43,12 +46,14 @@
     pub count: usize,
 }
 
+/// Names of machines.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 pub struct MachineNames {
     #[serde(rename = "plots")]
     pub machines: Vec<String>,
 }
 
+/// The state of a machine in the cloud's list.
 #[derive(Deserialize, Serialize, Clone, Copy, PartialEq, Eq, Debug)]
 #[serde(rename_all = "lowercase")]
 pub enum ListedState {
@@ -59,6 +64,7 @@
     Other,
 }
 
+/// A machine in the cloud's list.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 pub struct ListedMachine {
     pub id: String,
@@ -76,6 +82,7 @@
     pub age_s: f64,
 }
 
+/// A page of the cloud's list of machines.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 pub struct MachineList {
     #[serde(rename = "plots")]
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
-//! The published names of every interface: the only place where they appear.
+//! Message types, paths and settings of all published interfaces: users, workers, cloud and state service.
 //!
-//! Elsewhere the program uses the field's own terms (job, task, team, zone,
-//! machine, attempt, token, lease); serde renames them here.
+//! The published names appear only in this crate. Elsewhere the program uses the usual terms (job, task,
+//! team, zone, machine, attempt, token, lease), and serde maps them here.
 
 mod cloud;
 mod paths;
--- a/crates/wire/src/settings.rs
+++ b/crates/wire/src/settings.rs
@@ -2,12 +2,18 @@
 
 use serde::Deserialize;
 
+/// Key of the controller's name in the settings file.
 pub const SETTINGS_NODE: &str = "host_name";
+/// Key of the controller's zone in the settings file.
 pub const SETTINGS_ZONE: &str = "domain";
+/// Key of the address for users and workers in the settings file.
 pub const SETTINGS_LISTEN: &str = "bind";
+/// Key of the list of other controllers in the settings file.
 pub const SETTINGS_PEERS: &str = "seeds";
+/// Key of another controller's address in the settings file.
 pub const SETTINGS_PEER_ADDR: &str = "seeds.address";
 
+/// The settings file.
 #[derive(Deserialize)]
 pub struct SettingsFile {
     #[serde(rename = "host_name")]
@@ -24,6 +30,7 @@
     pub params: SettingsParams,
 }
 
+/// Another controller.
 #[derive(Deserialize)]
 pub struct SettingsPeer {
     #[serde(rename = "host_name")]
@@ -34,12 +41,14 @@
     pub addr: String,
 }
 
+/// Addresses of the cloud and the state service.
 #[derive(Deserialize)]
 pub struct SettingsServices {
     pub cloud: String,
     pub state: String,
 }
 
+/// Parameters of the cluster.
 #[derive(Deserialize)]
 pub struct SettingsParams {
     pub zones: Vec<String>,
@@ -56,6 +65,7 @@
     pub limits: SettingsLimits,
 }
 
+/// Guarantee and limit of a team.
 #[derive(Deserialize)]
 pub struct SettingsTeam {
     pub name: String,
@@ -69,7 +79,7 @@
     pub gpus_max: f64,
 }
 
-/// What users expect on starting and finishing. Kinds that are not known say nothing here.
+/// A service-level objective of users. Objectives of unknown kinds are ignored.
 #[derive(Deserialize)]
 pub struct SettingsObjective {
     pub kind: String,
@@ -83,6 +93,8 @@
     pub times: Option<f64>,
 }
 
+/// Timing of workers in seconds: heartbeat interval, lease, and the time within which the tasks of a cancelled
+/// job have to be gone.
 #[derive(Deserialize)]
 pub struct SettingsWorkers {
     pub report_s: f64,
@@ -90,6 +102,7 @@
     pub cancel_s: f64,
 }
 
+/// Limits of the state service.
 #[derive(Deserialize)]
 pub struct SettingsState {
     pub rps: f64,
@@ -100,7 +113,7 @@
     pub next: Option<SettingsStateNext>,
 }
 
-/// Limits that the state service will have from some moment on; a missing one stays.
+/// Announced future limits of the state service; a limit that is absent does not change.
 #[derive(Deserialize)]
 pub struct SettingsStateNext {
     pub rps: Option<f64>,
@@ -109,6 +122,7 @@
     pub txn_ops: Option<usize>,
 }
 
+/// Limits of the cloud's API.
 #[derive(Deserialize)]
 pub struct SettingsCloud {
     pub rps: f64,
@@ -116,6 +130,7 @@
     pub list_lag_s: f64,
 }
 
+/// Resource limits of a controller.
 #[derive(Deserialize, Default)]
 pub struct SettingsLimits {
     #[serde(rename = "sockets")]
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -1,7 +1,8 @@
-//! What the state service is asked for and answers.
+//! Requests to the state service and its responses.
 
 use serde::{Deserialize, Serialize};
 
+/// A stored value with its version, and the lease that it is bound to.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 pub struct KeyValue {
     #[serde(rename = "path")]
@@ -14,6 +15,7 @@
     pub lease: Option<u64>,
 }
 
+/// A page of a list of keys, at one revision.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 pub struct KeyValuePage {
     #[serde(rename = "pairs")]
@@ -24,6 +26,7 @@
     pub revision: u64,
 }
 
+/// A condition of a transaction: the key has this version.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 pub struct Compare {
     #[serde(rename = "path")]
@@ -32,6 +35,7 @@
     pub version: u64,
 }
 
+/// A change in a transaction.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 #[serde(untagged)]
 pub enum Mutation {
@@ -49,6 +53,7 @@
     },
 }
 
+/// A transaction: its changes are applied only if all conditions hold.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 pub struct Transaction {
     #[serde(rename = "if", default)]
@@ -57,6 +62,7 @@
     pub mutations: Vec<Mutation>,
 }
 
+/// The result of a transaction: its revision, or the keys whose condition failed.
 #[derive(Deserialize, Serialize, Clone, Debug, Default)]
 pub struct CommitReply {
     #[serde(rename = "almanac", default)]
@@ -65,18 +71,21 @@
     pub failed: Vec<String>,
 }
 
+/// A request for a lease.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 pub struct LeaseGrantRequest {
     #[serde(rename = "life_ms")]
     pub ttl_ms: u64,
 }
 
+/// A granted lease.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 pub struct LeaseGrantReply {
     #[serde(rename = "tether")]
     pub lease: u64,
 }
 
+/// A change of a key.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 pub struct WatchEvent {
     #[serde(rename = "set", default, skip_serializing_if = "Option::is_none")]
@@ -89,6 +98,7 @@
     pub version: u64,
 }
 
+/// The changes since the requested revision.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 pub struct WatchReply {
     #[serde(rename = "almanac")]
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -1,8 +1,9 @@
-//! What users send and are answered.
+//! Requests of users and the responses.
 
 use lupinspur_elastic::Sizes;
 use serde::{Deserialize, Serialize};
 
+/// The kind of a job.
 #[derive(Deserialize, Serialize, Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Kind {
     #[serde(rename = "batch")]
@@ -11,6 +12,7 @@
     Service,
 }
 
+/// The priority of a job, the highest first.
 #[derive(Deserialize, Serialize, Clone, Copy, PartialEq, Eq, Debug, PartialOrd, Ord)]
 pub enum Priority {
     #[serde(rename = "critical")]
@@ -23,6 +25,7 @@
     Low,
 }
 
+/// A submitted job. Jobs are stored in the same form.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 pub struct JobRequest {
     pub id: String,
@@ -62,24 +65,26 @@
     pub save_s: f64,
     #[serde(rename = "harvest_s", default)]
     pub deadline_s: Option<f64>,
-    /// Jobs that must be done before any task of this one starts. Left out where there are
-    /// none, so that such a job's record is to the letter what earlier versions wrote.
+    /// Jobs that must be done before any task of this job starts. Omitted if there are none, so that the
+    /// record of such a job is identical to that of earlier versions.
     #[serde(rename = "awaits", default, skip_serializing_if = "Option::is_none")]
     pub dependencies: Option<Vec<String>>,
-    /// Tasks held at one time, where elastic jobs are enabled. Left out where there are none.
+    /// Smallest and largest number of tasks held at a time, if elastic jobs are enabled. Omitted if not given.
     #[serde(rename = "elastic", default, skip_serializing_if = "Option::is_none")]
     pub elastic: Option<Sizes>,
 }
 
-/// The field of a submission that is read only where elastic jobs are enabled.
+/// The field of a submission that is read only if elastic jobs are enabled.
 pub const ELASTIC_FIELD: &str = "elastic";
 
 impl JobRequest {
+    /// Returns the jobs that must be done before this one starts.
     pub fn dependencies(&self) -> &[String] {
         self.dependencies.as_deref().unwrap_or_default()
     }
 }
 
+/// The state of a job, as users see it.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Debug)]
 #[serde(rename_all = "lowercase")]
 pub enum JobState {
@@ -90,6 +95,7 @@
 }
 
 impl JobState {
+    /// Returns the published name.
     pub fn as_str(self) -> &'static str {
         match self {
             JobState::Queued => "queued",
@@ -98,11 +104,13 @@
             JobState::Cancelled => "cancelled",
         }
     }
+    /// Parses a published name.
     pub fn parse(s: &str) -> Option<JobState> {
         [JobState::Queued, JobState::Running, JobState::Done, JobState::Cancelled].into_iter().find(|j| j.as_str() == s)
     }
 }
 
+/// The response to a query for a job.
 #[derive(Serialize)]
 pub struct JobAnswer<'a> {
     pub id: &'a str,
@@ -114,6 +122,7 @@
     pub running: Option<u64>,
 }
 
+/// The response to a request that failed.
 #[derive(Serialize)]
 pub struct ErrorAnswer<'a> {
     pub error: &'a str,
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -1,7 +1,8 @@
-//! Reports of workers, and commands to them.
+//! Heartbeats of workers, and commands to them.
 
 use serde::{Deserialize, Serialize};
 
+/// A worker's heartbeat. `token` is the highest fencing token that it has seen.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 pub struct Heartbeat {
     #[serde(rename = "plot")]
@@ -21,11 +22,12 @@
     pub token: u64,
     #[serde(rename = "reclaim_s", default)]
     pub notice_s: Option<f64>,
-    /// Without this list it is no report: one that was cut short once passed for that of an empty machine.
+    /// Required, so that a truncated heartbeat is rejected instead of being read as that of an idle machine.
     #[serde(rename = "seeds")]
     pub tasks: Vec<TaskReport>,
 }
 
+/// The state of a task on a machine.
 #[derive(Deserialize, Serialize, Clone, Copy, PartialEq, Eq, Debug)]
 pub enum TaskState {
     #[serde(rename = "pulling")]
@@ -40,6 +42,7 @@
     Waiting,
 }
 
+/// Why a task has ended, or was not started.
 #[derive(Deserialize, Serialize, Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ExitReason {
     #[serde(rename = "done")]
@@ -58,6 +61,7 @@
     Other,
 }
 
+/// One task in a heartbeat.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 pub struct TaskReport {
     #[serde(rename = "seed")]
@@ -72,6 +76,7 @@
     pub saved: Option<bool>,
 }
 
+/// The kind of a command.
 #[derive(Deserialize, Serialize, Clone, Copy, PartialEq, Eq, Debug)]
 pub enum CommandKind {
     #[serde(rename = "run")]
@@ -82,6 +87,7 @@
     Forget,
 }
 
+/// A command to a worker about one attempt of a task.
 #[derive(Deserialize, Serialize, Clone, PartialEq, Debug)]
 pub struct Command {
     #[serde(rename = "tiding")]
@@ -94,6 +100,7 @@
     pub grace_s: Option<f64>,
 }
 
+/// The reply to a heartbeat, with the leader's fencing token.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 pub struct HeartbeatReply {
     #[serde(rename = "warrant")]
@@ -102,6 +109,7 @@
     pub commands: Vec<Command>,
 }
 
+/// Commands that a leader sends directly, for one incarnation of a worker.
 #[derive(Deserialize, Serialize, Clone, Debug)]
 pub struct PushedCommands {
     #[serde(rename = "warrant")]
@@ -112,6 +120,7 @@
     pub commands: Vec<Command>,
 }
 
+/// The reply to a heartbeat by a controller that does not lead the machine's shard.
 #[derive(Deserialize, Serialize, Clone, Debug, Default)]
 pub struct Redirect {
     #[serde(rename = "gardener", skip_serializing_if = "Option::is_none", default)]
