--- a/crates/elastic/src/pool.rs
+++ b/crates/elastic/src/pool.rs
@@ -96,7 +96,7 @@
         &self.plan
     }
 
-    /// Adds a job at its smallest size. A job that is already in the pool staying unchanged.
+    /// Adds a job at its smallest size. A job that is already in the pool stays unchanged.
     pub fn add_job(&mut self, j: J, sizes: Sizes) {
         self.jobs.entry(j).or_insert(JobState { sizes, wanted: sizes.smallest, no_growth_before: f64::MIN });
     }
--- a/crates/elastic/tests/model.rs
+++ b/crates/elastic/tests/model.rs
@@ -155,8 +155,8 @@
             if missing == 0 || t.stop_decided_at.is_some() || self.pool.surplus(j, h) == 0 {
                 continue;
             }
-            let mercy = self.pool.save_grace_s(t.save_s);
-            self.pool.shrink(j, i, mercy, h.held - h.leaving - 1, self.now);
+            let grace_s = self.pool.save_grace_s(t.save_s);
+            self.pool.shrink(j, i, grace_s, h.held - h.leaving - 1, self.now);
             self.tasks.get_mut(&i).expect("it is there").stop_decided_at = Some(self.now);
             missing -= 1;
         }
--- a/crates/service-levels/src/gate.rs
+++ b/crates/service-levels/src/gate.rs
@@ -10,7 +10,7 @@
 use std::collections::BTreeMap;
 
 /// The text that precedes a service-level report in a log line.
-pub const LOG_MARK: &str = "service reported: ";
+pub const LOG_MARK: &str = "service accounts: ";
 /// Kinds of targets that measure which share of a class was served. Of several targets of one kind
 /// and class only the one with the longest time is judged; the others are printed as notes.
 const SHARES: [&str; 6] = ["up", "wait", "deadline", "finished", "guarantee", "submit"];
--- a/crates/service-levels/tests/inheritance.rs
+++ b/crates/service-levels/tests/inheritance.rs
@@ -98,7 +98,7 @@
     next.track(&entry("match", 85.0), 130.0);
     next.advance(131.0);
     assert_eq!(sums(&next, "match", Reading::Started), (2.0, 0.0, 2));
-    // Done before the last stored round, close to it, and after it.
+    // Done at 98, before the last stored round at 100; close to it; and after it.
     for (ended, known) in [(98.0, 0.0), (100.5, 0.0), (120.0, 1.0)] {
         let before = sums(&next, "match", Reading::Done).0;
         next.count_from_record(&entry("match", 70.0), End::Done, Some(ended), 131.0);
--- a/crates/sharding/tests/rebalance.rs
+++ b/crates/sharding/tests/rebalance.rs
@@ -127,7 +127,7 @@
     arriving: BTreeSet<String>,
     /// The transfers as it last saw them, with their versions.
     seen: BTreeMap<String, (MachineTransfer, u64)>,
-    /// The write owners result it waits for.
+    /// The write whose result it waits for.
     sent: Option<Write>,
 }
 
--- a/crates/wire/src/paths.rs
+++ b/crates/wire/src/paths.rs
@@ -3,11 +3,11 @@
 /// Users: submissions; with a job's name appended, queries for its state.
 pub const JOBS_PATH: &str = "/work";
 /// Users: the last part of the path of a cancellation.
-pub const CANCEL_END: &str = "withdraw";
+pub const CANCEL_SUFFIX: &str = "withdraw";
 /// Health check.
 pub const HEALTH_PATH: &str = "/up";
 /// Workers: heartbeats.
-pub const REPORT_PATH: &str = "/checkin";
+pub const HEARTBEAT_PATH: &str = "/checkin";
 /// Workers: commands that a leader sends directly.
 pub const COMMANDS_PATH: &str = "/do";
 /// Workers: queries for a worker's state.
@@ -25,11 +25,11 @@
 /// State service: leases.
 pub const LEASES_PATH: &str = "/grants";
 /// State service: the last part of the path of a lease renewal.
-pub const RENEW_END: &str = "renew";
+pub const RENEW_SUFFIX: &str = "renew";
 /// State service: watches.
 pub const WATCH_PATH: &str = "/follow";
 /// The prefix of all job names.
-pub const JOB_ID_START: &str = "req-";
+pub const JOB_ID_PREFIX: &str = "req-";
 
 /// Returns the path and query that list at most `limit` keys with this prefix, beginning after `after`.
 pub fn list_query(prefix: &str, after: &str, limit: usize) -> String {
--- a/crates/wire/src/users.rs
+++ b/crates/wire/src/users.rs
@@ -112,7 +112,7 @@
 
 /// The response to a query for a job.
 #[derive(Serialize)]
-pub struct JobAnswer<'a> {
+pub struct JobResponse<'a> {
     pub id: &'a str,
     #[serde(rename = "bloom")]
     pub state: JobState,
@@ -124,6 +124,6 @@
 
 /// The response to a request that failed.
 #[derive(Serialize)]
-pub struct ErrorAnswer<'a> {
+pub struct ErrorResponse<'a> {
     pub error: &'a str,
 }
--- a/crates/wire/src/workers.rs
+++ b/crates/wire/src/workers.rs
@@ -124,5 +124,5 @@
 #[derive(Deserialize, Serialize, Clone, Debug, Default)]
 pub struct Redirect {
     #[serde(rename = "gardener", skip_serializing_if = "Option::is_none", default)]
-    pub report_to: Option<String>,
+    pub send_heartbeats_to: Option<String>,
 }
--- a/src/api/route.rs
+++ b/src/api/route.rs
@@ -43,10 +43,10 @@
 /// Finds the request that a method and a path stand for.
 pub(super) fn route(method: Method, path: &str) -> Result<Route<'_>, RouteError> {
     match (method, path) {
-        (Method::Post, wire::REPORT_PATH) => Ok(Route::Heartbeat),
+        (Method::Post, wire::HEARTBEAT_PATH) => Ok(Route::Heartbeat),
         (Method::Get, wire::HEALTH_PATH) => Ok(Route::Health),
         (Method::Post, wire::JOBS_PATH) => Ok(Route::SubmitJob),
-        (_, wire::REPORT_PATH | wire::HEALTH_PATH | wire::JOBS_PATH) => Err(RouteError::MethodNotAllowed),
+        (_, wire::HEARTBEAT_PATH | wire::HEALTH_PATH | wire::JOBS_PATH) => Err(RouteError::MethodNotAllowed),
         (method, path) => route_job(method, path),
     }
 }
@@ -56,7 +56,7 @@
     let rest = below_jobs.ok_or(RouteError::NoSuchPath)?;
     let (id, verb, expected_method) = match rest.split_once('/') {
         None => (rest, Verb::Show, Method::Get),
-        Some((id, wire::CANCEL_END)) => (id, Verb::Cancel, Method::Post),
+        Some((id, wire::CANCEL_SUFFIX)) => (id, Verb::Cancel, Method::Post),
         Some(_) => return Err(RouteError::NoSuchPath),
     };
     if method != expected_method {
--- a/src/http/admission.rs
+++ b/src/http/admission.rs
@@ -82,7 +82,7 @@
 impl RequestKind {
     pub(super) fn of(method: Method, path: &str) -> RequestKind {
         match path {
-            crate::wire::REPORT_PATH => RequestKind::Report,
+            crate::wire::HEARTBEAT_PATH => RequestKind::Report,
             crate::wire::HEALTH_PATH => RequestKind::Health,
             _ if method == Method::Get => RequestKind::Poll,
             _ => RequestKind::User,
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -42,7 +42,7 @@
 
     /// An error; one that may pass asks for another try after a second.
     pub fn error(status: u16, reason: &str) -> Outgoing {
-        let mut answer = Outgoing::json(status, &crate::wire::ErrorAnswer { error: reason });
+        let mut answer = Outgoing::json(status, &crate::wire::ErrorResponse { error: reason });
         if matches!(status, 429 | 503 | 504) {
             answer.retry_after_s = Some(1);
         }
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -28,7 +28,7 @@
         for _round in 0..3 {
             for c in &clients {
                 let limit = Duration::from_secs(2);
-                let report = crate::wire::REPORT_PATH;
+                let report = crate::wire::HEARTBEAT_PATH;
                 let call = || c.call(addr, Method::Post, report, Some(b"{}".to_vec()), limit);
                 let mut heard = call().await;
                 // A connection that was given back meanwhile is opened anew.
@@ -47,7 +47,7 @@
 /// are heard all the while, and the load balancer is answered.
 #[test]
 fn polls_go_first_then_users_and_heartbeats_never() {
-    use crate::wire::{HEALTH_PATH, JOBS_PATH, REPORT_PATH};
+    use crate::wire::{HEALTH_PATH, HEARTBEAT_PATH, JOBS_PATH};
     let addr = listening(Bounds { connections: 64, body_bytes: 1 << 20 });
     async_io::block_on(EX.run(async {
         let limit = Duration::from_secs(2);
@@ -60,7 +60,7 @@
         for held in [40, 57, 61] {
             while machines.len() < held {
                 let c = Client::new(1, 1);
-                assert_eq!(c.call(addr, Method::Post, REPORT_PATH, None, limit).await.map(|h| h.0), Ok(200));
+                assert_eq!(c.call(addr, Method::Post, HEARTBEAT_PATH, None, limit).await.map(|h| h.0), Ok(200));
                 machines.push(c);
             }
             let all = [(Method::Get, poll.as_str()), (Method::Post, JOBS_PATH), (Method::Get, HEALTH_PATH)];
@@ -68,7 +68,7 @@
                 seen.push(ask(method, path).await);
             }
             for m in &machines {
-                assert_eq!(m.call(addr, Method::Post, REPORT_PATH, None, limit).await.map(|h| h.0), Ok(200));
+                assert_eq!(m.call(addr, Method::Post, HEARTBEAT_PATH, None, limit).await.map(|h| h.0), Ok(200));
             }
         }
         assert_eq!(seen, [200, 200, 200, 503, 200, 200, 503, 503, 200]);
--- a/src/job_status.rs
+++ b/src/job_status.rs
@@ -35,7 +35,7 @@
 
 /// Is this a well-formed id of a job?
 pub fn valid_id(id: &str) -> bool {
-    id.strip_prefix(wire::JOB_ID_START)
+    id.strip_prefix(wire::JOB_ID_PREFIX)
         .is_some_and(|n| !n.is_empty() && n.len() <= MAX_ID_DIGITS && n.bytes().all(|b| b.is_ascii_digit()))
 }
 
--- a/src/responses.rs
+++ b/src/responses.rs
@@ -6,7 +6,7 @@
 use crate::jobs::{JobRecord, Phase};
 use crate::peer::Verb;
 use crate::shard::{HeartbeatOutcome, JobView};
-use crate::wire::{JobAnswer, KeyValue, Redirect};
+use crate::wire::{JobResponse, KeyValue, Redirect};
 
 /// The answer of a node that cannot or may not act.
 pub fn unavailable() -> Outgoing {
@@ -16,7 +16,7 @@
 /// A job as its user sees it; `counts`: with how many tasks are done and running.
 pub fn job_answer(status: u16, id: &str, job: JobStatus, counts: bool) -> Outgoing {
     let count = |tasks| counts.then_some(tasks);
-    let answer = JobAnswer { id, state: job.state, done: count(job.done), running: count(job.running) };
+    let answer = JobResponse { id, state: job.state, done: count(job.done), running: count(job.running) };
     Outgoing::json(status, &answer)
 }
 
@@ -56,7 +56,7 @@
         Some(HeartbeatOutcome::Reply(reply)) => Outgoing::json(200, &reply).until(lease_valid_until),
         Some(HeartbeatOutcome::Stale) => unavailable(),
         Some(HeartbeatOutcome::Superseded) | None => match leader() {
-            Some(node) => Outgoing::json(421, &Redirect { report_to: Some(node) }),
+            Some(node) => Outgoing::json(421, &Redirect { send_heartbeats_to: Some(node) }),
             None => unavailable(),
         },
     }
--- a/src/state/operations.rs
+++ b/src/state/operations.rs
@@ -122,7 +122,7 @@
 
     /// Renews a lease. One that the service does not know is over.
     pub async fn renew(&self, lease: u64, timeout: Duration) -> Result<(), StateError> {
-        let path = format!("{}/{lease}/{}", wire::LEASES_PATH, wire::RENEW_END);
+        let path = format!("{}/{lease}/{}", wire::LEASES_PATH, wire::RENEW_SUFFIX);
         let priority = RequestPriority::Urgent;
         let response = self.call(priority, Method::Post, &path, Some(b"{}".to_vec()), timeout).await?;
         match response.status {
--- a/tests/golden/keys.rs
+++ b/tests/golden/keys.rs
@@ -59,9 +59,9 @@
 
 #[test]
 fn paths_of_users_and_workers() {
-    assert_eq!((wire::JOBS_PATH, wire::CANCEL_END, wire::HEALTH_PATH), ("/work", "withdraw", "/up"));
-    assert_eq!((wire::REPORT_PATH, wire::COMMANDS_PATH, wire::STATUS_PATH), ("/checkin", "/do", "/show"));
-    assert_eq!((wire::JOB_ID_START, wire::ELASTIC_FIELD), ("req-", "elastic"));
+    assert_eq!((wire::JOBS_PATH, wire::CANCEL_SUFFIX, wire::HEALTH_PATH), ("/work", "withdraw", "/up"));
+    assert_eq!((wire::HEARTBEAT_PATH, wire::COMMANDS_PATH, wire::STATUS_PATH), ("/checkin", "/do", "/show"));
+    assert_eq!((wire::JOB_ID_PREFIX, wire::ELASTIC_FIELD), ("req-", "elastic"));
 }
 
 #[test]
@@ -75,7 +75,7 @@
 #[test]
 fn paths_of_the_state_service() {
     assert_eq!((wire::KV_PATH, wire::TXN_PATH), ("/kv", "/commit"));
-    assert_eq!((wire::LEASES_PATH, wire::RENEW_END, wire::WATCH_PATH), ("/grants", "renew", "/follow"));
+    assert_eq!((wire::LEASES_PATH, wire::RENEW_SUFFIX, wire::WATCH_PATH), ("/grants", "renew", "/follow"));
     assert_eq!(wire::list_query("job/", "", 200), "/kv?under=job/&limit=200");
     assert_eq!(wire::list_query("job/", "job/req-7", 200), "/kv?under=job/&from=job/req-7&limit=200");
     assert_eq!(wire::watch_query("own/", 431, 10_000), "/follow?under=own/&from=431&block_ms=10000");
--- a/tests/golden/messages.rs
+++ b/tests/golden/messages.rs
@@ -102,11 +102,11 @@
 
 #[test]
 fn status_answer() {
-    let full = JobAnswer { id: "req-000412", state: JobState::Running, done: Some(3), running: Some(13) };
+    let full = JobResponse { id: "req-000412", state: JobState::Running, done: Some(3), running: Some(13) };
     assert_eq!(as_sent(&full), SAMPLES.named("status_answer"));
-    let short = JobAnswer { id: "req-000412", state: JobState::Queued, done: None, running: None };
+    let short = JobResponse { id: "req-000412", state: JobState::Queued, done: None, running: None };
     assert_eq!(as_sent(&short), SAMPLES.named("submission_answer"));
-    assert_eq!(as_sent(&ErrorAnswer { error: "unknown team" }), SAMPLES.named("error_answer"));
+    assert_eq!(as_sent(&ErrorResponse { error: "unknown team" }), SAMPLES.named("error_answer"));
 }
 
 #[test]
@@ -169,8 +169,8 @@
 #[test]
 fn heartbeat_reply() {
     same("heartbeat_reply", &HeartbeatReply { token: 41, commands: commands() });
-    same("redirect", &Redirect { report_to: Some("sprig-2".into()) });
-    same("redirect_to_nobody", &Redirect { report_to: None });
+    same("redirect", &Redirect { send_heartbeats_to: Some("sprig-2".into()) });
+    same("redirect_to_nobody", &Redirect { send_heartbeats_to: None });
 }
 
 #[test]
