--- a/crates/elastic/src/pool.rs
+++ b/crates/elastic/src/pool.rs
@@ -86,7 +86,7 @@
 impl<J: Copy + Ord, T: Copy + Ord> Pool<J, T> {
     pub fn new(plan: Plan) -> Pool<J, T> {
         let times = match Histogram::new_with_max(LONGEST_MS, 2) {
-            Ok(h) => h,
+            Ok(histogram) => histogram,
             Err(_) => unreachable!("a histogram with a maximum of one day in milliseconds is valid"),
         };
         Pool { plan, jobs: BTreeMap::new(), shrinks: BTreeMap::new(), idle_since: None, times, recent: VecDeque::new() }
@@ -97,41 +97,41 @@
     }
 
     /// Adds a job at its smallest size. A job that is already in the pool stays unchanged.
-    pub fn add_job(&mut self, j: J, sizes: Sizes) {
-        self.jobs.entry(j).or_insert(JobState { sizes, wanted: sizes.smallest, no_growth_before: f64::MIN });
+    pub fn add_job(&mut self, job: J, sizes: Sizes) {
+        self.jobs.entry(job).or_insert(JobState { sizes, wanted: sizes.smallest, no_growth_before: f64::MIN });
     }
 
     /// Removes a job that is over. Its unfinished shrinks stay until their tasks end.
-    pub fn remove_job(&mut self, j: J) {
-        self.jobs.remove(&j);
+    pub fn remove_job(&mut self, job: J) {
+        self.jobs.remove(&job);
     }
 
-    pub fn sizes(&self, j: J) -> Option<Sizes> {
-        self.jobs.get(&j).map(|s| s.sizes)
+    pub fn sizes(&self, job: J) -> Option<Sizes> {
+        self.jobs.get(&job).map(|s| s.sizes)
     }
 
     /// Returns the number of tasks below which the job is never shrunk: its smallest size, or its
     /// unfinished tasks if there are fewer.
-    fn min_tasks(s: &JobState, h: JobUsage) -> u32 {
-        s.sizes.smallest.min(h.unfinished)
+    fn min_tasks(state: &JobState, usage: JobUsage) -> u32 {
+        state.sizes.smallest.min(usage.unfinished)
     }
 
     /// Returns how many more tasks may start: first those up to the smallest size, which are scheduled
     /// by the job's own priority, then those beyond it, which use idle capacity. Stopping tasks still
     /// count as held, so that the largest size is never exceeded.
-    pub fn allowed_starts(&self, j: J, h: JobUsage) -> (u32, u32) {
-        let Some(s) = self.jobs.get(&j) else { return (h.unfinished.saturating_sub(h.held), 0) };
-        let headroom = s.sizes.largest.min(h.unfinished).saturating_sub(h.held);
-        let staying = h.held - h.leaving.min(h.held);
-        let own = Self::min_tasks(s, h).saturating_sub(staying).min(headroom);
-        let wanted = s.wanted.min(h.unfinished).saturating_sub(staying.max(Self::min_tasks(s, h)));
+    pub fn allowed_starts(&self, job: J, usage: JobUsage) -> (u32, u32) {
+        let Some(state) = self.jobs.get(&job) else { return (usage.unfinished.saturating_sub(usage.held), 0) };
+        let headroom = state.sizes.largest.min(usage.unfinished).saturating_sub(usage.held);
+        let staying = usage.held - usage.leaving.min(usage.held);
+        let own = Self::min_tasks(state, usage).saturating_sub(staying).min(headroom);
+        let wanted = state.wanted.min(usage.unfinished).saturating_sub(staying.max(Self::min_tasks(state, usage)));
         (own, wanted.min(headroom - own))
     }
 
     /// Returns how many of the job's tasks may be stopped to free capacity.
-    pub fn surplus(&self, j: J, h: JobUsage) -> u32 {
-        let staying = h.held - h.leaving.min(h.held);
-        self.jobs.get(&j).map_or(0, |s| staying.saturating_sub(Self::min_tasks(s, h)))
+    pub fn surplus(&self, job: J, usage: JobUsage) -> u32 {
+        let staying = usage.held - usage.leaving.min(usage.held);
+        self.jobs.get(&job).map_or(0, |state| staying.saturating_sub(Self::min_tasks(state, usage)))
     }
 
     /// Lets jobs grow into idle capacity that no other work wants. `room` holds, for each elastic job,
@@ -152,23 +152,24 @@
         let mut remaining = ((f64::from(largest_demand) * self.plan.step) as u32).max(1);
         let mut grown: BTreeMap<J, u32> = BTreeMap::new();
         while remaining > 0 {
-            let growth_candidate = |(j, n, h): &(J, u32, JobUsage)| {
-                let s = self.jobs.get(j)?;
-                let more = grown.get(j).copied().unwrap_or(0);
-                let wanted = s.wanted.max(h.held.min(s.sizes.largest)) + more;
-                let may_grow = now >= s.no_growth_before && more < *n && wanted < s.sizes.largest.min(h.unfinished);
-                let share = f64::from(wanted) / f64::from(s.sizes.largest);
-                may_grow.then_some((share, *j))
+            let growth_candidate = |(job, n, usage): &(J, u32, JobUsage)| {
+                let state = self.jobs.get(job)?;
+                let more = grown.get(job).copied().unwrap_or(0);
+                let wanted = state.wanted.max(usage.held.min(state.sizes.largest)) + more;
+                let may_grow =
+                    now >= state.no_growth_before && more < *n && wanted < state.sizes.largest.min(usage.unfinished);
+                let share = f64::from(wanted) / f64::from(state.sizes.largest);
+                may_grow.then_some((share, *job))
             };
             let next = room.iter().filter_map(growth_candidate).min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
-            let Some((_, j)) = next else { break };
-            *grown.entry(j).or_default() += 1;
+            let Some((_, job)) = next else { break };
+            *grown.entry(job).or_default() += 1;
             remaining -= 1;
         }
-        for (j, n) in &grown {
-            let held = room.iter().find(|r| r.0 == *j).map_or(0, |r| r.2.held);
-            if let Some(s) = self.jobs.get_mut(j) {
-                s.wanted = (s.wanted.max(held.min(s.sizes.largest)) + n).min(s.sizes.largest);
+        for (job, n) in &grown {
+            let held = room.iter().find(|r| r.0 == *job).map_or(0, |r| r.2.held);
+            if let Some(state) = self.jobs.get_mut(job) {
+                state.wanted = (state.wanted.max(held.min(state.sizes.largest)) + n).min(state.sizes.largest);
             }
         }
         if !grown.is_empty() {
@@ -179,13 +180,13 @@
 
     /// Records that a surplus task is told to stop within the grace period `grace_s`. The job then
     /// wants at most the `stay` tasks that are left, and does not grow for `rest_s`.
-    pub fn shrink(&mut self, j: J, task: T, grace_s: f64, stay: u32, now: f64) {
-        if let Some(s) = self.jobs.get_mut(&j) {
-            s.wanted = s.wanted.min(stay).max(s.sizes.smallest);
-            s.no_growth_before = now + self.plan.rest_s;
+    pub fn shrink(&mut self, job: J, task: T, grace_s: f64, stay: u32, now: f64) {
+        if let Some(state) = self.jobs.get_mut(&job) {
+            state.wanted = state.wanted.min(stay).max(state.sizes.smallest);
+            state.no_growth_before = now + self.plan.rest_s;
         }
         let forced_stop_at = (grace_s > 0.0).then_some(now + grace_s.min(self.plan.grace_s));
-        self.shrinks.entry(task).or_insert(Shrink { job: j, asked_at: now, forced_stop_at });
+        self.shrinks.entry(task).or_insert(Shrink { job, asked_at: now, forced_stop_at });
     }
 
     /// Returns the grace period of a task that needs `save_s` to save its state.
@@ -196,10 +197,10 @@
     /// Returns the tasks whose grace period is over and that have to be stopped now, each once.
     pub fn take_due_stops(&mut self, now: f64) -> Vec<T> {
         let mut due = Vec::new();
-        for (t, s) in self.shrinks.iter_mut() {
-            if s.forced_stop_at.is_some_and(|at| now >= at) {
-                s.forced_stop_at = None;
-                due.push(*t);
+        for (task, shrink) in self.shrinks.iter_mut() {
+            if shrink.forced_stop_at.is_some_and(|at| now >= at) {
+                shrink.forced_stop_at = None;
+                due.push(*task);
             }
         }
         due
@@ -208,8 +209,8 @@
     /// Records that a task has certainly ended. Returns the duration of its shrink in seconds, if it was
     /// told to stop.
     pub fn on_task_ended(&mut self, task: T, now: f64) -> Option<f64> {
-        let s = self.shrinks.remove(&task)?;
-        let duration_s = (now - s.asked_at).max(0.0);
+        let shrink = self.shrinks.remove(&task)?;
+        let duration_s = (now - shrink.asked_at).max(0.0);
         self.times.saturating_record((duration_s * 1000.0) as u64);
         self.recent.truncate(MAX_RECENT - 1);
         self.recent.push_front((task, duration_s));
@@ -217,17 +218,17 @@
     }
 
     /// Returns the number of unfinished shrinks of one job.
-    pub fn under_way(&self, j: J) -> usize {
-        self.shrinks.values().filter(|s| s.job == j).count()
+    pub fn under_way(&self, job: J) -> usize {
+        self.shrinks.values().filter(|s| s.job == job).count()
     }
 
     /// Returns the wanted size of a job.
-    pub fn wanted(&self, j: J) -> Option<u32> {
-        self.jobs.get(&j).map(|s| s.wanted)
+    pub fn wanted(&self, job: J) -> Option<u32> {
+        self.jobs.get(&job).map(|s| s.wanted)
     }
 
     pub fn jobs(&self) -> impl Iterator<Item = (J, Sizes)> {
-        self.jobs.iter().map(|(j, s)| (*j, s.sizes))
+        self.jobs.iter().map(|(job, s)| (*job, s.sizes))
     }
 
     pub fn is_empty(&self) -> bool {
--- a/crates/service-levels/src/inheritance.rs
+++ b/crates/service-levels/src/inheritance.rs
@@ -74,10 +74,10 @@
         self.advance(now);
         let mut values: Vec<Vec<IndicatorTotals>> = vec![Vec::new()];
         let mut bytes_left = limit.saturating_sub(FRAME_BYTES);
-        for a in &self.indicators {
+        for indicator in &self.indicators {
             let of = |r| {
-                let (all, ten) = (a.sums(r).total, a.sums(r).over(Span::TenMinutes, now));
-                let unknown = a.unknown[r as usize];
+                let (all, ten) = (indicator.sums(r).total, indicator.sums(r).over(Span::TenMinutes, now));
+                let unknown = indicator.unknown[r as usize];
                 ReadingTotals(tenth(all.asked), tenth(all.served), unknown, tenth(ten.asked), tenth(ten.served))
             };
             let mut sums: Vec<ReadingTotals> = READINGS.map(of).to_vec();
@@ -87,9 +87,9 @@
             if sums.is_empty() {
                 continue;
             }
-            let line = IndicatorTotals(a.side, a.name.clone(), sums);
+            let line = IndicatorTotals(indicator.side, indicator.name.clone(), sums);
             // An upper bound on the line's length, escapes in the name included.
-            let line_bytes = a.name.escape_default().count() + 24 + line.2.len() * 72;
+            let line_bytes = indicator.name.escape_default().count() + 24 + line.2.len() * 72;
             if line_bytes > limit.saturating_sub(FRAME_BYTES) {
                 continue;
             }
@@ -109,14 +109,14 @@
 
     /// Adds the totals of the previous leader. `within_s` is the greatest difference between the two
     /// leaders' clocks: what fell due within this time of `as_of` is unknown.
-    pub fn inherit(&mut self, c: &InheritedTotals, within_s: f64, now: f64) {
-        (self.settled_before, self.lost_until) = (c.as_of - within_s, c.as_of + within_s);
-        for IndicatorTotals(side, name, sums) in &c.lines {
+    pub fn inherit(&mut self, totals: &InheritedTotals, within_s: f64, now: f64) {
+        (self.settled_before, self.lost_until) = (totals.as_of - within_s, totals.as_of + within_s);
+        for IndicatorTotals(side, name, sums) in &totals.lines {
             let index = self.indicator(*side, name, now);
             let indicator = &mut self.indicators[index.as_usize()];
             for (r, &ReadingTotals(asked, served, unknown, ten_asked, ten_served)) in READINGS.into_iter().zip(sums) {
                 let ten = Share { asked: ten_asked, served: ten_served };
-                indicator.add_inherited(r, Share { asked, served }, unknown, ten, c.as_of, now);
+                indicator.add_inherited(r, Share { asked, served }, unknown, ten, totals.as_of, now);
             }
         }
     }
--- a/crates/service-levels/src/tracker/mod.rs
+++ b/crates/service-levels/src/tracker/mod.rs
@@ -120,8 +120,8 @@
     }
 
     /// Returns the indicators of an open job's class and team.
-    pub fn indicators_of(&self, t: TrackedJobIndex) -> Option<[IndicatorIndex; 2]> {
-        Some(self.tracked.get(t.0 as usize)?.as_ref()?.indicators)
+    pub fn indicators_of(&self, index: TrackedJobIndex) -> Option<[IndicatorIndex; 2]> {
+        Some(self.tracked.get(index.0 as usize)?.as_ref()?.indicators)
     }
 
     pub fn find(&self, side: Subject, name: &str) -> Option<IndicatorIndex> {
@@ -133,34 +133,36 @@
     }
 
     /// Counts the outcome of one job in a reading of its class and its team.
-    fn count(&mut self, indicators: [IndicatorIndex; 2], r: Reading, now: f64, served: bool) {
-        self.count_part(indicators, r, now, f64::from(u8::from(served)));
+    fn count(&mut self, indicators: [IndicatorIndex; 2], reading: Reading, now: f64, served: bool) {
+        self.count_part(indicators, reading, now, f64::from(u8::from(served)));
     }
 
-    fn count_part(&mut self, indicators: [IndicatorIndex; 2], r: Reading, now: f64, part: f64) {
+    fn count_part(&mut self, indicators: [IndicatorIndex; 2], reading: Reading, now: f64, part: f64) {
         for a in indicators {
-            self.indicators[a.as_usize()].add(r, now, 1.0, part);
+            self.indicators[a.as_usize()].add(reading, now, 1.0, part);
         }
     }
 
-    fn count_unknown(&mut self, indicators: [IndicatorIndex; 2], r: Reading) {
+    fn count_unknown(&mut self, indicators: [IndicatorIndex; 2], reading: Reading) {
         for a in indicators {
-            self.indicators[a.as_usize()].unknown[r as usize] += 1;
+            self.indicators[a.as_usize()].unknown[reading as usize] += 1;
         }
     }
 
     /// Starts to track a job, which may have been open under an earlier leader already.
-    pub fn track(&mut self, e: &Entry, now: f64) -> TrackedJobIndex {
-        let indicators = self.of_job(e.class, e.team, now);
-        let objectives = self.objectives.get(e.class).cloned().unwrap_or_default();
-        let wait = objectives.wait_s.map(|w| e.from.max(e.waits_from) + w);
-        let deadline = (!e.service).then(|| objectives.latest(e.submitted, e.from, e.deadline_s)).flatten();
+    pub fn track(&mut self, entry: &Entry, now: f64) -> TrackedJobIndex {
+        let indicators = self.of_job(entry.class, entry.team, now);
+        let objectives = self.objectives.get(entry.class).cloned().unwrap_or_default();
+        let wait = objectives.wait_s.map(|w| entry.from.max(entry.waits_from) + w);
+        let deadline =
+            (!entry.service).then(|| objectives.latest(entry.submitted, entry.from, entry.deadline_s)).flatten();
         let grace = objectives.grace_s.or(objectives.wait_s).unwrap_or(0.0);
         // A start or an end that fell due under an earlier leader was counted by it, or is lost.
         let start = wait.map(|due| self.counted_by(due));
         let unknown = |w: Option<CountedBy>| w == Some(CountedBy::Nobody);
-        let wait_unknown = objectives.wait_s.is_some_and(|w| w < e.may_have_waited_s);
-        if start.is_some_and(|w| w != CountedBy::Earlier) && (e.may_have_started || wait_unknown) || unknown(start) {
+        let wait_unknown = objectives.wait_s.is_some_and(|w| w < entry.may_have_waited_s);
+        if start.is_some_and(|w| w != CountedBy::Earlier) && (entry.may_have_started || wait_unknown) || unknown(start)
+        {
             self.count_unknown(indicators, Reading::Started);
         }
         let done = deadline.map(|due| self.counted_by(due));
@@ -169,11 +171,11 @@
         }
         let wait = wait.filter(|_| start == Some(CountedBy::Ours) && !wait_unknown);
         let deadline = deadline.filter(|_| done == Some(CountedBy::Ours));
-        let counts_from = e.from + grace;
-        if e.service && e.seen_from > counts_from {
-            let lost = (e.seen_from - counts_from.max(self.settled_before).max(0.0)).max(0.0);
+        let counts_from = entry.from + grace;
+        if entry.service && entry.seen_from > counts_from {
+            let lost = (entry.seen_from - counts_from.max(self.settled_before).max(0.0)).max(0.0);
             for a in indicators {
-                self.indicators[a.as_usize()].unknown[Reading::Up as usize] += (lost * f64::from(e.tasks)) as u64;
+                self.indicators[a.as_usize()].unknown[Reading::Up as usize] += (lost * f64::from(entry.tasks)) as u64;
             }
         }
         let n = self.free.pop().unwrap_or_else(|| {
@@ -183,14 +185,14 @@
         });
         self.tracked[n as usize] = Some(TrackedJob {
             indicators,
-            service: e.service,
-            tasks: e.tasks,
-            from: e.from,
-            start_due: wait.filter(|_| !e.may_have_started),
+            service: entry.service,
+            tasks: entry.tasks,
+            from: entry.from,
+            start_due: wait.filter(|_| !entry.may_have_started),
             done_due: deadline,
             running: 0,
             best: 0,
-            waited: e.may_have_started || wait_unknown || start.is_some_and(|w| w != CountedBy::Ours),
+            waited: entry.may_have_started || wait_unknown || start.is_some_and(|w| w != CountedBy::Ours),
             counted: false,
         });
         let generation = self.generations[n as usize];
@@ -199,16 +201,16 @@
                 self.due.push(Reverse((at(t), what, n, generation)));
             }
         };
-        due(wait.filter(|_| !e.may_have_started), Due::Start);
+        due(wait.filter(|_| !entry.may_have_started), Due::Start);
         due(deadline, Due::Done);
-        due(e.service.then_some(counts_from.max(e.seen_from)), Due::Count);
+        due(entry.service.then_some(counts_from.max(entry.seen_from)), Due::Count);
         TrackedJobIndex(n)
     }
 
     /// Updates how many of a job's tasks have begun, are running and are done.
-    pub fn on_progress(&mut self, t: TrackedJobIndex, tasks: Tasks, now: f64) {
+    pub fn on_progress(&mut self, index: TrackedJobIndex, tasks: Tasks, now: f64) {
         let Tasks { begun, running, done } = tasks;
-        let Some(job) = self.tracked.get_mut(t.0 as usize).and_then(Option::as_mut) else { return };
+        let Some(job) = self.tracked.get_mut(index.0 as usize).and_then(Option::as_mut) else { return };
         let before = std::mem::replace(&mut job.running, running);
         let indicators = job.indicators;
         let in_time = job.start_due.is_some_and(|due| now <= due);
@@ -243,10 +245,10 @@
 
     /// Records that a job is over and frees its number. If the user cancelled it, a start or an end
     /// that was not due yet is not counted.
-    pub fn on_ended(&mut self, t: TrackedJobIndex, end: End, ended: f64, now: f64) {
-        let Some(job) = self.tracked.get_mut(t.0 as usize).and_then(Option::take) else { return };
-        self.generations[t.0 as usize] = self.generations[t.0 as usize].wrapping_add(1);
-        self.free.push(t.0);
+    pub fn on_ended(&mut self, index: TrackedJobIndex, end: End, ended: f64, now: f64) {
+        let Some(job) = self.tracked.get_mut(index.0 as usize).and_then(Option::take) else { return };
+        self.generations[index.0 as usize] = self.generations[index.0 as usize].wrapping_add(1);
+        self.free.push(index.0);
         self.stop_counting_replicas(&job, now);
         if end == End::Done {
             if let Some(due) = job.start_due {
@@ -271,15 +273,15 @@
 
     /// Counts a job of which only the stored record is left: its submission and its end. Whether it
     /// started in time is unknown.
-    pub fn count_from_record(&mut self, e: &Entry, end: End, ended: Option<f64>, now: f64) {
-        let indicators = self.of_job(e.class, e.team, now);
-        let objectives = self.objectives.get(e.class).cloned().unwrap_or_default();
-        let start = objectives.wait_s.map(|w| self.counted_by(e.from.max(e.waits_from) + w));
+    pub fn count_from_record(&mut self, entry: &Entry, end: End, ended: Option<f64>, now: f64) {
+        let indicators = self.of_job(entry.class, entry.team, now);
+        let objectives = self.objectives.get(entry.class).cloned().unwrap_or_default();
+        let start = objectives.wait_s.map(|w| self.counted_by(entry.from.max(entry.waits_from) + w));
         if start.is_some_and(|w| w != CountedBy::Earlier) && end == End::Done {
             self.count_unknown(indicators, Reading::Started);
         }
-        let latest = objectives.latest(e.submitted, e.from, e.deadline_s);
-        let (Some(latest), End::Done, false) = (latest, end, e.service) else { return };
+        let latest = objectives.latest(entry.submitted, entry.from, entry.deadline_s);
+        let (Some(latest), End::Done, false) = (latest, end, entry.service) else { return };
         // The outcome was counted when the job ended or when it fell due, whichever came first.
         match ended.map(|ended| (ended, self.counted_by(ended.min(latest)))) {
             Some((_, CountedBy::Earlier)) => {}
@@ -301,9 +303,9 @@
     }
 
     /// Records a user's submission or cancellation at this controller, and whether it was served.
-    pub fn record_request(&mut self, class: &str, team: &str, r: Reading, served: bool, now: f64) {
+    pub fn record_request(&mut self, class: &str, team: &str, reading: Reading, served: bool, now: f64) {
         let indicators = self.of_job(class, team, now);
-        self.count(indicators, r, now, served);
+        self.count(indicators, reading, now, served);
     }
 
     /// Counts what fell due since the last call: jobs that did not start or were not done in time, and
@@ -341,8 +343,8 @@
     }
 
     /// Returns a reading over a window.
-    pub fn share_over(&self, a: IndicatorIndex, r: Reading, span: Span, now: f64) -> Share {
-        self.indicators[a.as_usize()].sums(r).over(span, now)
+    pub fn share_over(&self, a: IndicatorIndex, reading: Reading, span: Span, now: f64) -> Share {
+        self.indicators[a.as_usize()].sums(reading).over(span, now)
     }
 
     /// Returns the number of tracked jobs.
--- a/crates/sharding/src/machine_transfer.rs
+++ b/crates/sharding/src/machine_transfer.rs
@@ -67,16 +67,20 @@
 
 /// Returns the value that the sender stores next, if it is the sender's turn. `named` returns whether its
 /// stored records may still contain a machine.
-pub fn next_by_sender(h: &MachineTransfer, named: impl Fn(&str) -> bool) -> Option<MachineTransfer> {
-    let due = !h.is_complete() && !h.released_by_sender && !h.machines.iter().any(|m| named(&m.machine));
-    due.then(|| MachineTransfer { released_by_sender: true, ..h.clone() })
+pub fn next_by_sender(transfer: &MachineTransfer, named: impl Fn(&str) -> bool) -> Option<MachineTransfer> {
+    let due = !transfer.is_complete()
+        && !transfer.released_by_sender
+        && !transfer.machines.iter().any(|machine| named(&machine.machine));
+    due.then(|| MachineTransfer { released_by_sender: true, ..transfer.clone() })
 }
 
 /// Returns the value that the receiver stores next, if it is the receiver's turn. `settled` returns whether a
 /// machine is in its stored records, or no longer exists.
-pub fn next_by_receiver(h: &MachineTransfer, settled: impl Fn(&str) -> bool) -> Option<MachineTransfer> {
-    let due = !h.is_complete() && h.released_by_sender && h.machines.iter().all(|m| settled(&m.machine));
-    due.then(|| MachineTransfer { machines: Vec::new(), released_by_sender: false, ..h.clone() })
+pub fn next_by_receiver(transfer: &MachineTransfer, settled: impl Fn(&str) -> bool) -> Option<MachineTransfer> {
+    let due = !transfer.is_complete()
+        && transfer.released_by_sender
+        && transfer.machines.iter().all(|machine| settled(&machine.machine));
+    due.then(|| MachineTransfer { machines: Vec::new(), released_by_sender: false, ..transfer.clone() })
 }
 
 /// Returns the shard to which `own_shard` should send machines next, and their cpus: the first of the ordered
@@ -90,8 +94,12 @@
     token_of: impl Fn(ShardId) -> Option<u64>,
 ) -> Option<(ShardId, f64)> {
     orders
-        .filter(|o| o.from == own_shard && o.to != own_shard && o.cpus > EPSILON)
-        .filter(|o| token_of(o.to).is_some_and(|t| t > token))
-        .find(|o| !under_way.iter().any(|h| h.from == own_shard && h.to == o.to && !h.is_complete()))
-        .map(|o| (o.to, o.cpus))
+        .filter(|order| order.from == own_shard && order.to != own_shard && order.cpus > EPSILON)
+        .filter(|order| token_of(order.to).is_some_and(|receiver_token| receiver_token > token))
+        .find(|order| {
+            !under_way
+                .iter()
+                .any(|transfer| transfer.from == own_shard && transfer.to == order.to && !transfer.is_complete())
+        })
+        .map(|order| (order.to, order.cpus))
 }
--- a/crates/sharding/src/rebalance.rs
+++ b/crates/sharding/src/rebalance.rs
@@ -54,7 +54,7 @@
 
     /// Returns a team's home shard: by these orders, or else by the plan.
     pub fn home(&self, plan: &ShardingPlan, team: &str) -> ShardId {
-        self.homes.get(team).copied().filter(|c| c.0 < plan.cells).unwrap_or_else(|| plan.home(team))
+        self.homes.get(team).copied().filter(|shard| shard.0 < plan.cells).unwrap_or_else(|| plan.home(team))
     }
 
     /// Returns whether these orders have to be stored, because they differ from the stored ones or these expire soon.
@@ -89,8 +89,8 @@
 }
 
 /// Returns the cpus that waiting work requests beyond the free and the booting capacity.
-fn shortage(p: &LoadSnapshot) -> f64 {
-    (p.waiting_cpus - p.free_cpus - p.booting_cpus).max(0.0)
+fn shortage(snapshot: &LoadSnapshot) -> f64 {
+    (snapshot.waiting_cpus - snapshot.free_cpus - snapshot.booting_cpus).max(0.0)
 }
 
 impl Rebalancer {
@@ -103,21 +103,28 @@
         now_ms: u64,
     ) -> RebalancePlan {
         let after_ms = (plan.reassign_after_s * 1000.0) as u64;
-        let short: BTreeSet<ShardId> = snapshots.iter().filter(|p| shortage(p) > EPSILON).map(|p| p.shard).collect();
+        let short: BTreeSet<ShardId> =
+            snapshots.iter().filter(|snapshot| shortage(snapshot) > EPSILON).map(|snapshot| snapshot.shard).collect();
         // A shard without a fresh snapshot counts as not short of capacity.
-        self.short_since.retain(|c, _| short.contains(c));
-        for c in &short {
-            self.short_since.entry(*c).or_insert(now_ms);
+        self.short_since.retain(|shard, _| short.contains(shard));
+        for shard in &short {
+            self.short_since.entry(*shard).or_insert(now_ms);
         }
         let short_since = self.short_since.clone();
-        let lasting = |c: ShardId, times: f64| {
-            let since = short_since.get(&c);
+        let lasting = |shard: ShardId, times: f64| {
+            let since = short_since.get(&shard);
             since.is_some_and(|s| now_ms.saturating_sub(*s) as f64 >= after_ms as f64 * times)
         };
-        let mut idle_shards: Vec<(&LoadSnapshot, f64)> =
-            snapshots.iter().filter(|p| !short.contains(&p.shard)).map(|p| (p, p.idle_cpus)).collect();
-        let mut short_shards: Vec<(&LoadSnapshot, f64)> =
-            snapshots.iter().filter(|p| lasting(p.shard, 1.0)).map(|p| (p, shortage(p))).collect();
+        let mut idle_shards: Vec<(&LoadSnapshot, f64)> = snapshots
+            .iter()
+            .filter(|snapshot| !short.contains(&snapshot.shard))
+            .map(|snapshot| (snapshot, snapshot.idle_cpus))
+            .collect();
+        let mut short_shards: Vec<(&LoadSnapshot, f64)> = snapshots
+            .iter()
+            .filter(|snapshot| lasting(snapshot.shard, 1.0))
+            .map(|snapshot| (snapshot, shortage(snapshot)))
+            .collect();
         short_shards.sort_by(|a, b| b.1.total_cmp(&a.1).then(a.0.shard.cmp(&b.0.shard)));
         let mut moves = Vec::new();
         for (to, mut missing_cpus) in short_shards {
@@ -140,7 +147,9 @@
         }
         moves.sort_by_key(|m| (m.from, m.to));
         let mut homes = stored.homes.clone();
-        if let Some((team, to)) = self.home_to_move(plan, snapshots, stored, now_ms, |c| lasting(c, MOVE_HOME_AFTER)) {
+        if let Some((team, to)) =
+            self.home_to_move(plan, snapshots, stored, now_ms, |shard| lasting(shard, MOVE_HOME_AFTER))
+        {
             self.home_moved_at.insert(team.clone(), now_ms);
             if plan.home(&team) == to {
                 homes.remove(&team);
@@ -175,19 +184,21 @@
         let rest_ms = plan.reassign_after_s * 1000.0 * HOME_REST;
         let moved_lately =
             |t: &str| self.home_moved_at.get(t).is_some_and(|at| (now_ms.saturating_sub(*at) as f64) < rest_ms);
-        let waiting_cpus = |p: &LoadSnapshot, t: &str| p.teams.get(t).map_or(0.0, |u| u.wanted.minus(u.held).cpus);
-        let waiting_teams =
-            |p: &LoadSnapshot| p.teams.keys().map(|t| (t.clone(), waiting_cpus(p, t))).collect::<Vec<_>>();
+        let waiting_cpus =
+            |snapshot: &LoadSnapshot, t: &str| snapshot.teams.get(t).map_or(0.0, |u| u.wanted.minus(u.held).cpus);
+        let waiting_teams = |snapshot: &LoadSnapshot| {
+            snapshot.teams.keys().map(|t| (t.clone(), waiting_cpus(snapshot, t))).collect::<Vec<_>>()
+        };
         let (team, wanted_cpus, from) = snapshots
             .iter()
-            .filter(|p| stays_short(p.shard))
-            .flat_map(|p| waiting_teams(p).into_iter().map(|(t, w)| (t, w, p.shard)))
-            .filter(|(t, w, c)| *w > EPSILON && stored.home(plan, t) == *c && !moved_lately(t))
+            .filter(|snapshot| stays_short(snapshot.shard))
+            .flat_map(|snapshot| waiting_teams(snapshot).into_iter().map(|(t, w)| (t, w, snapshot.shard)))
+            .filter(|(t, w, shard)| *w > EPSILON && stored.home(plan, t) == *shard && !moved_lately(t))
             .max_by(|a, b| a.1.total_cmp(&b.1).then(b.0.cmp(&a.0)))?;
-        let spare_cpus = |p: &LoadSnapshot| p.free_cpus - p.waiting_cpus;
+        let spare_cpus = |snapshot: &LoadSnapshot| snapshot.free_cpus - snapshot.waiting_cpus;
         let best = snapshots
             .iter()
-            .filter(|p| p.shard != from && p.waiting_cpus <= EPSILON)
+            .filter(|snapshot| snapshot.shard != from && snapshot.waiting_cpus <= EPSILON)
             .max_by(|a, b| spare_cpus(a).total_cmp(&spare_cpus(b)))?;
         (spare_cpus(best) * USABLE_SHARE >= wanted_cpus).then_some((team, best.shard))
     }
