--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -50,12 +50,12 @@
         &self.tree
     }
 
-    pub fn used(&self, l: LevelIndex) -> Amount {
-        self.used[l.0 as usize]
+    pub fn used(&self, level: LevelIndex) -> Amount {
+        self.used[level.0 as usize]
     }
 
-    fn path(&self, t: TeamIndex) -> &[LevelIndex] {
-        let path = self.tree.path(t);
+    fn path(&self, team: TeamIndex) -> &[LevelIndex] {
+        let path = self.tree.path(team);
         self.levels_visited.set(self.levels_visited.get() + path.len() as u64);
         path
     }
@@ -63,20 +63,20 @@
     /// Replaces the tree. The usage of each team is kept and counted along its path in the new tree.
     pub fn replace_tree(&mut self, tree: Tree) {
         let teams: Vec<(TeamIndex, Amount)> =
-            self.tree.levels.iter().zip(&self.used).filter_map(|(l, u)| Some((l.team?, *u))).collect();
+            self.tree.levels.iter().zip(&self.used).filter_map(|(level, used)| Some((level.team?, *used))).collect();
         let (unreported, levels_visited) = (self.unreported, self.levels_visited.get());
         *self = Ledger { unreported, ..Ledger::new(tree) };
         self.levels_visited.set(levels_visited);
-        for (t, u) in teams {
-            self.add_usage(t, u);
+        for (team, used) in teams {
+            self.add_usage(team, used);
         }
     }
 
     /// Adds an amount to the usage of a team and of every level above it; a negative amount is a release.
-    pub fn add_usage(&mut self, t: TeamIndex, by: Amount) {
-        self.levels_visited.set(self.levels_visited.get() + self.tree.path(t).len() as u64);
-        for l in self.tree.path(t) {
-            let used = &mut self.used[l.0 as usize];
+    pub fn add_usage(&mut self, team: TeamIndex, by: Amount) {
+        self.levels_visited.set(self.levels_visited.get() + self.tree.path(team).len() as u64);
+        for level in self.tree.path(team) {
+            let used = &mut self.used[level.0 as usize];
             *used = used.plus(by);
             // Rounds to zero, so that rounding errors of sums do not leave a small negative usage.
             let snap_to_zero = |v: f64| if v.abs() < EPSILON { 0.0 } else { v };
@@ -91,29 +91,30 @@
 
     /// Returns how many tasks with this resource request fit under all limits on the team's path;
     /// infinity if no limit applies.
-    pub fn tasks_within_limits(&self, t: TeamIndex, need: Amount) -> f64 {
+    pub fn tasks_within_limits(&self, team: TeamIndex, need: Amount) -> f64 {
         let left = |limit: f64, used: f64, need: f64| {
             if limit > 0.0 && need > 0.0 { ((limit - used).max(0.0) + EPSILON) / need } else { f64::INFINITY }
         };
-        self.path(t).iter().fold(f64::INFINITY, |n, l| {
-            let (limit, used) = (self.tree.at(*l).limit, self.used(*l));
+        self.path(team).iter().fold(f64::INFINITY, |n, level| {
+            let (limit, used) = (self.tree.at(*level).limit, self.used(*level));
             n.min(left(limit.cpus, used.cpus, need.cpus)).min(left(limit.gpus, used.gpus, need.gpus))
         })
     }
 
     /// Checks whether a task may start now. The error is the first level whose limit it would exceed.
-    pub fn may_start(&self, t: TeamIndex, need: Amount) -> Result<(), LevelIndex> {
-        let exceeds = |l: &&LevelIndex| {
-            let with = self.used(**l).plus(need).plus(self.unreported);
-            !with.under(self.tree.at(**l).limit, need)
+    pub fn may_start(&self, team: TeamIndex, need: Amount) -> Result<(), LevelIndex> {
+        let exceeds = |level: &&LevelIndex| {
+            let with = self.used(**level).plus(need).plus(self.unreported);
+            !with.under(self.tree.at(**level).limit, need)
         };
-        self.path(t).iter().find(exceeds).map_or(Ok(()), |l| Err(*l))
+        self.path(team).iter().find(exceeds).map_or(Ok(()), |level| Err(*level))
     }
 
     /// Returns the fair-share order of starting a task with this resource request.
-    pub fn fair_share_position(&self, t: TeamIndex, need: Amount) -> FairSharePosition {
-        let path = self.path(t);
-        let has_spare_guarantee = |l: &LevelIndex| self.used(*l).plus(need).within(self.tree.at(*l).guarantee, need);
+    pub fn fair_share_position(&self, team: TeamIndex, need: Amount) -> FairSharePosition {
+        let path = self.path(team);
+        let has_spare_guarantee =
+            |level: &LevelIndex| self.used(*level).plus(need).within(self.tree.at(*level).guarantee, need);
         let distance = path.iter().position(has_spare_guarantee).unwrap_or(path.len());
         let share = match distance {
             0 => 0.0,
@@ -134,10 +135,10 @@
 
     /// Returns the number of levels on the team's path, from the team upwards, that use more than their
     /// guarantee before the first one that does not; 0 if the team borrows nothing.
-    pub fn borrow_distance(&self, t: TeamIndex) -> u8 {
-        let path = self.path(t);
-        let within_guarantee = |l: &LevelIndex| {
-            let (used, guarantee) = (self.used(*l), self.tree.at(*l).guarantee);
+    pub fn borrow_distance(&self, team: TeamIndex) -> u8 {
+        let path = self.path(team);
+        let within_guarantee = |level: &LevelIndex| {
+            let (used, guarantee) = (self.used(*level), self.tree.at(*level).guarantee);
             used.cpus <= guarantee.cpus + EPSILON && used.gpus <= guarantee.gpus + EPSILON
         };
         path.iter().position(within_guarantee).unwrap_or(path.len()) as u8
@@ -147,7 +148,7 @@
     pub fn levels_over_limit(&self) -> Vec<LevelIndex> {
         (0..self.used.len() as u32)
             .map(LevelIndex)
-            .filter(|l| !self.used(*l).under(self.tree.at(*l).limit, Amount::new(1.0, 1.0)))
+            .filter(|level| !self.used(*level).under(self.tree.at(*level).limit, Amount::new(1.0, 1.0)))
             .collect()
     }
 
@@ -164,21 +165,21 @@
         leaving: &[(TeamIndex, Amount)],
     ) -> Vec<T> {
         let mut shortage: Vec<(LevelIndex, Amount)> = Vec::new();
-        for &l in self.path(team) {
-            let limit = self.tree.at(l).limit;
-            let with = self.used(l).plus(need);
+        for &level in self.path(team) {
+            let limit = self.tree.at(level).limit;
+            let with = self.used(level).plus(need);
             if !with.under(limit, need) {
                 let excess =
                     |limit: f64, with: f64, need: f64| if limit > 0.0 && need > 0.0 { with - limit } else { 0.0 };
                 shortage.push((
-                    l,
+                    level,
                     Amount::new(excess(limit.cpus, with.cpus, need.cpus), excess(limit.gpus, with.gpus, need.gpus)),
                 ));
             }
         }
         for (team, amount) in leaving {
             let path = self.path(*team);
-            shortage.iter_mut().filter(|(l, _)| path.contains(l)).for_each(|(_, s)| *s = s.minus(*amount));
+            shortage.iter_mut().filter(|(level, _)| path.contains(level)).for_each(|(_, s)| *s = s.minus(*amount));
         }
         let lacks = |missing: &Amount, requested: Amount| {
             missing.cpus > EPSILON && requested.cpus > 0.0 || missing.gpus > EPSILON && requested.gpus > 0.0
@@ -192,9 +193,12 @@
         let mut preempted = Vec::new();
         for task in candidates {
             let path = self.path(task.team);
-            if shortage.iter().any(|(l, s)| path.contains(l) && lacks(s, task.need)) {
+            if shortage.iter().any(|(level, s)| path.contains(level) && lacks(s, task.need)) {
                 preempted.push(task.task);
-                shortage.iter_mut().filter(|(l, _)| path.contains(l)).for_each(|(_, s)| *s = s.minus(task.need));
+                shortage
+                    .iter_mut()
+                    .filter(|(level, _)| path.contains(level))
+                    .for_each(|(_, s)| *s = s.minus(task.need));
             }
         }
         if shortage.iter().any(|(_, s)| lacks(s, all)) { Vec::new() } else { preempted }
@@ -212,24 +216,24 @@
         let key = |h: &BorrowedTask<T>| (h.service, std::cmp::Reverse(self.borrow_distance(h.team)));
         candidates.sort_by(|a, b| key(a).cmp(&key(b)).then(a.lost_work_s.total_cmp(&b.lost_work_s)));
         let mut excess: Vec<(LevelIndex, Amount)> =
-            over.iter().map(|l| (*l, self.used(*l).minus(self.tree.at(*l).limit))).collect();
+            over.iter().map(|level| (*level, self.used(*level).minus(self.tree.at(*level).limit))).collect();
         for (team, amount) in leaving {
             let path = self.path(*team);
-            excess.iter_mut().filter(|(l, _)| path.contains(l)).for_each(|(_, e)| *e = e.minus(*amount));
+            excess.iter_mut().filter(|(level, _)| path.contains(level)).for_each(|(_, e)| *e = e.minus(*amount));
         }
         let mut preempted = Vec::new();
         for task in candidates {
             let path = self.path(task.team);
-            let limit = |l: LevelIndex| self.tree.at(l).limit;
-            let helps = excess.iter().any(|(l, e)| {
-                let of = limit(*l);
-                path.contains(l)
+            let limit = |level: LevelIndex| self.tree.at(level).limit;
+            let helps = excess.iter().any(|(level, e)| {
+                let of = limit(*level);
+                path.contains(level)
                     && (of.cpus > 0.0 && e.cpus > EPSILON && task.need.cpus > 0.0
                         || of.gpus > 0.0 && e.gpus > EPSILON && task.need.gpus > 0.0)
             });
             if helps {
                 preempted.push(task.task);
-                for (_, e) in excess.iter_mut().filter(|(l, _)| path.contains(l)) {
+                for (_, e) in excess.iter_mut().filter(|(level, _)| path.contains(level)) {
                     *e = e.minus(task.need);
                 }
             }
--- a/crates/service-levels/src/gate.rs
+++ b/crates/service-levels/src/gate.rs
@@ -56,14 +56,23 @@
     /// Adds the readings of a day. A reading is judged unless there is one of the same kind and class
     /// with a longer time.
     fn add_day(&mut self, source: &str, all: Vec<Candidate>) {
-        for c in &all {
-            let later = |o: &Candidate| o.kind == c.kind && o.class == c.class && !o.window && o.time > c.time;
-            if c.window || all.iter().any(later) {
-                if c.share < ALERT_THRESHOLD {
-                    self.notes.push(LowReading { source: source.to_owned(), reading: c.name.clone(), share: c.share });
+        for candidate in &all {
+            let later = |other: &Candidate| {
+                other.kind == candidate.kind
+                    && other.class == candidate.class
+                    && !other.window
+                    && other.time > candidate.time
+            };
+            if candidate.window || all.iter().any(later) {
+                if candidate.share < ALERT_THRESHOLD {
+                    self.notes.push(LowReading {
+                        source: source.to_owned(),
+                        reading: candidate.name.clone(),
+                        share: candidate.share,
+                    });
                 }
             } else {
-                self.add(source, c.name.clone(), c.share);
+                self.add(source, candidate.name.clone(), candidate.share);
             }
         }
     }
@@ -130,25 +139,25 @@
 }
 
 /// Judges the report of one run.
-pub fn judge_report(source: &str, r: &Report) -> Result<GateResult, NoReadings> {
+pub fn judge_report(source: &str, report: &Report) -> Result<GateResult, NoReadings> {
     let (mut result, mut all) = (GateResult::default(), Vec::new());
-    for t in r.targets.iter().filter(|t| SHARES.contains(&t.kind.as_str())) {
-        let (Some(value), true) = (t.value, t.of.is_none_or(|n| n > 0.0)) else { continue };
+    for target in report.targets.iter().filter(|target| SHARES.contains(&target.kind.as_str())) {
+        let (Some(value), true) = (target.value, target.of.is_none_or(|n| n > 0.0)) else { continue };
         let more = |what: &str, v: Option<f64>| v.map(|v| format!(" {what}{v}")).unwrap_or_default();
         let name = format!(
             "{}{}{}{}{}",
-            t.kind,
-            t.class.as_deref().map(|c| format!(" {c}")).unwrap_or_default(),
-            more("within ", t.within_s),
-            more("times ", t.times),
-            more("worst ", t.worst_s)
+            target.kind,
+            target.class.as_deref().map(|c| format!(" {c}")).unwrap_or_default(),
+            more("within ", target.within_s),
+            more("times ", target.times),
+            more("worst ", target.worst_s)
         );
         all.push(Candidate {
             name,
-            kind: t.kind.clone(),
-            class: t.class.clone().unwrap_or_default(),
-            time: t.times.or(t.within_s).unwrap_or(0.0),
-            window: t.worst_s.is_some(),
+            kind: target.kind.clone(),
+            class: target.class.clone().unwrap_or_default(),
+            time: target.times.or(target.within_s).unwrap_or(0.0),
+            window: target.worst_s.is_some(),
             share: value,
         });
     }
@@ -157,12 +166,12 @@
 }
 
 /// Judges the days of a journal entry.
-pub fn judge_entry(source: &str, e: &Entry) -> Result<GateResult, NoReadings> {
+pub fn judge_entry(source: &str, entry: &Entry) -> Result<GateResult, NoReadings> {
     let mut result = GateResult::default();
-    for d in &e.days {
-        let from = format!("{source}: {} {}", e.site.as_deref().unwrap_or("?"), d.name);
+    for day in &entry.days {
+        let from = format!("{source}: {} {}", entry.site.as_deref().unwrap_or("?"), day.name);
         let mut all = Vec::new();
-        for (text, _) in &d.aims {
+        for (text, _) in &day.aims {
             let Some((name, rest)) = text.split_once(": ") else { continue };
             // For example "deadline CLASS 1.5x", "finished CLASS 150 s", "up CLASS worst 30 s".
             let mut words = name.split(' ');
@@ -177,7 +186,7 @@
             }
         }
         result.add_day(&from, all);
-        for (name, _, share) in &d.served {
+        for (name, _, share) in &day.served {
             result.add(&from, format!("served {name}"), *share);
         }
     }
@@ -188,18 +197,18 @@
 /// totals from one another. What was lost between chains is unknown and not judged.
 fn merge_reports(lines: &[ServiceLevelReport]) -> Vec<Row> {
     let mut last: BTreeMap<u64, &ServiceLevelReport> = BTreeMap::new();
-    last.extend(lines.iter().map(|t| (if t.chain > 0 { t.chain } else { t.leader }, t)));
+    last.extend(lines.iter().map(|report| (if report.chain > 0 { report.chain } else { report.leader }, report)));
     let mut rows: BTreeMap<(Subject, &str, u8), Row> = BTreeMap::new();
-    for r in last.values().flat_map(|t| &t.rows) {
-        let of = rows.entry((r.side, &r.name, r.reading as u8)).or_insert(Row {
+    for row in last.values().flat_map(|report| &report.rows) {
+        let of = rows.entry((row.side, &row.name, row.reading as u8)).or_insert(Row {
             asked: 0.0,
             share: None,
             unknown: 0,
-            ..r.clone()
+            ..row.clone()
         });
-        let served = of.share.unwrap_or(0.0) * of.asked + r.share.unwrap_or(0.0) * r.asked;
-        of.asked += r.asked;
-        of.unknown += r.unknown;
+        let served = of.share.unwrap_or(0.0) * of.asked + row.share.unwrap_or(0.0) * row.asked;
+        of.asked += row.asked;
+        of.unknown += row.unknown;
         of.share = (of.asked > 0.0).then(|| served / of.asked);
     }
     rows.into_values().collect()
@@ -208,16 +217,16 @@
 /// Judges the service-level reports in a leader's log.
 pub fn judge_log(source: &str, lines: &[ServiceLevelReport]) -> Result<GateResult, NoReadings> {
     let mut result = GateResult::default();
-    for r in &merge_reports(lines) {
+    for row in &merge_reports(lines) {
         // A share of few jobs means little: for a single job it is 0 or 1.
-        let least = match r.reading {
+        let least = match row.reading {
             Reading::Up | Reading::Held => 60.0,
             // A class has only few large jobs.
             Reading::Largest => 2.0,
             _ => 8.0,
         };
-        if let Some(share) = r.share.filter(|_| r.asked >= least) {
-            result.add(source, format!("{} {} {}", r.side.name(), r.name, r.reading.name()), share);
+        if let Some(share) = row.share.filter(|_| row.asked >= least) {
+            result.add(source, format!("{} {} {}", row.side.name(), row.name, row.reading.name()), share);
         }
     }
     require_readings(source, result)
@@ -250,18 +259,18 @@
 
 /// Compares the leaders' reports of a day with the report of the run. The leaders count an array once:
 /// by the largest multiple of its deadline or, if its class has none, by the longest time.
-pub fn agreement(r: &Report, lines: &[ServiceLevelReport]) -> Vec<Agreement> {
+pub fn agreement(report: &Report, lines: &[ServiceLevelReport]) -> Vec<Agreement> {
     let mut measured: BTreeMap<(String, u8), (Reading, bool, f64, f64)> = BTreeMap::new();
-    for t in r.targets.iter().filter(|t| t.worst_s.is_none() && t.of.is_none_or(|n| n > 0.0)) {
-        let (reading, deadline) = match t.kind.as_str() {
+    for target in report.targets.iter().filter(|target| target.worst_s.is_none() && target.of.is_none_or(|n| n > 0.0)) {
+        let (reading, deadline) = match target.kind.as_str() {
             "wait" => (Reading::Started, false),
             "deadline" => (Reading::Done, true),
             "finished" => (Reading::Done, false),
             "up" => (Reading::Up, false),
             _ => continue,
         };
-        let time = t.times.or(t.within_s).unwrap_or(0.0);
-        if let (Some(class), Some(v)) = (&t.class, t.value) {
+        let time = target.times.or(target.within_s).unwrap_or(0.0);
+        if let (Some(class), Some(v)) = (&target.class, target.value) {
             let this = (reading, deadline, time, v);
             let last = measured.entry((class.clone(), reading as u8)).or_insert(this);
             if (deadline, time) > (last.1, last.2) {
@@ -270,13 +279,13 @@
         }
     }
     let rows = merge_reports(lines);
-    let of = |((class, _), (reading, _, _, measured))| {
+    let compare = |((class, _), (reading, _, _, measured))| {
         let row = rows.iter().find(|r| r.side == Subject::Class && r.name == class && r.reading == reading);
         let (asked, unknown) = row.map_or((0.0, 0.0), |r| (r.asked, r.unknown as f64));
         let unknown = if asked + unknown > 0.0 { unknown / (asked + unknown) } else { 0.0 };
         Agreement { class, reading, measured, reported: row.and_then(|r| r.share), unknown }
     };
-    measured.into_iter().map(of).collect()
+    measured.into_iter().map(compare).collect()
 }
 
 /// Returns an error if the source had no readings.
