--- a/crates/service-levels/src/report.rs
+++ b/crates/service-levels/src/report.rs
@@ -20,6 +20,7 @@
 /// One reading of one indicator. Shares are from 0 to 1; `None` if nothing was requested.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Row {
+    #[serde(rename = "side")]
     pub side: Subject,
     pub name: String,
     pub reading: Reading,
--- a/crates/sharding/tests/rebalance.rs
+++ b/crates/sharding/tests/rebalance.rs
@@ -101,12 +101,12 @@
     }
 }
 
-const CELLS: usize = 3;
+const SHARDS: usize = 3;
 const MACHINES: usize = 6;
 
 #[derive(Debug, Clone)]
 struct Write {
-    cell: usize,
+    shard: usize,
     token: u64,
     key: String,
     version: u64,
@@ -167,162 +167,175 @@
 impl World {
     fn new() -> World {
         let mut world = World { revision: 10, ..World::default() };
-        for c in 0..CELLS {
-            world
-                .recorded_machines
-                .push((0..MACHINES).filter(|m| m % CELLS == c).map(|m| transferred(m).machine).collect());
+        for shard in 0..SHARDS {
+            world.recorded_machines.push(
+                (0..MACHINES)
+                    .filter(|machine| machine % SHARDS == shard)
+                    .map(|machine| transferred(machine).machine)
+                    .collect(),
+            );
             world.leadership_versions.push(0);
             world.leaders.push(Leader::default());
         }
-        (0..CELLS).for_each(|c| world.ends(c));
+        (0..SHARDS).for_each(|shard| world.ends(shard));
         world
     }
 
-    fn ends(&mut self, c: usize) {
+    fn ends(&mut self, shard: usize) {
         self.revision += 1;
-        self.leadership_versions[c] = self.revision;
-        let away: BTreeSet<String> = self.names(|h| h.from.as_usize() == c);
-        self.leaders[c] = Leader {
+        self.leadership_versions[shard] = self.revision;
+        let away: BTreeSet<String> = self.machines_in_transfer(|transfer| transfer.from.as_usize() == shard);
+        self.leaders[shard] = Leader {
             token: self.revision,
-            own: self.recorded_machines[c].difference(&away).cloned().collect(),
-            named: self.recorded_machines[c].intersection(&away).cloned().collect(),
+            own: self.recorded_machines[shard].difference(&away).cloned().collect(),
+            named: self.recorded_machines[shard].intersection(&away).cloned().collect(),
             seen: self.transfers.clone(),
             ..Leader::default()
         };
     }
 
-    fn names(&self, of: impl Fn(&MachineTransfer) -> bool) -> BTreeSet<String> {
-        self.transfers.values().filter(|h| of(&h.0)).flat_map(|h| &h.0.machines).map(|m| m.machine.clone()).collect()
+    fn machines_in_transfer(&self, of: impl Fn(&MachineTransfer) -> bool) -> BTreeSet<String> {
+        self.transfers
+            .values()
+            .filter(|transfer| of(&transfer.0))
+            .flat_map(|transfer| &transfer.0.machines)
+            .map(|machine| machine.machine.clone())
+            .collect()
     }
 
-    fn apply(&mut self, w: &Write) -> bool {
-        let version = self.transfers.get(&w.key).map_or(0, |h| h.1);
-        let accepted = self.leadership_versions[w.cell] == w.token && version == w.version;
+    fn apply(&mut self, write: &Write) -> bool {
+        let version = self.transfers.get(&write.key).map_or(0, |transfer| transfer.1);
+        let accepted = self.leadership_versions[write.shard] == write.token && version == write.version;
         if accepted {
             self.revision += 1;
-            self.transfers.insert(w.key.clone(), (w.value.clone(), self.revision));
+            self.transfers.insert(write.key.clone(), (write.value.clone(), self.revision));
         }
         accepted
     }
 
-    fn process_transfers(&mut self, c: usize, fresh: bool) {
-        let (cell, transfers) = (ShardId(c as u32), self.transfers.clone());
-        let o = &mut self.leaders[c];
+    fn process_transfers(&mut self, shard: usize, fresh: bool) {
+        let (shard_id, transfers) = (ShardId(shard as u32), self.transfers.clone());
+        let leader = &mut self.leaders[shard];
         if fresh {
-            o.seen = transfers;
+            leader.seen = transfers;
         }
-        o.arriving.clear();
-        for (h, _) in o.seen.clone().values() {
-            for m in h.machines.iter().map(|m| m.machine.clone()) {
-                if h.from == cell && o.chosen.remove(&m).is_some() {
-                    o.own.remove(&m);
-                    o.named.insert(m);
-                } else if h.to == cell {
-                    o.arriving.insert(m.clone());
-                    o.own.insert(m);
+        leader.arriving.clear();
+        for (transfer, _) in leader.seen.clone().values() {
+            for machine in transfer.machines.iter().map(|machine| machine.machine.clone()) {
+                if transfer.from == shard_id && leader.chosen.remove(&machine).is_some() {
+                    leader.own.remove(&machine);
+                    leader.named.insert(machine);
+                } else if transfer.to == shard_id {
+                    leader.arriving.insert(machine.clone());
+                    leader.own.insert(machine);
                 }
             }
         }
-        if o.sent.is_some() {
+        if leader.sent.is_some() {
             return;
         }
-        let recorded = &self.recorded_machines[c];
-        let next = o.seen.iter().find_map(|(k, (h, v))| {
+        let recorded = &self.recorded_machines[shard];
+        let next = leader.seen.iter().find_map(|(transfer_key, (transfer, version))| {
             let next = match () {
-                () if h.from == cell => next_by_sender(h, |m| o.named.contains(m)),
-                () if h.to == cell => next_by_receiver(h, |m| recorded.contains(m) || !o.own.contains(m)),
+                () if transfer.from == shard_id => next_by_sender(transfer, |machine| leader.named.contains(machine)),
+                () if transfer.to == shard_id => {
+                    next_by_receiver(transfer, |machine| recorded.contains(machine) || !leader.own.contains(machine))
+                }
                 () => None,
             };
-            Some((k.clone(), *v, next?))
+            Some((transfer_key.clone(), *version, next?))
         });
-        let begins = o.chosen.iter().find_map(|(m, to)| {
-            let k = key(cell, ShardId(*to as u32));
-            let version = match o.seen.get(&k) {
-                Some((h, _)) if !h.is_complete() => return None,
-                Some((_, v)) => *v,
+        let begins = leader.chosen.iter().find_map(|(machine, to)| {
+            let transfer_key = key(shard_id, ShardId(*to as u32));
+            let version = match leader.seen.get(&transfer_key) {
+                Some((transfer, _)) if !transfer.is_complete() => return None,
+                Some((_, version)) => *version,
                 None => 0,
             };
-            let machines = vec![TransferredMachine { machine: m.clone(), ..transferred(0) }];
+            let machines = vec![TransferredMachine { machine: machine.clone(), ..transferred(0) }];
             Some((
-                k,
+                transfer_key,
                 version,
-                MachineTransfer { from: cell, to: ShardId(*to as u32), machines, released_by_sender: false },
+                MachineTransfer { from: shard_id, to: ShardId(*to as u32), machines, released_by_sender: false },
             ))
         });
-        o.sent = next.or(begins).map(|(key, version, value)| Write { cell: c, token: o.token, key, version, value });
+        leader.sent =
+            next.or(begins).map(|(key, version, value)| Write { shard, token: leader.token, key, version, value });
     }
 
     /// Handles the result of a write: the leader reads the stored transfers before anything else.
-    fn settled(&mut self, c: usize, stored: Option<bool>) {
-        let Some(w) = self.leaders[c].sent.take() else { return };
-        self.leaders[c].seen = self.transfers.clone();
-        let stands = self.transfers.get(&w.key).map(|h| h.0.machines.clone()).unwrap_or_default();
-        if stored == Some(false) && !w.value.released_by_sender && w.value.from.as_usize() == c {
-            for m in w.value.machines.iter().filter(|m| !stands.contains(m)) {
-                self.leaders[c].chosen.remove(&m.machine);
+    fn on_write_result(&mut self, shard: usize, stored: Option<bool>) {
+        let Some(write) = self.leaders[shard].sent.take() else { return };
+        self.leaders[shard].seen = self.transfers.clone();
+        let stored_machines =
+            self.transfers.get(&write.key).map(|transfer| transfer.0.machines.clone()).unwrap_or_default();
+        if stored == Some(false) && !write.value.released_by_sender && write.value.from.as_usize() == shard {
+            for machine in write.value.machines.iter().filter(|machine| !stored_machines.contains(machine)) {
+                self.leaders[shard].chosen.remove(&machine.machine);
             }
         }
-        self.process_transfers(c, true);
+        self.process_transfers(shard, true);
     }
 
     fn step(&mut self, s: &Step) {
         match *s {
-            Step::Choose(c, n, to) => {
-                let higher = to != c && self.leadership_versions[to] > self.leaders[c].token;
-                let o = &mut self.leaders[c];
-                let bare = |m: &&String| !o.arriving.contains(*m) && !o.chosen.contains_key(*m);
-                let m = o.own.iter().filter(bare).nth(n).cloned();
-                if let (Some(m), true) = (m, higher) {
-                    o.chosen.insert(m, to);
+            Step::Choose(shard, n, to) => {
+                let higher = to != shard && self.leadership_versions[to] > self.leaders[shard].token;
+                let leader = &mut self.leaders[shard];
+                let is_available =
+                    |machine: &&String| !leader.arriving.contains(*machine) && !leader.chosen.contains_key(*machine);
+                let machine = leader.own.iter().filter(is_available).nth(n).cloned();
+                if let (Some(machine), true) = (machine, higher) {
+                    leader.chosen.insert(machine, to);
                 }
             }
-            Step::Look(c, fresh) => self.process_transfers(c, fresh),
-            Step::Record(c) => {
-                self.recorded_machines[c] = self.leaders[c].own.clone();
-                self.leaders[c].named.clear();
+            Step::Look(shard, fresh) => self.process_transfers(shard, fresh),
+            Step::Record(shard) => {
+                self.recorded_machines[shard] = self.leaders[shard].own.clone();
+                self.leaders[shard].named.clear();
             }
-            Step::Arrives(c) => {
-                if let Some(w) = self.leaders[c].sent.clone() {
-                    let stored = self.apply(&w);
-                    self.settled(c, Some(stored));
+            Step::Arrives(shard) => {
+                if let Some(write) = self.leaders[shard].sent.clone() {
+                    let stored = self.apply(&write);
+                    self.on_write_result(shard, Some(stored));
                 }
             }
-            Step::Unanswered(c) => {
-                if let Some(w) = self.leaders[c].sent.clone() {
-                    self.apply(&w);
+            Step::Unanswered(shard) => {
+                if let Some(write) = self.leaders[shard].sent.clone() {
+                    self.apply(&write);
                     // It is repeated and rejected, since the version has changed.
-                    let again = self.apply(&w);
-                    self.settled(c, again.then_some(true));
+                    let again = self.apply(&write);
+                    self.on_write_result(shard, again.then_some(true));
                 }
             }
-            Step::Later(c) => {
-                if let Some(w) = self.leaders[c].sent.clone() {
-                    self.late.push(w.clone());
-                    let stored = self.apply(&w);
-                    self.settled(c, stored.then_some(true));
+            Step::Later(shard) => {
+                if let Some(write) = self.leaders[shard].sent.clone() {
+                    self.late.push(write.clone());
+                    let stored = self.apply(&write);
+                    self.on_write_result(shard, stored.then_some(true));
                 }
             }
             Step::Late(n) => {
                 if n < self.late.len() {
-                    let w = self.late.swap_remove(n);
-                    self.apply(&w);
+                    let write = self.late.swap_remove(n);
+                    self.apply(&write);
                 }
             }
-            Step::Ends(c) => self.ends(c),
+            Step::Ends(shard) => self.ends(shard),
         }
     }
 
     /// Returns the machines that belong to a shard by the stored state.
-    fn stored_own(&self, c: usize) -> BTreeSet<String> {
-        let away = self.names(|h| h.from.as_usize() == c);
-        let mut own: BTreeSet<String> = self.recorded_machines[c].difference(&away).cloned().collect();
-        own.extend(self.names(|h| h.to.as_usize() == c));
+    fn stored_own(&self, shard: usize) -> BTreeSet<String> {
+        let away = self.machines_in_transfer(|transfer| transfer.from.as_usize() == shard);
+        let mut own: BTreeSet<String> = self.recorded_machines[shard].difference(&away).cloned().collect();
+        own.extend(self.machines_in_transfer(|transfer| transfer.to.as_usize() == shard));
         own
     }
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let c = 0..CELLS;
+    let c = 0..SHARDS;
     let one = prop_oneof![
         4 => (c.clone(), 0..MACHINES, c.clone()).prop_map(|(c, n, to)| Step::Choose(c, n, to)),
         8 => (c.clone(), any::<bool>()).prop_map(|(c, f)| Step::Look(c, f)),
@@ -346,17 +359,17 @@
         let mut world = World::new();
         for s in &steps {
             world.step(s);
-            let own: Vec<BTreeSet<String>> = (0..CELLS).map(|c| world.stored_own(c)).collect();
+            let own: Vec<BTreeSet<String>> = (0..SHARDS).map(|c| world.stored_own(c)).collect();
             for m in (0..MACHINES).map(|m| transferred(m).machine) {
-                let owners: Vec<usize> = (0..CELLS).filter(|c| own[*c].contains(&m)).collect();
+                let owners: Vec<usize> = (0..SHARDS).filter(|c| own[*c].contains(&m)).collect();
                 prop_assert_eq!(owners.len(), 1, "{} belongs to {:?} after {:?}", m, owners, s);
                 let uses = |c: &usize| world.leaders[*c].own.contains(&m) && !world.leaders[*c].chosen.contains_key(&m);
-                let users: Vec<usize> = (0..CELLS).filter(uses).collect();
+                let users: Vec<usize> = (0..SHARDS).filter(uses).collect();
                 prop_assert!(users.len() <= 1, "{} is used by {:?} after {:?}", m, users, s);
             }
         }
         // Without further faults all transfers in progress complete.
-        for c in (0..CELLS).cycle().take(CELLS * 8) {
+        for c in (0..SHARDS).cycle().take(SHARDS * 8) {
             world.step(&Step::Look(c, true));
             world.step(&Step::Arrives(c));
             world.step(&Step::Record(c));
