--- a/crates/service-levels/src/gate.rs
+++ b/crates/service-levels/src/gate.rs
@@ -200,7 +200,7 @@
     last.extend(lines.iter().map(|report| (if report.chain > 0 { report.chain } else { report.leader }, report)));
     let mut rows: BTreeMap<(Subject, &str, u8), Row> = BTreeMap::new();
     for row in last.values().flat_map(|report| &report.rows) {
-        let of = rows.entry((row.side, &row.name, row.reading as u8)).or_insert(Row {
+        let of = rows.entry((row.subject, &row.name, row.reading as u8)).or_insert(Row {
             asked: 0.0,
             share: None,
             unknown: 0,
@@ -226,7 +226,7 @@
             _ => 8.0,
         };
         if let Some(share) = row.share.filter(|_| row.asked >= least) {
-            result.add(source, format!("{} {} {}", row.side.name(), row.name, row.reading.name()), share);
+            result.add(source, format!("{} {} {}", row.subject.name(), row.name, row.reading.name()), share);
         }
     }
     require_readings(source, result)
@@ -280,7 +280,7 @@
     }
     let rows = merge_reports(lines);
     let compare = |((class, _), (reading, _, _, measured))| {
-        let row = rows.iter().find(|r| r.side == Subject::Class && r.name == class && r.reading == reading);
+        let row = rows.iter().find(|r| r.subject == Subject::Class && r.name == class && r.reading == reading);
         let (asked, unknown) = row.map_or((0.0, 0.0), |r| (r.asked, r.unknown as f64));
         let unknown = if asked + unknown > 0.0 { unknown / (asked + unknown) } else { 0.0 };
         Agreement { class, reading, measured, reported: row.and_then(|r| r.share), unknown }
--- a/crates/service-levels/src/inheritance.rs
+++ b/crates/service-levels/src/inheritance.rs
@@ -87,7 +87,7 @@
             if sums.is_empty() {
                 continue;
             }
-            let line = IndicatorTotals(indicator.side, indicator.name.clone(), sums);
+            let line = IndicatorTotals(indicator.subject, indicator.name.clone(), sums);
             // An upper bound on the line's length, escapes in the name included.
             let line_bytes = indicator.name.escape_default().count() + 24 + line.2.len() * 72;
             if line_bytes > limit.saturating_sub(FRAME_BYTES) {
@@ -111,8 +111,8 @@
     /// leaders' clocks: what fell due within this time of `as_of` is unknown.
     pub fn inherit(&mut self, totals: &InheritedTotals, within_s: f64, now: f64) {
         (self.settled_before, self.lost_until) = (totals.as_of - within_s, totals.as_of + within_s);
-        for IndicatorTotals(side, name, sums) in &totals.lines {
-            let index = self.indicator(*side, name, now);
+        for IndicatorTotals(subject, name, sums) in &totals.lines {
+            let index = self.indicator(*subject, name, now);
             let indicator = &mut self.indicators[index.as_usize()];
             for (r, &ReadingTotals(asked, served, unknown, ten_asked, ten_served)) in READINGS.into_iter().zip(sums) {
                 let ten = Share { asked: ten_asked, served: ten_served };
--- a/crates/service-levels/src/report.rs
+++ b/crates/service-levels/src/report.rs
@@ -21,7 +21,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     #[serde(rename = "side")]
-    pub side: Subject,
+    pub subject: Subject,
     pub name: String,
     pub reading: Reading,
     /// Requested jobs, or requested seconds of replicas or cpus.
@@ -54,7 +54,7 @@
 /// A reading over a window that fell below [`ALERT_THRESHOLD`], or rose above it again.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Alert {
-    pub side: Subject,
+    pub subject: Subject,
     pub name: String,
     pub reading: Reading,
     pub span: Span,
@@ -79,7 +79,7 @@
                     (at(0.5), at(0.9), a.waits.max() as f64 / 1000.0)
                 });
                 rows.push(Row {
-                    side: a.side,
+                    subject: a.subject,
                     name: a.name.clone(),
                     reading: r,
                     asked: sums.total.asked,
@@ -91,20 +91,20 @@
                 });
             }
         }
-        rows.sort_by(|a, b| (a.side, &a.name, a.reading as u8).cmp(&(b.side, &b.name, b.reading as u8)));
+        rows.sort_by(|a, b| (a.subject, &a.name, a.reading as u8).cmp(&(b.subject, &b.name, b.reading as u8)));
         ServiceLevelReport { leader: 0, chain: 0, at_s: now, rows }
     }
 
     /// Returns the lowest reading over ten minutes among the indicators of one kind of subject, if enough
     /// was requested.
-    pub fn lowest(&self, side: Subject, now: f64) -> Option<(&str, Reading, f64)> {
+    pub fn lowest(&self, subject: Subject, now: f64) -> Option<(&str, Reading, f64)> {
         let of = |a: &'_ crate::tracker::ServiceLevelIndicator, r: Reading| {
             let s = a.sums(r).over(Span::TenMinutes, now);
             s.ratio().filter(|_| enough(r, s.asked))
         };
         self.indicators
             .iter()
-            .filter(|a| a.side == side)
+            .filter(|a| a.subject == subject)
             .flat_map(|a| READINGS.iter().filter_map(move |r| Some((a.name.as_str(), *r, of(a, *r)?))))
             .min_by(|a, b| a.2.total_cmp(&b.2))
     }
@@ -124,8 +124,8 @@
                     let key = (i, r, span == Span::Minute);
                     let under = share < ALERT_THRESHOLD;
                     if under != self.below_threshold.contains(&key) {
-                        let (side, name) = (a.side, a.name.clone());
-                        alerts.push(Alert { side, name, reading: r, span, share, asked, under });
+                        let (subject, name) = (a.subject, a.name.clone());
+                        alerts.push(Alert { subject, name, reading: r, span, share, asked, under });
                         if under {
                             self.below_threshold.insert(key)
                         } else {
@@ -141,13 +141,13 @@
 
 impl std::fmt::Display for Alert {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let side = self.side.name();
+        let subject = self.subject.name();
         let span = if self.span == Span::Minute { "a minute" } else { "ten minutes" };
         let (name, reading) = (&self.name, self.reading.name());
         if self.under {
-            write!(f, "{side} {name} is served under a half: {reading} {:.2} over {span}", self.share)
+            write!(f, "{subject} {name} is served under a half: {reading} {:.2} over {span}", self.share)
         } else {
-            write!(f, "{side} {name} is over a half again: {reading} {:.2} over {span}", self.share)
+            write!(f, "{subject} {name} is over a half again: {reading} {:.2} over {span}", self.share)
         }
     }
 }
--- a/crates/service-levels/src/tracker/indicator.rs
+++ b/crates/service-levels/src/tracker/indicator.rs
@@ -26,7 +26,7 @@
 #[derive(Debug)]
 pub struct ServiceLevelIndicator {
     pub name: String,
-    pub side: Subject,
+    pub subject: Subject,
     pub(super) sums: [Sums; READINGS.len()],
     /// For each reading, the number of jobs whose outcome is unknown after a failover.
     pub unknown: [u64; READINGS.len()],
@@ -39,14 +39,14 @@
 }
 
 impl ServiceLevelIndicator {
-    pub(super) fn new(name: &str, side: Subject, now: f64) -> ServiceLevelIndicator {
+    pub(super) fn new(name: &str, subject: Subject, now: f64) -> ServiceLevelIndicator {
         let waits = Histogram::new_with_max(MAX_WAIT_MS, 2).unwrap_or_else(|_| {
             // The bounds are constants that the library accepts.
             unreachable!("a histogram with a maximum of one day in milliseconds is valid")
         });
         ServiceLevelIndicator {
             name: name.to_owned(),
-            side,
+            subject,
             sums: std::array::from_fn(|_| Sums::default()),
             unknown: [0; READINGS.len()],
             waits,
--- a/crates/service-levels/src/tracker/mod.rs
+++ b/crates/service-levels/src/tracker/mod.rs
@@ -102,20 +102,20 @@
 
     /// Returns the indicator of this name and creates it if needed; once there are too many names, new
     /// ones share the indicator [`OTHERS`].
-    pub fn indicator(&mut self, side: Subject, name: &str, now: f64) -> IndicatorIndex {
-        let most = match side {
+    pub fn indicator(&mut self, subject: Subject, name: &str, now: f64) -> IndicatorIndex {
+        let most = match subject {
             Subject::Class => MAX_CLASSES,
             Subject::Team => MAX_TEAMS,
             Subject::Level => MAX_LEVELS,
         };
-        let names = &mut self.by_name[side as usize];
+        let names = &mut self.by_name[subject as usize];
         let name = if names.len() < most || names.contains_key(name) { name } else { OTHERS };
         if let Some(&a) = names.get(name) {
             return a;
         }
         let a = IndicatorIndex(self.indicators.len() as u32);
         names.insert(name.to_owned(), a);
-        self.indicators.push(ServiceLevelIndicator::new(name, side, now));
+        self.indicators.push(ServiceLevelIndicator::new(name, subject, now));
         a
     }
 
@@ -124,8 +124,8 @@
         Some(self.tracked.get(index.0 as usize)?.as_ref()?.indicators)
     }
 
-    pub fn find(&self, side: Subject, name: &str) -> Option<IndicatorIndex> {
-        self.by_name[side as usize].get(name).copied()
+    pub fn find(&self, subject: Subject, name: &str) -> Option<IndicatorIndex> {
+        self.by_name[subject as usize].get(name).copied()
     }
 
     fn of_job(&mut self, class: &str, team: &str, now: f64) -> [IndicatorIndex; 2] {
@@ -297,8 +297,8 @@
 
     /// Records the cpu-seconds that a team or a quota level requested within its guarantee, and those
     /// that it held.
-    pub fn record_held(&mut self, side: Subject, name: &str, asked: f64, held: f64, now: f64) {
-        let a = self.indicator(side, name, now);
+    pub fn record_held(&mut self, subject: Subject, name: &str, asked: f64, held: f64, now: f64) {
+        let a = self.indicator(subject, name, now);
         self.indicators[a.as_usize()].add(Reading::Held, now, asked, held.min(asked));
     }
 
--- a/crates/service-levels/src/underserved.rs
+++ b/crates/service-levels/src/underserved.rs
@@ -69,7 +69,7 @@
         // others, which matters if all are below the threshold.
         let mut best = [[None; 2]; 3];
         for (a, s) in tracker.indicators.iter().zip(&shares) {
-            let [first, second] = &mut best[a.side as usize];
+            let [first, second] = &mut best[a.subject as usize];
             if s.is_some_and(|s| first.is_none_or(|f| s > f)) {
                 (*second, *first) = (*first, *s);
             } else if s.is_some_and(|s| second.is_none_or(|f| s > f)) {
@@ -77,7 +77,7 @@
             }
         }
         let is_underserved = |(a, s): (&crate::tracker::ServiceLevelIndicator, &Option<f64>)| {
-            let [first, second] = best[a.side as usize];
+            let [first, second] = best[a.subject as usize];
             let others = if *s == first { second } else { first };
             s.is_some_and(|s| {
                 s < UNDERSERVED_THRESHOLD && others.is_none_or(|o| o >= UNDERSERVED_THRESHOLD || s < o - MIN_LEAD)
--- a/crates/service-levels/tests/gate.rs
+++ b/crates/service-levels/tests/gate.rs
@@ -75,10 +75,10 @@
         {"kind":"up","class":"desk","worst_s":30.0,"value":0.2,"of":100},
         {"kind":"price","value":2.0}]}"#;
     let row = |name: &str, reading, asked, share, unknown| {
-        let (side, waits_s) = (lupinspur_service_levels::Subject::Class, None);
+        let (subject, waits_s) = (lupinspur_service_levels::Subject::Class, None);
         let share = Some(share);
         lupinspur_service_levels::Row {
-            side,
+            subject,
             name: String::from(name),
             reading,
             asked,
--- a/crates/service-levels/tests/inheritance.rs
+++ b/crates/service-levels/tests/inheritance.rs
@@ -227,7 +227,7 @@
             }
         }
         for r in [Reading::Started, Reading::Done] {
-            let of = |side| tracker.indicators.iter().filter(|a| a.side == side).map(|a| a.sums(r).total.asked).sum::<f64>();
+            let of = |subject| tracker.indicators.iter().filter(|a| a.subject == subject).map(|a| a.sums(r).total.asked).sum::<f64>();
             prop_assert!((of(Subject::Class) - of(Subject::Team)).abs() < 1.0);
         }
     }
--- a/crates/service-levels/tests/tracker.rs
+++ b/crates/service-levels/tests/tracker.rs
@@ -42,8 +42,8 @@
     }
 }
 
-fn share(tracker: &ServiceLevelTracker, side: Subject, name: &str, r: Reading) -> (f64, f64) {
-    let a = tracker.find(side, name).expect("an indicator");
+fn share(tracker: &ServiceLevelTracker, subject: Subject, name: &str, r: Reading) -> (f64, f64) {
+    let a = tracker.find(subject, name).expect("an indicator");
     let s = tracker.indicators[a.as_usize()].sums(r).total;
     (s.asked, s.served)
 }
@@ -271,7 +271,7 @@
             for (i, r) in [Reading::Started, Reading::Done, Reading::Up].into_iter().enumerate() {
                 let s = a.sums(r).total;
                 prop_assert!(s.served >= -1e-6 && s.served <= s.asked + 1e-6);
-                sums[i][a.side as usize] += s.asked;
+                sums[i][a.subject as usize] += s.asked;
             }
         }
         for (i, of) in sums.iter().enumerate() {
--- a/src/query/tables.rs
+++ b/src/query/tables.rs
@@ -113,7 +113,7 @@
     for level in &report.rows {
         let waits = level.waits_s.map_or(String::new(), |(p50, p90, max)| format!("{p50:.1}/{p90:.1}/{max:.1}"));
         let unknown = if level.unknown > 0 { level.unknown.to_string() } else { "-".into() };
-        let mut row = vec![level.side.name().to_owned(), level.name.clone(), level.reading.name().to_owned()];
+        let mut row = vec![level.subject.name().to_owned(), level.name.clone(), level.reading.name().to_owned()];
         row.push(format!("{:.0}", level.asked));
         row.extend([level.share, level.minute, level.ten_minutes].map(share));
         row.extend([unknown, waits]);
--- a/tests/golden/reports.rs
+++ b/tests/golden/reports.rs
@@ -42,9 +42,9 @@
     sent_and_received(&SAMPLES, "elastic_report", &report);
 }
 
-fn row(side: Subject, reading: Reading) -> Row {
+fn row(subject: Subject, reading: Reading) -> Row {
     Row {
-        side,
+        subject,
         name: "train".into(),
         reading,
         asked: 8.0,
--- a/tests/traces/events/questions.rs
+++ b/tests/traces/events/questions.rs
@@ -33,7 +33,7 @@
                     if first.is_empty() || first == r.name {
                         self.say(&format!(
                             "{} {} {}: {}{unknown}",
-                            r.side.name(),
+                            r.subject.name(),
                             r.name,
                             r.reading.name(),
                             part(r.share)
