--- a/crates/elastic/tests/model.rs
+++ b/crates/elastic/tests/model.rs
@@ -249,7 +249,7 @@
 
     /// Without other events, jobs use all idle capacity and then keep their sizes.
     #[test]
-    fn sizes_come_to_rest(sizes in prop::collection::vec((1u32..8, 0u32..20), 1..4), capacity in 30u32..80) {
+    fn sizes_become_stable(sizes in prop::collection::vec((1u32..8, 0u32..20), 1..4), capacity in 30u32..80) {
         let sizes: Vec<Sizes> = sizes.iter().map(|(s, more)| Sizes { smallest: *s, largest: s + more }).collect();
         let mut world = World::new(&sizes, capacity);
         (0..400).for_each(|_| world.tick(&[0.0], false));
@@ -265,7 +265,7 @@
 /// A job that was shrunk does not grow again for `rest_s`, so that a service that starts and ends
 /// repeatedly does not make its size oscillate.
 #[test]
-fn after_a_shrink_a_job_rests() {
+fn after_a_shrink_a_job_does_not_grow_for_a_while() {
     let mut world = World::new(&[Sizes { smallest: 2, largest: 10 }], 12);
     (0..40).for_each(|_| world.tick(&[0.0], false));
     assert_eq!(world.held(0).held, 10);
@@ -279,7 +279,7 @@
 
 /// The job with the smallest fraction of its largest size grows first, so that no job starves another.
 #[test]
-fn those_with_least_grow_first() {
+fn the_job_with_the_smallest_fraction_grows_first() {
     let sizes = [Sizes { smallest: 1, largest: 20 }, Sizes { smallest: 1, largest: 20 }];
     let mut world = World::new(&sizes, 22);
     (0..100).for_each(|_| world.tick(&[0.0], false));
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn a_file_s_faults_are_told_with_their_paths() {
+fn the_faults_of_a_file_are_reported_with_their_paths() {
     let text = "settle_s = -1.0\nstep = 2.0\n[[class]]\nname = \"a\"\nsmallest = 5\nlargest = 4\n\
         [[class]]\nname = \"a\"\nsmallest = 0\nlargest = 4\n";
     let paths: Vec<String> = Plan::parse(text).expect_err("faults").into_iter().map(|f| f.path).collect();
--- a/crates/quota/src/plan.rs
+++ b/crates/quota/src/plan.rs
@@ -184,7 +184,7 @@
 
     /// All faults are reported at once, each with its path in the file.
     #[test]
-    fn every_fault_is_told_with_its_path() {
+    fn every_fault_is_reported_with_its_path() {
         let text = r#"
             generation = 0
             [[organisation]]
--- a/crates/quota/tests/properties.rs
+++ b/crates/quota/tests/properties.rs
@@ -139,7 +139,7 @@
     /// After any change of the tree, preemption selects enough tasks to bring every level under its
     /// limit, and services only where no other task is left.
     #[test]
-    fn a_shrunk_parent_s_excess_gives_way(
+    fn preemption_brings_a_shrunk_level_under_its_limit(
         before in shapes(),
         limits in prop::collection::vec(0u32..12, 7),
         starts in prop::collection::vec((any::<prop::sample::Index>(), 1u32..5, 0u32..100, any::<bool>()), 1..40),
@@ -177,7 +177,7 @@
     /// start, include no service, and of equal tasks the less important ones are preempted first.
     /// Nothing is preempted only if nothing blocks the service or preemption could not free enough.
     #[test]
-    fn a_service_at_a_limit_gets_room_below_it(
+    fn a_service_at_a_limit_preempts_enough_tasks_below_it(
         shape in shapes(),
         starts in prop::collection::vec((any::<prop::sample::Index>(), 1u32..5, 0u32..100, 0u8..4), 1..40),
         service in (any::<prop::sample::Index>(), 1u32..9),
--- a/crates/service-levels/src/window.rs
+++ b/crates/service-levels/src/window.rs
@@ -96,7 +96,7 @@
 
     /// Guards against reading a slot that still holds values of an earlier turn of the ring.
     #[test]
-    fn what_is_older_than_the_window_no_longer_counts() {
+    fn what_is_older_than_the_window_does_not_count() {
         let mut s = Sums::default();
         s.add(5.0, 4.0, 1.0);
         s.add(64.0, 2.0, 2.0);
--- a/crates/service-levels/tests/inheritance.rs
+++ b/crates/service-levels/tests/inheritance.rs
@@ -85,7 +85,7 @@
 /// What fell due between the last stored round and the end of its leader is unknown, neither served
 /// nor missed; what falls due later is counted by the next leader.
 #[test]
-fn what_was_lost_between_two_leaders_is_told_as_unknown() {
+fn what_was_lost_between_two_leaders_is_reported_as_unknown() {
     let mut first = ServiceLevelTracker::new(terms());
     first.track(&entry("match", 60.0), 60.0);
     let inherited = newest_complete_round(stored(&mut first, 1, 4000, 100.0)).expect("a round");
--- a/crates/service-levels/tests/tracker.rs
+++ b/crates/service-levels/tests/tracker.rs
@@ -117,7 +117,7 @@
 
 /// What a new leader cannot know is reported as unknown, neither served nor missed.
 #[test]
-fn after_a_failover_only_what_the_records_tell_is_known() {
+fn after_a_failover_only_what_is_recorded_is_known() {
     let mut tracker = ServiceLevelTracker::new(terms());
     tracker.count_from_record(&entry("match", "red", 100.0), End::Done, Some(130.0), 400.0);
     tracker.count_from_record(&entry("match", "red", 100.0), End::Done, Some(190.0), 400.0);
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn an_alert_is_told_once_and_taken_back_once() {
+fn an_alert_is_raised_once_and_cleared_once() {
     let mut tracker = ServiceLevelTracker::new(terms());
     for i in 0..10 {
         tracker.record_request("match", "red", Reading::Accepted, i < 4, 100.0);
--- a/crates/sharding/tests/cells.rs
+++ b/crates/sharding/tests/cells.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn every_fault_of_a_plan_is_told_by_its_path() {
+fn every_fault_of_a_plan_is_reported_with_its_path() {
     let good = ShardingPlan::parse("cells = 3\n[[team]]\nname = \"team-01\"\ncell = 2\n", &teams()).expect("a plan");
     assert_eq!((good.home("team-01"), good.picture_s), (ShardId(2), 2.0));
     let text = "cells = 99\nspill_after_s = 0.0\n[[team]]\nname = \"nobody\"\ncell = 99\n[[team]]\nname = \"nobody\"\ncell = 1\n";
@@ -111,7 +111,7 @@
 /// The shards are spread over the controllers: one that leads a shard already waits longer than others, and a
 /// controller that is alone leads all of them in the end.
 #[test]
-fn cells_are_claimed_by_different_controllers() {
+fn shards_are_led_by_different_controllers() {
     let nodes = ["n0", "n1", "n2", "n3", "n4"];
     for cell in 0..7 {
         let at_once: Vec<&str> =
--- a/crates/sharding/tests/rebalance.rs
+++ b/crates/sharding/tests/rebalance.rs
@@ -17,7 +17,7 @@
 /// A shard that lacks capacity for long enough gets idle machines of other shards if these machines would obey
 /// its token. A shard that lacked capacity only briefly gets none, and a new leader starts to measure anew.
 #[test]
-fn idle_machines_go_to_a_cell_that_stays_short() {
+fn idle_machines_move_to_a_shard_that_stays_short_of_capacity() {
     let plan = ShardingPlan::of(3);
     let (mut leader, none) = (Rebalancer::default(), RebalancePlan::default());
     let all = [snapshot(0, 10, 64.0, 0.0), snapshot(1, 20, 0.0, 80.0), snapshot(2, 30, 96.0, 0.0)];
@@ -65,7 +65,7 @@
 /// A team that waits in a shard that stays short of capacity moves its home to a shard with free capacity for
 /// twice as much. After that it does not move back for a while, even if the load is reversed.
 #[test]
-fn a_team_s_home_moves_once_and_rests() {
+fn a_home_of_a_team_moves_once_and_not_back() {
     let plan = ShardingPlan::parse("cells = 2\n[[team]]\nname = \"red\"\ncell = 0\n", &["red".into()]).expect("a plan");
     let use_of = |held: f64, wanted: f64| QuotaUse { held: Amount::new(held, 0.0), wanted: Amount::new(wanted, 0.0) };
     let short = |cell: u32, waits: f64| LoadSnapshot {
