--- a/crates/elastic/src/pool.rs
+++ b/crates/elastic/src/pool.rs
@@ -84,6 +84,7 @@
 const LONGEST_MS: u64 = 86_400_000;
 
 impl<J: Copy + Ord, T: Copy + Ord> Pool<J, T> {
+    /// Creates a pool without jobs.
     pub fn new(plan: Plan) -> Pool<J, T> {
         let times = match Histogram::new_with_max(LONGEST_MS, 2) {
             Ok(histogram) => histogram,
@@ -92,6 +93,7 @@
         Pool { plan, jobs: BTreeMap::new(), shrinks: BTreeMap::new(), idle_since: None, times, recent: VecDeque::new() }
     }
 
+    /// Returns the plan.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
@@ -106,6 +108,7 @@
         self.jobs.remove(&job);
     }
 
+    /// Returns the sizes of a job; `None` if it is not elastic.
     pub fn sizes(&self, job: J) -> Option<Sizes> {
         self.jobs.get(&job).map(|s| s.sizes)
     }
@@ -134,12 +137,12 @@
         self.jobs.get(&job).map_or(0, |state| staying.saturating_sub(Self::min_tasks(state, usage)))
     }
 
-    /// Lets jobs grow into idle capacity that no other work wants. `room` holds, for each elastic job,
+    /// Lets jobs grow into idle capacity that no other work wants. `demand` holds, for each elastic job,
     /// how many of its tasks would fit if it got all of the idle capacity. Once capacity has been idle
     /// for `settle_s`, jobs grow into a part of it, the one with the smallest fraction of its largest
     /// size first. Returns whether any job now wants more tasks.
-    pub fn grow_into_idle(&mut self, room: &[(J, u32, JobUsage)], now: f64) -> bool {
-        if room.iter().all(|(_, n, _)| *n == 0) {
+    pub fn grow_into_idle(&mut self, demand: &[(J, u32, JobUsage)], now: f64) -> bool {
+        if demand.iter().all(|(_, n, _)| *n == 0) {
             self.idle_since = None;
             return false;
         }
@@ -148,28 +151,30 @@
             return false;
         }
         // All entries describe the same idle capacity. A part of it is distributed task by task.
-        let largest_demand = room.iter().map(|(_, n, _)| *n).max().unwrap_or(0);
+        let largest_demand = demand.iter().map(|(_, n, _)| *n).max().unwrap_or(0);
         let mut remaining = ((f64::from(largest_demand) * self.plan.step) as u32).max(1);
         let mut grown: BTreeMap<J, u32> = BTreeMap::new();
         while remaining > 0 {
-            let growth_candidate = |(job, n, usage): &(J, u32, JobUsage)| {
+            let growth_candidate = |(job, wanted_tasks, usage): &(J, u32, JobUsage)| {
                 let state = self.jobs.get(job)?;
                 let more = grown.get(job).copied().unwrap_or(0);
                 let wanted = state.wanted.max(usage.held.min(state.sizes.largest)) + more;
-                let may_grow =
-                    now >= state.no_growth_before && more < *n && wanted < state.sizes.largest.min(usage.unfinished);
+                let may_grow = now >= state.no_growth_before
+                    && more < *wanted_tasks
+                    && wanted < state.sizes.largest.min(usage.unfinished);
                 let share = f64::from(wanted) / f64::from(state.sizes.largest);
                 may_grow.then_some((share, *job))
             };
-            let next = room.iter().filter_map(growth_candidate).min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
+            let next =
+                demand.iter().filter_map(growth_candidate).min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
             let Some((_, job)) = next else { break };
             *grown.entry(job).or_default() += 1;
             remaining -= 1;
         }
-        for (job, n) in &grown {
-            let held = room.iter().find(|r| r.0 == *job).map_or(0, |r| r.2.held);
+        for (job, added) in &grown {
+            let held = demand.iter().find(|r| r.0 == *job).map_or(0, |r| r.2.held);
             if let Some(state) = self.jobs.get_mut(job) {
-                state.wanted = (state.wanted.max(held.min(state.sizes.largest)) + n).min(state.sizes.largest);
+                state.wanted = (state.wanted.max(held.min(state.sizes.largest)) + added).min(state.sizes.largest);
             }
         }
         if !grown.is_empty() {
@@ -227,10 +232,12 @@
         self.jobs.get(&job).map(|s| s.wanted)
     }
 
+    /// Returns all elastic jobs with their sizes.
     pub fn jobs(&self) -> impl Iterator<Item = (J, Sizes)> {
         self.jobs.iter().map(|(job, s)| (*job, s.sizes))
     }
 
+    /// Returns whether there are neither jobs nor unfinished shrinks.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty() && self.shrinks.is_empty()
     }
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -41,19 +41,23 @@
 }
 
 impl Ledger {
+    /// Creates a ledger without usage.
     pub fn new(tree: Tree) -> Ledger {
         let used = vec![Amount::NONE; tree.levels.len()];
         Ledger { tree, used, unreported: Amount::NONE, levels_visited: std::cell::Cell::new(0) }
     }
 
+    /// Returns the quota tree.
     pub fn tree(&self) -> &Tree {
         &self.tree
     }
 
+    /// Returns the usage of a level, that of the levels below it included.
     pub fn used(&self, level: LevelIndex) -> Amount {
         self.used[level.0 as usize]
     }
 
+    /// Returns the levels of a team, from the team to the root, and counts them as visited.
     fn path(&self, team: TeamIndex) -> &[LevelIndex] {
         let path = self.tree.path(team);
         self.levels_visited.set(self.levels_visited.get() + path.len() as u64);
--- a/crates/quota/src/lib.rs
+++ b/crates/quota/src/lib.rs
@@ -33,22 +33,27 @@
 pub const EPSILON: f64 = 1e-6;
 
 impl Amount {
+    /// Zero in both resources.
     pub const NONE: Amount = Amount { cpus: 0.0, gpus: 0.0 };
 
+    /// Returns an amount of cpus and accelerator cards.
     pub fn new(cpus: f64, gpus: f64) -> Amount {
         Amount { cpus, gpus }
     }
 
-    pub fn plus(self, o: Amount) -> Amount {
-        Amount { cpus: self.cpus + o.cpus, gpus: self.gpus + o.gpus }
+    /// Returns the sum of both amounts.
+    pub fn plus(self, other: Amount) -> Amount {
+        Amount { cpus: self.cpus + other.cpus, gpus: self.gpus + other.gpus }
     }
 
+    /// Returns a multiple of the amount.
     pub fn times(self, by: f64) -> Amount {
         Amount { cpus: self.cpus * by, gpus: self.gpus * by }
     }
 
-    pub fn minus(self, o: Amount) -> Amount {
-        self.plus(o.times(-1.0))
+    /// Returns the difference, which may be negative.
+    pub fn minus(self, other: Amount) -> Amount {
+        self.plus(other.times(-1.0))
     }
 
     /// Returns whether this is at most `most` in each resource that `need` asks for.
--- a/crates/quota/src/tree.rs
+++ b/crates/quota/src/tree.rs
@@ -181,6 +181,7 @@
         warnings
     }
 
+    /// Returns a level.
     pub fn at(&self, l: LevelIndex) -> &Level {
         &self.levels[l.0 as usize]
     }
--- a/crates/service-levels/src/tracker/mod.rs
+++ b/crates/service-levels/src/tracker/mod.rs
@@ -71,6 +71,7 @@
 }
 
 impl ServiceLevelTracker {
+    /// Creates a tracker without jobs, with the objectives of each class.
     pub fn new(objectives: HashMap<String, ServiceLevelObjectives>) -> ServiceLevelTracker {
         ServiceLevelTracker {
             objectives,
@@ -96,6 +97,7 @@
         }
     }
 
+    /// Returns the objectives of a class, if there are any.
     pub fn objectives(&self, class: &str) -> Option<&ServiceLevelObjectives> {
         self.objectives.get(class)
     }
@@ -124,6 +126,7 @@
         Some(self.tracked.get(index.0 as usize)?.as_ref()?.indicators)
     }
 
+    /// Returns the indicator of this name, if it exists.
     pub fn find(&self, subject: Subject, name: &str) -> Option<IndicatorIndex> {
         self.by_name[subject as usize].get(name).copied()
     }
--- a/crates/service-levels/src/underserved.rs
+++ b/crates/service-levels/src/underserved.rs
@@ -50,36 +50,40 @@
 pub struct Underserved(Vec<bool>);
 
 impl Underserved {
-    /// Evaluates every indicator. `ahead` holds the forecast of the open jobs: without it, a class of the
+    /// Evaluates every indicator. `forecasts` describes the open jobs of each indicator: without it, a class of the
     /// lowest priority counted as underserved only after its first jobs had missed their time.
-    pub fn evaluate(tracker: &ServiceLevelTracker, ahead: &HashMap<IndicatorIndex, Forecast>, now: f64) -> Underserved {
+    pub fn evaluate(
+        tracker: &ServiceLevelTracker,
+        forecasts: &HashMap<IndicatorIndex, Forecast>,
+        now: f64,
+    ) -> Underserved {
         let share = |i: usize| {
-            let a = &tracker.indicators[i];
-            let of = |r: &Reading| {
-                let mut s = a.sums(*r).over(Span::TenMinutes, now);
-                if let (Reading::Done, Some(x)) = (r, ahead.get(&IndicatorIndex::of(i))) {
-                    s.add(x.open, x.on_time);
+            let indicator = &tracker.indicators[i];
+            let share_of = |reading: &Reading| {
+                let mut s = indicator.sums(*reading).over(Span::TenMinutes, now);
+                if let (Reading::Done, Some(forecast)) = (reading, forecasts.get(&IndicatorIndex::of(i))) {
+                    s.add(forecast.open, forecast.on_time);
                 }
                 s.ratio().filter(|_| s.asked >= MIN_ASKED)
             };
-            IMPROVABLE_READINGS.iter().filter_map(of).min_by(f64::total_cmp)
+            IMPROVABLE_READINGS.iter().filter_map(share_of).min_by(f64::total_cmp)
         };
         let shares: Vec<Option<f64>> = (0..tracker.indicators.len()).map(share).collect();
         // The two best shares of each kind of subject: an indicator is compared with the best of the
         // others, which matters if all are below the threshold.
         let mut best = [[None; 2]; 3];
-        for (a, s) in tracker.indicators.iter().zip(&shares) {
-            let [first, second] = &mut best[a.subject as usize];
-            if s.is_some_and(|s| first.is_none_or(|f| s > f)) {
-                (*second, *first) = (*first, *s);
-            } else if s.is_some_and(|s| second.is_none_or(|f| s > f)) {
-                *second = *s;
+        for (indicator, share) in tracker.indicators.iter().zip(&shares) {
+            let [first, second] = &mut best[indicator.subject as usize];
+            if share.is_some_and(|s| first.is_none_or(|f| s > f)) {
+                (*second, *first) = (*first, *share);
+            } else if share.is_some_and(|s| second.is_none_or(|f| s > f)) {
+                *second = *share;
             }
         }
-        let is_underserved = |(a, s): (&crate::tracker::ServiceLevelIndicator, &Option<f64>)| {
-            let [first, second] = best[a.subject as usize];
-            let others = if *s == first { second } else { first };
-            s.is_some_and(|s| {
+        let is_underserved = |(indicator, share): (&crate::tracker::ServiceLevelIndicator, &Option<f64>)| {
+            let [first, second] = best[indicator.subject as usize];
+            let others = if *share == first { second } else { first };
+            share.is_some_and(|s| {
                 s < UNDERSERVED_THRESHOLD && others.is_none_or(|o| o >= UNDERSERVED_THRESHOLD || s < o - MIN_LEAD)
             })
         };
