--- a/crates/scheduler/src/shard/elastic.rs
+++ b/crates/scheduler/src/shard/elastic.rs
@@ -38,20 +38,20 @@
 }
 
 /// Returns the longest time that a shrink takes under these settings.
-pub fn bound(params: &Params, claim_s: f64, plan: &Plan) -> Bound {
-    timing(params.report_s, params.lease_s, claim_s, plan).bound()
+pub fn bound(params: &Params, leader_lease_s: f64, plan: &Plan) -> Bound {
+    timing(params.report_s, params.lease_s, leader_lease_s, plan).bound()
 }
 
 /// Returns the delays that add up to the bound of a shrink.
-fn timing(report_s: f64, lease_s: f64, claim_s: f64, plan: &Plan) -> Timing {
+fn timing(report_s: f64, lease_s: f64, leader_lease_s: f64, plan: &Plan) -> Timing {
     Timing {
-        report_s: report_s * HEARTBEAT_JITTER,
+        heartbeat_interval_s: report_s * HEARTBEAT_JITTER,
         lease_s: with_clock_margin(lease_s),
-        answer_s: REPLY_TIMEOUT_S,
+        reply_timeout_s: REPLY_TIMEOUT_S,
         grace_s: plan.grace_s,
-        claim_s,
-        read_s: READ_WITHIN_S,
-        look_s: 0.5,
+        leader_lease_s,
+        recovery_s: READ_WITHIN_S,
+        tick_s: 0.5,
     }
 }
 
@@ -67,14 +67,14 @@
         // The smallest size of a class's default may exceed what the team's limit allows.
         let max_tasks = self.max_concurrent_tasks(job);
         if let (Some(sizes), Some(pool)) = (sizes, &mut self.elastic) {
-            pool.enter(job_index, Sizes { smallest: sizes.smallest.min(max_tasks.max(1)), ..sizes });
+            pool.add_job(job_index, Sizes { smallest: sizes.smallest.min(max_tasks.max(1)), ..sizes });
         }
     }
 
     /// Removes a job from the pool.
     pub(super) fn untrack_elastic_job(&mut self, job_index: JobIndex) {
         if let Some(pool) = &mut self.elastic {
-            pool.leave(job_index);
+            pool.remove_job(job_index);
         }
     }
 
@@ -99,7 +99,7 @@
     /// Returns how many more tasks of a job may be started: in its regular turn, and beyond that on idle capacity.
     pub(crate) fn additional_tasks(&self, job: &Job) -> (u32, u32) {
         match &self.elastic {
-            Some(pool) if pool.sizes(job.index).is_some() => pool.more(job.index, self.elastic_usage(job)),
+            Some(pool) if pool.sizes(job.index).is_some() => pool.allowed_starts(job.index, self.elastic_usage(job)),
             _ => (u32::MAX, 0),
         }
     }
@@ -127,7 +127,7 @@
         }
         let (grace, now) = (self.grace(key.job), self.ticked_at);
         let Some(pool) = &mut self.elastic else { return };
-        let save_grace_s = pool.mercy(grace);
+        let save_grace_s = pool.save_grace_s(grace);
         pool.shrink(key.job, key, save_grace_s, usage.held - usage.leaving - 1, now);
         log::debug!("elastic task preempted task={}/{} grace_s={save_grace_s:.1}", self.jobs[key.job].id, key.task);
         self.stop_task(machine_index, key, save_grace_s);
@@ -136,7 +136,7 @@
     /// Notes that a task has certainly ended.
     pub(super) fn on_elastic_task_gone(&mut self, key: TaskKey) {
         let now = self.ticked_at;
-        if let Some(shrink_s) = self.elastic.as_mut().and_then(|pool| pool.gone(key, now)) {
+        if let Some(shrink_s) = self.elastic.as_mut().and_then(|pool| pool.on_task_ended(key, now)) {
             log::debug!("elastic task ended task={}/{} after_s={shrink_s:.2}", self.jobs[key.job].id, key.task);
         }
     }
@@ -145,7 +145,7 @@
     /// waits for.
     pub(super) fn resize_elastic_jobs(&mut self, now: f64) {
         let Some(pool) = &mut self.elastic else { return };
-        for key in pool.due(now) {
+        for key in pool.take_due_stops(now) {
             let slot = self.jobs.get(key.job).and_then(|job| job.tasks.get(key.task as usize)).copied();
             let Some(TaskSlot::Assigned(machine_index)) = slot else {
                 continue;
@@ -159,7 +159,7 @@
         self.elastic_resized_at = now;
         let grows = !self.unplaced_work_waiting && self.state_service_writable;
         let idle = if grows { self.idle_capacity(now) } else { Vec::new() };
-        if self.elastic.as_mut().is_some_and(|pool| pool.idle(&idle, now)) {
+        if self.elastic.as_mut().is_some_and(|pool| pool.grow_into_idle(&idle, now)) {
             self.placement_due = true;
         }
     }
@@ -251,7 +251,7 @@
         format!(
             "; elastic {jobs} jobs run {held} tasks, {smallest} smallest and {wanted} wanted, {} shrinks in progress, \
              {} completed, the longest {:.1} s",
-            times.under_way, times.shrinks, times.longest
+            times.under_way, times.shrinks, times.longest_s
         )
     }
 }
--- a/crates/scheduler/src/shard/quotas/mod.rs
+++ b/crates/scheduler/src/shard/quotas/mod.rs
@@ -148,8 +148,8 @@
     /// Takes up to `n` tasks of this job within what earlier calls have left; returns how many.
     pub(in crate::shard) fn take(&mut self, job: &Job, n: f64) -> f64 {
         let (team, task) = (quota_team(job.team), task_amount(job));
-        let n = n.min(self.0.room(team, task));
-        self.0.count(team, task.times(n));
+        let n = n.min(self.0.tasks_within_limits(team, task));
+        self.0.add_usage(team, task.times(n));
         n
     }
 }
@@ -164,13 +164,13 @@
     pub(in crate::shard) fn count_quota(&mut self, job_index: JobIndex, sign: f64) {
         let Some(q) = &mut self.quotas else { return };
         let job = &self.jobs[job_index];
-        q.ledger.count(quota_team(job.team), task_amount(job).times(sign));
+        q.ledger.add_usage(quota_team(job.team), task_amount(job).times(sign));
     }
 
     /// Sets the cpus and accelerators that unreconciled machines may be using; they count as used at every level.
     pub(crate) fn set_quota_unreconciled(&mut self, (cpus, accelerators): (f64, f64)) {
         if let Some(q) = &mut self.quotas {
-            q.ledger.unseen = Amount::new(cpus, accelerators);
+            q.ledger.unreported = Amount::new(cpus, accelerators);
         }
     }
 
@@ -182,7 +182,7 @@
 
     /// Returns how many more tasks of this job fit within all limits above its team.
     pub(crate) fn tasks_within_quota(&self, j: &Job) -> f64 {
-        self.quotas.as_ref().map_or(f64::INFINITY, |q| q.ledger.room(quota_team(j.team), task_amount(j)))
+        self.quotas.as_ref().map_or(f64::INFINITY, |q| q.ledger.tasks_within_limits(quota_team(j.team), task_amount(j)))
     }
 
     /// Returns the cpus and accelerators guaranteed to a team: by the settings, or what the levels above it leave of
@@ -202,7 +202,7 @@
     /// how much of that lender's quota is borrowed, in twentieths. Without a quota tree all jobs rank the same.
     pub(crate) fn borrowing(&self, j: &Job) -> (u8, u16) {
         let Some(q) = &self.quotas else { return (0, 0) };
-        let standing = q.ledger.standing(quota_team(j.team), task_amount(j));
+        let standing = q.ledger.fair_share_position(quota_team(j.team), task_amount(j));
         (standing.distance, (standing.share * 20.0).min(60_000.0) as u16)
     }
 
@@ -232,7 +232,7 @@
             Step::Head => {
                 if let Some((plan, tree, _)) = q.next.take() {
                     log::info!("quota plan in force generation={}", plan.generation);
-                    q.ledger.change(tree);
+                    q.ledger.replace_tree(tree);
                     q.in_force = true;
                     self.placement_due = true;
                     let superseded_keys: Vec<String> = self
@@ -253,11 +253,11 @@
     /// so that no other task is stopped in its place.
     pub(in crate::shard) fn preempt_over_quota(&mut self) {
         let Some(q) = &self.quotas else { return };
-        if !self.state_service_writable || q.ledger.over().is_empty() {
+        if !self.state_service_writable || q.ledger.levels_over_limit().is_empty() {
             return;
         }
         let (held, leaving) = self.held_and_leaving(|_| true);
-        for (machine_index, key) in q.ledger.give_way(&held, &leaving) {
+        for (machine_index, key) in q.ledger.preempt_over_limit(&held, &leaving) {
             log::info!("task preempted reason=lower-quota task={}/{}", self.jobs[key.job].id, key.task);
             self.stop_gently(machine_index, key);
         }
@@ -283,7 +283,7 @@
                 if assignment.stop_grace_s.is_some() || assignment.state == AssignmentState::Saving {
                     continue;
                 }
-                let loses = if assignment.state == AssignmentState::Running && job.spec.checkpoint_s <= 0.0 {
+                let lost_work_s = if assignment.state == AssignmentState::Running && job.spec.checkpoint_s <= 0.0 {
                     self.ticked_at - assignment.running_since
                 } else {
                     0.0
@@ -293,7 +293,7 @@
                     task: (machine_index, *key),
                     team,
                     need,
-                    loses,
+                    lost_work_s,
                     service: job.is_service(),
                     priority,
                 });
@@ -317,7 +317,7 @@
                 let specs: Vec<Team> = self.teams.iter().map(|t| t.spec.clone()).collect();
                 let mut flat = Ledger::new(Tree::flat(&team_limits(&specs)));
                 for (i, t) in self.teams.iter().enumerate() {
-                    flat.count(quota_team(TeamIndex::new(i)), Amount::new(t.cpus_used, t.accelerators_used));
+                    flat.add_usage(quota_team(TeamIndex::new(i)), Amount::new(t.cpus_used, t.accelerators_used));
                 }
                 flat
             }
@@ -340,7 +340,7 @@
             let stays = |h: &HeldTask| !victims.contains(&h.task);
             leaving.extend(held.iter().filter(|h| !stays(h)).map(|h| (h.team, h.need)));
             held.retain(stays);
-            ledger.count(team, need);
+            ledger.add_usage(team, need);
             preempted.extend(victims.into_iter().map(|t| (t, j)));
         }
         for ((machine_index, key), j) in preempted {
--- a/crates/scheduler/src/shard/service_levels/mod.rs
+++ b/crates/scheduler/src/shard/service_levels/mod.rs
@@ -231,7 +231,7 @@
                 let tasks = job.progress();
                 let ticket = self.service_level_tracker.track(&entry, t);
                 self.service_level_tracker.on_progress(ticket, tasks, t);
-                let indicators = self.service_level_tracker.of(ticket);
+                let indicators = self.service_level_tracker.indicators_of(ticket);
                 let job = &mut self.jobs[job_index];
                 (job.tracked, job.indicators) = (Some(ticket), indicators);
                 (job.serves_until, job.useful_until) = (until, useful);
@@ -239,7 +239,7 @@
             }
         };
         let ended = (job.ended_ms > 0).then_some(job.ended_ms as f64 / 1000.0);
-        self.service_level_tracker.from_record(&entry, end, ended, t);
+        self.service_level_tracker.count_from_record(&entry, end, ended, t);
     }
 
     /// Tells the tracker how many tasks of a job run or are done, after a change.
@@ -335,7 +335,7 @@
             let asked = asked.min(self.guaranteed(TeamIndex::new(i)).0);
             if asked > 0.0 {
                 let team = &self.teams[i];
-                self.service_level_tracker.held(
+                self.service_level_tracker.record_held(
                     Subject::Team,
                     &team.spec.name,
                     asked * since,
@@ -347,7 +347,7 @@
         for level in self.quota_report("").iter().flat_map(|q| &q.levels).filter(|l| !l.team && l.depth > 0) {
             let asked = (level.used_cpus + level.waits_cpus).min(level.guarantee_cpus);
             if asked > 0.0 {
-                self.service_level_tracker.held(
+                self.service_level_tracker.record_held(
                     Subject::Level,
                     &level.level,
                     asked * since,
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -42,7 +42,7 @@
 
     /// Creates an error response. A temporary error asks the client to retry after a second.
     pub fn error(status: u16, reason: &str) -> Outgoing {
-        let mut outgoing = Outgoing::json(status, &crate::wire::ErrorAnswer { error: reason });
+        let mut outgoing = Outgoing::json(status, &crate::wire::ErrorResponse { error: reason });
         if matches!(status, 429 | 503 | 504) {
             outgoing.retry_after_s = Some(1);
         }
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -29,7 +29,7 @@
         for _round in 0..3 {
             for client in &clients {
                 let limit = Duration::from_secs(2);
-                let report = crate::wire::REPORT_PATH;
+                let report = crate::wire::HEARTBEAT_PATH;
                 let call = || client.call(addr, Method::Post, report, Some(b"{}".to_vec()), limit);
                 let mut response = call().await;
                 // A connection that the server closed meanwhile is opened again.
@@ -48,7 +48,7 @@
 /// are always served.
 #[test]
 fn polls_go_first_then_users_and_heartbeats_never() {
-    use crate::wire::{HEALTH_PATH, JOBS_PATH, REPORT_PATH};
+    use crate::wire::{HEALTH_PATH, HEARTBEAT_PATH, JOBS_PATH};
     let addr = listening(Bounds { connections: 64, body_bytes: 1 << 20 });
     async_io::block_on(EX.run(async {
         let limit = Duration::from_secs(2);
@@ -62,7 +62,7 @@
             while machines.len() < held {
                 let machine = Client::new(1, 1);
                 assert_eq!(
-                    machine.call(addr, Method::Post, REPORT_PATH, None, limit).await.map(|response| response.0),
+                    machine.call(addr, Method::Post, HEARTBEAT_PATH, None, limit).await.map(|response| response.0),
                     Ok(200)
                 );
                 machines.push(machine);
@@ -73,7 +73,7 @@
             }
             for machine in &machines {
                 assert_eq!(
-                    machine.call(addr, Method::Post, REPORT_PATH, None, limit).await.map(|response| response.0),
+                    machine.call(addr, Method::Post, HEARTBEAT_PATH, None, limit).await.map(|response| response.0),
                     Ok(200)
                 );
             }
--- a/src/job_status.rs
+++ b/src/job_status.rs
@@ -35,7 +35,7 @@
 
 /// Returns whether this is a well-formed job id.
 pub fn valid_id(id: &str) -> bool {
-    id.strip_prefix(wire::JOB_ID_START).is_some_and(|digits| {
+    id.strip_prefix(wire::JOB_ID_PREFIX).is_some_and(|digits| {
         !digits.is_empty() && digits.len() <= MAX_ID_DIGITS && digits.bytes().all(|byte| byte.is_ascii_digit())
     })
 }
--- a/src/responses.rs
+++ b/src/responses.rs
@@ -6,7 +6,7 @@
 use crate::jobs::{JobRecord, Phase};
 use crate::peer::Verb;
 use crate::shard::{HeartbeatOutcome, JobView};
-use crate::wire::{JobAnswer, KeyValue, Redirect};
+use crate::wire::{JobResponse, KeyValue, Redirect};
 
 /// Returns the response of a node that cannot act or is not allowed to.
 pub fn unavailable() -> Outgoing {
@@ -17,7 +17,7 @@
 /// tasks.
 pub fn job_response(status: u16, id: &str, job: JobStatus, counts: bool) -> Outgoing {
     let count = |tasks| counts.then_some(tasks);
-    let body = JobAnswer { id, state: job.state, done: count(job.done), running: count(job.running) };
+    let body = JobResponse { id, state: job.state, done: count(job.done), running: count(job.running) };
     Outgoing::json(status, &body)
 }
 
@@ -58,7 +58,7 @@
         Some(HeartbeatOutcome::Reply(reply)) => Outgoing::json(200, &reply).valid_until(lease_valid_until),
         Some(HeartbeatOutcome::Stale) => unavailable(),
         Some(HeartbeatOutcome::Superseded) | None => match leader() {
-            Some(node) => Outgoing::json(421, &Redirect { report_to: Some(node) }),
+            Some(node) => Outgoing::json(421, &Redirect { send_heartbeats_to: Some(node) }),
             None => unavailable(),
         },
     }
--- a/tests/traces/events/questions.rs
+++ b/tests/traces/events/questions.rs
@@ -33,7 +33,7 @@
                     if first.is_empty() || first == r.name {
                         self.say(&format!(
                             "{} {} {}: {}{unknown}",
-                            r.side.name(),
+                            r.subject.name(),
                             r.name,
                             r.reading.name(),
                             part(r.share)
@@ -58,7 +58,7 @@
                 if report.times.shrinks > 0 {
                     self.say(&format!(
                         "{} shrinks over, the longest {:.1} s",
-                        report.times.shrinks, report.times.longest
+                        report.times.shrinks, report.times.longest_s
                     ));
                 }
             }
