--- a/crates/scheduler/tests/exhaustive/deployment.rs
+++ b/crates/scheduler/tests/exhaustive/deployment.rs
@@ -1,132 +1,155 @@
-//! A small deployment whose every order of events is explored: two or three controllers with the project's own
-//! [`LeaderElection`], the state service with one claim and one job, one worker with one task, one user who cancels.
+//! A model of a small deployment: controllers that run the production [`LeaderElection`], a state
+//! service with one leadership record and one job record, one worker with one task, and one user who cancels the job.
 //!
-//! Time passes in whole seconds, and nothing has to happen in time: a controller, a message or a user may be
-//! as slow as it likes. What must hold all the same are the [invariants](Deployment::violation).
+//! Time advances in whole seconds. No step has a deadline: a controller, a message or a user may be delayed by any
+//! time. The [invariants](Deployment::violation) must hold in every order of events.
 
 use crate::explore::System;
 use lupinspur_scheduler::election::{ElectionStep, LeaderElection, LeadershipRecord, ObservedRecord};
 
-/// The lease of a claim, and of a worker; a cancelled job's task is gone after the sum of both and a second.
-const CLAIM_LEASE_S: u8 = 2;
+/// Lease of the leadership record.
+const LEADER_LEASE_S: u8 = 2;
+/// Lease of the worker's incarnation.
 const WORKER_LEASE_S: u8 = 2;
-const CANCEL_S: u8 = CLAIM_LEASE_S + WORKER_LEASE_S + 1;
+/// Longest time from a confirmed cancellation to the end of the job's task: both leases and one second.
+const MAX_CANCEL_S: u8 = LEADER_LEASE_S + WORKER_LEASE_S + 1;
 
-/// A guard that is taken out, to show that the exploration sees it.
+/// A guard of the protocol. The tests remove one at a time, to show that the exploration detects its absence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Guard {
-    /// Whoever has a token acts, whether its lease is valid or not.
+    /// A leader acts only while its lease is valid. Without it, a fencing token suffices.
     ValidLease,
-    /// A lease counts from the sending of its renewal, not from the answer.
-    CountsFromSending,
-    /// A leader's writes are conditional on its claim.
-    ClaimCondition,
-    /// They are conditional on the version of the record that they replace.
-    RecordCondition,
+    /// A lease is counted from the time at which its renewal was sent, not from the arrival of the response.
+    LeaseCountedFromSend,
+    /// A leader's writes are conditional on its leadership record.
+    LeadershipCondition,
+    /// A leader's writes are conditional on the version of the record that they replace.
+    RecordVersionCondition,
     /// A cancellation is confirmed only once it is stored.
     StoredBeforeConfirmed,
-    /// A controller that claims reads the records before it acts.
+    /// A newly elected leader loads the records before it acts.
     ReadBeforeActing,
-    /// A leader that knows of the cancellation stops the task in each answer to its worker.
-    StopsInEachAnswer,
-    /// A leader says nothing of a job whose cancellation it has sent and does not know to be stored.
-    SilentWhileUnsettled,
+    /// A leader that knows of the cancellation stops the task in every reply to its worker.
+    StopInEveryReply,
+    /// A leader reports no state of a job while it does not know whether the cancellation that it sent is stored.
+    NoStateWhileOutcomeUnknown,
 }
 
-/// What is explored: how many controllers, how long, and how many of each trouble.
+/// Bounds of an exploration: the number of controllers, the duration, and how often each fault may occur.
 #[derive(Debug, Clone, Copy)]
 pub struct Deployment {
     pub controllers: usize,
     pub seconds: u8,
-    /// Outages of the state service for all, and times that it refuses one controller alone.
+    /// Outages of the state service for all controllers.
     pub outages: u8,
+    /// Intervals in which the state service refuses the requests of one controller only.
     pub refusals: u8,
     pub restarts: u8,
-    /// Answers of the state service that are lost although the request was carried out.
-    pub lost_answers: u8,
-    /// Transactions that are carried out later, without an answer.
-    pub late_transactions: u8,
-    /// Whether answers to renewals may be slow.
+    /// Responses of the state service that are lost although the request was executed.
+    pub lost_responses: u8,
+    /// Transactions that are executed later, without a response.
+    pub delayed_transactions: u8,
+    /// Whether responses to lease renewals may be delayed.
     pub slow_renewals: bool,
+    /// The guard that is removed.
     pub without: Option<Guard>,
 }
 
-/// The state service: one claim, one job's record, leases.
+/// The state service, with one leadership record, one job record, and leases.
 #[derive(Clone, Debug)]
 struct Store {
     revision: u64,
-    claim: Option<(ObservedRecord, u64)>,
+    leadership: Option<StoredLeadership>,
     record_version: u64,
     cancelled: bool,
-    /// Each lease's number and its last second.
-    leases: Vec<(u64, u8)>,
+    leases: Vec<Lease>,
     next_lease: u64,
     down: bool,
 }
 
+/// The stored leadership record and the lease that it is bound to.
+#[derive(Clone, Debug)]
+struct StoredLeadership {
+    observed: ObservedRecord,
+    lease: u64,
+}
+
+/// A lease of the state service. It expires after `last_second`.
+#[derive(Clone, Debug)]
+struct Lease {
+    id: u64,
+    last_second: u8,
+}
+
 impl Store {
-    fn lives(&self, lease: u64) -> bool {
-        self.leases.iter().any(|l| l.0 == lease)
+    fn lease_exists(&self, id: u64) -> bool {
+        self.leases.iter().any(|lease| lease.id == id)
     }
 
-    fn claim_version(&self) -> u64 {
-        self.claim.as_ref().map_or(0, |c| c.0.version)
+    /// The version of the leadership record, 0 if there is none.
+    fn leadership_version(&self) -> u64 {
+        self.leadership.as_ref().map_or(0, |leadership| leadership.observed.version)
     }
 }
 
-/// A change of the store with its conditions.
+/// A conditional change of the store.
 #[derive(Clone, Debug)]
 enum Transaction {
-    Claim {
-        by: LeadershipRecord,
-        lease: u64,
-        over: u64,
-    },
-    /// The leader's write of the job's record.
-    Record {
-        token: u64,
-        version: u64,
-        cancelled: bool,
-    },
+    /// Writes the leadership record, if its version is still `expected_version` and the lease exists.
+    Campaign { record: LeadershipRecord, lease: u64, expected_version: u64 },
+    /// Writes the job record, as the leader with this fencing token.
+    Record { token: u64, version: u64, cancelled: bool },
 }
 
-/// One controller: its claim, and what it knows of the job as a leader.
+/// One controller: its part in the election, and what it knows about the job as the leader.
 #[derive(Clone, Debug)]
 struct Controller {
-    own: LeaderElection,
-    life: u8,
+    election: LeaderElection,
+    /// Number of restarts so far.
+    incarnation: u8,
+    /// Whether the state service refuses its requests.
     refused: bool,
-    /// The token under which it has read the records.
-    loaded: u64,
+    /// The fencing token under which it has loaded the records.
+    loaded_token: u64,
     knows_cancelled: bool,
-    /// It has sent a cancellation, and does not know whether it is stored.
-    unsettled: bool,
+    /// Whether it has sent a cancellation without learning if it is stored.
+    cancel_outcome_unknown: bool,
     record_version: u64,
-    /// A renewal that was carried out, and whose answer is under way: lease and second of its sending.
-    renewal: Option<(u64, u8)>,
+    /// A renewal that was executed and whose response has not arrived yet.
+    renewal: Option<PendingRenewal>,
+}
+
+#[derive(Clone, Debug)]
+struct PendingRenewal {
+    lease: u64,
+    sent: u8,
 }
 
-/// The one worker.
+/// The only worker.
 #[derive(Clone, Debug)]
 struct Worker {
+    /// The newest fencing token that it has seen.
     token: u64,
+    /// The second from which its lease counts.
     renewed: u8,
-    runs: bool,
-    /// A report under way: when it was sent, and the answer to it, if it has one by now.
-    report: Option<Report>,
+    running: bool,
+    /// A heartbeat that was sent and whose reply has not been received yet.
+    heartbeat: Option<Heartbeat>,
 }
 
 #[derive(Clone, Debug)]
-struct Report {
+struct Heartbeat {
     sent: u8,
-    answer: Option<Answer>,
+    /// The reply, once a leader has sent it.
+    reply: Option<Reply>,
 }
 
-/// What the leader answers a report with.
+/// The leader's reply to a heartbeat.
 #[derive(Clone, Copy, Debug)]
-struct Answer {
+struct Reply {
     token: u64,
-    stops: bool,
+    /// Whether it tells the worker to stop the task.
+    stop: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -135,25 +158,27 @@
     store: Store,
     controllers: Vec<Controller>,
     worker: Worker,
-    /// Transactions that nobody waits for any more, and that may yet be carried out.
-    late: Vec<Transaction>,
+    /// Transactions whose sender no longer waits for them and which may still be executed.
+    delayed: Vec<Transaction>,
     confirmed_at: Option<u8>,
     outages: u8,
     refusals: u8,
     restarts: u8,
-    lost_answers: u8,
-    late_transactions: u8,
+    lost_responses: u8,
+    delayed_transactions: u8,
 }
 
-/// How a request to the state service fares.
+/// What happens to a request to the state service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum RequestOutcome {
     Answered,
-    AnswerLost,
-    Late,
+    /// It is executed, and the response is lost.
+    ResponseLost,
+    /// It may be executed later, without a response.
+    Delayed,
 }
 
-/// One step; the number is a controller's.
+/// One step of the system. An index identifies a controller, except in `ExecutesDelayed`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
     SecondPasses,
@@ -162,54 +187,60 @@
     RefusalBegins(usize),
     RefusalEnds(usize),
     Restarts(usize),
-    /// It looks at the claim, and does what follows from it.
-    Claims(usize, Fate),
-    Renews(usize),
-    HearsOfRenewal(usize),
-    /// It reads the records after its claim.
-    Loads(usize),
-    /// A user cancels at this controller, which owns.
-    Cancels(usize, Fate),
-    /// The leader writes the job's record for another reason, as progress is.
-    WritesRecord(usize, Fate),
-    /// A user hears of a stored cancellation from any controller that reads the record.
+    /// The controller reads the leadership record and takes the next step of the election.
+    Campaigns(usize, RequestOutcome),
+    RenewsLease(usize),
+    /// The response to the controller's lease renewal arrives.
+    ReceivesRenewal(usize),
+    /// The newly elected controller loads the records.
+    LoadsRecords(usize),
+    /// A user cancels the job at this controller, which is the leader.
+    Cancels(usize, RequestOutcome),
+    /// The leader writes the job record for another reason, such as progress.
+    WritesRecord(usize, RequestOutcome),
+    /// A user reads the stored cancellation through any controller.
     ReadsRecord,
-    LateTransaction(usize),
-    Reports,
-    AnswersReport(usize),
-    HearsAnswer,
+    /// The delayed transaction with this index is executed.
+    ExecutesDelayed(usize),
+    /// The worker sends a heartbeat.
+    SendsHeartbeat,
+    /// The controller replies to the heartbeat.
+    RepliesToHeartbeat(usize),
+    /// The worker receives the reply.
+    ReceivesReply,
 }
 
 impl Deployment {
-    fn keeps(&self, guard: Guard) -> bool {
+    fn has(&self, guard: Guard) -> bool {
         self.without != Some(guard)
     }
 
-    /// The token by which a controller acts at this second, if it may.
-    fn acts(&self, controller: &Controller, now: u8) -> Option<u64> {
-        let token = if self.keeps(Guard::ValidLease) {
-            controller.own.valid_token(f64::from(now))?
+    /// Returns the fencing token under which a controller may act at this second.
+    fn acting_token(&self, controller: &Controller, now: u8) -> Option<u64> {
+        let token = if self.has(Guard::ValidLease) {
+            controller.election.valid_token(f64::from(now))?
         } else {
-            controller.own.token()?
+            controller.election.token()?
         };
-        (controller.loaded == token).then_some(token)
+        (controller.loaded_token == token).then_some(token)
     }
 
-    /// The new revision, if the conditions hold.
+    /// Executes a transaction. Returns the new revision, or nothing if a condition does not hold.
     fn commit(&self, store: &mut Store, transaction: &Transaction) -> Option<u64> {
         match transaction {
-            Transaction::Claim { by, lease, over } => {
-                if store.claim_version() != *over || !store.lives(*lease) {
+            Transaction::Campaign { record, lease, expected_version } => {
+                if store.leadership_version() != *expected_version || !store.lease_exists(*lease) {
                     return None;
                 }
                 store.revision += 1;
-                store.claim = Some((ObservedRecord { record: by.clone(), version: store.revision }, *lease));
+                let observed = ObservedRecord { record: record.clone(), version: store.revision };
+                store.leadership = Some(StoredLeadership { observed, lease: *lease });
             }
             Transaction::Record { token, version, cancelled } => {
-                if self.keeps(Guard::ClaimCondition) && store.claim_version() != *token {
+                if self.has(Guard::LeadershipCondition) && store.leadership_version() != *token {
                     return None;
                 }
-                if self.keeps(Guard::RecordCondition) && store.record_version != *version {
+                if self.has(Guard::RecordVersionCondition) && store.record_version != *version {
                     return None;
                 }
                 store.revision += 1;
@@ -220,127 +251,128 @@
         Some(store.revision)
     }
 
-    /// Sends a transaction; the revision, if its sender learns of it.
-    fn send(&self, state: &mut State, transaction: Transaction, fate: Fate) -> Option<u64> {
-        match fate {
-            Fate::Answered => self.commit(&mut state.store, &transaction),
-            Fate::AnswerLost => {
-                state.lost_answers -= 1;
+    /// Sends a transaction. Returns the new revision if its sender learns that it was executed.
+    fn send(&self, state: &mut State, transaction: Transaction, outcome: RequestOutcome) -> Option<u64> {
+        match outcome {
+            RequestOutcome::Answered => self.commit(&mut state.store, &transaction),
+            RequestOutcome::ResponseLost => {
+                state.lost_responses -= 1;
                 self.commit(&mut state.store, &transaction);
                 None
             }
-            Fate::Late => {
-                state.late_transactions -= 1;
-                state.late.push(transaction);
+            RequestOutcome::Delayed => {
+                state.delayed_transactions -= 1;
+                state.delayed.push(transaction);
                 None
             }
         }
     }
 
-    fn claims(&self, state: &mut State, i: usize, fate: Fate) {
+    fn campaign(&self, state: &mut State, index: usize, outcome: RequestOutcome) {
         let now = f64::from(state.now);
-        let seen = state.store.claim.as_ref().map(|c| c.0.clone());
-        state.controllers[i].own.observe_record(seen, now);
-        match state.controllers[i].own.next_step(now, 0, true, 0.0) {
+        let seen = state.store.leadership.as_ref().map(|leadership| leadership.observed.clone());
+        state.controllers[index].election.observe_record(seen, now);
+        match state.controllers[index].election.next_step(now, 0, true, 0.0) {
             ElectionStep::Wait | ElectionStep::Yield { .. } => {}
             ElectionStep::AcquireLease => {
                 state.store.next_lease += 1;
                 let lease = state.store.next_lease;
-                state.store.leases.push((lease, state.now + CLAIM_LEASE_S));
-                state.controllers[i].own.lease_renewed(lease, now);
+                state.store.leases.push(Lease { id: lease, last_second: state.now + LEADER_LEASE_S });
+                state.controllers[index].election.lease_renewed(lease, now);
             }
             ElectionStep::Campaign { lease, over } => {
-                let by = state.controllers[i].own.prepare_campaign(lease, 0);
-                if let Some(version) = self.send(state, Transaction::Claim { by, lease, over }, fate) {
-                    state.controllers[i].own.elected(version);
+                let record = state.controllers[index].election.prepare_campaign(lease, 0);
+                let campaign = Transaction::Campaign { record, lease, expected_version: over };
+                if let Some(version) = self.send(state, campaign, outcome) {
+                    state.controllers[index].election.elected(version);
                 }
             }
-            ElectionStep::AdoptOwnRecord { version } => _ = state.controllers[i].own.elected(version),
+            ElectionStep::AdoptOwnRecord { version } => _ = state.controllers[index].election.elected(version),
         }
-        self.load_at_once(state, i);
+        self.skip_loading(state, index);
     }
 
-    /// Without its guard a leader takes for granted that nothing was cancelled.
-    fn load_at_once(&self, state: &mut State, i: usize) {
-        let controller = &mut state.controllers[i];
-        if let (Some(token), false) = (controller.own.token(), self.keeps(Guard::ReadBeforeActing)) {
-            controller.loaded = token;
+    /// Without [`Guard::ReadBeforeActing`] a leader assumes that nothing was cancelled and acts at once.
+    fn skip_loading(&self, state: &mut State, index: usize) {
+        let controller = &mut state.controllers[index];
+        if let (Some(token), false) = (controller.election.token(), self.has(Guard::ReadBeforeActing)) {
+            controller.loaded_token = token;
         }
     }
 
-    fn renews(&self, state: &mut State, i: usize) {
+    fn renew_lease(&self, state: &mut State, index: usize) {
         let now = state.now;
-        let Some(lease) = state.controllers[i].own.lease() else { return };
-        match state.store.leases.iter_mut().find(|l| l.0 == lease) {
-            Some(l) => {
-                l.1 = now + CLAIM_LEASE_S;
+        let Some(lease) = state.controllers[index].election.lease() else { return };
+        match state.store.leases.iter_mut().find(|stored| stored.id == lease) {
+            Some(stored) => {
+                stored.last_second = now + LEADER_LEASE_S;
                 if self.slow_renewals {
-                    state.controllers[i].renewal = Some((lease, now));
+                    state.controllers[index].renewal = Some(PendingRenewal { lease, sent: now });
                 } else {
-                    state.controllers[i].own.lease_renewed(lease, f64::from(now));
+                    state.controllers[index].election.lease_renewed(lease, f64::from(now));
                 }
             }
-            None => _ = state.controllers[i].own.lease_expired(lease),
+            None => _ = state.controllers[index].election.lease_expired(lease),
         }
     }
 
-    fn writes(&self, state: &mut State, i: usize, cancels: bool, fate: Fate) {
-        let Some(token) = self.acts(&state.controllers[i], state.now) else { return };
-        if state.controllers[i].unsettled {
-            // It asks for the record's version before it tries again.
-            state.controllers[i].record_version = state.store.record_version;
+    fn write_job_record(&self, state: &mut State, index: usize, cancels: bool, outcome: RequestOutcome) {
+        let Some(token) = self.acting_token(&state.controllers[index], state.now) else { return };
+        if state.controllers[index].cancel_outcome_unknown {
+            // The leader reads the current version of the record before it retries.
+            state.controllers[index].record_version = state.store.record_version;
         }
-        let version = state.controllers[i].record_version;
-        let cancelled = cancels || state.controllers[i].knows_cancelled;
-        if cancels && !self.keeps(Guard::StoredBeforeConfirmed) {
+        let version = state.controllers[index].record_version;
+        let cancelled = cancels || state.controllers[index].knows_cancelled;
+        if cancels && !self.has(Guard::StoredBeforeConfirmed) {
             state.confirmed_at.get_or_insert(state.now);
         }
         let transaction = Transaction::Record { token, version, cancelled };
-        state.controllers[i].unsettled |= cancels;
-        if let Some(revision) = self.send(state, transaction, fate) {
-            let controller = &mut state.controllers[i];
+        state.controllers[index].cancel_outcome_unknown |= cancels;
+        if let Some(revision) = self.send(state, transaction, outcome) {
+            let controller = &mut state.controllers[index];
             controller.record_version = revision;
             controller.knows_cancelled = cancelled;
-            controller.unsettled &= !cancelled;
+            controller.cancel_outcome_unknown &= !cancelled;
             if cancelled {
                 state.confirmed_at.get_or_insert(state.now);
             }
         }
     }
 
-    fn passes(&self, state: &mut State) {
+    fn advance_second(&self, state: &mut State) {
         state.now += 1;
         let now = state.now;
         if !state.store.down {
-            self.expire(&mut state.store, now);
+            self.expire_leases(&mut state.store, now);
         }
         let worker = &mut state.worker;
         if now - worker.renewed > WORKER_LEASE_S {
-            worker.runs = false;
+            worker.running = false;
             worker.renewed = now;
-            worker.report = None;
+            worker.heartbeat = None;
         }
     }
 
-    fn expire(&self, store: &mut Store, now: u8) {
-        store.leases.retain(|l| now <= l.1);
-        let gone = store.claim.as_ref().is_some_and(|c| !store.leases.iter().any(|l| l.0 == c.1));
-        if gone {
+    fn expire_leases(&self, store: &mut Store, now: u8) {
+        store.leases.retain(|lease| now <= lease.last_second);
+        let expired = store.leadership.as_ref().is_some_and(|leadership| !store.lease_exists(leadership.lease));
+        if expired {
             store.revision += 1;
-            store.claim = None;
+            store.leadership = None;
         }
     }
 
-    fn hears_answer(&self, state: &mut State) {
+    fn receive_reply(&self, state: &mut State) {
         let worker = &mut state.worker;
-        let Some(report) = worker.report.take() else { return };
-        let Some(answer) = report.answer else { return };
-        if answer.token < worker.token {
+        let Some(heartbeat) = worker.heartbeat.take() else { return };
+        let Some(reply) = heartbeat.reply else { return };
+        if reply.token < worker.token {
             return;
         }
-        worker.token = answer.token;
-        worker.renewed = report.sent;
-        worker.runs &= !answer.stops;
+        worker.token = reply.token;
+        worker.renewed = heartbeat.sent;
+        worker.running &= !reply.stop;
     }
 }
 
@@ -349,46 +381,47 @@
     type Action = Action;
 
     fn initial(&self) -> State {
-        let controller = |i: usize| Controller {
-            own: LeaderElection::new(LeadershipRecord::new(format!("n{i}"), "0"), f64::from(CLAIM_LEASE_S)),
-            life: 0,
+        let controller = |index: usize| Controller {
+            election: LeaderElection::new(LeadershipRecord::new(format!("n{index}"), "0"), f64::from(LEADER_LEASE_S)),
+            incarnation: 0,
             refused: false,
-            loaded: 0,
+            loaded_token: 0,
             knows_cancelled: false,
-            unsettled: false,
+            cancel_outcome_unknown: false,
             record_version: 1,
             renewal: None,
         };
         let mut store = Store {
             revision: 1,
-            claim: None,
+            leadership: None,
             record_version: 1,
             cancelled: false,
-            leases: vec![(1, CLAIM_LEASE_S)],
+            leases: vec![Lease { id: 1, last_second: LEADER_LEASE_S }],
             next_lease: 1,
             down: false,
         };
-        // The first of them owns, and its worker has heard so.
+        // The first controller is the leader, and the worker knows its token.
         let mut controllers: Vec<Controller> = (0..self.controllers).map(controller).collect();
         let leader = &mut controllers[0];
-        leader.own.observe_record(None, 0.0);
-        leader.own.lease_renewed(1, 0.0);
-        let by = leader.own.prepare_campaign(1, 0);
-        let token = self.commit(&mut store, &Transaction::Claim { by, lease: 1, over: 0 }).unwrap_or(0);
-        leader.own.elected(token);
-        leader.loaded = token;
+        leader.election.observe_record(None, 0.0);
+        leader.election.lease_renewed(1, 0.0);
+        let record = leader.election.prepare_campaign(1, 0);
+        let campaign = Transaction::Campaign { record, lease: 1, expected_version: 0 };
+        let token = self.commit(&mut store, &campaign).unwrap_or(0);
+        leader.election.elected(token);
+        leader.loaded_token = token;
         State {
             now: 0,
             store,
             controllers,
-            worker: Worker { token, renewed: 0, runs: true, report: None },
-            late: Vec::new(),
+            worker: Worker { token, renewed: 0, running: true, heartbeat: None },
+            delayed: Vec::new(),
             confirmed_at: None,
             outages: self.outages,
             refusals: self.refusals,
             restarts: self.restarts,
-            lost_answers: self.lost_answers,
-            late_transactions: self.late_transactions,
+            lost_responses: self.lost_responses,
+            delayed_transactions: self.delayed_transactions,
         }
     }
 
@@ -402,142 +435,152 @@
         } else if state.outages > 0 {
             actions.push(Action::OutageBegins);
         }
-        actions.extend((0..state.late.len()).filter(|_| !state.store.down).map(Action::LateTransaction));
+        actions.extend((0..state.delayed.len()).filter(|_| !state.store.down).map(Action::ExecutesDelayed));
         if state.confirmed_at.is_none() && state.store.cancelled && !state.store.down {
             actions.push(Action::ReadsRecord);
         }
-        match &state.worker.report {
-            None => actions.push(Action::Reports),
-            Some(r) if r.answer.is_some() => actions.push(Action::HearsAnswer),
+        match &state.worker.heartbeat {
+            None => actions.push(Action::SendsHeartbeat),
+            Some(heartbeat) if heartbeat.reply.is_some() => actions.push(Action::ReceivesReply),
             Some(_) => {}
         }
-        (0..self.controllers).for_each(|i| self.actions_of(state, i, &mut actions));
+        (0..self.controllers).for_each(|index| self.controller_actions(state, index, &mut actions));
         actions
     }
 
     fn apply(&self, before: &State, action: Action) -> State {
         let mut state = before.clone();
         match action {
-            Action::SecondPasses => self.passes(&mut state),
+            Action::SecondPasses => self.advance_second(&mut state),
             Action::OutageBegins => {
                 state.outages -= 1;
                 state.store.down = true;
             }
             Action::OutageEnds => {
                 state.store.down = false;
-                let until = state.now + CLAIM_LEASE_S;
-                state.store.leases.iter_mut().for_each(|l| l.1 = until);
+                let until = state.now + LEADER_LEASE_S;
+                state.store.leases.iter_mut().for_each(|lease| lease.last_second = until);
             }
-            Action::RefusalBegins(i) => {
+            Action::RefusalBegins(index) => {
                 state.refusals -= 1;
-                state.controllers[i].refused = true;
+                state.controllers[index].refused = true;
             }
-            Action::RefusalEnds(i) => state.controllers[i].refused = false,
-            Action::Restarts(i) => {
+            Action::RefusalEnds(index) => state.controllers[index].refused = false,
+            Action::Restarts(index) => {
                 state.restarts -= 1;
-                let controller = &mut state.controllers[i];
-                controller.life += 1;
-                let claim = LeadershipRecord::new(format!("n{i}"), controller.life.to_string());
-                controller.own = LeaderElection::new(claim, f64::from(CLAIM_LEASE_S));
-                (controller.loaded, controller.renewal) = (0, None);
-                (controller.knows_cancelled, controller.unsettled) = (false, false);
+                let controller = &mut state.controllers[index];
+                controller.incarnation += 1;
+                let record = LeadershipRecord::new(format!("n{index}"), controller.incarnation.to_string());
+                controller.election = LeaderElection::new(record, f64::from(LEADER_LEASE_S));
+                (controller.loaded_token, controller.renewal) = (0, None);
+                (controller.knows_cancelled, controller.cancel_outcome_unknown) = (false, false);
             }
-            Action::Claims(i, fate) => self.claims(&mut state, i, fate),
-            Action::Renews(i) => self.renews(&mut state, i),
-            Action::HearsOfRenewal(i) => {
-                if let Some((lease, sent)) = state.controllers[i].renewal.take() {
-                    let counted = if self.keeps(Guard::CountsFromSending) { sent } else { state.now };
-                    if state.controllers[i].own.lease() == Some(lease) {
-                        state.controllers[i].own.lease_renewed(lease, f64::from(counted));
+            Action::Campaigns(index, outcome) => self.campaign(&mut state, index, outcome),
+            Action::RenewsLease(index) => self.renew_lease(&mut state, index),
+            Action::ReceivesRenewal(index) => {
+                if let Some(PendingRenewal { lease, sent }) = state.controllers[index].renewal.take() {
+                    let counted_from = if self.has(Guard::LeaseCountedFromSend) { sent } else { state.now };
+                    if state.controllers[index].election.lease() == Some(lease) {
+                        state.controllers[index].election.lease_renewed(lease, f64::from(counted_from));
                     }
                 }
             }
-            Action::Loads(i) => {
+            Action::LoadsRecords(index) => {
                 let (cancelled, version) = (state.store.cancelled, state.store.record_version);
-                let controller = &mut state.controllers[i];
-                controller.loaded = controller.own.token().unwrap_or(0);
+                let controller = &mut state.controllers[index];
+                controller.loaded_token = controller.election.token().unwrap_or(0);
                 (controller.knows_cancelled, controller.record_version) = (cancelled, version);
-                controller.unsettled = false;
+                controller.cancel_outcome_unknown = false;
             }
-            Action::Cancels(i, fate) => self.writes(&mut state, i, true, fate),
-            Action::WritesRecord(i, fate) => self.writes(&mut state, i, false, fate),
+            Action::Cancels(index, outcome) => self.write_job_record(&mut state, index, true, outcome),
+            Action::WritesRecord(index, outcome) => self.write_job_record(&mut state, index, false, outcome),
             Action::ReadsRecord => state.confirmed_at = Some(state.now),
-            Action::LateTransaction(n) => {
-                let transaction = state.late.remove(n);
+            Action::ExecutesDelayed(index) => {
+                let transaction = state.delayed.remove(index);
                 self.commit(&mut state.store, &transaction);
             }
-            Action::Reports => state.worker.report = Some(Report { sent: state.now, answer: None }),
-            Action::AnswersReport(i) => {
-                let controller = &state.controllers[i];
-                if let (Some(token), Some(report)) = (self.acts(controller, state.now), &mut state.worker.report) {
-                    let stops = controller.knows_cancelled && self.keeps(Guard::StopsInEachAnswer);
-                    report.answer = Some(Answer { token, stops });
+            Action::SendsHeartbeat => state.worker.heartbeat = Some(Heartbeat { sent: state.now, reply: None }),
+            Action::RepliesToHeartbeat(index) => {
+                let controller = &state.controllers[index];
+                if let (Some(token), Some(heartbeat)) =
+                    (self.acting_token(controller, state.now), &mut state.worker.heartbeat)
+                {
+                    let stop = controller.knows_cancelled && self.has(Guard::StopInEveryReply);
+                    heartbeat.reply = Some(Reply { token, stop });
                 }
             }
-            Action::HearsAnswer => self.hears_answer(&mut state),
+            Action::ReceivesReply => self.receive_reply(&mut state),
         }
         state
     }
 
-    /// The invariants, by the rules of the protocol that rest on them.
+    /// Returns the first invariant that the state violates.
     fn violation(&self, state: &State) -> Option<&'static str> {
-        let acting = state.controllers.iter().filter(|c| self.acts(c, state.now).is_some()).count();
+        let acting =
+            state.controllers.iter().filter(|controller| self.acting_token(controller, state.now).is_some()).count();
         if acting > 1 {
             return Some("two controllers act at the same time");
         }
-        let unaware = |c: &Controller| {
-            let silent = c.unsettled && self.keeps(Guard::SilentWhileUnsettled);
-            self.acts(c, state.now).is_some() && !c.knows_cancelled && !silent
+        let reports_older_state = |controller: &Controller| {
+            let withholds_state = controller.cancel_outcome_unknown && self.has(Guard::NoStateWhileOutcomeUnknown);
+            self.acting_token(controller, state.now).is_some() && !controller.knows_cancelled && !withholds_state
         };
-        if state.confirmed_at.is_some() && (!state.store.cancelled || state.controllers.iter().any(unaware)) {
-            return Some("went_back: a cancelled job is called something else");
+        if state.confirmed_at.is_some() && (!state.store.cancelled || state.controllers.iter().any(reports_older_state))
+        {
+            return Some("went_back: a job is reported in another state after its cancellation was confirmed");
         }
-        let overdue = state.confirmed_at.is_some_and(|t| state.now > t + CANCEL_S);
-        if overdue && state.worker.runs {
-            return Some("ran_cancelled: a task of a cancelled job is on its worker");
+        let overdue = state.confirmed_at.is_some_and(|confirmed_at| state.now > confirmed_at + MAX_CANCEL_S);
+        if overdue && state.worker.running {
+            return Some(
+                "ran_cancelled: a task of a cancelled job still runs after the longest time for a cancellation",
+            );
         }
         None
     }
 }
 
 impl Deployment {
-    fn actions_of(&self, state: &State, i: usize, actions: &mut Vec<Action>) {
-        let controller = &state.controllers[i];
-        let acts = self.acts(controller, state.now).is_some();
-        if state.restarts > 0 && controller.own.token().is_some() {
-            actions.push(Action::Restarts(i));
+    fn controller_actions(&self, state: &State, index: usize, actions: &mut Vec<Action>) {
+        let controller = &state.controllers[index];
+        let may_act = self.acting_token(controller, state.now).is_some();
+        if state.restarts > 0 && controller.election.token().is_some() {
+            actions.push(Action::Restarts(index));
         }
         if controller.refused {
-            actions.push(Action::RefusalEnds(i));
-        } else if state.refusals > 0 && controller.own.token().is_some() {
-            actions.push(Action::RefusalBegins(i));
+            actions.push(Action::RefusalEnds(index));
+        } else if state.refusals > 0 && controller.election.token().is_some() {
+            actions.push(Action::RefusalBegins(index));
         }
         if controller.renewal.is_some() {
-            actions.push(Action::HearsOfRenewal(i));
+            actions.push(Action::ReceivesRenewal(index));
         }
-        if state.worker.report.as_ref().is_some_and(|r| r.answer.is_none()) && acts {
-            actions.push(Action::AnswersReport(i));
+        if state.worker.heartbeat.as_ref().is_some_and(|heartbeat| heartbeat.reply.is_none()) && may_act {
+            actions.push(Action::RepliesToHeartbeat(index));
         }
         if state.store.down || controller.refused {
             return;
         }
-        let mut fates = vec![Fate::Answered];
-        fates.extend((state.lost_answers > 0).then_some(Fate::AnswerLost));
-        fates.extend((state.late_transactions > 0).then_some(Fate::Late));
-        match controller.own.token() {
-            None => actions.extend(fates.iter().map(|f| Action::Claims(i, *f))),
-            Some(token) if controller.loaded != token => actions.push(Action::Loads(i)),
+        let mut outcomes = vec![RequestOutcome::Answered];
+        outcomes.extend((state.lost_responses > 0).then_some(RequestOutcome::ResponseLost));
+        outcomes.extend((state.delayed_transactions > 0).then_some(RequestOutcome::Delayed));
+        match controller.election.token() {
+            None => actions.extend(outcomes.iter().map(|outcome| Action::Campaigns(index, *outcome))),
+            Some(token) if controller.loaded_token != token => actions.push(Action::LoadsRecords(index)),
             Some(_) => {}
         }
-        if controller.own.lease().is_some() && controller.renewal.is_none() {
-            actions.push(Action::Renews(i));
+        if controller.election.lease().is_some() && controller.renewal.is_none() {
+            actions.push(Action::RenewsLease(index));
         }
-        if acts && !controller.knows_cancelled {
-            actions.extend(fates.iter().map(|f| Action::Cancels(i, *f)));
+        if may_act && !controller.knows_cancelled {
+            actions.extend(outcomes.iter().map(|outcome| Action::Cancels(index, *outcome)));
         }
-        // Progress is written now and then; only one that is late can do harm.
-        if acts && !controller.knows_cancelled && !controller.unsettled && state.late_transactions > 0 {
-            actions.push(Action::WritesRecord(i, Fate::Late));
+        // Progress is written from time to time. Only a delayed write of it can violate an invariant.
+        if may_act
+            && !controller.knows_cancelled
+            && !controller.cancel_outcome_unknown
+            && state.delayed_transactions > 0
+        {
+            actions.push(Action::WritesRecord(index, RequestOutcome::Delayed));
         }
     }
 }
--- a/crates/scheduler/tests/exhaustive/explore.rs
+++ b/crates/scheduler/tests/exhaustive/explore.rs
@@ -1,57 +1,59 @@
-//! Breadth-first exploration of everything that a small system can do, so that the first violation found is
-//! one of the shortest.
+//! Breadth-first exploration of every state that a small system can reach. The first violation that it finds has a
+//! shortest sequence of actions.
 
 use std::collections::{HashMap, VecDeque};
 use std::fmt::Debug;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A system whose steps are enumerated.
+/// A system whose possible actions are enumerable in each state.
 pub trait System {
     type State: Clone + Debug;
     type Action: Copy + Debug;
 
     fn initial(&self) -> Self::State;
 
-    /// Every action that may happen next.
+    /// Returns every action that is possible in this state.
     fn actions(&self, state: &Self::State) -> Vec<Self::Action>;
 
+    /// Returns the state after an action.
     fn apply(&self, state: &Self::State, action: Self::Action) -> Self::State;
 
-    /// The invariant that this state violates, if any.
+    /// Returns the invariant that this state violates, if any.
     fn violation(&self, state: &Self::State) -> Option<&'static str>;
 }
 
-/// What an exploration found.
+/// The result of an exploration.
 #[derive(Debug)]
 pub struct Outcome<A> {
-    /// Distinct states that were visited.
+    /// Number of distinct states that were found.
     pub states: usize,
     /// Whether every reachable state was visited.
     pub complete: bool,
-    /// The violated invariant, and a shortest way to it.
+    /// The violated invariant, and a shortest sequence of actions that leads to it.
     pub counterexample: Option<(&'static str, Vec<A>)>,
 }
 
-/// States are told apart by a hash of their `Debug` form: 64 bits, as is usual for model checkers.
+/// Hashes the `Debug` form of a state. States with the same 64-bit fingerprint count as equal, as is usual for model
+/// checkers.
 fn fingerprint(state: &impl Debug) -> u64 {
     let mut hasher = DefaultHasher::new();
     format!("{state:?}").hash(&mut hasher);
     hasher.finish()
 }
 
-/// The actions that led to a state, first to last.
-fn path<A: Copy>(parents: &HashMap<u64, Option<(u64, A)>>, mut at: u64) -> Vec<A> {
+/// Returns the actions that lead to a state, first to last.
+fn path<A: Copy>(parents: &HashMap<u64, Option<(u64, A)>>, mut state: u64) -> Vec<A> {
     let mut actions = Vec::new();
-    while let Some(Some((parent, action))) = parents.get(&at) {
+    while let Some(Some((parent, action))) = parents.get(&state) {
         actions.push(*action);
-        at = *parent;
+        state = *parent;
     }
     actions.reverse();
     actions
 }
 
-/// Visits at most `most` states.
-pub fn explore<S: System>(system: &S, most: usize) -> Outcome<S::Action> {
+/// Explores a system until a violation, the last reachable state, or `max_states` distinct states.
+pub fn explore<S: System>(system: &S, max_states: usize) -> Outcome<S::Action> {
     let first = system.initial();
     let mut parents = HashMap::from([(fingerprint(&first), None)]);
     let mut queue = VecDeque::from([first]);
@@ -61,7 +63,7 @@
             let counterexample = Some((invariant, path(&parents, from)));
             return Outcome { states: parents.len(), complete: false, counterexample };
         }
-        if parents.len() >= most {
+        if parents.len() >= max_states {
             return Outcome { states: parents.len(), complete: false, counterexample: None };
         }
         for action in system.actions(&state) {
--- a/crates/scheduler/tests/exhaustive/main.rs
+++ b/crates/scheduler/tests/exhaustive/main.rs
@@ -1,5 +1,6 @@
-//! Every order of events in a small deployment: leases, claims, tokens and confirmed cancellations. Each guard
-//! taken out gives a shortest counterexample. `EXPLORE_STATES=5000000` visits more states than CI does.
+//! Explores every order of events in a model of a small deployment, with leases, leadership records, fencing tokens and
+//! confirmed cancellations. For each removed guard the exploration must find a counterexample.
+//! `EXPLORE_STATES=5000000` visits more states than CI does.
 
 mod deployment;
 mod explore;
@@ -7,80 +8,82 @@
 use deployment::{Deployment, Guard};
 use explore::{Outcome, explore};
 
-/// The state service refuses the leader alone, and then fails for all.
+/// The state service refuses the requests of the leader only, and has an outage for all controllers.
 const REFUSED_THEN_DOWN: Deployment = Deployment {
     controllers: 2,
     seconds: 7,
     outages: 1,
     refusals: 1,
     restarts: 0,
-    lost_answers: 0,
-    late_transactions: 0,
+    lost_responses: 0,
+    delayed_transactions: 0,
     slow_renewals: false,
     without: None,
 };
 
-/// The same leader with transactions that come late.
-const REFUSED_WITH_LATE_TRANSACTIONS: Deployment = Deployment { outages: 0, late_transactions: 1, ..REFUSED_THEN_DOWN };
+/// The leader's requests are refused, and one transaction is delayed.
+const REFUSED_WITH_DELAYED_TRANSACTION: Deployment =
+    Deployment { outages: 0, delayed_transactions: 1, ..REFUSED_THEN_DOWN };
 
-/// A leader whose answers are lost, and that is started again.
-const RESTARTED_WITH_LOST_ANSWERS: Deployment =
-    Deployment { outages: 0, refusals: 0, restarts: 1, lost_answers: 1, ..REFUSED_THEN_DOWN };
+/// The state service's response to the leader is lost, and the leader is restarted.
+const RESTARTED_WITH_LOST_RESPONSE: Deployment =
+    Deployment { outages: 0, refusals: 0, restarts: 1, lost_responses: 1, ..REFUSED_THEN_DOWN };
 
-/// One controller, and nothing goes wrong.
-const ALONE: Deployment = Deployment { controllers: 1, seconds: 8, outages: 0, refusals: 0, ..REFUSED_THEN_DOWN };
+/// One controller and no faults.
+const ONE_CONTROLLER_NO_FAULTS: Deployment =
+    Deployment { controllers: 1, seconds: 8, outages: 0, refusals: 0, ..REFUSED_THEN_DOWN };
 
-fn most_states() -> usize {
+fn max_states() -> usize {
     std::env::var("EXPLORE_STATES").ok().and_then(|n| n.parse().ok()).unwrap_or(30_000)
 }
 
-fn explored(deployment: Deployment) -> Outcome<deployment::Action> {
-    let began = std::time::Instant::now();
-    let outcome = explore(&deployment, most_states());
+fn run_exploration(deployment: Deployment) -> Outcome<deployment::Action> {
+    let started_at = std::time::Instant::now();
+    let outcome = explore(&deployment, max_states());
     println!(
         "{deployment:?}: {} states, complete: {}, {:.1} s, {:?}",
         outcome.states,
         outcome.complete,
-        began.elapsed().as_secs_f64(),
+        started_at.elapsed().as_secs_f64(),
         outcome.counterexample
     );
     outcome
 }
 
-/// Explores `deployment`; a violation is told with its shortest way.
-fn holds(deployment: Deployment) {
-    let outcome = explored(deployment);
-    assert!(outcome.counterexample.is_none(), "{:?}", outcome.counterexample);
+/// Asserts that no invariant is violated; a failure shows a shortest sequence of actions.
+fn assert_no_violation(deployment: Deployment) {
+    let outcome = run_exploration(deployment);
+    assert!(outcome.counterexample.is_none(), "an invariant is violated: {:?}", outcome.counterexample);
 }
 
 #[test]
 fn a_leader_refused_alone_before_an_outage_breaks_nothing() {
-    holds(REFUSED_THEN_DOWN);
+    assert_no_violation(REFUSED_THEN_DOWN);
 }
 
 #[test]
 fn late_transactions_of_a_refused_leader_break_nothing() {
-    holds(REFUSED_WITH_LATE_TRANSACTIONS);
+    assert_no_violation(REFUSED_WITH_DELAYED_TRANSACTION);
 }
 
 #[test]
 fn lost_answers_and_a_restart_break_nothing() {
-    holds(RESTARTED_WITH_LOST_ANSWERS);
+    assert_no_violation(RESTARTED_WITH_LOST_RESPONSE);
 }
 
 #[test]
 fn each_guard_taken_out_has_a_counterexample() {
     for (guard, deployment) in [
         (Guard::ValidLease, REFUSED_THEN_DOWN),
-        (Guard::CountsFromSending, Deployment { slow_renewals: true, ..REFUSED_THEN_DOWN }),
-        (Guard::ClaimCondition, REFUSED_WITH_LATE_TRANSACTIONS),
-        (Guard::RecordCondition, REFUSED_WITH_LATE_TRANSACTIONS),
-        (Guard::StoredBeforeConfirmed, REFUSED_WITH_LATE_TRANSACTIONS),
-        (Guard::ReadBeforeActing, RESTARTED_WITH_LOST_ANSWERS),
-        (Guard::StopsInEachAnswer, ALONE),
-        (Guard::SilentWhileUnsettled, RESTARTED_WITH_LOST_ANSWERS),
+        (Guard::LeaseCountedFromSend, Deployment { slow_renewals: true, ..REFUSED_THEN_DOWN }),
+        (Guard::LeadershipCondition, REFUSED_WITH_DELAYED_TRANSACTION),
+        (Guard::RecordVersionCondition, REFUSED_WITH_DELAYED_TRANSACTION),
+        (Guard::StoredBeforeConfirmed, REFUSED_WITH_DELAYED_TRANSACTION),
+        (Guard::ReadBeforeActing, RESTARTED_WITH_LOST_RESPONSE),
+        (Guard::StopInEveryReply, ONE_CONTROLLER_NO_FAULTS),
+        (Guard::NoStateWhileOutcomeUnknown, RESTARTED_WITH_LOST_RESPONSE),
     ] {
-        let outcome = explored(Deployment { without: Some(guard), ..deployment });
-        assert!(outcome.counterexample.is_some(), "{guard:?}");
+        let outcome = run_exploration(Deployment { without: Some(guard), ..deployment });
+        assert!(outcome.counterexample.is_some(), "no counterexample was found without the guard {guard:?}");
     }
 }
