--- a/crates/scheduler/tests/shard/checkpoint.rs
+++ b/crates/scheduler/tests/shard/checkpoint.rs
@@ -1,38 +1,39 @@
-//! What a checkpoint may claim, and which records count.
+//! When a checkpoint may be written, and which job records are valid.
 
-use crate::world::{World, job, report};
+use crate::world::{ShardHarness, heartbeat, job};
 use lupinspur_scheduler::jobs::JobRecord;
 use lupinspur_scheduler::shard::parse_job_record;
 use serde_json::json;
 
-/// Does a checkpoint hold, after three minutes in which all writes were made?
-fn has_checkpoint(world: &mut World) -> bool {
+/// Returns whether a checkpoint was written within three minutes in which all writes were stored.
+fn writes_checkpoint(harness: &mut ShardHarness) -> bool {
     let mut now = 1.0;
     while now < 180.0 {
-        world.hear(&report("h1", (now * 10.0) as u64, &[]), now);
-        world.tick_until(now, now + 0.9);
-        world.write(now + 0.9);
+        harness.receive_heartbeat(&heartbeat("h1", (now * 10.0) as u64, &[]), now);
+        harness.tick_until(now, now + 0.9);
+        harness.store_all_writes(now + 0.9);
         now += 1.0;
     }
-    world.keys.contains_key(lupinspur_recovery::HEAD)
+    harness.stored.contains_key(lupinspur_recovery::HEAD)
 }
 
-/// incomplete-checkpoint: a successor that goes by it would not know of the job that it leaves out.
+/// Guard `incomplete-checkpoint`: a new leader that starts from a checkpoint would not know a job that the checkpoint
+/// omits because its record could not be parsed.
 #[test]
 fn no_checkpoint_is_written_beside_a_record_that_cannot_be_read() {
-    let mut whole = World::with(&["h1"]);
-    whole.accept(job("req-1", 1, json!({"awaits": ["req-2"]})), 0.7);
-    whole.shard.watched(100_000);
-    assert!(has_checkpoint(&mut whole));
+    let mut complete = ShardHarness::with_machines(&["h1"]);
+    complete.accept_job(job("req-1", 1, json!({"awaits": ["req-2"]})), 0.7);
+    complete.shard.watched(100_000);
+    assert!(writes_checkpoint(&mut complete), "all records can be read");
 
-    let mut incomplete = World::with(&["h1"]);
-    incomplete.accept(job("req-1", 1, json!({"awaits": ["req-2"]})), 0.7);
+    let mut incomplete = ShardHarness::with_machines(&["h1"]);
+    incomplete.accept_job(job("req-1", 1, json!({"awaits": ["req-2"]})), 0.7);
     incomplete.shard.watched(100_000);
     incomplete.shard.mark_unreadable_record("job/req-2");
-    assert!(!has_checkpoint(&mut incomplete));
+    assert!(!writes_checkpoint(&mut incomplete), "the record of req-2 cannot be read");
 }
 
-/// record-of-its-key: what stands under another job's key was written by no version.
+/// Guard `record-of-its-key`: no version of the controller writes a job's record under the key of another job.
 #[test]
 fn a_record_counts_under_its_own_key_only() {
     let value = serde_json::to_value(JobRecord::accepted(job("req-1", 1, json!({})), 0)).expect("a record");
--- a/crates/scheduler/tests/shard/dependencies.rs
+++ b/crates/scheduler/tests/shard/dependencies.rs
@@ -1,66 +1,68 @@
-//! What a successor tells of jobs whose needs ended before the checkpoint that it goes by.
+//! The states that a new leader reports for jobs whose dependencies ended before the checkpoint that it loaded.
 
-use crate::world::{World, job};
+use crate::world::{ShardHarness, job};
 use lupinspur_scheduler::jobs::{JobRecord, Phase};
 use lupinspur_scheduler::wire::JobState;
 use serde_json::json;
 
-/// A successor at 100 s that knows `req-2` and has not read the record of its need, `req-1`.
-fn successor() -> World {
-    let mut world = World::new();
-    world.stored_job(job("req-2", 1, json!({"awaits": ["req-1"]})), Phase::Open);
-    world.take_over(100.0);
-    assert_eq!(world.shard.unread_dependencies(), ["req-1"]);
-    world
+/// Returns a new leader at 100 s that has loaded `req-2`, but not the record of its dependency `req-1`.
+fn new_leader() -> ShardHarness {
+    let mut harness = ShardHarness::new();
+    harness.store_job(job("req-2", 1, json!({"awaits": ["req-1"]})), Phase::Open);
+    harness.fail_over(100.0);
+    assert_eq!(harness.shard.unread_dependencies(), ["req-1"]);
+    harness
 }
 
-/// unread-need-tells-nothing: what was cancelled is so for all after it, however many stand in between.
+/// Guard `unread-need-tells-nothing`: a cancelled job cancels its indirect dependents too. The leader reports no state
+/// of an indirect dependent until it has read the dependency.
 #[test]
 fn a_job_behind_one_whose_need_was_not_read_yet_is_not_called_queued() {
-    let mut world = World::new();
-    world.stored_job(job("req-2", 1, json!({"awaits": ["req-1"]})), Phase::Open);
-    world.stored_job(job("req-3", 1, json!({"awaits": ["req-2"]})), Phase::Open);
-    world.stored_job(job("req-4", 1, json!({})), Phase::Open);
-    world.take_over(100.0);
-    assert_eq!(world.state("req-3"), None);
-    assert_eq!(world.state("req-4"), Some(JobState::Queued), "it needs nobody");
-    read_dependency(&mut world, Phase::Cancelled, 100.5);
-    world.write(100.6);
-    assert_eq!(world.state("req-3"), Some(JobState::Cancelled));
+    let mut harness = ShardHarness::new();
+    harness.store_job(job("req-2", 1, json!({"awaits": ["req-1"]})), Phase::Open);
+    harness.store_job(job("req-3", 1, json!({"awaits": ["req-2"]})), Phase::Open);
+    harness.store_job(job("req-4", 1, json!({})), Phase::Open);
+    harness.fail_over(100.0);
+    assert_eq!(harness.job_state("req-3"), None);
+    assert_eq!(harness.job_state("req-4"), Some(JobState::Queued), "it has no dependencies");
+    deliver_dependency(&mut harness, Phase::Cancelled, 100.5);
+    harness.store_all_writes(100.6);
+    assert_eq!(harness.job_state("req-3"), Some(JobState::Cancelled));
 }
 
-/// The record of `req-1` is read.
-fn read_dependency(world: &mut World, phase: Phase, now: f64) {
+/// Delivers the record of `req-1`, in this phase, as the result of the leader's read.
+fn deliver_dependency(harness: &mut ShardHarness, phase: Phase, now: f64) {
     let record = JobRecord { phase, ..JobRecord::accepted(job("req-1", 1, json!({})), 0) };
-    world.shard.add_job(record, 5, now);
-    world.shard.on_dependency_read("req-1", now);
+    harness.shard.add_job(record, 5, now);
+    harness.shard.on_dependency_read("req-1", now);
 }
 
-/// unread-need-tells-nothing: its user was told long ago that the need is cancelled, and the job with it.
+/// Guard `unread-need-tells-nothing`: an earlier leader may have reported the dependency, and with it this job, as
+/// cancelled.
 #[test]
 fn a_job_whose_need_was_not_read_yet_is_not_called_queued() {
-    let mut world = successor();
-    assert_eq!(world.state("req-2"), None, "its need may have been cancelled");
-    read_dependency(&mut world, Phase::Cancelled, 100.5);
-    assert_eq!(world.state("req-2"), None, "it is cancelled, which is not stored yet");
-    world.write(100.6);
-    assert_eq!(world.state("req-2"), Some(JobState::Cancelled));
+    let mut harness = new_leader();
+    assert_eq!(harness.job_state("req-2"), None, "its dependency may have been cancelled");
+    deliver_dependency(&mut harness, Phase::Cancelled, 100.5);
+    assert_eq!(harness.job_state("req-2"), None, "its cancellation is not stored yet");
+    harness.store_all_writes(100.6);
+    assert_eq!(harness.job_state("req-2"), Some(JobState::Cancelled));
 }
 
-/// Nobody waits for an answer longer than it takes to read the need.
+/// A state is reported as soon as the dependency was read.
 #[test]
 fn a_job_whose_need_was_done_is_queued_once_that_is_read() {
-    let mut world = successor();
-    read_dependency(&mut world, Phase::Done, 100.5);
-    assert_eq!(world.state("req-2"), Some(JobState::Queued));
-    assert!(world.shard.unread_dependencies().is_empty());
+    let mut harness = new_leader();
+    deliver_dependency(&mut harness, Phase::Done, 100.5);
+    assert_eq!(harness.job_state("req-2"), Some(JobState::Queued));
+    assert!(harness.shard.unread_dependencies().is_empty());
 }
 
-/// A need that another shard runs is read, and stays unknown here until it ends.
+/// A dependency that another shard runs is read once. This shard doesn't load it, and looks up its end later.
 #[test]
 fn a_job_whose_need_is_open_elsewhere_is_queued_once_that_is_read() {
-    let mut world = successor();
-    world.shard.on_dependency_read("req-1", 100.5);
-    assert_eq!(world.state("req-2"), Some(JobState::Queued));
-    assert_eq!(world.shard.dependencies_to_look_up(), ["req-1"], "its end is asked for");
+    let mut harness = new_leader();
+    harness.shard.on_dependency_read("req-1", 100.5);
+    assert_eq!(harness.job_state("req-2"), Some(JobState::Queued));
+    assert_eq!(harness.shard.dependencies_to_look_up(), ["req-1"], "the leader looks up the end of the dependency");
 }
--- a/crates/scheduler/tests/shard/failover.rs
+++ b/crates/scheduler/tests/shard/failover.rs
@@ -1,236 +1,268 @@
-//! What the next leader may do before it knows what recorded machines hold.
+//! What a new leader may do before it knows which tasks the recorded machines hold.
 
-use crate::world::{CARDS_LIMIT, LEASE_S, LIMIT, NEXT_TOKEN, TOKEN, World, job, report, report_of};
+use crate::world::{
+    LEASE_S, NEXT_TOKEN, ShardHarness, TEAM_ACCELERATOR_LIMIT, TEAM_CPU_LIMIT, TOKEN, heartbeat, heartbeat_with_token,
+    job,
+};
 use lupinspur_scheduler::fleet::Phase as MachinePhase;
 use lupinspur_scheduler::jobs::Phase;
 use lupinspur_scheduler::shard::CloudCall;
 use lupinspur_scheduler::wire::ListedMachine;
 use serde_json::json;
 
-/// The next leader at 100 s: h1 is recorded with a job and silent, h2 is there.
-fn silent_machine(world: &mut World) {
-    world.stored_job(job("req-1", 1, json!({})), Phase::Open);
-    world.stored_rack(0, "h1", &["req-1"], false);
-    world.take_over(100.0);
+/// Starts the next leader at 100 s. The record of h1 names `req-1`, and h1 sends no heartbeats.
+fn fail_over_with_silent_machine(harness: &mut ShardHarness) {
+    harness.store_job(job("req-1", 1, json!({})), Phase::Open);
+    harness.store_machine_group(0, "h1", &["req-1"], false);
+    harness.fail_over(100.0);
 }
 
-/// h2 reports every second, and this is whether anything was started there until then.
-fn started_on_h2(world: &mut World, from: f64, until: f64) -> bool {
+/// Sends a heartbeat of h2 every second until then, and returns whether a task was assigned to h2.
+fn started_on_h2(harness: &mut ShardHarness, from: f64, until: f64) -> bool {
     let mut now = from;
     while now < until {
-        world.hear(&report_of("h2", (1, (now * 10.0) as u64), NEXT_TOKEN, &[]), now);
-        world.tick_until(now + 0.1, now + 0.9);
+        harness.receive_heartbeat(&heartbeat_with_token("h2", (1, (now * 10.0) as u64), NEXT_TOKEN, &[]), now);
+        harness.tick_until(now + 0.1, now + 0.9);
         now += 1.0;
     }
-    world.held("h2").is_some()
+    harness.first_assignment("h2").is_some()
 }
 
-/// unresolved-for-a-lease, unresolved-job-waits: a silent machine holds what it may hold until its lease is over.
+/// Guards `unresolved-for-a-lease` and `unresolved-job-waits`: a silent machine may run the jobs that its record names
+/// until its lease has expired.
 #[test]
 fn what_a_silent_machine_may_hold_starts_nowhere_else_within_its_lease() {
-    let mut world = World::new();
-    silent_machine(&mut world);
-    assert!(!started_on_h2(&mut world, 100.1, 99.0 + LEASE_S), "within the lease");
-    assert!(started_on_h2(&mut world, 100.0 + LEASE_S, 104.0 + LEASE_S), "after it");
+    let mut harness = ShardHarness::new();
+    fail_over_with_silent_machine(&mut harness);
+    assert!(
+        !started_on_h2(&mut harness, 100.1, 99.0 + LEASE_S),
+        "nothing may start before the lease of h1 has expired"
+    );
+    assert!(
+        started_on_h2(&mut harness, 100.0 + LEASE_S, 104.0 + LEASE_S),
+        "the job starts once the lease of h1 has expired"
+    );
 }
 
-/// lease-of-the-silent: the same for a machine that this leader has answered.
+/// Guard `lease-of-the-silent`: the same for a machine that fell silent after this leader had replied to it.
 #[test]
 fn the_tasks_of_a_silent_machine_are_gone_after_its_lease() {
-    let mut world = World::with(&["h1", "h2"]);
-    world.accept(job("req-1", 1, json!({"field": "a"})), 0.7);
-    world.write(0.8);
-    let (on, other) = if world.held("h1").is_some() { ("h1", "h2") } else { ("h2", "h1") };
-    let attempt = world.held(on).expect("a start").attempt;
-    world.hear(&report(on, 3, &[("req-1/0", attempt, "running")]), 1.0);
+    let mut harness = ShardHarness::with_machines(&["h1", "h2"]);
+    harness.accept_job(job("req-1", 1, json!({"field": "a"})), 0.7);
+    harness.store_all_writes(0.8);
+    let (assigned_to, other) = if harness.first_assignment("h1").is_some() { ("h1", "h2") } else { ("h2", "h1") };
+    let attempt = harness.first_assignment(assigned_to).expect("a start").attempt;
+    harness.receive_heartbeat(&heartbeat(assigned_to, 3, &[("req-1/0", attempt, "running")]), 1.0);
     let mut now = 1.5;
     while now < LEASE_S {
-        world.hear(&report(other, (now * 10.0) as u64, &[]), now);
-        world.tick_until(now, now + 0.4);
-        assert!(world.held(on).is_some(), "gone after {now} s");
+        harness.receive_heartbeat(&heartbeat(other, (now * 10.0) as u64, &[]), now);
+        harness.tick_until(now, now + 0.4);
+        assert!(
+            harness.first_assignment(assigned_to).is_some(),
+            "the assignment must stay until the lease has expired, but is gone after {now} s"
+        );
         now += 0.5;
     }
-    world.tick_until(now, LEASE_S + 2.0);
-    assert!(world.held(on).is_none());
+    harness.tick_until(now, LEASE_S + 2.0);
+    assert!(harness.first_assignment(assigned_to).is_none(), "the task has ended with the lease");
 }
 
-/// A job that takes half of its team's limit waits until nothing unknown of the silent machine is left.
-fn waits_for_the_silent_machine(half_of_a_limit: serde_json::Value) {
-    let mut world = World::new();
-    silent_machine(&mut world);
-    world.hear(&report_of("h2", (1, 5), NEXT_TOKEN, &[]), 100.1);
-    world.accept(job("req-2", 1, half_of_a_limit), 100.2);
-    world.tick_until(100.3, 101.0);
-    assert!(world.held("h2").is_none(), "its team may use all of h1");
-    world.hear(&report_of("h1", (1, 5), NEXT_TOKEN, &[]), 101.1);
-    world.tick_until(101.2, 102.0);
-    assert!(world.held("h2").is_some() || world.held("h1").is_some());
+/// Asserts that a job that needs half of its team's limit waits until the silent machine is reconciled.
+fn assert_waits_for_silent_machine(half_of_a_limit: serde_json::Value) {
+    let mut harness = ShardHarness::new();
+    fail_over_with_silent_machine(&mut harness);
+    harness.receive_heartbeat(&heartbeat_with_token("h2", (1, 5), NEXT_TOKEN, &[]), 100.1);
+    harness.accept_job(job("req-2", 1, half_of_a_limit), 100.2);
+    harness.tick_until(100.3, 101.0);
+    assert!(harness.first_assignment("h2").is_none(), "the team's tasks may occupy all of h1");
+    harness.receive_heartbeat(&heartbeat_with_token("h1", (1, 5), NEXT_TOKEN, &[]), 101.1);
+    harness.tick_until(101.2, 102.0);
+    assert!(
+        harness.first_assignment("h2").is_some() || harness.first_assignment("h1").is_some(),
+        "h1 is reconciled and empty"
+    );
 }
 
-/// unresolved-counts: all of it may be in use by any team.
+/// Guard `unresolved-counts`: any team may use the whole of an unreconciled machine.
 #[test]
 fn an_unresolved_machine_counts_against_every_limit() {
-    waits_for_the_silent_machine(json!({"herd": "limited", "cpus": LIMIT / 2.0}));
+    assert_waits_for_silent_machine(json!({"herd": "limited", "cpus": TEAM_CPU_LIMIT / 2.0}));
 }
 
-/// usable-knows-us: an earlier leader's start may still reach a machine that has not seen our token.
+/// Guard `usable-knows-us`: a start of an earlier leader may still be executed by a machine that has not seen this
+/// leader's fencing token.
 #[test]
 fn nothing_is_started_on_a_machine_before_it_knows_our_token() {
-    let mut world = World::new();
-    world.hear(&report_of("h1", (1, 1), 0, &[]), 0.1);
-    world.accept(job("req-1", 1, json!({})), 0.2);
-    world.tick_until(0.3, 1.0);
-    assert!(world.held("h1").is_none());
-    world.hear(&report_of("h1", (1, 2), TOKEN, &[]), 1.1);
-    world.tick_until(1.2, 2.0);
-    assert!(world.held("h1").is_some());
+    let mut harness = ShardHarness::new();
+    harness.receive_heartbeat(&heartbeat_with_token("h1", (1, 1), 0, &[]), 0.1);
+    harness.accept_job(job("req-1", 1, json!({})), 0.2);
+    harness.tick_until(0.3, 1.0);
+    assert!(harness.first_assignment("h1").is_none());
+    harness.receive_heartbeat(&heartbeat_with_token("h1", (1, 2), TOKEN, &[]), 1.1);
+    harness.tick_until(1.2, 2.0);
+    assert!(harness.first_assignment("h1").is_some());
 }
 
-/// two-values-name-one: while values are being replaced a machine may hold what either names.
+/// Guard `two-values-name-one`: while records of machine groups are being replaced, two of them may name the same
+/// machine. It may run the jobs of both.
 #[test]
-fn a_machine_that_stands_in_two_values_may_hold_what_both_name() {
-    let mut world = World::new();
+fn a_machine_in_two_records_may_hold_the_jobs_of_both() {
+    let mut harness = ShardHarness::new();
     for id in ["req-1", "req-2"] {
-        world.stored_job(job(id, 1, json!({})), Phase::Open);
+        harness.store_job(job(id, 1, json!({})), Phase::Open);
     }
-    world.stored_rack(0, "h1", &["req-1"], false);
-    world.stored_rack(1, "h1", &["req-2"], false);
-    world.take_over(100.0);
-    assert!(!started_on_h2(&mut world, 100.1, 105.0), "both jobs wait for h1");
-    world.hear(&report_of("h1", (1, 5), NEXT_TOKEN, &[]), 105.1);
-    world.tick_until(105.2, 106.0);
-    let placed = world.machine("h1").assignments.len() + world.machine("h2").assignments.len();
-    assert_eq!(placed, 2, "it holds neither: no job goes on waiting for it");
+    harness.store_machine_group(0, "h1", &["req-1"], false);
+    harness.store_machine_group(1, "h1", &["req-2"], false);
+    harness.fail_over(100.0);
+    assert!(!started_on_h2(&mut harness, 100.1, 105.0), "both jobs wait until h1 is reconciled");
+    harness.receive_heartbeat(&heartbeat_with_token("h1", (1, 5), NEXT_TOKEN, &[]), 105.1);
+    harness.tick_until(105.2, 106.0);
+    let placed = harness.machine("h1").assignments.len() + harness.machine("h2").assignments.len();
+    assert_eq!(placed, 2, "h1 holds neither job, so both are placed");
 }
 
-/// retiring-stays: its deletion may be on its way.
+/// Guard `retiring-stays`: the request to delete a terminating machine may be in flight.
 #[test]
 fn a_machine_marked_as_retiring_is_never_used_again() {
-    let mut world = World::new();
-    world.stored_rack(0, "h1", &[], true);
-    world.take_over(100.0);
-    world.hear(&report_of("h1", (1, 5), NEXT_TOKEN, &[]), 100.1);
-    world.accept(job("req-1", 1, json!({})), 100.2);
-    world.tick_until(100.3, 102.0);
-    assert!(world.held("h1").is_none());
-    assert_eq!(world.machine("h1").phase, MachinePhase::Terminating);
-    let Some(CloudCall::Delete(_, names)) = world.shard.next_delete() else { panic!("it is to be deleted") };
+    let mut harness = ShardHarness::new();
+    harness.store_machine_group(0, "h1", &[], true);
+    harness.fail_over(100.0);
+    harness.receive_heartbeat(&heartbeat_with_token("h1", (1, 5), NEXT_TOKEN, &[]), 100.1);
+    harness.accept_job(job("req-1", 1, json!({})), 100.2);
+    harness.tick_until(100.3, 102.0);
+    assert!(harness.first_assignment("h1").is_none());
+    assert_eq!(harness.machine("h1").phase, MachinePhase::Terminating);
+    let Some(CloudCall::Delete(_, names)) = harness.shard.next_delete() else {
+        panic!("the terminating machine was not deleted")
+    };
     assert_eq!(names, ["h1"]);
 }
 
-/// retire-before-delete: a leader that ends after the call leaves a successor that knows of it.
+/// Guard `retire-before-delete`: if the leader fails after the call to the cloud, the next leader has to know of the
+/// deletion from the stored record.
 #[test]
 fn a_machine_is_marked_as_retiring_before_it_is_deleted() {
-    let mut world = World::with(&["h1"]);
-    let attempt = world.started("h1", "req-1", 0.7);
-    world.hear(&report("h1", 3, &[("req-1/0", attempt, "running")]), 1.0);
-    world.tick_until(1.5, 12.0);
-    assert_eq!(world.machine("h1").phase, MachinePhase::Terminating, "silent for too long");
-    assert!(world.shard.next_delete().is_none(), "nothing is stored of it yet");
-    world.write(12.1);
-    assert!(world.shard.next_delete().is_some());
-}
-
-/// unproven-gets-nothing: a report that an earlier leader's token shows may be a late copy, of a machine that is long
-/// gone.
+    let mut harness = ShardHarness::with_machines(&["h1"]);
+    let attempt = harness.start_job("h1", "req-1", 0.7);
+    harness.receive_heartbeat(&heartbeat("h1", 3, &[("req-1/0", attempt, "running")]), 1.0);
+    harness.tick_until(1.5, 12.0);
+    assert_eq!(
+        harness.machine("h1").phase,
+        MachinePhase::Terminating,
+        "a machine that is silent for too long is terminated"
+    );
+    assert!(harness.shard.next_delete().is_none(), "the record doesn't mark the machine as terminating yet");
+    harness.store_all_writes(12.1);
+    assert!(harness.shard.next_delete().is_some());
+}
+
+/// Guard `unproven-gets-nothing`: a heartbeat with the token of an earlier leader may be a late copy, from a machine
+/// that no longer exists.
 #[test]
 fn a_machine_known_by_an_old_heartbeat_alone_counts_for_nothing() {
-    let rented = |old_report: bool| {
-        let mut world = World::new();
-        if old_report {
-            world.hear(&report_of("h1", (1, 5), TOKEN - 1, &[]), 0.1);
+    let launched_machines = |old_heartbeat: bool| {
+        let mut harness = ShardHarness::new();
+        if old_heartbeat {
+            harness.receive_heartbeat(&heartbeat_with_token("h1", (1, 5), TOKEN - 1, &[]), 0.1);
         }
-        world.accept(job("req-1", 40, json!({"fallow": false})), 0.2);
-        world.tick_until(0.3, 5.0);
-        world.shard.launches.pending.iter().map(|l| l.count).sum::<usize>()
+        harness.accept_job(job("req-1", 40, json!({"fallow": false})), 0.2);
+        harness.tick_until(0.3, 5.0);
+        harness.shard.launches.pending.iter().map(|launch| launch.count).sum::<usize>()
     };
-    assert!(rented(false) > 0);
-    assert_eq!(rented(true), rented(false));
+    assert!(launched_machines(false) > 0);
+    assert_eq!(launched_machines(true), launched_machines(false));
 }
 
-/// unresolved-counts-accelerators: the same for accelerators.
+/// Guard `unresolved-counts-cards`: any team may use all accelerators of an unreconciled machine.
 #[test]
 fn an_unresolved_machine_counts_against_every_limit_of_cards() {
-    waits_for_the_silent_machine(json!({"herd": "few-cards", "cards": CARDS_LIMIT / 2.0}));
+    assert_waits_for_silent_machine(json!({"herd": "few-cards", "cards": TEAM_ACCELERATOR_LIMIT / 2.0}));
 }
 
-/// lease-drift: a worker's clock may be slower than ours.
+/// Guard `lease-drift`: a worker's clock may be slower than the leader's.
 #[test]
 fn a_lease_is_waited_out_by_the_slowest_clock() {
-    let mut world = World::with(&["h1"]);
-    let attempt = world.started("h1", "req-1", 0.7);
-    world.hear(&report("h1", 3, &[("req-1/0", attempt, "running")]), 1.0);
-    world.tick_until(1.5, LEASE_S);
-    world.shard.tick(1.0 + LEASE_S * 1.0005);
-    assert!(world.held("h1").is_some(), "by its own clock the lease is not over");
-    world.tick_until(1.5 + LEASE_S, 2.5 + LEASE_S);
-    assert!(world.held("h1").is_none());
+    let mut harness = ShardHarness::with_machines(&["h1"]);
+    let attempt = harness.start_job("h1", "req-1", 0.7);
+    harness.receive_heartbeat(&heartbeat("h1", 3, &[("req-1/0", attempt, "running")]), 1.0);
+    harness.tick_until(1.5, LEASE_S);
+    harness.shard.tick(1.0 + LEASE_S * 1.0005);
+    assert!(harness.first_assignment("h1").is_some(), "by the clock of the worker its lease has not expired");
+    harness.tick_until(1.5 + LEASE_S, 2.5 + LEASE_S);
+    assert!(harness.first_assignment("h1").is_none());
 }
 
-/// unresolved-job-waits: what a silent machine may run stands in its zone, too.
+/// Guard `unresolved-job-waits`: a task that a silent machine may run counts towards the zone of that machine.
 #[test]
 fn a_spread_job_waits_for_the_machine_that_may_hold_a_part_of_it() {
-    let mut world = World::new();
-    world.stored_job(job("req-1", 2, json!({"scatter": true, "habit": "standing"})), Phase::Open);
-    world.stored_rack(0, "h1", &["req-1"], false);
-    world.take_over(100.0);
-    assert!(!started_on_h2(&mut world, 100.1, 105.0), "one task may run on h1, in the same zone");
-    world.hear(&report_of("h1", (1, 5), NEXT_TOKEN, &[("req-1/0", 7, "running")]), 105.1);
-    world.tick_until(105.2, 106.0);
-    assert!(world.held("h2").is_none(), "one task runs in that zone, and no more than one may");
-    let mut elsewhere = report_of("h3", (1, 5), NEXT_TOKEN, &[]);
-    elsewhere["field"] = json!("b");
-    world.hear(&elsewhere, 106.1);
-    world.tick_until(106.2, 107.0);
-    assert!(world.held("h3").is_some());
-}
-
-/// recorded-kind-stands: what was recorded as a spot machine is one for the next leader.
+    let mut harness = ShardHarness::new();
+    harness.store_job(job("req-1", 2, json!({"scatter": true, "habit": "standing"})), Phase::Open);
+    harness.store_machine_group(0, "h1", &["req-1"], false);
+    harness.fail_over(100.0);
+    assert!(!started_on_h2(&mut harness, 100.1, 105.0), "one task of the job may run on h1, in the same zone");
+    harness.receive_heartbeat(&heartbeat_with_token("h1", (1, 5), NEXT_TOKEN, &[("req-1/0", 7, "running")]), 105.1);
+    harness.tick_until(105.2, 106.0);
+    assert!(harness.first_assignment("h2").is_none(), "one task runs in this zone, the most that the spread allows");
+    let mut in_other_zone = heartbeat_with_token("h3", (1, 5), NEXT_TOKEN, &[]);
+    in_other_zone["field"] = json!("b");
+    harness.receive_heartbeat(&in_other_zone, 106.1);
+    harness.tick_until(106.2, 107.0);
+    assert!(harness.first_assignment("h3").is_some());
+}
+
+/// Guard `recorded-kind-stands`: a machine that is recorded as a spot machine stays one for the next leader.
 #[test]
 fn a_recorded_spot_machine_takes_no_work_that_may_not_use_it() {
-    let mut world = World::new();
+    let mut harness = ShardHarness::new();
     let machine = json!({"machine": "h1", "addr": "127.0.0.1:9", "retiring": false, "jobs": []});
     let machine_group =
         json!({"shard": 0, "type": "m32", "zone": "a", "spot": true, "jobs": [], "machines": [machine]});
-    world.stored("rack/0", machine_group);
-    world.stored_job(job("req-1", 1, json!({"fallow": false})), Phase::Open);
-    world.take_over(100.0);
-    let mut said = report_of("h1", (1, 5), NEXT_TOKEN, &[]);
-    said["fallow"] = json!(true);
-    world.hear(&said, 100.1);
-    world.tick_until(100.2, 102.0);
-    assert!(world.machine("h1").is_reconciled() && world.held("h1").is_none());
+    harness.put("rack/0", machine_group);
+    harness.store_job(job("req-1", 1, json!({"fallow": false})), Phase::Open);
+    harness.fail_over(100.0);
+    let mut spot_heartbeat = heartbeat_with_token("h1", (1, 5), NEXT_TOKEN, &[]);
+    spot_heartbeat["fallow"] = json!(true);
+    harness.receive_heartbeat(&spot_heartbeat, 100.1);
+    harness.tick_until(100.2, 102.0);
+    assert!(harness.machine("h1").is_reconciled() && harness.first_assignment("h1").is_none());
 }
 
-/// unknown-type-holds: the types that this leader knows may be older than its predecessor's.
+/// Guard `unknown-type-holds`: the list of machine types that this leader knows may be older than that of the leader
+/// before it. Machines of a type that it doesn't know may still run the jobs that their record names.
 #[test]
 fn what_machines_of_an_unknown_type_may_hold_starts_nowhere_else_within_their_lease() {
-    let mut world = World::new();
-    world.stored_job(job("req-1", 1, json!({})), Phase::Open);
+    let mut harness = ShardHarness::new();
+    harness.store_job(job("req-1", 1, json!({})), Phase::Open);
     let machine = json!({"machine": "h1", "addr": "127.0.0.1:9", "retiring": false, "jobs": [0]});
     let machine_group =
         json!({"shard": 0, "type": "new", "zone": "a", "spot": false, "jobs": ["req-1"], "machines": [machine]});
-    world.stored("rack/0", machine_group);
-    world.take_over(100.0);
-    assert!(!started_on_h2(&mut world, 100.1, 99.0 + LEASE_S), "within the lease");
-    world.tick_until(100.0 + LEASE_S, 101.0 + LEASE_S);
-    // As the leader does now and then.
-    world.shard.request_placement();
-    assert!(started_on_h2(&mut world, 101.1 + LEASE_S, 104.0 + LEASE_S), "after it");
+    harness.put("rack/0", machine_group);
+    harness.fail_over(100.0);
+    assert!(
+        !started_on_h2(&mut harness, 100.1, 99.0 + LEASE_S),
+        "nothing may start before the lease of h1 has expired"
+    );
+    harness.tick_until(100.0 + LEASE_S, 101.0 + LEASE_S);
+    // The leader requests this periodically.
+    harness.shard.request_placement();
+    assert!(
+        started_on_h2(&mut harness, 101.1 + LEASE_S, 104.0 + LEASE_S),
+        "the job starts once the lease of h1 has expired"
+    );
 }
 
-/// The next leader at 100 s: three machines are recorded, and none of them is heard.
-fn nobody_heard(world: &mut World) {
+/// Starts the next leader at 100 s. Three machines are recorded, and none of them sends heartbeats.
+fn fail_over_with_three_silent_machines(harness: &mut ShardHarness) {
     for (number, name) in ["h1", "h2", "h3"].into_iter().enumerate() {
-        world.stored_rack(number as u32, name, &[], false);
+        harness.store_machine_group(number as u32, name, &[], false);
     }
-    world.take_over(100.0);
+    harness.fail_over(100.0);
 }
 
-/// unlisted-tells-nothing: machines that the cloud lists and that nobody hears speak for a leader that is cut off;
-/// those that it does not list are gone.
+/// Guard `unlisted-tells-nothing`: silent machines that the cloud lists indicate that the leader is partitioned from
+/// its workers. Machines that the cloud doesn't list no longer exist and indicate nothing.
 #[test]
-fn a_leader_hears_nobody_only_if_there_is_somebody_to_hear() {
+fn a_leader_is_partitioned_from_workers_only_if_the_silent_machines_exist() {
     let listed = |name: &str| -> ListedMachine {
         let machine = json!({"id": name, "addr": "127.0.0.1:9", "strain": "m32", "field": "a", "fallow": false,
             "bloom": "running", "held_s": 60.0});
@@ -238,18 +270,18 @@
     };
     let all = ["h1", "h2", "h3"].map(listed);
     let cases: [(&str, Option<&[ListedMachine]>, bool); 4] = [
-        ("no list came", None, true),
-        ("all are listed", Some(&all), true),
-        ("one is not", Some(&all[1..]), false),
-        ("none is", Some(&[]), false),
+        ("no list was received", None, true),
+        ("all machines are listed", Some(&all), true),
+        ("one machine is not listed", Some(&all[1..]), false),
+        ("no machine is listed", Some(&[]), false),
     ];
-    for (told, list, deaf) in cases {
-        let mut world = World::new();
-        nobody_heard(&mut world);
+    for (case, list, partitioned) in cases {
+        let mut harness = ShardHarness::new();
+        fail_over_with_three_silent_machines(&mut harness);
         if let Some(list) = list {
-            world.shard.on_list(list, true, 101.0);
+            harness.shard.on_list(list, true, 101.0);
         }
-        world.tick_until(101.0, 107.0);
-        assert_eq!(world.shard.is_partitioned_from_workers(107.0), deaf, "{told}");
+        harness.tick_until(101.0, 107.0);
+        assert_eq!(harness.shard.is_partitioned_from_workers(107.0), partitioned, "{case}");
     }
 }
--- a/crates/scheduler/tests/shard/main.rs
+++ b/crates/scheduler/tests/shard/main.rs
@@ -1,5 +1,6 @@
-//! One leader's decisions, guard by guard: each test here fails if the guard that it names is taken out
-//! (`tests/guards/` at the root, `scripts/guards`). Longer stories stand in the golden traces.
+//! Tests of one leader's decisions. A test that names a guard fails if that guard is removed: `tests/guards/` at the
+//! root holds a patch of that name for each, and `scripts/guards` applies them. The golden traces cover longer
+//! sequences of events.
 
 mod attempts;
 mod cancellation;
--- a/crates/scheduler/tests/shard/service_capacity.rs
+++ b/crates/scheduler/tests/shard/service_capacity.rs
@@ -1,105 +1,111 @@
-//! Room that batch work leaves to services, and that of work that waits beside it.
+//! The capacity that batch work leaves to services, and when waiting batch work may use it.
 
-use crate::world::{TOKEN, World, job, report};
-use lupinspur_scheduler::jobs::{JobRecord, Phase};
+use crate::world::{ShardHarness, TOKEN, heartbeat, job};
+use lupinspur_scheduler::jobs::{JobRecord, Phase, TaskKey};
 use lupinspur_sharding::ShardId;
 use serde_json::json;
 
 const MACHINE: &str = "m";
-/// What the service takes; the room that is left to services is a multiple of it.
+/// CPUs of the service's task. The capacity that is reserved for services is a multiple of it.
 const SERVICE_CPUS: f64 = 2.0;
-/// Beside the service and the room of services nothing of [`TASK_CPUS`] fits any more.
+/// CPUs of a batch task that leaves too little for a task of [`TASK_CPUS`] beside the service and the service reserve.
 const FILLER_CPUS: f64 = 20.0;
 const TASK_CPUS: f64 = 4.0;
-const FREE: f64 = 32.0 - SERVICE_CPUS - FILLER_CPUS;
-const LEFT_TO_SERVICES: f64 = 8.0;
-/// Older than any patience.
-const LATE: f64 = 80.0;
+/// CPUs that neither the service nor the filler uses.
+const FREE_CPUS: f64 = 32.0 - SERVICE_CPUS - FILLER_CPUS;
+/// CPUs that batch work leaves free for services.
+const SERVICE_RESERVE_CPUS: f64 = 8.0;
+/// Time by which work submitted at 2 s has waited long enough to use the service reserve.
+const AFTER_LONG_WAIT_S: f64 = 80.0;
 
-/// One machine of the base on which only the room for services is free.
-fn only_room_for_services() -> World {
-    let mut world = World::with(&[MACHINE]);
+/// Returns a leader with one machine of the on-demand base on which only the service reserve is free.
+fn only_service_reserve_free() -> ShardHarness {
+    let mut harness = ShardHarness::with_machines(&[MACHINE]);
     let service = json!({"cpus": SERVICE_CPUS, "habit": "standing", "precedence": "critical", "fallow": false});
-    world.accept(job("req-1", 1, service), 1.0);
-    world.accept(job("req-2", 1, json!({"cpus": FILLER_CPUS})), 1.0);
-    assert_eq!(world.machine(MACHINE).assignments.len(), 2);
-    in_base(&mut world);
-    world
+    harness.accept_job(job("req-1", 1, service), 1.0);
+    harness.accept_job(job("req-2", 1, json!({"cpus": FILLER_CPUS})), 1.0);
+    assert_eq!(harness.machine(MACHINE).assignments.len(), 2);
+    mark_as_on_demand_base(&mut harness);
+    harness
 }
 
-fn in_base(world: &mut World) {
-    let machine = world.index(MACHINE);
-    world.shard.machines[machine].in_on_demand_base = true;
+/// Marks the machine as part of the on-demand base.
+fn mark_as_on_demand_base(harness: &mut ShardHarness) {
+    let machine = harness.machine_index(MACHINE);
+    harness.shard.machines[machine].in_on_demand_base = true;
 }
 
-/// The machine reports every second until then that all it was given runs, but `done`; what waits is placed.
-fn report_until(world: &mut World, done: Option<&str>, from: f64, until: f64) {
-    for now in (from as u64..=until as u64).map(|s| s as f64) {
-        in_base(world);
-        let given = world.machine(MACHINE).assignments.iter();
-        let given = given.map(|(key, held)| (format!("{}/{}", world.shard.jobs[key.job].id, key.task), held.attempt));
-        let given: Vec<(String, u64)> = given.collect();
+/// Delivers a heartbeat every second that lists all assigned tasks as running, except for the task `done`. The leader
+/// places waiting work meanwhile.
+fn run_until(harness: &mut ShardHarness, done: Option<&str>, from: f64, until: f64) {
+    for now in (from as u64..=until as u64).map(|second| second as f64) {
+        mark_as_on_demand_base(harness);
+        let assignments = harness.machine(MACHINE).assignments.iter();
+        let task_name = |key: &TaskKey| format!("{}/{}", harness.shard.jobs[key.job].id, key.task);
+        let attempts: Vec<(String, u64)> =
+            assignments.map(|(key, assignment)| (task_name(key), assignment.attempt)).collect();
         let state = |task: &str| if done == Some(task) { "done" } else { "running" };
-        let tasks: Vec<_> = given.iter().map(|(t, attempt)| (t.as_str(), *attempt, state(t))).collect();
-        // The second is the counter, which begins above that of the first reports.
-        world.hear(&report(MACHINE, 10 + now as u64, &tasks), now);
-        world.shard.tick(now);
-        world.write(now);
+        let tasks: Vec<_> = attempts.iter().map(|(task, attempt)| (task.as_str(), *attempt, state(task))).collect();
+        // The counter grows with the seconds, from above the counters of the first heartbeats.
+        harness.receive_heartbeat(&heartbeat(MACHINE, 10 + now as u64, &tasks), now);
+        harness.shard.tick(now);
+        harness.store_all_writes(now);
     }
 }
 
-fn held(world: &World, id: &str) -> u32 {
-    let jobs = &world.shard.jobs;
+/// Returns the number of assigned tasks of a job.
+fn assigned_tasks(harness: &ShardHarness, id: &str) -> u32 {
+    let jobs = &harness.shard.jobs;
     jobs[jobs.find(id).expect("the job")].assigned
 }
 
-/// A job of which one task was done in that room waited there for ever with the rest of its tasks.
+/// A job whose first task had run in the service reserve waited for ever with its remaining tasks.
 #[test]
-fn the_rest_of_a_job_takes_the_room_of_services_as_its_beginning_did() {
-    let mut world = only_room_for_services();
-    world.write(1.0);
-    let rest = json!({"cpus": TASK_CPUS, "fallow": true});
-    world.accept(job("req-3", 2, rest), 2.0);
-    report_until(&mut world, None, 3.0, LATE - 20.0);
-    assert_eq!(held(&world, "req-3"), 0, "the room is left to services");
-    report_until(&mut world, None, LATE - 19.0, LATE);
-    assert_eq!(held(&world, "req-3"), 1, "after a long wait one task begins");
-    report_until(&mut world, Some("req-3/0"), LATE + 1.0, LATE + 3.0);
-    assert_eq!(held(&world, "req-3"), 1, "and after it the next");
-    assert_eq!(world.shard.jobs[world.shard.jobs.find("req-3").expect("the job")].done, 1);
+fn the_remaining_tasks_of_a_job_may_use_the_service_reserve_as_the_first_did() {
+    let mut harness = only_service_reserve_free();
+    harness.store_all_writes(1.0);
+    let batch_tasks = json!({"cpus": TASK_CPUS, "fallow": true});
+    harness.accept_job(job("req-3", 2, batch_tasks), 2.0);
+    run_until(&mut harness, None, 3.0, AFTER_LONG_WAIT_S - 20.0);
+    assert_eq!(assigned_tasks(&harness, "req-3"), 0, "the service reserve stays free");
+    run_until(&mut harness, None, AFTER_LONG_WAIT_S - 19.0, AFTER_LONG_WAIT_S);
+    assert_eq!(assigned_tasks(&harness, "req-3"), 1, "after a long wait one task starts in the service reserve");
+    run_until(&mut harness, Some("req-3/0"), AFTER_LONG_WAIT_S + 1.0, AFTER_LONG_WAIT_S + 3.0);
+    assert_eq!(assigned_tasks(&harness, "req-3"), 1, "the next task starts after the first is done");
+    assert_eq!(harness.shard.jobs[harness.shard.jobs.find("req-3").expect("the job")].done, 1);
 }
 
-/// What came from another shard has waited there, too.
+/// A job that was moved from another shard has waited there too, and may use the service reserve at once.
 #[test]
-fn a_job_from_another_cell_brings_its_wait_with_it() {
-    for (moves, begins) in [(0, false), (1, true)] {
-        let mut world = only_room_for_services();
-        world.write(1.0);
-        report_until(&mut world, None, 2.0, LATE - 1.0);
+fn a_job_from_another_shard_may_use_the_service_reserve_at_once() {
+    for (moves, starts) in [(0, false), (1, true)] {
+        let mut harness = only_service_reserve_free();
+        harness.store_all_writes(1.0);
+        run_until(&mut harness, None, 2.0, AFTER_LONG_WAIT_S - 1.0);
         let submitted = job("req-3", 2, json!({"cpus": TASK_CPUS, "fallow": false}));
-        world.stored_job(submitted.clone(), Phase::Open);
+        harness.store_job(submitted.clone(), Phase::Open);
         let record = JobRecord { moves, ..JobRecord::accepted(submitted, 0) };
-        let version = world.keys["job/req-3"].1;
-        world.shard.add_job(record, version, LATE).expect("a job of a known team");
-        report_until(&mut world, None, LATE, LATE + 1.0);
-        assert_eq!(held(&world, "req-3") > 0, begins, "after {moves} moves");
+        let version = harness.stored["job/req-3"].revision;
+        harness.shard.add_job(record, version, AFTER_LONG_WAIT_S).expect("a job of a known team");
+        run_until(&mut harness, None, AFTER_LONG_WAIT_S, AFTER_LONG_WAIT_S + 1.0);
+        assert_eq!(assigned_tasks(&harness, "req-3") > 0, starts, "after {moves} moves");
     }
 }
 
-/// Other shards are told of room that what waits here cannot use, for work that may use spot machines and for
-/// work that may not; and of no room that something here is about to take.
+/// The load snapshot for other shards contains the free capacity that no waiting work of this shard can use, for work
+/// that may use spot machines and for work that may not. It contains no capacity that waiting work may still take.
 #[test]
-fn a_cell_tells_others_of_room_that_its_own_waiting_work_cannot_use() {
-    let mut world = only_room_for_services();
-    let unusable = |world: &World, now| world.shard.load_snapshot(ShardId(0), now).unusable_capacity;
-    world.accept(job("req-3", 8, json!({"cpus": TASK_CPUS, "fallow": true})), 2.0);
-    in_base(&mut world);
-    let told = unusable(&world, 2.0);
-    assert_eq!((told.on_demand, told.any_kind), (FREE, FREE - LEFT_TO_SERVICES));
-    // This one has not been placed, and would fit.
+fn the_load_snapshot_has_the_capacity_that_the_shards_own_waiting_work_cannot_use() {
+    let mut harness = only_service_reserve_free();
+    let unusable = |harness: &ShardHarness, now| harness.shard.load_snapshot(ShardId(0), now).unusable_capacity;
+    harness.accept_job(job("req-3", 8, json!({"cpus": TASK_CPUS, "fallow": true})), 2.0);
+    mark_as_on_demand_base(&mut harness);
+    let capacity = unusable(&harness, 2.0);
+    assert_eq!((capacity.on_demand, capacity.any_kind), (FREE_CPUS, FREE_CPUS - SERVICE_RESERVE_CPUS));
+    // This job fits, and the leader has not tried to place it yet.
     let may_fit = job("req-4", 1, json!({"cpus": 1.0, "fallow": true}));
-    world.stored_job(may_fit.clone(), Phase::Open);
-    world.shard.add_job(JobRecord::accepted(may_fit, 0), TOKEN, 2.0).expect("a job of a known team");
-    let told = unusable(&world, 2.0);
-    assert_eq!((told.on_demand, told.any_kind), (0.0, 0.0));
+    harness.store_job(may_fit.clone(), Phase::Open);
+    harness.shard.add_job(JobRecord::accepted(may_fit, 0), TOKEN, 2.0).expect("a job of a known team");
+    let capacity = unusable(&harness, 2.0);
+    assert_eq!((capacity.on_demand, capacity.any_kind), (0.0, 0.0));
 }
