--- a/crates/scheduler/src/dependency_graph.rs
+++ b/crates/scheduler/src/dependency_graph.rs
@@ -1,19 +1,20 @@
-//! Which jobs wait for which: one graph, rebuilt by every leader from stored records.
+//! The graph of dependencies between jobs, which every leader rebuilds from stored records.
 //!
-//! Only what is *stored* counts here: a dependency is done, or cancelled, once the state
-//! service holds that. What one end changes costs as much as there are jobs after it,
-//! and nothing for the others. It owns the edges alone and changes no job: who is ready or cancelled is returned.
+//! The graph uses stored phases only: a dependency counts as done or cancelled once the state
+//! service holds that phase. The cost of one job's end is proportional to the number of its dependents and
+//! independent of all other jobs. The graph owns the edges and changes no job: it returns the jobs that became
+//! ready or have to be cancelled.
 
 use crate::intern::JobIndex;
 use crate::jobs::Phase;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// What became of jobs because of others.
+/// The effect of a change on the jobs that depend on the changed job.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct DependencyUpdate {
-    /// All dependencies of these are done.
+    /// Jobs whose last open dependency is now done.
     pub ready: Vec<JobIndex>,
-    /// A job before these was cancelled. They are in the order of the graph.
+    /// Jobs to be cancelled because a direct or transitive dependency was cancelled, each after the job it depends on.
     pub cancelled: Vec<JobIndex>,
 }
 
@@ -21,36 +22,36 @@
 struct Node {
     dependencies: Vec<JobIndex>,
     dependents: Vec<JobIndex>,
-    /// Dependencies that are not stored as done, those not known here included.
+    /// Number of dependencies that are not stored as done, including unknown ones.
     unmet: u32,
 }
 
-/// The dependencies between jobs that are open.
+/// The dependencies between open jobs.
 #[derive(Debug, Default)]
 pub struct DependencyGraph {
     /// Jobs with dependencies or dependents.
     nodes: HashMap<JobIndex, Node>,
-    /// Dependencies that are not known here yet, as watches and lists come in any order. By their ids: only some
-    /// are read at a time, and which these are must not depend on a hash.
+    /// Dependents of each job that is not known here yet: watches and lists deliver records in any order.
+    /// Ordered by job id, because only some are read at a time and the choice must not depend on hash order.
     unknown_dependencies: BTreeMap<String, Vec<JobIndex>>,
-    /// Jobs that were looked at: what the graph costs.
+    /// Number of job pairs examined so far, a measure of the graph's cost.
     pub pairs_examined: u64,
 }
 
 impl DependencyGraph {
-    /// Takes in a job, its dependencies as `look` knows them: their index and stored phase. A job
-    /// that is over takes part only as a dependency of others. The update is of jobs that came before,
-    /// and of this one where it is cancelled at once.
+    /// Adds a job. `lookup` returns the index and the stored phase of a dependency, if it is known.
+    /// A job that has ended is used only as a dependency of others. The returned update covers jobs added
+    /// earlier, and this job if it has to be cancelled at once.
     pub fn add(
         &mut self,
         job_index: JobIndex,
         id: &str,
         phase: Phase,
         dependencies: &[String],
-        look: impl Fn(&str) -> Option<(JobIndex, Phase)>,
+        lookup: impl Fn(&str) -> Option<(JobIndex, Phase)>,
     ) -> DependencyUpdate {
         let mut update = DependencyUpdate::default();
-        if phase == Phase::Open && self.add_dependencies(job_index, dependencies, look) {
+        if phase == Phase::Open && self.add_dependencies(job_index, dependencies, lookup) {
             update.cancelled.push(job_index);
         }
         self.resolve_unknown(job_index, id, phase, &mut update);
@@ -58,17 +59,17 @@
         update
     }
 
-    /// True if one of the dependencies was cancelled.
+    /// Adds the edges from a job to its dependencies. Returns true if one of the dependencies was cancelled.
     fn add_dependencies(
         &mut self,
         job_index: JobIndex,
         dependencies: &[String],
-        look: impl Fn(&str) -> Option<(JobIndex, Phase)>,
+        lookup: impl Fn(&str) -> Option<(JobIndex, Phase)>,
     ) -> bool {
         let mut cancelled = false;
         for dependency in dependencies {
             self.pairs_examined += 1;
-            if let Some((dependency_index, phase)) = look(dependency) {
+            if let Some((dependency_index, phase)) = lookup(dependency) {
                 cancelled |= self.link(dependency_index, phase, job_index);
             } else {
                 self.unknown_dependencies.entry(dependency.clone()).or_default().push(job_index);
@@ -78,11 +79,12 @@
         cancelled
     }
 
-    /// The job counted as not done for those that came before it; from here on it counts by what it is.
+    /// Links a job to the dependents that were added before it: until now it counted as unmet for them, from now
+    /// on its phase counts.
     fn resolve_unknown(&mut self, job_index: JobIndex, id: &str, phase: Phase, update: &mut DependencyUpdate) {
         for dependent in self.unknown_dependencies.remove(id).unwrap_or_default() {
             self.pairs_examined += 1;
-            // A dependent that is over has no node any more: it was cancelled in the meantime.
+            // A dependent without a node has ended: it was cancelled in the meantime.
             let Some(node) = self.nodes.get_mut(&dependent) else { continue };
             node.unmet -= 1;
             let last = node.unmet == 0;
@@ -94,7 +96,8 @@
         }
     }
 
-    /// The job depends on another. True if that one is cancelled, and so this one is to be.
+    /// Adds the edge from `job_index` to its dependency. Returns true if the dependency is cancelled, so that the
+    /// job has to be cancelled too.
     fn link(&mut self, dependency: JobIndex, phase: Phase, job_index: JobIndex) -> bool {
         if phase == Phase::Open {
             self.nodes.entry(dependency).or_default().dependents.push(job_index);
@@ -109,7 +112,7 @@
         phase == Phase::Cancelled
     }
 
-    /// Everything after a cancelled job is cancelled.
+    /// Adds all transitive dependents of the cancelled jobs to the cancelled jobs.
     fn propagate_cancellation(&mut self, update: &mut DependencyUpdate) {
         let mut seen: HashSet<JobIndex> = update.cancelled.iter().copied().collect();
         let mut next = 0;
@@ -124,7 +127,7 @@
         }
     }
 
-    /// This end is stored.
+    /// Removes a job whose end is stored, and returns the effect on its dependents.
     pub fn on_job_ended(&mut self, job_index: JobIndex, phase: Phase) -> DependencyUpdate {
         let mut update = DependencyUpdate::default();
         let Some(ended) = self.nodes.remove(&job_index) else { return update };
@@ -150,37 +153,37 @@
         update
     }
 
-    /// Does this job wait for another?
+    /// Returns true if the job waits for a dependency.
     pub fn is_waiting(&self, job_index: JobIndex) -> bool {
         self.nodes.get(&job_index).is_some_and(|node| node.unmet > 0)
     }
 
-    /// Open jobs that need this one directly.
+    /// Returns the open jobs that depend directly on this job.
     pub fn dependents(&self, job_index: JobIndex) -> &[JobIndex] {
         self.nodes.get(&job_index).map_or(&[], |node| &node.dependents)
     }
 
-    /// Open jobs that this one needs directly.
+    /// Returns the open jobs that this job depends on directly.
     pub fn dependencies(&self, job_index: JobIndex) -> &[JobIndex] {
         self.nodes.get(&job_index).map_or(&[], |node| &node.dependencies)
     }
 
-    /// Dependencies that are not known here yet, in the order of their ids.
+    /// Returns the ids of dependencies that are not known here yet, in ascending order.
     pub fn unknown_dependencies(&self) -> impl Iterator<Item = &str> {
         self.unknown_dependencies.keys().map(String::as_str)
     }
 
-    /// Is this a dependency of some job, and not known here yet?
+    /// Returns true if some job depends on this id and the job of this id is not known here yet.
     pub fn is_unknown_dependency(&self, id: &str) -> bool {
         self.unknown_dependencies.contains_key(id)
     }
 
-    /// Jobs that need this one, which is not known here yet.
+    /// Returns the jobs that depend on this id, whose job is not known here yet.
     pub fn dependents_of_unknown(&self, id: &str) -> &[JobIndex] {
         self.unknown_dependencies.get(id).map_or(&[], Vec::as_slice)
     }
 
-    /// How many jobs wait for others.
+    /// Returns the number of jobs that wait for a dependency.
     pub fn waiting_count(&self) -> usize {
         self.nodes.values().filter(|node| node.unmet > 0).count()
     }
--- a/crates/scheduler/src/jobs/job.rs
+++ b/crates/scheduler/src/jobs/job.rs
@@ -1,6 +1,6 @@
-//! One job and its tasks, as this leader knows them.
+//! One job and its tasks, as the leader tracks them.
 //!
-//! Owns what follows from a job's own fields: its state, its deadline, its order. It places and stores nothing.
+//! Derives the job's state, deadline and order from the job's own fields. Places no task and stores nothing.
 
 use super::Phase;
 use crate::intern::{DenseIndex, ImageIndex, JobIndex, MachineIndex, TeamIndex, ZoneIndex};
@@ -9,26 +9,28 @@
 use lupinspur_service_levels::tracker::{IndicatorIndex, Tasks};
 use std::collections::{BTreeSet, VecDeque};
 
-/// What is assumed for a job whose user states no deadline.
+/// Deadline of a job that has none in its request, in seconds after it becomes ready.
 const UNSTATED_DEADLINE_S: f64 = 100.0;
-/// Milliseconds that a cpu-second of remaining work puts a job back, and at most.
+/// Delay of the effective deadline for each cpu-second of remaining work, in milliseconds.
 const WORK_PENALTY_MS: f64 = 10.0;
+/// Limit of the delay for remaining work, in milliseconds, before it is multiplied by the pressure.
 const MAX_WORK_MS: f64 = 120_000.0;
-/// How long a late job gives way to those that may still be in time.
+/// Delay of the effective deadline of a late job, which lets jobs that can still meet their deadlines go first.
 const LATE_JOB_PENALTY_MS: u64 = 60_000;
 
-/// A task is in one place.
+/// Where a task is.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum TaskSlot {
-    /// It waits for a machine.
+    /// The task waits for a machine.
     Queued,
-    /// A machine has it, or is to start it.
+    /// The task is assigned to this machine, which runs it or will be told to start it.
     Assigned(MachineIndex),
-    /// Completed; the result is kept at the state service or not yet.
+    /// The task completed; `stored` is true once the state service holds its completion.
     Done { stored: bool },
 }
 
-/// A job that this leader knows. Times are seconds of the steady clock, but for those in milliseconds of the day.
+/// A job known to this leader. Fields that end in `_ms`, `serves_until` and `useful_until` are wall-clock times in
+/// milliseconds; all other times are seconds of the monotonic clock.
 #[derive(Debug)]
 pub struct Job {
     pub index: JobIndex,
@@ -36,79 +38,83 @@
     pub spec: JobRequest,
     pub team: TeamIndex,
     pub image: Option<ImageIndex>,
-    /// When it was accepted, in milliseconds of the day.
+    /// Time at which the job was accepted.
     pub accepted_at_ms: u64,
-    /// The shard that its record names, and how often it has gone from one to another.
+    /// Shard named in the job's record.
     pub shard: Option<u32>,
+    /// Number of times the job has moved from one shard to another.
     pub moves: u8,
-    /// It is going to another shard: nothing of it is started here.
+    /// True while the job is being moved to another shard: none of its tasks is started here.
     pub moving_away: bool,
-    /// As stored.
+    /// Phase stored at the state service.
     pub phase: Phase,
-    /// A final phase that is being stored; it is told only afterwards.
+    /// Final phase that is being stored; it is reported to users only once it is stored.
     pub desired_phase: Phase,
-    /// The write of the final phase was sent: it may be stored without our knowing.
+    /// True once the write of the final phase was sent: it may be stored even if no response arrived.
     pub end_write_sent: bool,
-    /// Since when it is being cancelled for a job that it depends on.
+    /// Time at which cancellation began because a dependency was cancelled.
     pub cascade_cancelled_at: Option<f64>,
-    /// When it ended, by the record; 0 where that is not known.
+    /// Time at which the job ended, from its record; 0 if unknown.
     pub ended_ms: u64,
-    /// When the last job that it depends on was done; its own acceptance where that is not known.
+    /// Time at which the job's last dependency was done, or of the job's acceptance if that is unknown.
     pub ready_at_ms: u64,
-    /// Its own priority, or that of a job that needs it.
+    /// The job's own priority, or the priority of a dependent.
     pub priority: Priority,
-    /// When it has to be done for the sake of the jobs that need it, in milliseconds of the day.
+    /// Time by which the job has to be done so that its dependents can meet their deadlines.
     pub inherited_deadline_ms: Option<u64>,
     pub tasks: Vec<TaskSlot>,
-    /// Tasks that may be queued, in the order in which they start; some may not be any more.
+    /// Tasks to start, in order. May contain tasks that are no longer queued; `has_queued` drops them.
     pub queued_tasks: VecDeque<u32>,
-    /// Tasks that are done, stored as that or not.
+    /// Number of completed tasks, including those whose completion is not stored yet.
     pub done: u32,
-    /// Tasks that a machine has or is to start.
+    /// Number of tasks assigned to machines, started or not.
     pub assigned: u32,
-    /// Tasks that run.
+    /// Number of running tasks.
     pub running: u32,
-    /// Tasks whose start a machine has taken: they fetch their image, run or save.
+    /// Number of tasks whose start command a machine has accepted: they pull their image, run, or save.
     pub started: u32,
-    /// Chunks of its progress that are not stored as they are.
+    /// Progress chunks whose current state is not stored.
     pub dirty_chunks: BTreeSet<u32>,
-    /// Machines that are not reconciled and may hold tasks of this job.
+    /// Number of unreconciled machines that may hold tasks of this job.
     pub unreconciled_machines: u32,
-    /// An earlier leader's record of a machine names it.
+    /// True if a machine record of an earlier leader names this job.
     pub recorded_before_failover: bool,
-    /// Machines on which it failed lately.
+    /// Machines on which the job failed recently.
     pub failed_on: Vec<MachineIndex>,
-    /// When a task of it last failed.
+    /// Time at which a task of this job last failed.
     pub failed_at: f64,
-    /// Nothing of it is started before then.
+    /// Time before which none of its tasks is started.
     pub not_before: f64,
-    /// The service-level tracker knows whether it began in time, as one of its class's largest.
+    /// True once the service-level tracker has recorded whether this job, one of the largest of its class, began in
+    /// time.
     pub large_job_reported: bool,
-    /// How often it was tried since it was at fault.
+    /// Number of attempts since the last failure for which the job was at fault.
     pub attempts_since_fault: u32,
-    /// A machine that one of its replicas is leaving, and until when it is avoided.
+    /// A machine that one of its replicas is leaving, and the time until which the machine is avoided.
     pub avoided_machine: Option<(MachineIndex, f64)>,
-    /// When this leader learnt of it.
+    /// Time at which this leader first read the job.
     pub known_since: f64,
-    /// Its assigned tasks in each zone.
+    /// Number of its assigned tasks in each zone, by zone index.
     pub zone_counts: Vec<u32>,
-    /// Its place in the service-level tracker, from when its time begins until its end is stored.
+    /// Index in the service-level tracker, from when the job becomes ready until its end is stored.
     pub tracked: Option<TrackedJobIndex>,
-    /// The service-level indicators that count it.
+    /// The service-level indicators that count the job.
     pub indicators: Option<[IndicatorIndex; 2]>,
-    /// Until when, in milliseconds of the day, it can be served in time, and until when any
-    /// promise to it can be kept; none were made where these are missing.
+    /// Time until which the job can start or complete within its objective, in wall-clock milliseconds. `None` if the
+    /// job has no objective.
     pub serves_until: Option<u64>,
+    /// Time until which any objective of the job can still be met, in wall-clock milliseconds. `None` if the job has
+    /// no objective.
     pub useful_until: Option<u64>,
 }
 
 impl Job {
-    /// Neither over nor about to be.
+    /// Returns true if the job has not ended and no end of it is being stored.
     pub fn is_open(&self) -> bool {
         self.phase == Phase::Open && self.desired_phase == Phase::Open
     }
 
-    /// Its state, as its user is told.
+    /// Returns the state that is reported to users.
     pub fn state(&self) -> JobState {
         match self.phase {
             Phase::Done => JobState::Done,
@@ -118,39 +124,39 @@
         }
     }
 
-    /// How far its tasks are, as the service-level tracker counts them.
+    /// Returns the task counts for the service-level tracker.
     pub fn progress(&self) -> Tasks {
         Tasks { begun: self.started, running: self.running, done: self.done }
     }
 
-    /// Tasks that still want a machine or have one.
+    /// Returns the number of tasks that are not done.
     pub fn unfinished(&self) -> u32 {
         self.spec.tasks - self.done.min(self.spec.tasks)
     }
 
-    /// Most tasks of this job that may be in one zone.
+    /// Returns the maximum number of tasks of this job in one zone.
     pub fn zone_limit(&self) -> u32 {
         if self.spec.zone_anti_affinity { self.spec.tasks.div_ceil(2) } else { u32::MAX }
     }
 
-    /// Its tasks assigned to machines of this zone.
+    /// Returns the number of its tasks assigned to machines of this zone.
     pub fn assigned_in_zone(&self, zone: ZoneIndex) -> u32 {
         self.zone_counts.get(zone.as_usize()).copied().unwrap_or(0)
     }
 
-    /// It runs until it is cancelled.
+    /// Returns true if the job is a service, which runs until it is cancelled.
     pub fn is_service(&self) -> bool {
         self.spec.kind == Kind::Service
     }
 
-    /// Do others wait for it, or did it wait for others?
+    /// Returns true if the job has dependents or dependencies.
     pub fn in_pipeline(&self) -> bool {
         self.inherited_deadline_ms.is_some() || !self.spec.dependencies().is_empty()
     }
 
-    /// When its user wants it done, in milliseconds of the day.
-    /// A stated deadline counts from the submission, however long it waited for others;
-    /// everything else from the moment when it could start.
+    /// Returns the deadline in wall-clock milliseconds: the earlier of its own and the inherited one.
+    /// A deadline in the request counts from acceptance, however long the job waited for dependencies;
+    /// the default deadline counts from the time at which the job became ready.
     pub fn deadline_ms(&self) -> u64 {
         let after = |from_ms: u64, seconds: f64| from_ms.saturating_add((seconds * 1000.0) as u64);
         let own = match self.spec.deadline_s {
@@ -161,11 +167,10 @@
         own.min(self.inherited_deadline_ms.unwrap_or(u64::MAX))
     }
 
-    /// What decides between jobs of equal standing: the earlier deadline, with
-    /// little remaining work put forward, since a short job kept waiting costs as
-    /// many users as a long one. The more waits for what there is (`pressure`, 1 or more),
-    /// the more that counts: not all can be served, and of small ones many more are. A job
-    /// that is late already gives way for a while, but no longer: nobody starves.
+    /// Returns the key that orders jobs of equal rank; lower goes first. It is the deadline plus a delay for remaining
+    /// work, because a delayed short job costs as many users as a delayed long one. The delay grows with `pressure`
+    /// (at least 1, higher when demand exceeds capacity): when not all jobs can be served, preferring small jobs
+    /// serves more of them. A late job is put back by a fixed delay only, so it cannot starve.
     pub fn effective_deadline_ms(&self, now_ms: u64, pressure: f64) -> u64 {
         let work_s = f64::from(self.unfinished()) * self.spec.cpus * self.spec.estimate_s.max(1.0);
         let deadline = self.deadline_ms();
@@ -173,7 +178,7 @@
         deadline + late + ((work_s * WORK_PENALTY_MS).min(MAX_WORK_MS) * pressure) as u64
     }
 
-    /// Does a task wait for a machine? Those at the front that do not any more are dropped.
+    /// Returns true if a task waits for a machine. Drops tasks that are no longer queued from the front of the queue.
     pub fn has_queued(&mut self) -> bool {
         while let Some(&task) = self.queued_tasks.front() {
             if self.tasks[task as usize] == TaskSlot::Queued {
--- a/crates/scheduler/src/jobs/mod.rs
+++ b/crates/scheduler/src/jobs/mod.rs
@@ -1,7 +1,7 @@
-//! Jobs and their tasks: what is kept at the state service, and what is known.
+//! Jobs and their tasks: the stored records and the state in memory.
 //!
-//! Owns all jobs of a shard by their index and id, and which of their tasks are done. It decides no start, and a
-//! job's end only where its last task is done.
+//! Owns all jobs of a shard, by index and by id, and the record of completed tasks. Starts no task, and ends a job
+//! only when its last task is done.
 
 mod job;
 mod records;
@@ -15,25 +15,24 @@
 use crate::intern::{DenseIndex, ImageIndex, JobIndex, Names, Pages, TeamIndex};
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// All jobs that this leader knows.
+/// All jobs known to this leader.
 #[derive(Debug, Default)]
 pub struct Jobs {
     pub list: Pages<JobIndex, Job>,
     by_id: HashMap<std::sync::Arc<str>, JobIndex>,
-    /// The names of images that jobs want or machines have.
+    /// Names of the images that jobs use or machines hold.
     pub images: Names<ImageIndex>,
-    /// Jobs that have something to do now. Those that wait for others are not among them:
-    /// they cost nothing.
+    /// Jobs that the scheduler has to look at now. Jobs that wait for dependencies are excluded, so they cost nothing.
     pub live: BTreeSet<JobIndex>,
-    /// Tasks whose progress is stored in one value.
+    /// Number of tasks whose progress is stored in one value.
     pub chunk_tasks: u32,
-    /// The same by 0.1.0, which knows only the limit that holds now.
+    /// Number of tasks for each progress value in version 0.1.0, which derives it from the current value limit.
     pub legacy_chunk_tasks: u32,
-    /// How many zones a job's tasks are counted by.
+    /// Number of zones, the length of each job's zone counts.
     pub zones: usize,
 }
 
-/// The number of a task within its job, from `req-000412/3`.
+/// Splits a task name such as `req-000412/3` into the job id and the task's number within the job.
 pub fn split_task(name: &str) -> Option<(&str, u32)> {
     let (job, task) = name.rsplit_once('/')?;
     Some((job, task.parse().ok()?))
@@ -54,41 +53,42 @@
 }
 
 impl Jobs {
-    /// No jobs. `chunk_tasks`, `legacy_chunk_tasks`: tasks in one value of progress, here and by 0.1.0.
+    /// Creates an empty set of jobs. `chunk_tasks` and `legacy_chunk_tasks` are the numbers of tasks in one progress
+    /// value in this version and in 0.1.0.
     pub fn new(chunk_tasks: u32, legacy_chunk_tasks: u32, zones: usize) -> Jobs {
         Jobs { chunk_tasks, legacy_chunk_tasks, zones, ..Jobs::default() }
     }
 
-    /// The job of this id, if it is known here.
+    /// Returns the index of the job with this id, if it is known here.
     pub fn find(&self, id: &str) -> Option<JobIndex> {
         self.by_id.get(id).copied()
     }
 
-    /// A job that may have been given back.
+    /// Returns a job, or `None` if it has been removed.
     pub fn get(&self, job_index: JobIndex) -> Option<&Job> {
         self.list.get(job_index)
     }
 
-    /// A job that is over leaves, with its name.
+    /// Removes a job that has ended, and its id.
     pub fn remove(&mut self, job_index: JobIndex) {
         if let Some(job) = self.list.remove(job_index) {
             self.by_id.remove(&job.id);
         }
     }
 
-    /// Takes in a stored job. A job that is known already is left as it is.
+    /// Adds a stored job and returns its index. A job that is already known is left unchanged.
     pub fn add(&mut self, record: JobRecord, team: TeamIndex, now: f64) -> JobIndex {
-        if let Some(j) = self.find(&record.job.id) {
-            return j;
+        if let Some(job_index) = self.find(&record.job.id) {
+            return job_index;
         }
-        let j = self.list.next();
+        let job_index = self.list.next();
         let id: std::sync::Arc<str> = record.job.id.as_str().into();
-        self.by_id.insert(id.clone(), j);
+        self.by_id.insert(id.clone(), job_index);
         let open = record.phase == Phase::Open;
-        let n = if open { record.job.tasks } else { 0 };
+        let task_count = if open { record.job.tasks } else { 0 };
         let image = record.job.image.as_deref().map(|i| self.images.intern(i));
         self.list.push(Job {
-            index: j,
+            index: job_index,
             id,
             team,
             image,
@@ -104,8 +104,8 @@
             ready_at_ms: record.accepted_at_ms,
             priority: record.job.priority,
             inherited_deadline_ms: None,
-            tasks: vec![TaskSlot::Queued; n as usize],
-            queued_tasks: (0..n).collect(),
+            tasks: vec![TaskSlot::Queued; task_count as usize],
+            queued_tasks: (0..task_count).collect(),
             done: if record.phase == Phase::Done { record.job.tasks } else { 0 },
             assigned: 0,
             running: 0,
@@ -128,12 +128,12 @@
             spec: record.job,
         });
         if open {
-            self.live.insert(j);
+            self.live.insert(job_index);
         }
-        j
+        job_index
     }
 
-    /// Marks a task done, wherever it was. True if it was not done before.
+    /// Marks a task as done, whether it was queued or assigned. Returns true if it was not done before.
     pub fn mark_task_done(&mut self, job_index: JobIndex, task: u32, stored: bool) -> bool {
         let chunk = self.chunk_tasks;
         let job = &mut self[job_index];
@@ -152,7 +152,7 @@
         true
     }
 
-    /// The key of a chunk's progress. A job of one chunk has the same key and value in
+    /// Returns the key under which a chunk's progress is stored. A job of one chunk has the same key and value in
     /// every version.
     pub fn progress_key(&self, job_index: JobIndex, chunk: u32) -> String {
         let job = &self[job_index];
@@ -163,16 +163,17 @@
         }
     }
 
-    /// Every key under which progress of this job may stand.
+    /// Returns every key under which this or an earlier version may have stored progress of this job.
     pub fn progress_keys(&self, job_index: JobIndex) -> impl Iterator<Item = String> {
         let tasks = self[job_index].spec.tasks;
-        let earlier = (0..tasks.div_ceil(self.legacy_chunk_tasks)).map(move |c| progress_key(&self[job_index].id, c));
-        let parts =
-            (0..tasks.div_ceil(self.chunk_tasks)).map(move |c| part_key(&self[job_index].id, c * self.chunk_tasks));
-        earlier.chain(parts)
+        let legacy_keys =
+            (0..tasks.div_ceil(self.legacy_chunk_tasks)).map(move |chunk| progress_key(&self[job_index].id, chunk));
+        let part_keys = (0..tasks.div_ceil(self.chunk_tasks))
+            .map(move |chunk| part_key(&self[job_index].id, chunk * self.chunk_tasks));
+        legacy_keys.chain(part_keys)
     }
 
-    /// Which tasks of a chunk are done, as it is stored.
+    /// Returns the record of a chunk's completed tasks in its stored form.
     pub fn progress(&self, job_index: JobIndex, chunk: u32) -> ProgressRecord {
         let job = &self[job_index];
         let from = (chunk * self.chunk_tasks) as usize;
@@ -190,35 +191,36 @@
         ProgressRecord { done }
     }
 
-    /// Tasks from this one on that a stored value calls done.
+    /// Marks the tasks that a stored progress record lists as done; `from` is the first task of the record.
     pub fn load_progress(&mut self, job_index: JobIndex, from: u32, record: &ProgressRecord) {
-        for (i, c) in record.done.chars().enumerate() {
-            let Some(d) = c.to_digit(16) else { continue };
-            for b in 0..4 {
-                if d & (1 << b) != 0 {
-                    self.mark_task_done(job_index, from.saturating_add((i as u32) * 4 + b), true);
+        for (position, character) in record.done.chars().enumerate() {
+            let Some(digit) = character.to_digit(16) else { continue };
+            for bit in 0..4 {
+                if digit & (1 << bit) != 0 {
+                    self.mark_task_done(job_index, from.saturating_add((position as u32) * 4 + bit), true);
                 }
             }
         }
     }
 
-    /// The tasks of a chunk that a stored record calls done are stored now.
+    /// Marks the completed tasks of a chunk as stored, after the given record has been stored.
     pub fn on_progress_stored(&mut self, job_index: JobIndex, chunk: u32, record: &ProgressRecord) {
         let from = (chunk * self.chunk_tasks) as usize;
         let job = &mut self[job_index];
-        for (i, c) in record.done.chars().enumerate() {
-            let Some(d) = c.to_digit(16) else { continue };
-            for b in 0..4 {
-                if let (true, Some(s @ TaskSlot::Done { .. })) =
-                    (d & (1 << b) != 0, job.tasks.get_mut(from + i * 4 + b))
+        for (position, character) in record.done.chars().enumerate() {
+            let Some(digit) = character.to_digit(16) else { continue };
+            for bit in 0..4 {
+                if let (true, Some(slot @ TaskSlot::Done { .. })) =
+                    (digit & (1 << bit) != 0, job.tasks.get_mut(from + position * 4 + bit))
                 {
-                    *s = TaskSlot::Done { stored: true };
+                    *slot = TaskSlot::Done { stored: true };
                 }
             }
         }
     }
 
-    /// A final phase is stored: from now on it may be told, and the tasks are of no more use.
+    /// Sets the final phase of a job after it was stored, so that it may be reported to users, and frees task state
+    /// that is no longer needed.
     pub fn on_end_committed(&mut self, job_index: JobIndex, phase: Phase) {
         self.live.remove(&job_index);
         let job = &mut self[job_index];
@@ -233,7 +235,7 @@
     }
 }
 
-/// One task of one job; maps of them are ordered, so that every run decides alike.
+/// One task of one job. Ordered, so that maps keyed by it iterate in the same order in every run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskKey {
     pub job: JobIndex,
@@ -246,13 +248,13 @@
         TaskKey { job, task }
     }
 
-    /// All keys that tasks of this job may have.
+    /// Returns the range of keys that tasks of this job can have.
     pub fn all_of(job: JobIndex) -> std::ops::RangeInclusive<TaskKey> {
         TaskKey::new(job, 0)..=TaskKey::new(job, u32::MAX)
     }
 }
 
-/// Values of tasks, in the order of their keys.
+/// A map of values by task, in key order.
 pub type TaskMap<V> = BTreeMap<TaskKey, V>;
 
 #[cfg(test)]
