--- a/crates/scheduler/src/jobs/mod.rs
+++ b/crates/scheduler/src/jobs/mod.rs
@@ -8,8 +8,8 @@
 
 pub use job::{Job, TaskSlot};
 pub use records::{
-    JOB_PREFIX, JobRecord, PART_PREFIX, PROGRESS_PREFIX, Phase, ProgressRecord, RECORD_GROWS_BY, chunk_tasks, job_key,
-    part_key, progress_key,
+    JOB_PREFIX, JobRecord, PART_PREFIX, PROGRESS_PREFIX, Phase, ProgressRecord, RECORD_END_GROWTH_BYTES, chunk_tasks,
+    job_key, part_key, progress_key,
 };
 
 use crate::intern::{DenseIndex, ImageIndex, JobIndex, Names, Pages, TeamIndex};
--- a/crates/scheduler/src/jobs/records.rs
+++ b/crates/scheduler/src/jobs/records.rs
@@ -80,7 +80,7 @@
 }
 
 /// Upper bound of the bytes by which a job's record grows when the job ends.
-pub const RECORD_GROWS_BY: usize = 48;
+pub const RECORD_END_GROWTH_BYTES: usize = 48;
 
 /// The completed tasks of one chunk of a job, in hexadecimal with four tasks for each digit.
 #[derive(Serialize, Deserialize, Clone, Debug)]
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -5,7 +5,7 @@
 use crate::clock;
 use crate::http::Outgoing;
 use crate::job_status::{JobStatus, Lookup, valid_id};
-use crate::jobs::{JobRecord, RECORD_GROWS_BY, job_key};
+use crate::jobs::{JobRecord, RECORD_END_GROWTH_BYTES, job_key};
 use crate::node::{Node, ShardRuntime};
 use crate::peer::Verb;
 use crate::responses::{job_answer, resubmission_answer, status_from_record, unavailable};
@@ -108,7 +108,7 @@
         let home = self.home_shard(&record.job.team);
         record.shard = home.map(|shard| shard.0).filter(|number| *number != 0);
         let value = serde_json::to_value(&record).map_err(|_| Refusal::Undecided)?;
-        if value.to_string().len() + RECORD_GROWS_BY > self.settings.value_bytes() {
+        if value.to_string().len() + RECORD_END_GROWTH_BYTES > self.settings.value_bytes() {
             return Err(Refusal::NeverRuns("the job's description is too long".to_owned()));
         }
         self.check_dependencies(&record.job, started_at).await?;
