--- a/crates/scheduler/src/shard/checkpointing.rs
+++ b/crates/scheduler/src/shard/checkpointing.rs
@@ -1,9 +1,9 @@
-//! What this shard leaves for a successor, and what it removes from its own memory.
+//! Writes the shard's checkpoint and removes ended jobs and gone machines from memory.
 //!
-//! The checkpoint of open jobs is written in rounds (`crates/recovery`), out of the writes that
-//! can be spared. Jobs that are over and machines that are gone leave the memory after a while;
-//! what is asked about them afterwards is answered by the state service's records. Nothing here is the
-//! truth: a checkpoint only spares a successor the reading of everything.
+//! The checkpoint of open jobs is written in rounds (`crates/recovery`), using spare write capacity. Ended jobs and
+//! gone machines are removed from memory after a retention time; later queries about them are answered from the
+//! state service's records. The checkpoint is not authoritative: it only saves the next leader from reading every
+//! record.
 
 use super::{PendingWrite, Shard, WritePurpose};
 use crate::fleet::Phase as MachinePhase;
@@ -14,57 +14,60 @@
 use serde_json::Value;
 use std::collections::{BTreeSet, HashSet, VecDeque};
 
-/// A job that is over stays known for so long, in seconds, and until the watch has passed its end: its user polls
-/// once more.
+/// Time for which an ended job stays in memory, because its user polls once more. It stays longer if the watch
+/// has not reached the job's end yet.
 const ENDED_JOB_RETENTION_S: f64 = 60.0;
-/// A machine that is gone stays known for so long: what it sent may arrive minutes late.
+/// Time for which a gone machine stays in memory: messages from it may arrive minutes late.
 const GONE_MACHINE_RETENTION_S: f64 = 900.0;
 const SWEEP_INTERVAL_S: f64 = 10.0;
-/// Beyond the writes that can be spared, one for the checkpoint each so often, once the changes
-/// since the last would soon be gone.
+/// Minimum interval between checkpoint writes that take write capacity from other writes. Such writes are made when
+/// the state service will soon compact the changes since the last stored checkpoint.
 const OVERDUE_CHECKPOINT_INTERVAL_S: f64 = 1.0;
-/// Dependencies of unknown jobs are looked up, so many at a time.
+/// Maximum number of unknown dependencies looked up at a time.
 const MAX_LOOKED_UP: usize = 10;
-/// Nothing is told of jobs whose dependencies a failover has not met: those are looked up faster.
+/// Maximum number of dependencies read at a time after a failover. Higher than [`MAX_LOOKED_UP`], because the state
+/// of the jobs that depend on them is not reported until they are read.
 const MAX_DEPENDENCIES_READ_AT_ONCE: usize = 40;
 
-/// What a failover found of a checkpoint.
+/// The checkpoint that a new leader loaded at its failover.
 #[derive(Debug, Default)]
 pub struct LoadedCheckpoint {
     pub read: Option<Checkpoint>,
-    /// All that stands under its prefix, with versions.
+    /// All keys under the checkpoint's prefix, with their versions.
     pub keys: Vec<(String, u64)>,
-    /// A revision up to which all changes of jobs were taken in.
+    /// The revision up to which all changes of jobs have been applied.
     pub revision: u64,
-    /// Jobs that the checkpoint may call open, and that have become another shard's since.
+    /// Ids of jobs that the checkpoint may list as open and that have since moved to another shard.
     pub gone: Vec<String>,
-    /// Some record could not be read or taken in: a checkpoint would leave it out.
+    /// True if a record could not be parsed or applied, so that a checkpoint would omit it.
     pub incomplete: bool,
 }
 
-/// Something that is over, and is kept in memory for a while.
+/// An ended job or gone machine that is kept in memory until its retention time is over.
 #[derive(Debug)]
 struct Retained<T> {
     since: f64,
     item: T,
 }
 
-/// The checkpoint's writer, and what is over and waits to be removed. Times are seconds of the steady clock.
+/// The checkpoint writer, and the ended jobs and gone machines that wait for their removal from memory. Times are
+/// seconds of the monotonic clock.
 #[derive(Debug, Default)]
 pub(super) struct Checkpointer {
     writer: Writer,
-    /// Up to which revision everything is known.
+    /// Revision up to which every change of a job is known.
     known: SafeRevision,
-    /// The newest revision that was seen.
+    /// The newest revision seen.
     newest: u64,
-    /// Some job that is stored could not be taken in: no checkpoint would be complete.
+    /// True if a stored job could not be applied, so that no checkpoint would be complete.
     incomplete: bool,
-    /// When the last value was written that could not be spared.
+    /// Time of the last checkpoint write that took write capacity from other writes.
     overdue_written_at: f64,
     swept_at: f64,
     ended_jobs: VecDeque<Retained<JobIndex>>,
     gone_machines: VecDeque<Retained<MachineIndex>>,
-    /// Dependencies that ended before the checkpoint, or are another shard's, and whose records were not read yet.
+    /// Dependencies that ended before the checkpoint or belong to another shard, and whose records have not been
+    /// read yet.
     unread_dependencies: BTreeSet<String>,
 }
 
@@ -78,9 +81,9 @@
             swept_at: now,
             ..Checkpointer::default()
         };
-        // Whoever goes on with a checkpoint has to know all that is not open any more: one that had
-        // gone to another shard once stood in it for ever, and was started here again by the second
-        // leader after, long after it was done there.
+        // A writer that continues a checkpoint must be told of every job that is no longer open. Otherwise a job that
+        // moved to another shard stays in the checkpoint forever, and the leader after the next one starts it here
+        // again long after it was done in the other shard.
         found.gone.iter().for_each(|id| checkpointer.writer.on_ended(id));
         checkpointer.known.watched(found.revision);
         checkpointer
@@ -90,7 +93,7 @@
         self.ended_jobs.push_back(Retained { since: now, item: job });
     }
 
-    /// Jobs that were over for long enough.
+    /// Removes and returns the jobs whose retention time is over.
     fn expired_jobs(&mut self, now: f64) -> BTreeSet<JobIndex> {
         let mut expired = BTreeSet::new();
         while self.ended_jobs.front().is_some_and(|job| now - job.since > ENDED_JOB_RETENTION_S) {
@@ -101,7 +104,7 @@
 }
 
 impl Shard {
-    /// A job that was taken in: it belongs into the checkpoint, or is over already.
+    /// Registers a job that was just added: an open job enters the checkpoint, an ended one is retained for a while.
     pub(super) fn checkpoint_job(&mut self, job_index: JobIndex, now: f64) {
         let id = self.jobs[job_index].id.clone();
         self.on_dependency_read(&id, now);
@@ -114,10 +117,11 @@
         }
     }
 
-    /// A record that no leader can take in as it is: until it can, successors read everything.
+    /// Records that a stored record cannot be parsed. No checkpoint is written from then on, so new leaders read
+    /// every record.
     pub fn mark_unreadable_record(&mut self, key: &str) {
         if !std::mem::replace(&mut self.checkpointer.incomplete, true) {
-            log::error!("record not readable, no checkpoint is written key={key}");
+            log::error!("record not readable, checkpoints disabled key={key}");
         }
     }
 
@@ -125,19 +129,19 @@
         self.checkpointer.incomplete
     }
 
-    /// All changes of jobs up to this revision were taken in.
+    /// Records that all changes of jobs up to this revision have been applied.
     pub fn watched(&mut self, revision: u64) {
         self.checkpointer.known.watched(revision);
         self.on_revision(revision);
     }
 
-    /// The write of its end goes out.
+    /// Records that the write of a job's end is being sent.
     pub(super) fn on_end_sent(&mut self, job_index: JobIndex) {
         let id = self.jobs[job_index].id.clone();
         self.checkpointer.known.on_end_sent(&id);
     }
 
-    /// Its end is stored.
+    /// Records that a job's end is stored.
     pub(super) fn on_end_stored(&mut self, job_index: JobIndex, now: f64) {
         let id = self.jobs[job_index].id.clone();
         self.checkpointer.known.on_end_settled(&id);
@@ -150,7 +154,8 @@
         self.checkpointer.newest = self.checkpointer.newest.max(revision);
     }
 
-    /// The ends among these writes, as users are told of them once they are stored.
+    /// Returns the job ends among these writes: id, state and number of completed tasks, as reported to users once
+    /// the writes are stored.
     pub fn job_ends_in(&self, writes: &[PendingWrite]) -> Vec<(String, JobState, u64)> {
         let end = |write: &PendingWrite| match write.purpose {
             WritePurpose::JobEnd { job, phase: Phase::Done } => {
@@ -170,14 +175,15 @@
         self.checkpointer.gone_machines.push_back(Retained { since, item: machine_index });
     }
 
-    /// May the checkpoint take a write that others could use?
+    /// Returns true if the checkpoint may use write capacity that other writes need.
     pub(super) fn checkpoint_is_overdue(&self, now: f64) -> bool {
         let checkpointer = &self.checkpointer;
         checkpointer.writer.is_overdue(checkpointer.newest, now)
             && now - checkpointer.overdue_written_at >= OVERDUE_CHECKPOINT_INTERVAL_S
     }
 
-    /// The checkpoint's next put, if one is due and may be made.
+    /// Returns the next write of the checkpoint, if one is due and allowed. `spare` is true if no other write needs
+    /// the capacity.
     pub(super) fn checkpoint_write(&mut self, spare: bool, now: f64) -> Option<PendingWrite> {
         if !self.may_write_checkpoint(spare, now) {
             return None;
@@ -187,8 +193,8 @@
             self.checkpointer.overdue_written_at = now;
         }
         let ValueToWrite { key, value } = next?;
-        // A chunk's number may come again while the deletion of its earlier value waits, or is
-        // under way: that would take the new value with it.
+        // A chunk's key may be reused while the deletion of its previous value is queued or in flight, and that
+        // deletion would remove the new value.
         self.write_queue.clear_stale(&key);
         if self.write_queue.is_in_flight(&key) {
             self.checkpointer.writer.on_failed(&key);
@@ -204,7 +210,7 @@
             && checkpointer.writer.is_due(checkpointer.known.revision(), checkpointer.newest, now)
     }
 
-    /// The writer's next value, made of the records as they are stored.
+    /// Returns the writer's next value, built from the stored records.
     fn next_checkpoint_value(&mut self, now: f64) -> Option<ValueToWrite> {
         let known = self.checkpointer.known.revision();
         let mut writer = std::mem::take(&mut self.checkpointer.writer);
@@ -213,7 +219,7 @@
         next
     }
 
-    /// The version and the value under which an open job is stored; none if it is over.
+    /// Returns the version and the value of an open job's stored record, or `None` if the job has ended.
     fn stored_open_record(&self, id: &str) -> Option<(u64, Value)> {
         let job = self.jobs.get(self.jobs.find(id)?).filter(|job| job.phase == Phase::Open)?;
         let version = self.write_queue.version_of(&job_key(id))?;
@@ -236,34 +242,34 @@
         self.checkpointer.writer.on_failed(key);
     }
 
-    /// Dependencies of jobs here that are not known: they ended long ago, or come yet.
+    /// Returns dependencies that are not known here: their jobs ended long ago or have not been read yet.
     pub fn dependencies_to_look_up(&self) -> Vec<String> {
         self.dependencies.unknown_dependencies().take(MAX_LOOKED_UP).map(str::to_owned).collect()
     }
 
-    /// The failover is through: dependencies that it has not met have to be read before anything is told of the
-    /// jobs that wait for them.
+    /// Notes, at the end of a failover, the dependencies that it did not find. They have to be read before the state
+    /// of the jobs that depend on them is reported.
     pub(super) fn note_unread_dependencies(&mut self) {
         self.checkpointer.unread_dependencies = self.dependencies.unknown_dependencies().map(str::to_owned).collect();
         if !self.checkpointer.unread_dependencies.is_empty() {
             log::info!(
-                "dependencies to be read after the failover, ended before the checkpoint or in another shard, count={}",
+                "dependencies not read during failover, ended before the checkpoint or in another shard, count={}",
                 self.checkpointer.unread_dependencies.len()
             );
         }
     }
 
-    /// Dependencies to be read at once, so many at a time.
+    /// Returns the next dependencies to be read, at most [`MAX_DEPENDENCIES_READ_AT_ONCE`].
     pub fn unread_dependencies(&self) -> Vec<String> {
         self.checkpointer.unread_dependencies.iter().take(MAX_DEPENDENCIES_READ_AT_ONCE).cloned().collect()
     }
 
-    /// The record of this dependency was read, and taken in if it concerns this shard.
+    /// Records that a dependency's record was read; it has been applied if the job belongs to this shard.
     pub fn on_dependency_read(&mut self, id: &str, now: f64) {
         if !self.checkpointer.unread_dependencies.remove(id) {
             return;
         }
-        let phase = self.jobs.find(id).map(|j| self.jobs[j].phase);
+        let phase = self.jobs.find(id).map(|job_index| self.jobs[job_index].phase);
         let level = self.failover_log.level();
         let after_s = now - self.began_at;
         match phase {
@@ -282,8 +288,8 @@
         self.checkpointer.unread_dependencies.contains(id)
     }
 
-    /// Does this job wait, at any remove, for one whose record was not read yet? That one may have been
-    /// cancelled, and its user told, before this leader began.
+    /// Returns true if the job depends, directly or transitively, on a job whose record has not been read yet. That
+    /// job may have been cancelled, and its cancellation reported to its user, before this leader began.
     pub(super) fn waits_for_unread_dependency(&self, job_index: JobIndex) -> bool {
         let unread = &self.checkpointer.unread_dependencies;
         if unread.is_empty() {
@@ -300,7 +306,7 @@
         false
     }
 
-    /// A job that is no longer this shard's leaves its memory at once.
+    /// Removes a job that no longer belongs to this shard from memory at once.
     pub(super) fn forget_job(&mut self, job_index: JobIndex) {
         let id = self.jobs[job_index].id.clone();
         self.checkpointer.writer.on_ended(&id);
@@ -313,7 +319,7 @@
         self.jobs.remove(job_index);
     }
 
-    /// These jobs leave, and nothing here may lead to them any more.
+    /// Drops the references to these jobs from machines and machine groups before the jobs are removed.
     fn drop_references(&mut self, jobs: &BTreeSet<JobIndex>) {
         for machine_index in self.machines.present.clone() {
             let machine = &mut self.machines[machine_index];
@@ -323,8 +329,8 @@
         self.machine_groups.list.values_mut().for_each(|group| group.forget(jobs));
     }
 
-    /// Gives back what is over and gone, now and then. Costs what is held, and that only where
-    /// something may go.
+    /// Removes ended jobs and gone machines from memory, every [`SWEEP_INTERVAL_S`]. The cost is proportional to the
+    /// number of objects in memory, and only arises if some job or machine can be removed.
     pub(super) fn sweep(&mut self, now: f64) {
         if now - self.checkpointer.swept_at < SWEEP_INTERVAL_S {
             return;
@@ -347,8 +353,8 @@
         }
     }
 
-    /// May the watch still bring a record of this job from before its end? Whoever has forgotten the job would take
-    /// that for a new one.
+    /// Returns true if the watch may still deliver a record of this job from before its end. If the job had been
+    /// removed by then, that record would be taken for a new job.
     fn may_be_reopened_by_watch(&self, job_index: JobIndex) -> bool {
         let Some(job) = self.jobs.get(job_index) else { return false };
         let ended_at = self.write_queue.version_of(&job_key(&job.id)).unwrap_or(0);
@@ -373,7 +379,7 @@
         self.release_unused_images();
     }
 
-    /// Names of images that no job here wants and no machine has.
+    /// Releases the names of images that no job uses and no machine holds.
     fn release_unused_images(&mut self) {
         let mut used: HashSet<ImageIndex> = self.jobs.list.iter().filter_map(|(_, job)| job.image).collect();
         used.extend(self.machines.iter().flat_map(|(_, machine)| machine.images.iter().map(|cached| cached.image)));
@@ -381,10 +387,10 @@
         unused.into_iter().for_each(|image| self.jobs.images.release(image));
     }
 
-    /// Those of the jobs that are over, and that something here may still lead to.
+    /// Returns those of the ended jobs that a machine, a write or a late watch event may still refer to.
     fn jobs_still_needed(&self, over: &BTreeSet<JobIndex>) -> BTreeSet<JobIndex> {
         let mut kept: BTreeSet<JobIndex> = BTreeSet::new();
-        // What a machine may still hold, or start late, is counted by its job.
+        // A task that a machine may still hold or start late refers to its job.
         for (_, machine) in self.machines.iter() {
             let assigned = machine.assignments.keys();
             let keys = assigned.chain(machine.unassigned.keys()).chain(machine.unacknowledged_starts.keys());
@@ -395,17 +401,18 @@
         kept
     }
 
-    /// How much this leader holds, for tests and the log: jobs, machines, images, versions.
+    /// Returns the numbers of jobs, machines, images and stored versions in memory, for tests and the log.
     pub fn memory_footprint(&self) -> [usize; 4] {
         [self.jobs.list.len(), self.machines.list.len(), self.jobs.images.len(), self.write_queue.stored_keys().count()]
     }
 }
 
-/// A record as the state service has it, or what is wrong with the value under this key.
+/// Parses a stored job record. The error describes what is wrong with the value under this key.
 pub fn parse_job_record(key: &str, value: &Value) -> Result<JobRecord, String> {
-    let r: JobRecord = serde::Deserialize::deserialize(value).map_err(|e| format!("holds something unknown: {e}"))?;
+    let record: JobRecord =
+        serde::Deserialize::deserialize(value).map_err(|error| format!("is not a valid job record: {error}"))?;
     match key.strip_prefix(JOB_PREFIX) {
-        Some(id) if id == r.job.id => Ok(r),
-        _ => Err(format!("holds the record of another job, {}", r.job.id)),
+        Some(id) if id == record.job.id => Ok(record),
+        _ => Err(format!("holds the record of another job, {}", record.job.id)),
     }
 }
--- a/crates/scheduler/src/shard/commands.rs
+++ b/crates/scheduler/src/shard/commands.rs
@@ -1,7 +1,7 @@
-//! What workers are told, in the replies to their heartbeats and pushed directly.
+//! Commands to workers, in the replies to their heartbeats and pushed directly.
 //!
-//! Owns the contents of both and the marks of what was sent when. It decides no start and no stop: it says what
-//! the assignments of a machine already ask for, and sends nothing itself.
+//! Builds both kinds of commands and records when each was sent. It decides no start and no stop: the commands follow
+//! from the machine's assignments. It sends nothing itself.
 
 use super::Shard;
 use super::heartbeats::HeartbeatSource;
@@ -11,58 +11,60 @@
 use crate::wire::{Command, CommandKind, Heartbeat, PushedCommands, TaskReport, TaskState};
 use std::net::SocketAddr;
 
-/// What became of commands sent straight to a worker.
+/// The outcome of commands that were pushed to a worker.
 #[derive(Debug)]
 pub enum PushOutcome {
-    /// Executed, or refused as a whole; the report says what is on the machine.
+    /// The worker executed the commands or refused all of them; `report` is its heartbeat with the machine's state.
     Answered { executed: bool, report: Option<Heartbeat> },
-    /// Never left this controller.
+    /// The commands never left this controller.
     NotSent,
-    /// Never left this controller, since what they rested on had changed by then.
+    /// The commands never left this controller, because the state they were based on had changed.
     Withheld,
-    /// May have been executed, and may still be, minutes from now.
+    /// No response arrived: the commands may have been executed, or may still be executed minutes from now.
     Unknown,
 }
 
-/// Commands to be sent straight to a worker.
+/// Commands to be pushed to a worker.
 #[derive(Debug)]
 pub struct PushRequest {
     pub machine: MachineIndex,
     pub addr: SocketAddr,
     pub body: PushedCommands,
-    /// When they were made up: the answer is no older.
+    /// Time at which the request was built; the worker's response is not older.
     pub made_at: f64,
-    /// The starts in it that no earlier unanswered command carries: its outcome settles these.
+    /// The starts in this request that no earlier command without a response contains. The outcome of this request
+    /// shows whether they can still be executed.
     pub starts: Vec<(TaskKey, u64)>,
 }
 
-/// Commands for one machine while they are put together.
+/// The commands for one machine while a request is being built.
 #[derive(Default)]
 struct PushContents {
     commands: Vec<Command>,
-    /// The starts among them, with their attempts.
+    /// The tasks to start, with their attempts.
     starts: Vec<(TaskKey, u64)>,
-    /// Tasks of the machine's assignments that are told to stop.
+    /// The assigned tasks to stop.
     stops: Vec<TaskKey>,
 }
 
-/// The time of sending of a command that is still to be sent.
+/// Marks the sending time of a command that has not been sent yet.
 pub(super) const NOT_SENT: f64 = -1.0;
-/// A machine that executed what it was sent, and whose report does not show our token yet, is asked again after this.
+/// Retry interval for a machine that executed a push but whose heartbeat does not contain our fencing token yet.
 const UNPROVEN_RETRY_INTERVAL_S: f64 = 1.0;
-/// A machine that refused what it was sent is asked again after this.
+/// Retry interval for a machine that refused a push.
 const REFUSED_RETRY_INTERVAL_S: f64 = 0.05;
-/// A machine that did not answer is sent commands again after this.
+/// Retry interval for a machine that did not respond to a push.
 const PUSH_RETRY_INTERVAL_S: f64 = 4.0;
-/// A machine whose report is overdue is asked again sooner.
+/// Retry interval for a machine that did not respond and whose heartbeat is overdue.
 const PROBE_RETRY_INTERVAL_S: f64 = 0.3;
-/// A task that was told to stop is seen to have ended, or to save, within this.
-const STOP_ACKNOWLEDGED_WITHIN_S: f64 = 3.0;
-/// Commands in one reply to a heartbeat.
+/// Time after which a stop command counts as lost if its task has neither ended nor begun to save.
+const STOP_ACKNOWLEDGEMENT_TIMEOUT_S: f64 = 3.0;
+/// Maximum number of commands in one reply to a heartbeat.
 const MAX_COMMANDS: usize = 200;
-/// Starts that a machine may owe an answer to. Each may be carried out late for as long as the incarnation lasts, and
-/// its ended attempt cannot be forgotten before: it stays in the machine's reports, which hold 64 KiB. Further
-/// starts go only in answers to its reports, which are never carried out late.
+/// Maximum number of pushed starts to a machine that have no response yet. Each of them may be executed late, for as
+/// long as the worker's incarnation lasts, and until then its ended attempt cannot be forgotten: it stays in the
+/// machine's heartbeats, which are limited to 64 KiB. Further starts go only into replies to heartbeats, which are
+/// never executed late.
 const MAX_UNACKNOWLEDGED_STARTS: usize = 64;
 
 impl Shard {
@@ -70,8 +72,8 @@
         Command { kind, task: format!("{}/{}", self.jobs[key.job].id, key.task), attempt, grace_s }
     }
 
-    /// May an ended attempt be forgotten? Not while its result is only there, and
-    /// not while a start of it may still arrive and run it again.
+    /// Returns true if the worker may forget an ended attempt. It may not while its result is not stored yet, nor
+    /// while a start command of the attempt may still arrive and run it again.
     fn may_forget(&self, machine_index: MachineIndex, key: TaskKey, attempt: u64) -> bool {
         let machine = &self.machines[machine_index];
         if machine.unacknowledged_starts.get(&key) == Some(&attempt)
@@ -83,9 +85,9 @@
         job.phase != Phase::Open || !matches!(job.tasks.get(key.task as usize), Some(TaskSlot::Done { stored: false }))
     }
 
-    /// What no leader can want to run: tasks of cancelled jobs, and of jobs that nobody knows any more.
-    /// The first answer after a failover renews the machine's lease like any other, and may be the last
-    /// that reaches it for as long as that lasts: it cannot wait until the machine has shown our token.
+    /// Returns stop commands for tasks of cancelled and of unknown jobs, which no leader can want to run. They are
+    /// sent before the machine has reported our fencing token: the first reply after a failover renews the machine's
+    /// lease like any other, and may be the last reply that reaches the machine until that lease expires.
     fn stop_commands_for_cancelled(&self, heartbeat: &Heartbeat) -> Vec<Command> {
         let cancelled = |task: &&TaskReport| {
             let job = self.key_of(&task.task).map(|key| &self.jobs[key.job]);
@@ -101,7 +103,7 @@
         running.filter(cancelled).take(MAX_COMMANDS).map(stop).collect()
     }
 
-    /// Everything that the machine should be told, in the reply to its report.
+    /// Returns all commands for the machine, for the reply to its heartbeat.
     pub(super) fn heartbeat_commands(
         &mut self,
         machine_index: MachineIndex,
@@ -121,7 +123,8 @@
         commands
     }
 
-    /// What the machine lists of jobs that nobody here knows: it stops, and is forgotten once it has ended.
+    /// Adds commands for reported tasks of jobs unknown to this leader: stop them, and forget them once they have
+    /// ended.
     fn command_unknown_tasks(&self, heartbeat: &Heartbeat, commands: &mut Vec<Command>) {
         for task in heartbeat.tasks.iter().filter(|task| self.key_of(&task.task).is_none()) {
             let kind = if task.state == TaskState::Exited { CommandKind::Forget } else { CommandKind::Stop };
@@ -130,7 +133,8 @@
         }
     }
 
-    /// Attempts that the machine lists and that are not assigned to it: orphans stop, ended ones are forgotten.
+    /// Adds commands for attempts that the machine reports without an assignment: stop orphaned ones, and forget
+    /// ended ones.
     fn command_unassigned_attempts(&self, machine_index: MachineIndex, commands: &mut Vec<Command>) {
         for (key, (attempt, unassigned)) in &self.machines[machine_index].unassigned {
             match unassigned {
@@ -145,7 +149,7 @@
         }
     }
 
-    /// Starts and stops of what is assigned to the machine.
+    /// Adds start and stop commands for the machine's assignments.
     fn command_assignments(&self, machine: &Machine, now: f64, commands: &mut Vec<Command>) {
         for (key, assignment) in &machine.assignments {
             let attempt = assignment.attempt;
@@ -167,20 +171,21 @@
         }
     }
 
-    /// The start of an attempt that is to stop may still be on its way: an attempt that the machine has seen
-    /// end cannot start any more, so it is made to see it. Not long after a cancellation was confirmed: nothing
-    /// of that job may start any more.
+    /// Returns true if an attempt that is to be stopped has to be started first. Its start command may still be in
+    /// flight, and only an attempt that has ended on the machine is sure not to start later. For a job whose
+    /// cancellation is stored, this holds only for a short time after the assignment: later none of its tasks may
+    /// start.
     fn must_see_start(&self, key: TaskKey, assignment: &Assignment, now: f64) -> bool {
         self.jobs[key.job].phase != Phase::Cancelled || now - assignment.assigned_at < self.lease_s / 2.0
     }
 
-    /// The reply to a heartbeat carries all starts and stops of the machine.
+    /// Records that a reply to the machine's heartbeat carries all its start and stop commands.
     fn mark_replied(&mut self, machine_index: MachineIndex, now: f64) {
         let machine = &mut self.machines[machine_index];
         let acknowledges = machine.missed_acknowledgements == 0;
         for assignment in machine.assignments.values_mut() {
             if assignment.state == AssignmentState::Commanded {
-                // Where answers seem to be lost it goes directly, too.
+                // If replies seem to be lost, the start stays unsent here so that it is also pushed directly.
                 if acknowledges {
                     assignment.start_sent_at = now;
                 }
@@ -192,7 +197,7 @@
         }
     }
 
-    /// The next machine that should hear from us directly.
+    /// Returns the next push to a machine, if one is due.
     pub fn next_push(&mut self, now: f64) -> Option<PushRequest> {
         let ready = |machine: &Machine| !machine.push_in_flight && now >= machine.push_not_before;
         while let Some(machine_index) = self.machines.next_push(ready) {
@@ -212,7 +217,7 @@
             self.push_assignments(machine, &mut contents);
             self.push_stops_of_unassigned(machine, &mut contents.commands);
         }
-        // With nothing to be told, a machine whose report is overdue shows whether it is there.
+        // A push without commands probes a machine whose heartbeat is overdue.
         if contents.commands.is_empty() && !probing && !machine.suspected {
             return None;
         }
@@ -227,7 +232,7 @@
         })
     }
 
-    /// Starts and stops of what is assigned to the machine and that were not sent yet.
+    /// Adds start and stop commands for the machine's assignments that have not been sent yet.
     fn push_assignments(&self, machine: &Machine, contents: &mut PushContents) {
         let mut allowance = MAX_UNACKNOWLEDGED_STARTS.saturating_sub(machine.unacknowledged_starts.len());
         for (key, assignment) in &machine.assignments {
@@ -253,7 +258,7 @@
         }
     }
 
-    /// Orphans, and attempts of jobs that nobody here knows, stop at once.
+    /// Adds stop commands without grace for orphaned attempts and attempts of unknown jobs.
     fn push_stops_of_unassigned(&self, machine: &Machine, commands: &mut Vec<Command>) {
         for (key, (attempt, unassigned)) in &machine.unassigned {
             if unassigned.is_orphaned() {
@@ -266,7 +271,8 @@
         }
     }
 
-    /// These commands go out: until their outcome is known nothing else is pushed to the machine.
+    /// Records that these commands are being pushed. Nothing else is pushed to the machine until their outcome is
+    /// known.
     fn mark_pushed(&mut self, machine_index: MachineIndex, contents: &mut PushContents, now: f64) {
         let machine = &mut self.machines[machine_index];
         for (key, _) in &contents.starts {
@@ -274,7 +280,7 @@
                 assignment.start_sent_at = now;
             }
         }
-        // An earlier command with the same start may still arrive, whatever becomes of this one.
+        // Keep only new starts: an earlier command with the same start may still arrive, whatever this outcome is.
         contents.starts.retain(|(key, attempt)| machine.unacknowledged_starts.insert(*key, *attempt) != Some(*attempt));
         for key in &contents.stops {
             if let Some(assignment) = machine.assignments.get_mut(key) {
@@ -285,14 +291,14 @@
         self.counts.directs += 1;
     }
 
-    /// The machine answers, and what it was told to stop a while ago runs still: the command was lost. Replies to
-    /// its reports repeat it, and those may not come.
+    /// Marks stop commands as unsent if the machine responds but their tasks still run after a timeout, because the
+    /// commands were lost. Replies to heartbeats repeat stop commands, but heartbeats or replies may be lost, too.
     fn resend_lost_stops(&mut self, machine_index: MachineIndex, now: f64) {
         let mut lost = false;
         for assignment in self.machines[machine_index].assignments.values_mut() {
-            let told_to_stop = assignment.stop_grace_s.is_some() && assignment.state.has_started();
-            let overdue = now - assignment.stop_sent_at > STOP_ACKNOWLEDGED_WITHIN_S;
-            if told_to_stop && !is_saving(assignment) && overdue {
+            let stop_requested = assignment.stop_grace_s.is_some() && assignment.state.has_started();
+            let overdue = now - assignment.stop_sent_at > STOP_ACKNOWLEDGEMENT_TIMEOUT_S;
+            if stop_requested && !is_saving(assignment) && overdue {
                 assignment.stop_sent_at = NOT_SENT;
                 lost = true;
             }
@@ -302,7 +308,7 @@
         }
     }
 
-    /// Commands that were withheld are decided anew, by what is known now.
+    /// Marks withheld commands as unsent, so that the next push is built from the current state.
     fn requeue_withheld(&mut self, withheld: &PushRequest) {
         self.counts.withheld += 1;
         let commands = withheld.body.commands.iter();
@@ -320,7 +326,7 @@
         }
     }
 
-    /// What became of commands sent directly.
+    /// Handles the outcome of a push.
     pub fn on_push_outcome(&mut self, sent: &PushRequest, outcome: PushOutcome, now: f64) {
         let machine = &mut self.machines[sent.machine];
         machine.push_in_flight = false;
@@ -335,14 +341,15 @@
         }
     }
 
-    /// The worker answered: what we say reaches it, and it us, however old the report in the answer is by now.
+    /// Handles a worker's response to a push. It proves that messages pass in both directions, even if the heartbeat
+    /// in the response is outdated by now.
     fn on_push_answered(&mut self, sent: &PushRequest, executed: bool, report: Option<Heartbeat>, now: f64) {
         let machine = &mut self.machines[sent.machine];
         machine.missed_acknowledgements = 0;
         (machine.suspected, machine.unanswered_pushes) = (false, 0);
         let probing = !machine.reported_token;
         if let Some(heartbeat) = report.filter(|report| *report.machine == *machine.name) {
-            // A direct answer renews no lease.
+            // The response to a push does not renew the machine's lease.
             let source = HeartbeatSource::PushReply { sent_at: sent.made_at };
             let _ = self.reconcile_heartbeat(&heartbeat, source, now);
         }
@@ -357,11 +364,11 @@
         self.resend_lost_stops(sent.machine, now);
     }
 
-    /// No answer came: the machine is asked again after a while, sooner where its report is overdue.
+    /// Handles a push without a response: schedules the next one, sooner if the machine's heartbeat is overdue.
     fn on_push_unanswered(&mut self, machine_index: MachineIndex, now: f64) {
         let machine = &mut self.machines[machine_index];
         machine.unanswered_pushes += 1;
-        // One that an earlier leader recorded is asked as one whose report is overdue.
+        // A machine known only from an earlier leader's record is probed like one whose heartbeat is overdue.
         machine.suspected |= machine.incarnation == 0;
         let wait_s = if machine.suspected { PROBE_RETRY_INTERVAL_S } else { PUSH_RETRY_INTERVAL_S };
         machine.push_not_before = now + wait_s;
@@ -371,22 +378,22 @@
     }
 }
 
-/// Commands go to a machine that is up, and whose incarnation is known or is being asked for.
+/// Returns true if the machine is up and its incarnation is known or is being probed.
 fn accepts_push(machine: &Machine) -> bool {
     machine.phase == MachinePhase::Up && (machine.incarnation > 0 || !machine.reported_token)
 }
 
-/// May this be started by a command that was not sent yet?
+/// Returns true if the assignment's start command has not been sent yet.
 fn is_start_unsent(assignment: &Assignment) -> bool {
     assignment.start_sent_at < 0.0 && assignment.state == AssignmentState::Commanded
 }
 
-/// Is this task being saved within a grace that it was given?
+/// Returns true if the task is saving its state within the grace period of its stop command.
 fn is_saving(assignment: &Assignment) -> bool {
     assignment.state == AssignmentState::Saving && assignment.stop_grace_s.is_some_and(|grace_s| grace_s > 0.0)
 }
 
-/// The outcome of these starts is known: none of them can be carried out late.
+/// Removes starts whose outcome is known from the unacknowledged starts: none of them can be executed late.
 fn settle_starts(machine: &mut Machine, starts: &[(TaskKey, u64)]) {
     for (key, attempt) in starts {
         if machine.unacknowledged_starts.get(key) == Some(attempt) {
--- a/crates/scheduler/src/shard/consistency.rs
+++ b/crates/scheduler/src/shard/consistency.rs
@@ -1,20 +1,21 @@
-//! Open jobs are compared with what is placed, a few at a time, and what does not agree is mended and
-//! logged: a task that is in no queue and on no machine would wait for ever, and so would a job of
-//! which everything is done and nobody has noticed.
+//! Checks open jobs against their queues and assignments, a few at a time, and repairs and logs any
+//! inconsistency. Without the repair, a task that is neither queued nor assigned would never run, and a job whose
+//! tasks are all done but whose end was not noticed would never end.
 
 use super::*;
 use std::ops::Bound;
 
 const CHECK_INTERVAL_S: f64 = 1.0;
-/// Jobs looked at in a second, and tasks: a job with a hundred thousand is looked at alone.
+/// Maximum number of jobs in one check.
 const MAX_JOBS: usize = 20;
+/// Maximum number of tasks in one check. A job with more tasks, up to a hundred thousand, is checked alone.
 const MAX_TASKS: usize = 5_000;
 
 #[derive(Debug, Default)]
 pub(super) struct ConsistencyChecker {
     checked_at: f64,
     last_job: Option<JobIndex>,
-    /// Tasks and jobs that were mended so far.
+    /// Number of jobs repaired so far.
     pub(super) repairs: u64,
 }
 
@@ -28,13 +29,13 @@
         let next: Vec<JobIndex> = self.jobs.live.range((from, Bound::Unbounded)).take(MAX_JOBS).copied().collect();
         self.consistency.last_job = None;
         let mut tasks = 0;
-        for j in next {
-            if tasks > 0 && tasks + self.jobs[j].tasks.len() > MAX_TASKS {
+        for job_index in next {
+            if tasks > 0 && tasks + self.jobs[job_index].tasks.len() > MAX_TASKS {
                 break;
             }
-            tasks += self.jobs[j].tasks.len();
-            self.consistency.last_job = Some(j);
-            self.check_job(j);
+            tasks += self.jobs[job_index].tasks.len();
+            self.consistency.last_job = Some(job_index);
+            self.check_job(job_index);
         }
     }
 
@@ -43,35 +44,39 @@
         if !job.is_open() {
             return;
         }
-        let nowhere = |t: u32, s: &TaskSlot| match s {
-            TaskSlot::Assigned(m) => {
-                self.machines.list.get(*m).is_none_or(|m| !m.assignments.contains_key(&TaskKey::new(job_index, t)))
-            }
+        let is_lost = |task: u32, slot: &TaskSlot| match slot {
+            TaskSlot::Assigned(machine_index) => self
+                .machines
+                .list
+                .get(*machine_index)
+                .is_none_or(|machine| !machine.assignments.contains_key(&TaskKey::new(job_index, task))),
             _ => false,
         };
-        let lost: Vec<u32> = (0u32..).zip(&job.tasks).filter(|(t, s)| nowhere(*t, s)).map(|(t, _)| t).collect();
-        let queued = job.tasks.iter().filter(|s| **s == TaskSlot::Queued).count() + lost.len();
-        let waits = if queued == 0 {
+        let lost: Vec<u32> =
+            (0u32..).zip(&job.tasks).filter(|(task, slot)| is_lost(*task, slot)).map(|(task, _)| task).collect();
+        let queued = job.tasks.iter().filter(|slot| **slot == TaskSlot::Queued).count() + lost.len();
+        let in_queue = if queued == 0 {
             0
         } else {
-            job.queued_tasks.iter().filter(|t| job.tasks[**t as usize] == TaskSlot::Queued).count()
+            job.queued_tasks.iter().filter(|task| job.tasks[**task as usize] == TaskSlot::Queued).count()
         };
         let over = !job.is_service() && job.done == job.spec.tasks;
-        if lost.is_empty() && waits >= queued && !over {
+        if lost.is_empty() && in_queue >= queued && !over {
             return;
         }
         log::error!(
-            "inconsistent job repaired job={} tasks_on_no_machine={} in_queue={waits} queued={queued} over={over}",
+            "inconsistent job repaired job={} tasks_on_no_machine={} in_queue={in_queue} queued={queued} over={over}",
             job.id,
             lost.len()
         );
         self.consistency.repairs += 1;
         let job = &mut self.jobs[job_index];
-        for t in &lost {
-            job.tasks[*t as usize] = TaskSlot::Queued;
+        for task in &lost {
+            job.tasks[*task as usize] = TaskSlot::Queued;
         }
         job.assigned = job.assigned.saturating_sub(lost.len() as u32);
-        job.queued_tasks = (0u32..).zip(&job.tasks).filter(|(_, s)| **s == TaskSlot::Queued).map(|(t, _)| t).collect();
+        job.queued_tasks =
+            (0u32..).zip(&job.tasks).filter(|(_, slot)| **slot == TaskSlot::Queued).map(|(task, _)| task).collect();
         if over {
             job.desired_phase = Phase::Done;
             self.write_queue.mark_end_due(job_index);
@@ -79,7 +84,7 @@
         self.placement_due = true;
     }
 
-    /// How often a difference was mended.
+    /// Returns the number of repairs so far.
     pub fn repairs(&self) -> u64 {
         self.consistency.repairs
     }
--- a/crates/scheduler/src/shard/dependencies.rs
+++ b/crates/scheduler/src/shard/dependencies.rs
@@ -1,5 +1,5 @@
-//! Jobs that wait for others: when they are free, when they are doomed, and what they
-//! pass on to the jobs that they need.
+//! Jobs with dependencies: when they become ready, when they are cancelled because a dependency was cancelled, and the
+//! priority and deadline that their dependencies inherit from them.
 
 use super::Shard;
 use crate::dependency_graph::DependencyUpdate;
@@ -7,19 +7,19 @@
 use crate::jobs::{Job, Phase};
 use std::collections::BTreeSet;
 
-/// Until this share of `cancel_s` is over, cancellations that follow from another one give
-/// way to other writes; then they go first, however many they are.
+/// Share of `cancel_s` during which cancellations caused by a cancelled dependency yield to other writes. After that
+/// they go first, however many there are.
 const CASCADE_THROTTLED_SHARE: f64 = 0.2;
 
-/// What is known of the jobs that a job needs.
+/// The state of a job's dependencies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum DependencyState {
-    /// All are stored as done.
+    /// All dependencies are stored as done.
     Met,
-    /// None is known to be open, and the records of some were not read yet since the failover: they may have been
-    /// done long ago. Nothing of the job starts, and what runs of it is left alone.
+    /// No dependency is known to be open, but the records of some have not been read since the failover: these may
+    /// have been done long ago. None of the job's tasks is started, and its running tasks go on.
     Unread,
-    /// Some need is open, or was cancelled.
+    /// Some dependency is open or was cancelled.
     Open,
 }
 
@@ -42,28 +42,29 @@
         }
     }
 
-    /// These jobs may wait for one that was unread, and is known to be open now: what runs of them is stopped.
+    /// Stops the running tasks of those of the jobs that wait for an open dependency. The record of that dependency may
+    /// have been unread until now.
     pub(super) fn stop_waiting_jobs(&mut self, jobs: Vec<JobIndex>) {
-        for j in jobs {
-            let job = &self.jobs[j];
-            if job.assigned > 0 && job.is_open() && self.dependency_state(j) == DependencyState::Open {
+        for job_index in jobs {
+            let job = &self.jobs[job_index];
+            if job.assigned > 0 && job.is_open() && self.dependency_state(job_index) == DependencyState::Open {
                 log::warn!(
                     "job waits for an open dependency, its tasks are stopped job={} tasks={}",
                     job.id,
                     job.assigned
                 );
-                self.stop_all(j);
+                self.stop_all(job_index);
             }
         }
     }
 
-    /// A job that was just taken in: does it wait, and do others wait for it?
+    /// Adds a new job to the dependency graph and applies the effects on it, its dependents and its dependencies.
     pub(super) fn register_dependencies(&mut self, job_index: JobIndex, now: f64) {
         let job = &self.jobs[job_index];
         let (id, phase) = (job.id.clone(), job.phase);
         let dependencies = job.spec.dependencies.clone().unwrap_or_default();
-        let known = |id: &str| self.jobs.find(id).map(|n| (n, self.jobs[n].phase));
-        let news = self.dependencies.add(job_index, &id, phase, &dependencies, known);
+        let known = |id: &str| self.jobs.find(id).map(|dependency| (dependency, self.jobs[dependency].phase));
+        let update = self.dependencies.add(job_index, &id, phase, &dependencies, known);
         if phase == Phase::Open && !dependencies.is_empty() {
             if self.dependencies.is_waiting(job_index) {
                 self.jobs.live.remove(&job_index);
@@ -76,92 +77,100 @@
             self.propagate_priority(vec![job_index]);
             self.stop_waiting_jobs(self.dependencies.dependents(job_index).to_vec());
         }
-        self.apply_dependency_update(news, now);
+        self.apply_dependency_update(update, now);
     }
 
-    /// A final phase of this job is stored.
+    /// Applies the effects of a job's stored end on its dependents and dependencies.
     pub(super) fn on_dependency_ended(&mut self, job_index: JobIndex, phase: Phase, now: f64) {
-        let before: Vec<JobIndex> = self.dependencies.dependencies(job_index).to_vec();
-        let news = self.dependencies.on_job_ended(job_index, phase);
-        // What it needed inherits from it no more.
-        self.propagate_priority(before);
-        self.apply_dependency_update(news, now);
+        let former_dependencies: Vec<JobIndex> = self.dependencies.dependencies(job_index).to_vec();
+        let update = self.dependencies.on_job_ended(job_index, phase);
+        // The job's dependencies no longer inherit its priority and deadline.
+        self.propagate_priority(former_dependencies);
+        self.apply_dependency_update(update, now);
     }
 
-    fn apply_dependency_update(&mut self, news: DependencyUpdate, now: f64) {
-        for j in news.ready {
-            if self.jobs[j].is_open() {
-                self.jobs.live.insert(j);
-                self.set_ready_time(j);
-                self.track_later(j);
+    fn apply_dependency_update(&mut self, update: DependencyUpdate, now: f64) {
+        for job_index in update.ready {
+            if self.jobs[job_index].is_open() {
+                self.jobs.live.insert(job_index);
+                self.set_ready_time(job_index);
+                self.track_later(job_index);
                 self.placement_due = true;
-                let (job, day) = (&self.jobs[j], self.day_now_ms(now) as f64);
+                let (job, now_ms) = (&self.jobs[job_index], self.day_now_ms(now) as f64);
                 log::debug!(
                     "dependencies met job={} class={} age_s={:.1} due_in_s={:.1}",
                     job.id,
                     job.spec.class,
-                    (day - job.accepted_at_ms as f64) / 1000.0,
-                    (job.deadline_ms() as f64 - day) / 1000.0
+                    (now_ms - job.accepted_at_ms as f64) / 1000.0,
+                    (job.deadline_ms() as f64 - now_ms) / 1000.0
                 );
             }
         }
         let since = if self.loading_records { f64::MIN } else { now };
-        for j in news.cancelled {
-            self.jobs.live.remove(&j);
-            let job = &mut self.jobs[j];
+        for job_index in update.cancelled {
+            self.jobs.live.remove(&job_index);
+            let job = &mut self.jobs[job_index];
             if job.phase == Phase::Open && job.desired_phase == Phase::Open {
                 job.desired_phase = Phase::Cancelled;
                 job.cascade_cancelled_at = Some(since);
-                self.write_queue.mark_end_due(j);
-                self.stop_all(j);
+                self.write_queue.mark_end_due(job_index);
+                self.stop_all(job_index);
             }
         }
     }
 
-    /// A job's times, its deadline aside, count from the end of the last job that it needs.
-    /// An end that 0.1.0 stored has no time: there the job's own acceptance stands for it.
+    /// Sets the time at which the job became ready: the end of its last dependency. All the job's times except its own
+    /// deadline count from then. An end stored by 0.1.0 has no time; the job's own acceptance is used instead.
     fn set_ready_time(&mut self, job_index: JobIndex) {
         let dependencies = self.jobs[job_index].spec.dependencies();
-        let ends = dependencies.iter().filter_map(|n| self.jobs.find(n)).map(|n| self.jobs[n].ended_ms);
+        let ends =
+            dependencies.iter().filter_map(|id| self.jobs.find(id)).map(|dependency| self.jobs[dependency].ended_ms);
         let last = ends.max().unwrap_or(0);
         let job = &mut self.jobs[job_index];
         job.ready_at_ms = job.ready_at_ms.max(last);
     }
 
-    /// Cancellations that follow from others, and whether they may wait no longer.
+    /// Returns true if the job is cancelled because of a dependency and its cancellation may not be delayed any longer.
     pub(super) fn cascade_is_overdue(&self, job_index: JobIndex, now: f64) -> bool {
         self.jobs[job_index]
             .cascade_cancelled_at
             .is_some_and(|since| now - since > self.cancel_s * CASCADE_THROTTLED_SHARE)
     }
 
-    /// Seconds that a job takes once it may start, its image included.
+    /// Returns the estimated seconds from a job's start to its end, including the image pull.
     fn span_s(&self, job: &Job) -> f64 {
-        let rate = self.types.list.iter().map(|t| t.fetch_gb_per_s).fold(0.0, f64::max);
-        let fetch = if rate > 0.0 && job.image.is_some() { job.spec.image_gb / rate } else { 0.0 };
-        job.spec.estimate_s + fetch
+        let gb_per_s = self.types.list.iter().map(|machine_type| machine_type.fetch_gb_per_s).fold(0.0, f64::max);
+        let image_pull_s = if gb_per_s > 0.0 && job.image.is_some() { job.spec.image_gb / gb_per_s } else { 0.0 };
+        job.spec.estimate_s + image_pull_s
     }
 
-    /// What these jobs have from those that need it, and so on up to the first of them, as far
-    /// as something changes.
+    /// Recomputes the priority and the deadline that these jobs inherit from their dependents. Continues with the
+    /// dependencies of each job that changes.
     fn propagate_priority(&mut self, jobs: Vec<JobIndex>) {
         let mut due: BTreeSet<JobIndex> = BTreeSet::from_iter(jobs);
-        while let Some(j) = due.pop_first() {
+        while let Some(job_index) = due.pop_first() {
             self.dependencies.pairs_examined += 1;
-            let job = &self.jobs[j];
-            let (mut priority, mut due_ms) = (job.spec.priority, None);
-            for k in self.dependencies.dependents(j).iter().map(|k| &self.jobs[*k]).filter(|k| k.is_open()) {
-                priority = priority.min(k.priority);
-                let has_due = k.spec.deadline_s.is_some() || k.inherited_deadline_ms.is_some();
-                if has_due {
-                    let start = k.deadline_ms().saturating_sub((self.span_s(k) * 1000.0) as u64);
-                    due_ms = Some(due_ms.unwrap_or(u64::MAX).min(start));
+            let job = &self.jobs[job_index];
+            let (mut priority, mut deadline_ms) = (job.spec.priority, None);
+            for dependent in self
+                .dependencies
+                .dependents(job_index)
+                .iter()
+                .map(|dependent| &self.jobs[*dependent])
+                .filter(|dependent| dependent.is_open())
+            {
+                priority = priority.min(dependent.priority);
+                let has_deadline = dependent.spec.deadline_s.is_some() || dependent.inherited_deadline_ms.is_some();
+                if has_deadline {
+                    let latest_start_ms =
+                        dependent.deadline_ms().saturating_sub((self.span_s(dependent) * 1000.0) as u64);
+                    deadline_ms = Some(deadline_ms.unwrap_or(u64::MAX).min(latest_start_ms));
                 }
             }
-            let job = &mut self.jobs[j];
-            if (job.priority, job.inherited_deadline_ms) != (priority, due_ms) {
-                (job.priority, job.inherited_deadline_ms) = (priority, due_ms);
-                due.extend(self.dependencies.dependencies(j).iter().copied());
+            let job = &mut self.jobs[job_index];
+            if (job.priority, job.inherited_deadline_ms) != (priority, deadline_ms) {
+                (job.priority, job.inherited_deadline_ms) = (priority, deadline_ms);
+                due.extend(self.dependencies.dependencies(job_index).iter().copied());
             }
         }
     }
