--- a/crates/scheduler/src/shard/commands.rs
+++ b/crates/scheduler/src/shard/commands.rs
@@ -31,7 +31,7 @@
     pub addr: SocketAddr,
     pub body: PushedCommands,
     /// Time at which the request was built; the worker's response is not older.
-    pub made_at: f64,
+    pub built_at: f64,
     /// The starts in this request that no earlier command without a response contains. The outcome of this request
     /// shows whether they can still be executed.
     pub starts: Vec<(TaskKey, u64)>,
@@ -227,7 +227,7 @@
             machine: machine_index,
             addr,
             body: PushedCommands { token: self.token, incarnation, commands: contents.commands },
-            made_at: now,
+            built_at: now,
             starts: contents.starts,
         })
     }
@@ -350,7 +350,7 @@
         let probing = !machine.reported_token;
         if let Some(heartbeat) = report.filter(|report| *report.machine == *machine.name) {
             // The response to a push does not renew the machine's lease.
-            let source = HeartbeatSource::PushReply { sent_at: sent.made_at };
+            let source = HeartbeatSource::PushReply { sent_at: sent.built_at };
             let _ = self.reconcile_heartbeat(&heartbeat, source, now);
         }
         let machine = &mut self.machines[sent.machine];
--- a/crates/scheduler/src/shard/machine_records.rs
+++ b/crates/scheduler/src/shard/machine_records.rs
@@ -1,8 +1,8 @@
-//! Which value names a machine, and what it names: before a job's first start on a machine its
-//! record names the job.
+//! Machine records: each machine is recorded in the stored value of its machine group, and the record names a job
+//! before the job's first start on the machine.
 //!
-//! Owns the way of a machine into its machine group, and the parting of groups whose value is full. It does not
-//! decide what a value says: see [`super::writes`].
+//! Assigns machines to machine groups and splits groups whose value is full. The contents of a value are
+//! decided in [`super::writes`].
 
 use super::{EPSILON, Shard};
 use crate::fleet::machine_groups::{MachineGroup, MachineGroupKind, machine_group_key};
@@ -12,7 +12,8 @@
 use std::sync::Arc;
 
 impl Shard {
-    /// The machine is recorded by its machine group, or gone: no other value needs to name it.
+    /// Releases the older values that name this machine. It is now recorded in its machine group's value, or gone, so
+    /// that values named by no other machine can be deleted.
     pub(crate) fn release_superseded_values(&mut self, machine_index: MachineIndex) {
         for key in std::mem::take(&mut self.machines[machine_index].superseded_values) {
             if self.machine_groups.remove_superseded(&key, machine_index) {
@@ -21,7 +22,8 @@
         }
     }
 
-    /// Parts a machine group whose value does not fit: its halves are stored first, then it goes.
+    /// Splits a machine group whose value does not fit the limit. Its value is deleted only after both halves are
+    /// stored.
     pub(super) fn split_group(&mut self, group_index: MachineGroupIndex) {
         let Some(group) = self.machine_groups.list.remove(&group_index) else { return };
         self.write_queue.clear_group_due(group_index);
@@ -40,8 +42,8 @@
         }
     }
 
-    /// Makes room for names where machines have room for tasks: a machine group that is nearly full is
-    /// written anew, without the jobs that are over, and parted if that was not enough.
+    /// Makes space for job names in the values of machine groups whose machines have free capacity: a group whose value
+    /// is nearly full is written again without ended jobs, and split if that is not enough.
     pub(super) fn compact_groups(&mut self) {
         let value_bytes = self.value_bytes;
         self.machine_groups.list.values_mut().for_each(|group| group.reset_compaction(value_bytes));
@@ -60,12 +62,13 @@
         }
     }
 
-    /// Is its value nearly full, and about to stay so, while one of its machines has room for a service?
+    /// Returns true if the group's value is nearly full, no write of it is due or in flight, and one of its machines has
+    /// free capacity for a service.
     fn wants_compaction(&self, group_index: MachineGroupIndex, group: &MachineGroup) -> bool {
-        let waits = self.write_queue.is_group_due(group_index)
+        let write_pending = self.write_queue.is_group_due(group_index)
             || self.write_queue.is_in_flight(&machine_group_key(group_index));
         let takes_service = |machine_index: &MachineIndex| self.has_room_for_service(&self.machines[*machine_index]);
-        group.is_nearly_full(self.value_bytes) && !waits && group.members.iter().any(takes_service)
+        group.is_nearly_full(self.value_bytes) && !write_pending && group.members.iter().any(takes_service)
     }
 
     fn has_room_for_service(&self, machine: &Machine) -> bool {
@@ -76,13 +79,13 @@
             && free_cpus + EPSILON >= self.service_cpus
     }
 
-    /// The machine's record is to be written again, with those of its machine group.
+    /// Requests that the machine's record is written again, which writes its whole machine group.
     pub fn request_record(&mut self, machine_index: MachineIndex) {
         let machine_group = self.group_of_machine(machine_index);
         self.mark_group_dirty(machine_group);
     }
 
-    /// The machine group whose value records this machine; it joins one if it has none.
+    /// Returns the machine group that records this machine. A machine without a group joins one.
     pub(super) fn group_of_machine(&mut self, machine_index: MachineIndex) -> MachineGroupIndex {
         let value_bytes = self.value_bytes;
         let machine = &mut self.machines.list[machine_index.as_usize()];
@@ -90,7 +93,7 @@
         *machine.machine_group.get_or_insert_with(|| self.machine_groups.join(machine_index, kind, value_bytes))
     }
 
-    /// The value of this machine group is to be written.
+    /// Marks the value of this machine group as due to be written.
     pub(crate) fn mark_group_dirty(&mut self, group_index: MachineGroupIndex) {
         self.write_queue.mark_group_due(group_index);
         if let Some(machine_group) = self.machine_groups.list.get_mut(&group_index) {
@@ -98,7 +101,7 @@
         }
     }
 
-    /// Can this machine's record name one more job?
+    /// Returns true if this machine's record names the job or has space to name it.
     pub(crate) fn record_has_space(&self, machine: &Machine, job_index: JobIndex, id: &str) -> bool {
         machine.stored_jobs.contains(&job_index)
             || machine.assignments.range(TaskKey::all_of(job_index)).next().is_some()
--- a/crates/scheduler/src/shard/starts.rs
+++ b/crates/scheduler/src/shard/starts.rs
@@ -1,7 +1,7 @@
-//! One start's way: planned, assigned, stopped, released, and put into the queue again.
+//! The life cycle of a start: planned, assigned, stopped, released and queued again.
 //!
-//! Owns the numbers of attempts and what an assignment takes of machines, teams and quotas. It never chooses the
-//! machine of a task, and sends nothing: a start goes out once the machine's stored record names its job.
+//! Assigns attempt numbers and counts the resources that assignments use of machines, teams and quotas. It does not
+//! choose the machine of a task and sends nothing: a start is sent once the machine's stored record names its job.
 
 use super::commands::NOT_SENT;
 use super::{STOP_GRACE_MARGIN_S, Shard};
@@ -9,11 +9,11 @@
 use crate::intern::{DenseIndex, JobIndex, MachineIndex};
 use crate::jobs::{Phase, TaskKey, TaskSlot};
 
-/// An attempt's number is the token of the leader that started it, shifted by so many bits, and a count.
+/// Number of low bits of an attempt number that hold a counter. The higher bits hold the leader's fencing token.
 pub(super) const ATTEMPT_COUNTER_BITS: u32 = 24;
 
 impl Shard {
-    /// Every task of this job is to go. Planned ones were never started.
+    /// Stops every assigned task of a job. Planned starts, which were never sent, are released.
     pub(super) fn stop_all(&mut self, job_index: JobIndex) {
         let numbered = (0u32..).zip(&self.jobs[job_index].tasks);
         let assigned: Vec<(u32, MachineIndex)> = numbered
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Stops a held task; with grace if it can save.
+    /// Stops an assigned task. `grace_s` is the time that it has to save its state.
     pub(crate) fn stop_task(&mut self, machine_index: MachineIndex, key: TaskKey, grace_s: f64) {
         let Some(assignment) = self.machines[machine_index].assignments.get_mut(&key) else { return };
         if assignment.state == AssignmentState::Planned {
@@ -43,20 +43,20 @@
         }
     }
 
-    /// Stops a task that is to go on elsewhere: it may save first, if it can.
+    /// Stops a task that is to continue on another machine, with time to save its state if it can.
     pub(crate) fn stop_gently(&mut self, machine_index: MachineIndex, key: TaskKey) {
         let grace_s = self.grace(key.job);
         self.stop_task(machine_index, key, grace_s);
     }
 
-    /// Seconds that a task of this job has between being told to stop and being ended.
+    /// Returns the seconds that a task of this job has between its stop command and its end.
     pub(super) fn grace(&self, job_index: JobIndex) -> f64 {
         let spec = &self.jobs[job_index].spec;
         if spec.checkpoint_s > 0.0 { spec.save_s + STOP_GRACE_MARGIN_S } else { 0.0 }
     }
 
-    /// Assigns a task to a machine: resources and limits count from here on. False, and an error in the log, where
-    /// what it rests on does not hold.
+    /// Plans the start of a task on a machine and counts its resources and limits from now on. If a precondition of the
+    /// start does not hold, logs an error and returns false.
     pub(crate) fn plan_start(&mut self, machine_index: MachineIndex, key: TaskKey, now: f64) -> bool {
         if let Err(reason) = self.may_start(machine_index, key) {
             self.counts.forbidden += 1;
@@ -80,13 +80,14 @@
         true
     }
 
-    /// Attempts never repeat across leaders: each claim has a range of its own.
+    /// Returns a new attempt number. The numbers of different leaders differ, because each leadership record has its own
+    /// fencing token.
     fn next_attempt(&mut self) -> u64 {
         self.attempts += 1;
         (self.token << ATTEMPT_COUNTER_BITS) + self.attempts
     }
 
-    /// The machine uses the job's image now, or fetches it.
+    /// Records that the machine uses the job's image, or pulls it.
     fn touch_image_of(&mut self, machine_index: MachineIndex, job_index: JobIndex) {
         let job = &self.jobs[job_index];
         let cache_gb = self.types.get(self.machines[machine_index].type_index).cache_gb;
@@ -95,7 +96,8 @@
         }
     }
 
-    /// The start goes out at once if the machine's stored record names the job, and else once it does.
+    /// Makes a planned start due to be sent if the machine's stored record names the job. Otherwise requests that the
+    /// record is written; the start is sent once that is stored.
     fn command_or_record_start(&mut self, machine_index: MachineIndex, key: TaskKey) {
         let machine = &mut self.machines[machine_index];
         if machine.stored_jobs.contains(&key.job) && machine.record_stored {
@@ -130,7 +132,7 @@
         );
     }
 
-    /// The right to start a task whose job an earlier leader had started.
+    /// Logs why a task may be started whose job an earlier leader had started.
     fn log_repeated_start(&mut self, machine_index: MachineIndex, key: TaskKey, attempt: u64) {
         if !self.jobs[key.job].recorded_before_failover {
             return;
@@ -147,7 +149,7 @@
         );
     }
 
-    /// The task is this machine's from here on, with all that it takes.
+    /// Assigns a task to a machine and counts its resources.
     pub(crate) fn assign(&mut self, machine_index: MachineIndex, key: TaskKey, assignment: Assignment) {
         let is_running = assignment.state == AssignmentState::Running;
         let has_started = assignment.state.has_started();
@@ -165,7 +167,7 @@
         }
     }
 
-    /// One task's use of a machine and of its team's limit begins (1) or ends (-1).
+    /// Adds (`sign` 1) or subtracts (`sign` -1) the resources of one task to or from its machine, team and quota.
     pub(crate) fn count_use(&mut self, machine_index: MachineIndex, job_index: JobIndex, sign: f64) {
         let machine = &mut self.machines[machine_index];
         let job = &self.jobs[job_index];
@@ -178,7 +180,7 @@
         self.count_quota(job_index, sign);
     }
 
-    /// An assigned task's end is seen: what it took is free again.
+    /// Removes an ended assignment and releases its resources.
     pub(crate) fn release_resources(&mut self, machine_index: MachineIndex, key: TaskKey) -> Option<Assignment> {
         let machine = &mut self.machines[machine_index];
         let released = machine.assignments.remove(&key)?;
@@ -186,7 +188,7 @@
         let machine = &mut self.machines[machine_index];
         let job = &mut self.jobs[key.job];
         machine.service_tasks -= usize::from(job.is_service());
-        // Sums of fractions must not drift for ever.
+        // Resetting the sums on an empty machine keeps rounding errors from accumulating.
         if machine.assignments.is_empty() && machine.unassigned.is_empty() {
             machine.cpus_used = 0.0;
             machine.accelerators_used = 0.0;
@@ -211,7 +213,7 @@
         Some(released)
     }
 
-    /// A slot that is free again is queued, unless a machine lists an attempt of its task all the same.
+    /// Queues a task that is no longer assigned, unless a machine still reports an attempt of it.
     pub(crate) fn requeue(&mut self, key: TaskKey) {
         if self.adopt_orphan_of_free_slot(key) {
             return;
@@ -223,7 +225,8 @@
         }
     }
 
-    /// A task has ended well: that is stored with its job's progress, or with the job's end if it was the last.
+    /// Handles the successful end of a task. It is stored with the job's progress, or with the job's end if it was the
+    /// last task.
     pub(crate) fn on_task_done(&mut self, key: TaskKey) {
         if self.jobs[key.job].is_service() || self.jobs[key.job].phase != Phase::Open {
             return;
@@ -237,12 +240,12 @@
         }
     }
 
-    /// Everything that was on a machine is gone for certain.
+    /// Releases all assignments of a machine on which certainly no task runs any more.
     pub(crate) fn on_machine_emptied(&mut self, machine_index: MachineIndex) {
         let keys: Vec<TaskKey> = self.machines[machine_index].assignments.keys().copied().collect();
         self.clear_listed_attempts(machine_index);
         for key in keys {
-            // A planned start was never sent: it may stay planned only on a machine that goes on.
+            // Planned starts are released, too: they were never sent, but only a machine that stays in use may keep them.
             self.release_resources(machine_index, key);
             self.requeue(key);
         }
@@ -254,7 +257,7 @@
     }
 }
 
-/// An assignment whose start was not sent yet.
+/// Returns an assignment whose start has not been sent yet.
 fn planned_assignment(attempt: u64, now: f64) -> Assignment {
     Assignment {
         attempt,
--- a/crates/scheduler/src/shard/task_failures.rs
+++ b/crates/scheduler/src/shard/task_failures.rs
@@ -1,37 +1,37 @@
-//! What is at fault where tasks fail: the job or the machine.
+//! Attributes task failures to the job or to the machine.
 //!
-//! A job that fails on several machines and has succeeded nowhere since is at fault: it was
-//! submitted with a mistake, as far as anybody can tell. It stays known, its retries are few and
-//! far between, it stands in nobody's way, and what it did to machines' standing is taken back. A
-//! machine on which several jobs fail that are not at fault is: it is set aside, and the jobs that
-//! failed there are not blamed for that.
+//! A job that fails on several machines and has not succeeded anywhere since is at fault, probably because it was
+//! submitted with a mistake. It stays open and is retried rarely, so that it doesn't take capacity from other jobs; its
+//! failures no longer count against the machines. A machine on which several jobs fail that are not at
+//! fault is itself at fault: it is quarantined, and its failures no longer count against those jobs.
 
 use super::*;
 
-/// So many machines on which a job failed, with no success since, show that it is at fault.
+/// Number of machines on which a job has to fail, without a success since, to be at fault.
 const FAILED_MACHINES_LIMIT: usize = 3;
-/// So many machines are remembered that a job failed on: its next try goes elsewhere.
+/// Maximum number of machines remembered for each job that failed on them; the next attempt avoids these.
 const MAX_REMEMBERED: usize = 8;
-/// Seconds until a job at fault is tried again, doubling so many times.
+/// First delay before a job at fault is retried.
 const RETRY_BACKOFF_S: f64 = 8.0;
+/// Number of times the retry delay doubles.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// Failures on a machine tell something of it for so long, in seconds.
-const TELLS_FOR_S: f64 = 60.0;
-/// So many failures of a job that succeeds elsewhere are enough to set a machine aside.
-const OF_ONE_JOB: usize = 3;
-/// A machine that was set aside is returned only then, in seconds: the jobs that failed on it may
-/// turn out to be at fault.
+/// Time for which a failure counts against its machine.
+const FAILURE_WINDOW_S: f64 = 60.0;
+/// Number of failures of one job that succeeds elsewhere that is enough to quarantine a machine.
+const SINGLE_JOB_FAILURES_LIMIT: usize = 3;
+/// Time after which a quarantined machine is returned to the cloud. Until then, the jobs that failed on it may turn out
+/// to be at fault.
 pub(super) const QUARANTINE_S: f64 = 12.0;
-/// A replica that runs for so long, in seconds, runs well.
+/// Time after which a running replica counts as healthy.
 pub(super) const HEALTHY_RUN_S: f64 = 10.0;
 
 impl Job {
-    /// Does it fail wherever it runs?
+    /// Returns true if the job is at fault: it failed on several machines and has not succeeded since.
     pub fn is_failing_everywhere(&self) -> bool {
         self.failed_on.len() >= FAILED_MACHINES_LIMIT
     }
 
-    /// Tasks that could use a machine now. Of a job at fault one at a time is tried.
+    /// Returns the number of tasks that could use a machine now. Only one task at a time of a job at fault is tried.
     pub fn wanted_tasks(&self) -> u32 {
         if self.is_failing_everywhere() { self.assigned.max(1).min(self.unfinished()) } else { self.unfinished() }
     }
@@ -39,13 +39,13 @@
 
 impl Shard {
     pub(super) fn on_task_failed(&mut self, machine_index: MachineIndex, key: TaskKey, now: f64) {
-        // What fails on a machine that is faulty by others' failures says nothing of the job.
+        // A failure on a machine that is at fault because of other jobs' failures doesn't count against this job.
         if self.machines[machine_index].is_quarantined() && self.is_failing(machine_index, Some(key.job)) {
             return;
         }
         let job = &mut self.jobs[key.job];
         job.failed_at = now;
-        let before = job.is_failing_everywhere();
+        let was_failing_everywhere = job.is_failing_everywhere();
         if !job.failed_on.contains(&machine_index) {
             job.failed_on.push(machine_index);
         }
@@ -53,13 +53,13 @@
             self.on_machine_failure(machine_index, key.job, now);
             return;
         }
-        if !before {
+        if !was_failing_everywhere {
             self.record_job_failure(key.job, now);
         }
         let job = &mut self.jobs[key.job];
         let excess = job.failed_on.len().saturating_sub(MAX_REMEMBERED);
         job.failed_on.drain(..excess);
-        // Tasks that were started together fail together: that is one try.
+        // Failures of tasks that were started together count as one attempt.
         if now >= job.not_before {
             job.not_before =
                 now + RETRY_BACKOFF_S * f64::from(1 << job.attempts_since_fault.min(MAX_BACKOFF_DOUBLINGS));
@@ -67,30 +67,30 @@
         }
     }
 
-    /// The job has shown that it is at fault: the machines that it failed on get their standing back.
+    /// Handles a job that is now at fault: its failures no longer count against the machines it failed on.
     fn record_job_failure(&mut self, job_index: JobIndex, now: f64) {
         log::info!("job fails on every machine, retried with backoff job={}", self.jobs[job_index].id);
-        for m in self.jobs[job_index].failed_on.clone() {
-            // One that is long gone has left the memory.
-            let Some(machine) = self.machines.get_mut(m) else { continue };
-            machine.recent_failures.retain(|f| f.0 != job_index);
-            if machine.is_quarantined() && machine.phase == MachinePhase::Up && !self.is_failing(m, None) {
-                log::info!("quarantine lifted, the job was at fault machine={}", self.machines[m].name);
-                self.machines[m].quarantined_until = now;
-                self.request_record(m);
+        for machine_index in self.jobs[job_index].failed_on.clone() {
+            // A machine that is long gone is no longer in memory.
+            let Some(machine) = self.machines.get_mut(machine_index) else { continue };
+            machine.recent_failures.retain(|(failed_job, _)| *failed_job != job_index);
+            if machine.is_quarantined() && machine.phase == MachinePhase::Up && !self.is_failing(machine_index, None) {
+                log::info!("quarantine lifted, the job was at fault machine={}", self.machines[machine_index].name);
+                self.machines[machine_index].quarantined_until = now;
+                self.request_record(machine_index);
             }
         }
-        // Users' mistakes are no service that was owed.
+        // A job that fails by its user's mistake doesn't count in the service levels.
         self.track_end(job_index, Phase::Cancelled, now);
         self.placement_due = true;
     }
 
-    /// The job has succeeded somewhere, or what it failed on was at fault.
+    /// Clears a job's failures, after a success or because the machines on which it failed were at fault.
     pub(super) fn clear_failures(&mut self, job_index: JobIndex) {
         let job = &mut self.jobs[job_index];
-        let was = job.is_failing_everywhere();
+        let was_failing_everywhere = job.is_failing_everywhere();
         job.failed_on.clear();
-        if was {
+        if was_failing_everywhere {
             (job.attempts_since_fault, job.not_before) = (0, 0.0);
             self.track_later(job_index);
             self.placement_due = true;
@@ -99,7 +99,7 @@
 
     fn on_machine_failure(&mut self, machine_index: MachineIndex, job_index: JobIndex, now: f64) {
         let machine = &mut self.machines[machine_index];
-        machine.recent_failures.retain(|f| now - f.1 < TELLS_FOR_S);
+        machine.recent_failures.retain(|(_, failed_at)| now - failed_at < FAILURE_WINDOW_S);
         machine.recent_failures.push((job_index, now));
         if !self.is_failing(machine_index, None) {
             return;
@@ -118,22 +118,30 @@
         let cleared: Vec<JobIndex> = self.jobs.live.iter().filter(failed_here).copied().collect();
         for job_index in cleared {
             let job = &mut self.jobs[job_index];
-            let was = job.is_failing_everywhere();
-            job.failed_on.retain(|f| *f != machine_index);
-            if was && !job.is_failing_everywhere() {
+            let was_failing_everywhere = job.is_failing_everywhere();
+            job.failed_on.retain(|failed_on| *failed_on != machine_index);
+            if was_failing_everywhere && !job.is_failing_everywhere() {
                 self.clear_failures(job_index);
             }
         }
     }
 
-    /// Do failures of jobs that are not at fault speak against this machine, of others than this one?
-    fn is_failing(&self, machine_index: MachineIndex, but: Option<JobIndex>) -> bool {
-        let fails = &self.machines[machine_index].recent_failures;
-        let speak = |j: JobIndex| Some(j) != but && self.jobs.get(j).is_some_and(|j| !j.is_failing_everywhere());
-        let mut jobs: Vec<JobIndex> = fails.iter().map(|f| f.0).filter(|j| speak(*j)).collect();
-        let of_one = |j: &JobIndex| self.jobs[*j].done > 0 && fails.iter().filter(|f| f.0 == *j).count() >= OF_ONE_JOB;
+    /// Returns true if the machine is at fault by the failures of jobs that are not at fault, leaving out the job
+    /// `except`.
+    fn is_failing(&self, machine_index: MachineIndex, except: Option<JobIndex>) -> bool {
+        let failures = &self.machines[machine_index].recent_failures;
+        let counts = |job_index: JobIndex| {
+            Some(job_index) != except && self.jobs.get(job_index).is_some_and(|job| !job.is_failing_everywhere())
+        };
+        let mut jobs: Vec<JobIndex> =
+            failures.iter().map(|(job_index, _)| *job_index).filter(|job_index| counts(*job_index)).collect();
+        let fails_repeatedly_here = |job_index: &JobIndex| {
+            self.jobs[*job_index].done > 0
+                && failures.iter().filter(|(failed_job, _)| failed_job == job_index).count()
+                    >= SINGLE_JOB_FAILURES_LIMIT
+        };
         jobs.sort_unstable();
         jobs.dedup();
-        jobs.len() >= 2 || jobs.iter().any(of_one)
+        jobs.len() >= 2 || jobs.iter().any(fails_repeatedly_here)
     }
 }
--- a/crates/scheduler/src/shard/writes/batch.rs
+++ b/crates/scheduler/src/shard/writes/batch.rs
@@ -1,6 +1,7 @@
-//! The next writes, the most urgent first.
+//! Selection of the next writes, the most urgent first.
 //!
-//! Owns the order of writes and what may go beyond the writes that can be spared; never what came of them.
+//! Decides the order of writes and which writes may be made without spare write capacity. Outcomes of writes are handled
+//! in [`super::outcome`].
 
 use super::{PendingWrite, SizedValue, WritePurpose};
 use crate::fleet::FLEET_KEY;
@@ -10,22 +11,22 @@
 use crate::shard::{FleetRecord, Shard};
 use std::ops::ControlFlow;
 
-/// With less room in bytes than this, a batch takes no further write.
+/// A batch with fewer free bytes than this takes no further write.
 const MIN_BATCH_BYTES: usize = 20 * 1024;
 
-/// Writes that go into one transaction.
+/// Writes of one transaction.
 struct Batch {
     writes: Vec<PendingWrite>,
-    /// Most writes.
+    /// Maximum number of writes.
     max_writes: usize,
-    /// Bytes that are left.
+    /// Free bytes.
     remaining_bytes: usize,
-    /// The writes that may be made now without going short.
+    /// Number of writes for which there is spare write capacity now.
     spare: usize,
 }
 
 impl Batch {
-    /// Takes a write, if there is one; ends the search for others once no more fit.
+    /// Adds a write, if there is one. Returns `Break` once no more writes fit.
     fn push(&mut self, write: Option<PendingWrite>) -> ControlFlow<()> {
         if let Some(write) = write {
             self.remaining_bytes = self.remaining_bytes.saturating_sub(write.bytes);
@@ -43,10 +44,10 @@
     }
 }
 
-/// An end that is to be stored; the first in order is the most urgent.
+/// A job end that is due to be stored. The least in order is the most urgent.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct DueEnd {
-    /// It follows from another cancellation, and has time.
+    /// True for a cancellation caused by a cancelled dependency that is not overdue.
     can_wait: bool,
     is_done: bool,
     is_cascade: bool,
@@ -54,9 +55,9 @@
 }
 
 impl Shard {
-    /// The next writes, the most urgent first, no more than `max_writes` and `max_bytes`.
-    /// `spare`: the writes that may be made now without going short; progress
-    /// and tidying come only out of these.
+    /// Returns the next writes, the most urgent first, limited by `max_writes` and `max_bytes`.
+    /// `spare` is the number of writes for which there is spare write capacity now; progress and deletions of stale
+    /// keys use only these.
     pub fn next_writes(&mut self, max_writes: usize, max_bytes: usize, spare: usize, now: f64) -> Vec<PendingWrite> {
         let mut batch = Batch { writes: Vec::new(), max_writes, remaining_bytes: max_bytes, spare };
         let _full = self.fill(&mut batch, now);
@@ -66,15 +67,15 @@
     fn fill(&mut self, batch: &mut Batch, now: f64) -> ControlFlow<()> {
         self.write_ends(batch, now)?;
         self.delete_stale_records(batch)?;
-        // Machine groups take all there is for minutes at a time, and a checkpoint that is too old is none:
-        // one put a second goes before them then.
+        // Machine groups can use all write capacity for minutes, and a checkpoint that is too old is useless. An overdue
+        // checkpoint therefore gets one write a second before them.
         if self.checkpoint_is_overdue(now) {
             batch.push(self.checkpoint_write(false, now))?;
         }
         while let Some(write) = self.service_levels_write(false, now) {
             batch.push(Some(write))?;
         }
-        // Another tree of quotas: it holds once it is stored.
+        // A changed quota tree takes effect once it is stored.
         if let Some(write) = self.quota_write() {
             batch.push(Some(write))?;
         }
@@ -84,23 +85,23 @@
         while let Some(write) = self.service_levels_write(batch.has_spare(), now) {
             batch.push(Some(write))?;
         }
-        // What a successor would read instead of everything comes after all that must be stored.
+        // The checkpoint only makes the next failover faster, so it comes after everything that must be stored.
         batch.push(self.checkpoint_write(batch.has_spare(), now))?;
         self.delete_stale_keys(batch)
     }
 
-    /// A user's own cancellation, then what is done, then cancellations that follow
-    /// from another: those have most of `cancel_s` left, so that a few at a time
-    /// do, until they press.
+    /// Returns the job ends to be stored, in order: cancellations by users, completed jobs, then cancellations caused by
+    /// a cancelled dependency. The latter have most of `cancel_s` left, so only a few at a time are written until
+    /// they are overdue.
     fn ordered_ends(&mut self, spare: usize, now: f64) -> Vec<JobIndex> {
         let mut due: Vec<DueEnd> = self.write_queue.pending_ends().map(|job| self.due_end(job, now)).collect();
         due.sort();
-        let urgent = due.iter().position(|end| end.can_wait).unwrap_or(due.len());
-        // The writer takes each write as soon as there is one to take, so that a share of
-        // a transaction would be all of it.
-        let in_turn = usize::from(self.write_queue.may_write_cascade(now));
-        due.truncate(urgent + in_turn.max(spare));
-        if in_turn > 0 && due.len() > urgent {
+        let urgent_count = due.iter().position(|end| end.can_wait).unwrap_or(due.len());
+        // The writer takes a batch as soon as there is a write, so batches are often small, and a limit as a share of the
+        // batch would not limit anything. The limit is therefore a number of writes for each interval.
+        let throttled_count = usize::from(self.write_queue.may_write_cascade(now));
+        due.truncate(urgent_count + throttled_count.max(spare));
+        if throttled_count > 0 && due.len() > urgent_count {
             self.write_queue.on_cascade_written(now);
         }
         due.into_iter().map(|end| end.job).collect()
@@ -139,9 +140,9 @@
         self.enqueue_write(key, WritePurpose::JobEnd { job: job_index, phase }, &record)
     }
 
-    /// Values that name machines which are recorded elsewhere, or gone: one at a time, since
-    /// what can be spared is nothing where the starts take all there is. A successor once
-    /// found twice as many machines as there were, and waited for the others.
+    /// Deletes a stale value that names machines which are gone or recorded in another value. One deletion in each batch
+    /// doesn't depend on spare write capacity, of which there is none while starts use all of it. Without these
+    /// deletions, a new leader found twice as many machines as there were, and waited for the nonexistent ones.
     fn delete_stale_records(&mut self, batch: &mut Batch) -> ControlFlow<()> {
         if let Some(key) = self.write_queue.stale_machine_record() {
             batch.push(self.delete_write(key))?;
@@ -159,7 +160,7 @@
         ControlFlow::Continue(())
     }
 
-    /// Machine groups whose value is due and not under way: those with starts that wait first, then by age.
+    /// Returns the machine groups whose value is due and not in flight, by descending write priority.
     fn groups_by_priority(&self, now: f64) -> Vec<MachineGroupIndex> {
         let due = self.write_queue.groups_due();
         let due = due.filter(|group_index| !self.write_queue.is_in_flight(&machine_group_key(*group_index)));
@@ -169,13 +170,13 @@
         };
         let mut prioritized: Vec<((bool, f64), MachineGroupIndex)> =
             due.map(|group_index| (priority_of(&group_index), group_index)).collect();
-        prioritized.sort_by(|((first_a, age_a), a), ((first_b, age_b), b)| {
-            first_b.cmp(first_a).then(age_b.total_cmp(age_a)).then(a.cmp(b))
+        prioritized.sort_by(|((service_a, weight_a), group_a), ((service_b, weight_b), group_b)| {
+            service_b.cmp(service_a).then(weight_b.total_cmp(weight_a)).then(group_a.cmp(group_b))
         });
         prioritized.into_iter().map(|(_, group_index)| group_index).collect()
     }
 
-    /// The counts of the leader before stand until there are new ones.
+    /// Writes the fleet record. The previous leader's record stays until this leader has gathered heartbeats.
     fn write_fleet(&mut self, batch: &mut Batch, now: f64) -> ControlFlow<()> {
         let fleet_due = self.write_queue.is_fleet_record_due(now) && self.heartbeats_gathered(now);
         if !batch.has_spare() || !fleet_due || self.write_queue.is_in_flight(FLEET_KEY) {
@@ -183,9 +184,10 @@
         }
         self.write_queue.on_fleet_record_made(now);
         let mut record = self.fleet_record();
-        // A help to a successor and no need: what does not fit is left out.
-        let too_long = |record: &FleetRecord| SizedValue::of(record).is_some_and(|v| v.bytes > self.value_bytes);
-        while too_long(&record) && record.pools.pop().is_some() {}
+        // The record only makes the next failover faster, so pools that do not fit are left out.
+        let is_too_large =
+            |record: &FleetRecord| SizedValue::of(record).is_some_and(|sized| sized.bytes > self.value_bytes);
+        while is_too_large(&record) && record.pools.pop().is_some() {}
         if !self.write_queue.is_fleet_record_stored(&record) {
             batch.push(self.enqueue_write(FLEET_KEY.into(), WritePurpose::Fleet(record.clone()), &record))?;
         }
--- a/crates/scheduler/src/shard/writes/group_values.rs
+++ b/crates/scheduler/src/shard/writes/group_values.rs
@@ -1,6 +1,6 @@
-//! The value of a machine group: every machine of it with the jobs that it holds or may come to hold.
+//! The stored value of a machine group: each of its machines with the jobs of which it has or may get tasks.
 //!
-//! Owns what a value says and how it is made to fit; never when it is written.
+//! Decides the contents of a value and how it is made to fit the limit. [`super::batch`] decides when it is written.
 
 use super::{PendingWrite, SizedValue, StoredMachine, WritePurpose};
 use crate::fleet::machine_groups::{MachineGroup, MachineGroupMember, MachineGroupRecord, machine_group_key};
@@ -10,34 +10,34 @@
 use crate::shard::Shard;
 use std::collections::{BTreeSet, HashMap};
 
-/// Jobs that nobody here knows and that this machine may hold: their names go on standing in its record.
+/// Returns the ids of unknown jobs of which this machine may have tasks; its record goes on naming them.
 fn unrecognized_jobs(machine: &Machine) -> BTreeSet<&str> {
     let listed = machine.unrecognized_attempts.iter().filter_map(|unknown| unknown.job().map(|(id, _)| id));
     listed.chain(machine.unrecognized_jobs.iter().map(|id| &**id)).collect()
 }
 
-/// What of a machine group may be left out so that its value fits.
+/// The optional contents of a machine group's value, which can be left out so that it fits.
 #[derive(Clone, Copy)]
 struct GroupContents {
     images: bool,
-    /// Starts that are planned, whose job no stored value names.
+    /// Planned starts whose job the stored value does not name.
     planned_starts: bool,
 }
 
-/// What is tried in turn: the names of images are a help and not a need, and planned starts can still wait.
+/// Contents that are tried in this order: image names are not essential, and planned starts can be postponed.
 const CONTENTS_IN_TURN: [GroupContents; 3] = [
     GroupContents { images: true, planned_starts: true },
     GroupContents { images: false, planned_starts: true },
     GroupContents { images: false, planned_starts: false },
 ];
 
-/// The value of a machine group, and what it says of each machine.
+/// The value of a machine group, and its contents for each machine.
 struct GroupValue {
     value: SizedValue,
     machines: Vec<StoredMachine>,
 }
 
-/// A record while it is put together: each name stands in it once, and machines refer to its place.
+/// A machine group record under construction. It contains each name once; machines refer to names by their index.
 struct GroupRecordBuilder<'a> {
     record: MachineGroupRecord,
     job_places: HashMap<JobIndex, u32>,
@@ -68,15 +68,15 @@
 }
 
 impl Shard {
-    /// No machine is left in this machine group.
+    /// Removes a machine group without machines and returns the deletion of its value.
     pub(super) fn delete_group(&mut self, group_index: MachineGroupIndex) -> Option<PendingWrite> {
         self.write_queue.clear_group_due(group_index);
         self.machine_groups.list.remove(&group_index);
         self.delete_write(machine_group_key(group_index))
     }
 
-    /// The write of a machine group's value. Until it is known which value stands, only what
-    /// both name counts as stored.
+    /// Returns the write of a machine group's value. Until its outcome is known, only jobs that both the old and the new
+    /// value name count as stored.
     pub(super) fn write_group(&mut self, group_index: MachineGroupIndex) -> Option<PendingWrite> {
         self.write_queue.clear_group_due(group_index);
         if let Some(machine_group) = self.machine_groups.list.get_mut(&group_index) {
@@ -93,7 +93,8 @@
         Some(self.enqueue_sized_write(machine_group_key(group_index), purpose, value))
     }
 
-    /// The value of a machine group in the first form that fits: a value over the limit would never be stored.
+    /// Returns the value of a machine group with the first contents that fit, because a value over the limit would never
+    /// be stored.
     fn group_value(&mut self, group_index: MachineGroupIndex) -> Option<GroupValue> {
         for contents in CONTENTS_IN_TURN {
             if !contents.planned_starts {
@@ -101,21 +102,21 @@
             }
             let (record, machines) = self.group_record(group_index, contents.images)?;
             let value = SizedValue::of(&record)?;
-            let names: Vec<JobIndex> = machines.iter().flat_map(|stored| stored.jobs.iter().copied()).collect();
+            let named_jobs: Vec<JobIndex> = machines.iter().flat_map(|stored| stored.jobs.iter().copied()).collect();
             let bytes_without_images = value.bytes.saturating_sub(record.image_bytes());
             let group = self.machine_groups.list.get_mut(&group_index)?;
-            group.on_value_built(bytes_without_images, names.into_iter());
+            group.on_value_built(bytes_without_images, named_jobs.into_iter());
             if value.bytes <= self.value_bytes {
                 return Some(GroupValue { value, machines });
             }
         }
-        self.on_value_too_long(group_index);
+        self.on_value_too_large(group_index);
         None
     }
 
-    /// What stands must stay until it can be replaced: a machine alone with more jobs than
-    /// a value can name waits until some of them are over; its old value names them all.
-    fn on_value_too_long(&mut self, group_index: MachineGroupIndex) {
+    /// Handles a value that does not fit the limit. A group of several machines is split. A single machine with more
+    /// jobs than a value can name keeps its old value, which names them all, until some of them have ended.
+    fn on_value_too_large(&mut self, group_index: MachineGroupIndex) {
         if self.machine_groups.list.get(&group_index).is_some_and(|group| group.members.len() > 1) {
             self.split_group(group_index);
         } else {
@@ -123,6 +124,7 @@
         }
     }
 
+    /// Releases and requeues planned starts whose jobs no stored value names.
     fn postpone_planned_starts(&mut self, group_index: MachineGroupIndex) {
         let group = self.machine_groups.list.get(&group_index);
         let members: Vec<MachineIndex> = group.into_iter().flat_map(|group| group.members.iter().copied()).collect();
@@ -139,7 +141,7 @@
         }
     }
 
-    /// Every machine with every job that it holds or may come to hold.
+    /// Returns the record of a machine group: each machine with each job of which it has or may get tasks.
     fn group_record(
         &self,
         group_index: MachineGroupIndex,
@@ -198,14 +200,14 @@
     }
 }
 
-/// The jobs that a machine holds, may hold or may come to hold, in order.
+/// Returns the jobs of which a machine has, may have or may get tasks, in order.
 fn jobs_to_record(machine: &Machine) -> Vec<JobIndex> {
     let mut jobs: Vec<JobIndex> = machine.assignments.keys().map(|key| key.job).collect();
     if !machine.is_reconciled() {
         jobs.extend(machine.stored_jobs.iter().copied());
     }
     jobs.extend(machine.unacknowledged_starts.keys().map(|key| key.job));
-    // What is listed and not held occupies its task under the next leader as well.
+    // An orphaned attempt occupies its task under the next leader, too.
     let orphaned = machine.unassigned.iter().filter(|(_, (_, unassigned))| unassigned.is_orphaned());
     jobs.extend(orphaned.map(|(key, _)| key.job));
     jobs.sort_unstable();
--- a/crates/scheduler/src/shard/writes/mod.rs
+++ b/crates/scheduler/src/shard/writes/mod.rs
@@ -1,14 +1,14 @@
-//! What should stand in the state service and does not yet.
+//! Writes to the state service.
 //!
-//! Every write is conditional on the claim and on the last known version of its
-//! own key, so that a transaction applied late finds either changed and dies.
+//! Every write is conditional on the leadership record and on the last known version of its
+//! own key, so a transaction that is applied late fails if either has changed.
 //!
-//! - [`queue`]: what is due, and the versions that writes are conditional on
-//! - [`batch`]: the next writes, the most urgent first
-//! - [`group_values`]: what stands in the value of a machine group
-//! - [`outcome`]: what came of writes
+//! - [`queue`]: the writes that are due, and the versions that writes are conditional on
+//! - [`batch`]: selection of the next writes, the most urgent first
+//! - [`group_values`]: the stored value of a machine group
+//! - [`outcome`]: outcomes of writes
 //!
-//! It sends nothing and waits for nothing: the node's writer takes the batches and brings the outcomes.
+//! This module sends nothing and never blocks: the node's writer takes the batches and passes back the outcomes.
 
 mod batch;
 mod group_values;
@@ -24,54 +24,53 @@
 use crate::wire::{KeyValue, Mutation};
 use serde::Deserialize;
 
-/// What the stored value of a machine group says of one machine.
+/// The contents of a machine group's stored value for one machine.
 #[derive(Debug)]
 pub struct StoredMachine {
     pub machine: MachineIndex,
-    /// The jobs that it holds or may come to hold, in order.
+    /// The jobs of which it has or may get tasks, in order.
     pub jobs: Vec<JobIndex>,
-    /// It is being scaled in: nothing starts there any more.
+    /// True if the machine is being terminated, so that no task starts there any more.
     pub terminating: bool,
 }
 
-/// What a write is for, and what is to be done once its outcome is known.
+/// The purpose of a write, with the data needed once its outcome is known.
 #[derive(Debug)]
 pub enum WritePurpose {
-    /// The job is done or cancelled.
+    /// The end of a job, done or cancelled.
     JobEnd { job: JobIndex, phase: Phase },
-    /// The value of a machine group, with what it says of each machine.
+    /// The value of a machine group, with its contents for each machine.
     MachineGroup { group: MachineGroupIndex, machines: Vec<StoredMachine> },
-    /// Which tasks of one chunk of a job are done.
+    /// The completed tasks of one chunk of a job.
     Progress { job: JobIndex, chunk: u32, record: ProgressRecord },
-    /// The sizes of the fleet, a help to a successor.
+    /// The fleet's sizes, which make the next failover faster.
     Fleet(FleetRecord),
-    /// A step on the way to another tree of quotas.
+    /// A step of a change of the quota tree.
     Quota(Step),
     /// A value of the checkpoint of open jobs.
     Checkpoint,
-    /// A value of this round of the service levels, at one of their two places.
+    /// A value of this round of the service-level measurements, in one of their two slots.
     ServiceLevels { round: u64, place: u8 },
-    /// The deletion of a value that is of no use any more.
+    /// The deletion of a stale value.
     DeleteStale,
 }
 
-/// A write that is to go into a transaction, or is under way.
+/// A write that will be part of a transaction or is in flight.
 #[derive(Debug)]
 pub struct PendingWrite {
     pub key: String,
-    /// It is conditional on this version of its key; 0: on its absence.
+    /// The version of the key that the write is conditional on; 0 if the key must not exist.
     pub version: u64,
     pub purpose: WritePurpose,
     pub mutation: Mutation,
-    /// What it takes of a transaction's size, in bytes.
+    /// Bytes that the write takes of the transaction's size.
     pub bytes: usize,
 }
 
 impl PendingWrite {
-    /// Was this write carried out, or an earlier one to the same effect, as what the state service holds
-    /// under its key tells? Only where the key has changed since: what was sent before and is still under
-    /// way is conditional on the version before, and can't change it any more. A value that stands as it
-    /// stood proves nothing.
+    /// Returns true if the value stored under the key shows that this write, or an earlier one of the same effect, was
+    /// applied. This needs a key whose version has changed: then writes still in flight, which are conditional on the
+    /// old version, can't change it any more. A key with an unchanged version proves nothing.
     pub fn matches_stored(&self, item: Option<&KeyValue>) -> bool {
         if item.map_or(0, |item| item.version) == self.version {
             return false;
@@ -87,7 +86,7 @@
     }
 }
 
-/// A value as it is sent.
+/// A value in its serialized form.
 struct SizedValue {
     value: serde_json::Value,
     /// Its length as JSON text.
@@ -102,13 +101,13 @@
     }
 }
 
-/// Bytes of a transaction that a put takes besides its value and its key, which stands in it twice.
-const PUT_FRAME_BYTES: usize = 64;
-/// Bytes of a transaction that a deletion takes.
+/// Bytes that a put takes of a transaction's size, besides its value and twice its key.
+const PUT_OVERHEAD_BYTES: usize = 64;
+/// Bytes that a deletion takes of a transaction's size.
 const DELETE_BYTES: usize = 256;
 
 impl Shard {
-    /// The put of a value on the last known version of its key, which is in flight from here on.
+    /// Returns the put of a value, conditional on the last known version of its key. The key is in flight from now on.
     pub(in crate::shard) fn enqueue_write(
         &mut self,
         key: String,
@@ -119,13 +118,13 @@
     }
 
     fn enqueue_sized_write(&mut self, key: String, purpose: WritePurpose, sized: SizedValue) -> PendingWrite {
-        let bytes = sized.bytes + key.len() * 2 + PUT_FRAME_BYTES;
+        let bytes = sized.bytes + key.len() * 2 + PUT_OVERHEAD_BYTES;
         let version = self.write_queue.version_of(&key).unwrap_or(0);
         let mutation = Mutation::Put { key: key.clone(), value: sized.value, lease: None };
         self.mark_in_flight(PendingWrite { version, purpose, mutation, bytes, key })
     }
 
-    /// From here on until its outcome is known, this key is written by nobody else here.
+    /// Marks the write's key as in flight. This shard makes no other write to it until the outcome is known.
     fn mark_in_flight(&mut self, write: PendingWrite) -> PendingWrite {
         match &write.purpose {
             WritePurpose::JobEnd { .. } => self.counts.finals += 1,
@@ -141,7 +140,7 @@
         write
     }
 
-    /// The deletion of a key, none if nothing is known to be stored under it.
+    /// Returns the deletion of a key, or `None` if no value is known to be stored under it.
     fn delete_write(&mut self, key: String) -> Option<PendingWrite> {
         self.write_queue.clear_stale(&key);
         let version = self.write_queue.version_of(&key).filter(|version| *version > 0)?;
--- a/crates/scheduler/src/shard/writes/outcome.rs
+++ b/crates/scheduler/src/shard/writes/outcome.rs
@@ -1,6 +1,6 @@
-//! What came of writes: applied, not applied, or told by the state service afterwards.
+//! Outcomes of writes: applied, rejected, or found out by a later read.
 //!
-//! Owns what follows from an outcome; never what is written next.
+//! Applies the consequences of outcomes. [`super::batch`] selects the next writes.
 
 use super::{PendingWrite, StoredMachine, WritePurpose};
 use crate::fleet::{AssignmentState, Phase as MachinePhase};
@@ -9,7 +9,7 @@
 use crate::shard::Shard;
 
 impl Shard {
-    /// These writes are applied, all at this revision.
+    /// Handles writes that were all applied at this revision.
     pub fn on_writes_applied(&mut self, writes: Vec<PendingWrite>, revision: u64, now: f64) {
         self.on_revision(revision);
         for PendingWrite { key, purpose, .. } in writes {
@@ -45,7 +45,7 @@
     }
 
     fn on_group_applied(&mut self, key: &str, stored: Vec<StoredMachine>) {
-        // Its value may have room for names again.
+        // The group's value may have space for job names again.
         self.placement_due = true;
         let machines: Vec<MachineIndex> = stored.iter().map(|stored| stored.machine).collect();
         self.on_group_value_stored(key, &machines);
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The end of this job is stored, as the answer to its write or the watch tells, whichever comes first.
+    /// Handles the stored end of a job, known from the response to its write or from the watch, whichever comes first.
     pub(in crate::shard) fn on_end_committed(&mut self, job_index: JobIndex, phase: Phase, now: f64) {
         if !self.is_open(job_index) {
             return;
@@ -78,7 +78,7 @@
         let machine = &mut self.machines.list[machine_index.as_usize()];
         machine.record_stored = true;
         if machine.is_reconciled() {
-            // What is over may have been given back since this write was made.
+            // Jobs that have ended may have been removed from memory since this write was made.
             let jobs = stored.jobs.into_iter();
             machine.stored_jobs = jobs.filter(|job| self.jobs.get(*job).is_some()).collect();
         }
@@ -91,7 +91,8 @@
         self.command_recorded_starts(machine_index);
     }
 
-    /// Planned starts go out whose job the stored record names; for the others it is written again.
+    /// Makes planned starts due to be sent if the stored record names their job. If it doesn't, requests the record
+    /// again.
     fn command_recorded_starts(&mut self, machine_index: MachineIndex) {
         let machine = &mut self.machines.list[machine_index.as_usize()];
         let mut unnamed = false;
@@ -110,7 +111,7 @@
         }
     }
 
-    /// These writes were not applied: they are wanted still.
+    /// Handles writes that were not applied, by marking them as due again.
     pub fn on_writes_rejected(&mut self, writes: Vec<PendingWrite>) {
         for PendingWrite { key, purpose, .. } in writes {
             self.write_queue.on_settled(&key);
@@ -131,7 +132,7 @@
         }
     }
 
-    /// The state service's own word on a key whose version was in doubt.
+    /// Records the version that the state service returned for a key whose version was uncertain.
     pub fn on_version_known(&mut self, key: &str, version: u64) {
         if version == 0 {
             self.write_queue.forget_version(key);
--- a/crates/scheduler/src/shard/writes/queue.rs
+++ b/crates/scheduler/src/shard/writes/queue.rs
@@ -1,8 +1,8 @@
-//! What stands to be written, and the versions that writes are conditional on.
+//! The writes that are due, and the versions that writes are conditional on.
 //!
-//! Owns the known version of every key, the keys whose write is under way, and for jobs, machine
-//! groups, progress, the fleet record and stale keys what is due. It never decides what a value
-//! says and never sends anything: [`super::batch`] takes from it, [`super::outcome`] reports back.
+//! Holds the known version of every key, the keys in flight, and the due writes of job ends, machine
+//! groups, progress, the fleet record and stale keys. It builds no values and sends
+//! nothing: [`super::batch`] takes writes from it, [`super::outcome`] updates it.
 
 use crate::fleet::MACHINE_PREFIX;
 use crate::fleet::machine_groups::MACHINE_GROUP_PREFIX;
@@ -10,40 +10,42 @@
 use crate::shard::FleetRecord;
 use std::collections::{BTreeSet, HashMap, HashSet};
 
-/// Besides what can be spared, one cancellation that follows from another each so often, in seconds,
-/// until they are overdue.
+/// Minimum interval between cancellations caused by a cancelled dependency that are written without spare write
+/// capacity. Overdue ones are not limited.
 const CASCADE_THROTTLE_INTERVAL_S: f64 = 0.25;
 const PROGRESS_INTERVAL_S: f64 = 4.0;
 const FLEET_RECORD_INTERVAL_S: f64 = 5.0;
 
-/// Times are seconds of the steady clock.
+/// The due writes of a shard and the known versions of its keys. Times are seconds of the monotonic clock.
 #[derive(Debug)]
 pub(in crate::shard) struct WriteQueue {
     /// The last known version of each key that is stored.
     versions: HashMap<String, u64>,
-    /// Keys whose write is under way: its outcome is not known.
+    /// Keys with a write in flight, whose outcome is not known.
     in_flight: HashSet<String>,
-    /// Jobs whose end is decided and not stored.
+    /// Jobs whose end is decided but not stored.
     pending_ends: BTreeSet<JobIndex>,
-    /// When a cancellation that follows from another one was last written in its turn.
+    /// Time at which a throttled cancellation caused by a cancelled dependency was last written.
     cascade_throttled_at: f64,
-    /// Machine groups whose value is to be written: before planned starts may go out, or because it
-    /// names machines that are gone, which a successor would take for machines that may
-    /// hold anything. By number, the
-    /// later ones once waited for a quarter of a minute while the first were written again
-    /// and again: see [`crate::fleet::machine_groups::MachineGroup::turn`].
+    /// Machine groups whose value is due to be written: before planned starts may be sent, or because the value names
+    /// machines that are gone, on which a new leader would have to expect running tasks. They are not written in the
+    /// order of their index: the later ones then waited for a quarter of a minute while the first ones were written
+    /// again and again. See [`crate::fleet::machine_groups::MachineGroup::write_priority`].
     dirty_groups: BTreeSet<MachineGroupIndex>,
-    /// Jobs with tasks that are done and not stored as done.
+    /// Jobs with completed tasks that are not stored as done.
     progress_due: BTreeSet<JobIndex>,
+    /// Time at which the last round of progress writes finished.
     progress_at: f64,
-    /// Keys whose value is of no use any more.
+    /// Keys whose value is no longer used and has to be deleted.
     stale_keys: BTreeSet<String>,
     fleet_stored: FleetRecord,
+    /// Time at which the last fleet record was built.
     fleet_at: f64,
 }
 
 impl WriteQueue {
-    /// Nothing is stored and nothing is due; the first progress and fleet record are due one interval from `now`.
+    /// Creates a queue without stored keys or due writes. The first progress and fleet records are due one interval
+    /// after `now`.
     pub(in crate::shard) fn new(now: f64) -> WriteQueue {
         WriteQueue {
             versions: HashMap::new(),
@@ -59,7 +61,7 @@
         }
     }
 
-    /// The last known version of a key; none if nothing is known to be stored under it.
+    /// Returns the last known version of a key, or `None` if no value is known to be stored under it.
     pub(in crate::shard) fn version_of(&self, key: &str) -> Option<u64> {
         self.versions.get(key).copied()
     }
@@ -76,7 +78,7 @@
         self.versions.insert(key, version);
     }
 
-    /// A version that was read; an older one than is known changes nothing.
+    /// Records a version that was read, unless a newer one is known.
     pub(in crate::shard) fn raise_version(&mut self, key: String, version: u64) {
         let known = self.versions.entry(key).or_insert(version);
         *known = (*known).max(version);
@@ -94,12 +96,12 @@
         self.in_flight.insert(key.to_owned());
     }
 
-    /// The outcome of this key's write is known.
+    /// Records that the outcome of this key's write is known.
     pub(super) fn on_settled(&mut self, key: &str) {
         self.in_flight.remove(key);
     }
 
-    /// The end of this job is decided and has to be stored.
+    /// Marks the end of a job as due to be stored.
     pub(in crate::shard) fn mark_end_due(&mut self, job: JobIndex) {
         self.pending_ends.insert(job);
     }
@@ -108,18 +110,18 @@
         self.pending_ends.iter().copied()
     }
 
-    /// Tasks of this job are done and not stored as done.
+    /// Marks the progress of a job as due to be stored.
     pub(in crate::shard) fn mark_progress_due(&mut self, job: JobIndex) {
         self.progress_due.insert(job);
     }
 
-    /// Nothing of this job is to be written any more.
+    /// Removes all due writes of a job.
     pub(in crate::shard) fn forget_job(&mut self, job: JobIndex) {
         self.pending_ends.remove(&job);
         self.progress_due.remove(&job);
     }
 
-    /// Jobs whose end or progress is to be written.
+    /// Returns the jobs whose end or progress is due to be written.
     pub(in crate::shard) fn jobs_due(&self) -> impl Iterator<Item = &JobIndex> {
         self.pending_ends.iter().chain(&self.progress_due)
     }
@@ -136,12 +138,12 @@
         self.progress_due.remove(&job);
     }
 
-    /// The progress of all jobs was written: the next round follows an interval later.
+    /// Ends a round in which the progress of all jobs was written. The next round is due one interval later.
     pub(super) fn finish_progress_round(&mut self, now: f64) {
         self.progress_at = now;
     }
 
-    /// May one cancellation that follows from another be written beyond what can be spared?
+    /// Returns true if one cancellation caused by a cancelled dependency may be written without spare write capacity.
     pub(super) fn may_write_cascade(&self, now: f64) -> bool {
         now - self.cascade_throttled_at >= CASCADE_THROTTLE_INTERVAL_S
     }
@@ -150,7 +152,7 @@
         self.cascade_throttled_at = now;
     }
 
-    /// The value of this machine group is to be written, or deleted if no machine is left in it.
+    /// Marks the value of a machine group as due to be written, or deleted if the group has no machines.
     pub(in crate::shard) fn mark_group_due(&mut self, group: MachineGroupIndex) {
         self.dirty_groups.insert(group);
     }
@@ -167,24 +169,24 @@
         self.dirty_groups.iter().copied()
     }
 
-    /// The value under this key is of no use any more: it is deleted when there is time.
+    /// Marks the value under this key as stale: it is deleted when there is spare write capacity.
     pub(in crate::shard) fn mark_stale(&mut self, key: String) {
         self.stale_keys.insert(key);
     }
 
-    /// The key is in use again, or its deletion is under way.
+    /// Unmarks a key that is in use again or whose deletion is being sent.
     pub(in crate::shard) fn clear_stale(&mut self, key: &str) {
         self.stale_keys.remove(key);
     }
 
-    /// The first stale value that names machines, unless its write is under way.
+    /// Returns the key of the first stale value that names machines, unless a write of it is in flight.
     pub(super) fn stale_machine_record(&self) -> Option<String> {
         let names_machines = |key: &&String| key.starts_with(MACHINE_GROUP_PREFIX) || key.starts_with(MACHINE_PREFIX);
         let first = self.stale_keys.iter().find(names_machines);
         first.filter(|key| !self.is_in_flight(key)).cloned()
     }
 
-    /// Stale keys that may be deleted now, no more than `limit`.
+    /// Returns up to `limit` stale keys that can be deleted now.
     pub(super) fn deletable_keys(&self, limit: usize) -> Vec<String> {
         self.stale_keys.iter().filter(|key| !self.is_in_flight(key)).take(limit).cloned().collect()
     }
@@ -193,7 +195,7 @@
         now - self.fleet_at >= FLEET_RECORD_INTERVAL_S
     }
 
-    /// The fleet record was made up: the next follows an interval later.
+    /// Records that a fleet record was built. The next one is due one interval later.
     pub(super) fn on_fleet_record_made(&mut self, now: f64) {
         self.fleet_at = now;
     }
