--- a/crates/model/src/controllers.rs
+++ b/crates/model/src/controllers.rs
@@ -245,7 +245,7 @@
             }
         }
         n.watched = self.store.revision;
-        s.watched(n.watched);
+        s.on_watched(n.watched);
     }
 
     pub(crate) fn rent(&mut self, node: usize, token: u64, l: &lupinspur_scheduler::fleet::launch::Launch) {
--- a/crates/model/src/messages.rs
+++ b/crates/model/src/messages.rs
@@ -142,7 +142,7 @@
                 let report = self.machines[i].report(self.wrong);
                 if outcome {
                     let after = self.latency();
-                    let outcome = PushOutcome::Answered { executed: good, report: Some(report) };
+                    let outcome = PushOutcome::Responded { executed: good, heartbeat: Some(report) };
                     self.send(after, Message::Outcome { node, life, send, outcome });
                 }
             }
--- a/crates/model/src/stored.rs
+++ b/crates/model/src/stored.rs
@@ -52,12 +52,12 @@
                 let record = parse_job_record(&job_key(&o.id), &o.value).expect("a record");
                 jobs.insert(o.id.clone(), (record, o.version));
             }
-            jobs.extend(all().filter(|j| j.2 > r.head.at).map(|(_, j, v)| (j.job.id.clone(), (j, v))));
+            jobs.extend(all().filter(|j| j.2 > r.head.revision).map(|(_, j, v)| (j.job.id.clone(), (j, v))));
             said =
                 Some(format!("read the checkpoint: {} open, {} known with what came since", r.open.len(), jobs.len()));
             (found.read, found.revision) = (Some(r), revision);
         }
-        Err(lupinspur_recovery::CheckpointError::None) => {
+        Err(lupinspur_recovery::CheckpointError::NotFound) => {
             jobs.extend(all().map(|(_, j, v)| (j.job.id.clone(), (j, v))))
         }
         Err(e) => {
--- a/crates/model/src/wrong_decisions.rs
+++ b/crates/model/src/wrong_decisions.rs
@@ -100,10 +100,10 @@
     /// What becomes of direct commands, as their sender takes it.
     pub(crate) fn misjudge_outcome(&mut self, node: usize, send: &PushRequest, outcome: PushOutcome) -> PushOutcome {
         if self.wrong == Some(Wrong::UnreadIsOpen)
-            && let PushOutcome::Answered { executed, report: Some(mut report) } = outcome
+            && let PushOutcome::Responded { executed, heartbeat: Some(mut report) } = outcome
         {
             self.drop_what_waits(node, &mut report);
-            return PushOutcome::Answered { executed, report: Some(report) };
+            return PushOutcome::Responded { executed, heartbeat: Some(report) };
         }
         if self.wrong != Some(Wrong::UnansweredNeverArrives) || !matches!(outcome, PushOutcome::Unknown) {
             return outcome;
@@ -117,7 +117,7 @@
             let (state, why) = (TaskState::Exited, Some(ExitReason::Stopped));
             report.tasks.push(TaskReport { task, attempt, state, exit_reason: why, saved: None });
         }
-        PushOutcome::Answered { executed: true, report: Some(report) }
+        PushOutcome::Responded { executed: true, heartbeat: Some(report) }
     }
 
     /// What a leader makes up of machines whose rental has been answered.
--- a/crates/recovery/src/chunk.rs
+++ b/crates/recovery/src/chunk.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct Entry(String, u64, u32, Value);
 
-/// What a value under [`key`] holds.
+/// What a value under [`chunk_key`] holds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Chunk {
     /// The round in which it was written: an index that means another one is out of step.
@@ -30,7 +30,7 @@
 }
 
 /// The key of the chunk of this number.
-pub fn key(number: u32) -> String {
+pub fn chunk_key(number: u32) -> String {
     format!("{}c/{number}", crate::PREFIX)
 }
 
--- a/crates/recovery/src/index.rs
+++ b/crates/recovery/src/index.rs
@@ -9,33 +9,36 @@
 /// One chunk: its number, the round that wrote it, and which of its records are over, four to
 /// a digit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Line(pub u32, pub u64, #[serde(default, skip_serializing_if = "String::is_empty")] pub String);
+pub struct IndexEntry(pub u32, pub u64, #[serde(default, skip_serializing_if = "String::is_empty")] pub String);
 
 /// One value of the index.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, Default)]
-pub struct Part {
+pub struct IndexPart {
     pub round: u64,
-    pub chunks: Vec<Line>,
+    pub chunks: Vec<IndexEntry>,
 }
 
 /// The value that says which index holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
     /// The form of everything here; a reader that does not know it reads the records.
-    pub form: u32,
+    #[serde(rename = "form")]
+    pub format: u32,
     pub round: u64,
     /// In which of two places the index stands, and in how many values.
-    pub place: u32,
+    #[serde(rename = "place")]
+    pub slot: u32,
     pub parts: u32,
     /// Every record that is open as of this revision, and not over since, is in the chunks.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub revision: u64,
     /// How many records are open by the index.
     pub open: u64,
 }
 
 /// To be raised with every field that is added to a job's record: a leader packs what it
 /// understands of a record, and whoever understands more must not take that for all of it.
-pub const FORM: u32 = 1;
+pub const FORMAT: u32 = 1;
 
 /// The key of a part of the index at one of its two places.
 pub fn part_key(place: u32, number: u32) -> String {
@@ -64,13 +67,13 @@
 }
 
 /// Lines in as many parts as fit `limit` bytes each.
-pub fn parts(round: u64, lines: Vec<Line>, limit: usize) -> Vec<Part> {
-    let mut out = vec![Part { round, chunks: Vec::new() }];
+pub fn parts(round: u64, lines: Vec<IndexEntry>, limit: usize) -> Vec<IndexPart> {
+    let mut out = vec![IndexPart { round, chunks: Vec::new() }];
     let mut used = 64;
     for l in lines {
         let more = 32 + l.2.len();
         if used + more > limit {
-            out.push(Part { round, chunks: Vec::new() });
+            out.push(IndexPart { round, chunks: Vec::new() });
             used = 64;
         }
         used += more;
--- a/crates/recovery/src/reader.rs
+++ b/crates/recovery/src/reader.rs
@@ -2,8 +2,8 @@
 //!
 //! Owns the checks of a checkpoint against itself. It repairs nothing: what is wrong is an error.
 
-use crate::chunk::{Chunk, StoredRecord, key};
-use crate::index::{FORM, Head, Line, Part, marked, part_key};
+use crate::chunk::{Chunk, StoredRecord, chunk_key};
+use crate::index::{FORMAT, Head, IndexEntry, IndexPart, marked, part_key};
 use crate::{HEAD, PREFIX};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CheckpointError {
     #[error("there is none")]
-    None,
+    NotFound,
     #[error("{0} is malformed: {1}")]
     Malformed(String, String),
     #[error("it is of form {0}, which is not known here")]
@@ -65,11 +65,11 @@
 pub fn read<'a>(items: impl Iterator<Item = (&'a str, &'a Value)>) -> Result<Checkpoint, CheckpointError> {
     let values: HashMap<&str, &Value> = items.filter(|(key, _)| key.starts_with(PREFIX)).collect();
     if !values.contains_key(HEAD) {
-        return Err(CheckpointError::None);
+        return Err(CheckpointError::NotFound);
     }
     let head: Head = parse(&values, HEAD)?;
-    if head.form != FORM {
-        return Err(CheckpointError::Form(head.form));
+    if head.format != FORMAT {
+        return Err(CheckpointError::Form(head.format));
     }
     let (mut open, mut chunks, mut seen) = (Vec::new(), Vec::new(), HashSet::new());
     for line in index_lines(&values, &head)? {
@@ -89,11 +89,11 @@
 }
 
 /// The lines of all parts of the index that the head names.
-fn index_lines(values: &HashMap<&str, &Value>, head: &Head) -> Result<Vec<Line>, CheckpointError> {
-    let mut lines: Vec<Line> = Vec::new();
+fn index_lines(values: &HashMap<&str, &Value>, head: &Head) -> Result<Vec<IndexEntry>, CheckpointError> {
+    let mut lines: Vec<IndexEntry> = Vec::new();
     for number in 0..head.parts {
-        let part_key = part_key(head.place, number);
-        let part: Part = parse(values, &part_key)?;
+        let part_key = part_key(head.slot, number);
+        let part: IndexPart = parse(values, &part_key)?;
         if part.round != head.round {
             return Err(CheckpointError::Torn(part_key, part.round, head.round));
         }
@@ -105,9 +105,9 @@
 /// A chunk as the index tells of it, and those of its records that are open.
 fn read_chunk(
     values: &HashMap<&str, &Value>,
-    Line(number, round, marks): Line,
+    IndexEntry(number, round, marks): IndexEntry,
 ) -> Result<(ReadChunk, Vec<StoredRecord>), CheckpointError> {
-    let chunk_key = key(number);
+    let chunk_key = chunk_key(number);
     let chunk: Chunk = parse(values, &chunk_key)?;
     if chunk.round != round {
         return Err(CheckpointError::Torn(chunk_key, chunk.round, round));
--- a/crates/recovery/src/safe_revision.rs
+++ b/crates/recovery/src/safe_revision.rs
@@ -19,7 +19,7 @@
 
 impl SafeRevision {
     /// All changes up to this revision were taken in.
-    pub fn watched(&mut self, revision: u64) {
+    pub fn on_watched(&mut self, revision: u64) {
         self.watched = self.watched.max(revision);
     }
 
--- a/crates/recovery/src/writer.rs
+++ b/crates/recovery/src/writer.rs
@@ -8,8 +8,8 @@
 //! Owns the chunks, the index and the head that are stored or to come. It sends nothing and reads no clock: whoever
 //! holds it puts its values and tells what became of them.
 
-use crate::chunk::{Chunk, ChunkBuilder, StoredRecord, key};
-use crate::index::{FORM, Head, Line, marks, part_key, parts};
+use crate::chunk::{Chunk, ChunkBuilder, StoredRecord, chunk_key};
+use crate::index::{FORMAT, Head, IndexEntry, marks, part_key, parts};
 use crate::reader::{Checkpoint, ChunkRecord};
 use crate::{CHANGES_KEPT, HEAD, PREFIX};
 use serde_json::Value;
@@ -150,12 +150,12 @@
     }
 
     /// Records in it or due for it.
-    pub fn open(&self) -> usize {
+    pub fn open_count(&self) -> usize {
         self.place.len() + self.fresh.len()
     }
 
     fn changes_behind(&self, revision: u64) -> u64 {
-        self.head.map_or(u64::MAX, |h| revision.saturating_sub(h.at))
+        self.head.map_or(u64::MAX, |h| revision.saturating_sub(h.revision))
     }
 
     /// Is a put wanted now? `known`: a revision up to which every change is known here;
@@ -164,7 +164,7 @@
         let waited = now - self.began_at;
         let enough = self.changes_behind(revision) >= CHANGES_PER_ROUND || waited >= SECONDS_PER_ROUND;
         // Where nothing is known there is nothing to claim.
-        let new = known > self.head.map_or(0, |h| h.at);
+        let new = known > self.head.map_or(0, |h| h.revision);
         self.current.is_some() || enough && waited >= MIN_SECONDS_PER_ROUND && new
     }
 
@@ -229,7 +229,7 @@
         if round.step == RoundStep::Chunks {
             if let Some((n, chunk)) = self.pack(&record) {
                 let value = serde_json::to_value(&chunk).ok()?;
-                let put = ValueToWrite { key: key(n), value };
+                let put = ValueToWrite { key: chunk_key(n), value };
                 round.under_way = Some(InFlightValue { key: put.key.clone(), chunk: Some(n) });
                 return Some(put);
             }
@@ -286,15 +286,17 @@
         Some((n, packer.finish()))
     }
 
-    fn index(&self, at: u64) -> RoundStep {
-        let line = |(n, c): (&u32, &ChunkState)| Line(*n, c.round, marks(c.records.iter().map(|record| record.over)));
-        let lines: Vec<Line> = self.chunks.iter().filter(|(_, c)| c.open > 0).map(line).collect();
+    fn index(&self, revision: u64) -> RoundStep {
+        let line =
+            |(n, c): (&u32, &ChunkState)| IndexEntry(*n, c.round, marks(c.records.iter().map(|record| record.over)));
+        let lines: Vec<IndexEntry> = self.chunks.iter().filter(|(_, c)| c.open > 0).map(line).collect();
         let open = self.chunks.values().map(|c| c.open as u64).sum();
         let parts = parts(self.round, lines, self.limit);
-        let place = self.head.map_or(0, |h| 1 - h.place.min(1));
-        let head = Head { form: FORM, round: self.round, place, parts: parts.len() as u32, at, open };
-        let value =
-            |(i, p): (usize, &crate::index::Part)| serde_json::to_value(p).ok().map(|v| (part_key(place, i as u32), v));
+        let slot = self.head.map_or(0, |h| 1 - h.slot.min(1));
+        let head = Head { format: FORMAT, round: self.round, slot, parts: parts.len() as u32, revision, open };
+        let value = |(i, p): (usize, &crate::index::IndexPart)| {
+            serde_json::to_value(p).ok().map(|v| (part_key(slot, i as u32), v))
+        };
         RoundStep::Index { parts: parts.iter().enumerate().filter_map(value).collect(), written: 0, head }
     }
 
@@ -333,7 +335,7 @@
                 for n in &drop {
                     self.free.remove(n);
                 }
-                return drop.into_iter().map(crate::chunk::key).collect();
+                return drop.into_iter().map(chunk_key).collect();
             }
         }
         Vec::new()
--- a/crates/recovery/tests/histories.rs
+++ b/crates/recovery/tests/histories.rs
@@ -76,7 +76,7 @@
     /// Takes over as a successor does; also how it came to know what is open.
     fn begin(s: &Service, now: f64) -> (Owner, bool) {
         let checkpoint = s.checkpoint();
-        let changes = checkpoint.as_ref().ok().and_then(|r| s.since(r.head.at));
+        let changes = checkpoint.as_ref().ok().and_then(|r| s.since(r.head.revision));
         let used = changes.is_some();
         let (open, read) = match (&checkpoint, changes) {
             (Ok(r), Some(changes)) => {
@@ -98,7 +98,7 @@
         };
         let mut writer = Writer::resume(LIMIT, now, read, &s.checkpoint_keys());
         let mut known = SafeRevision::default();
-        known.watched(s.revision);
+        known.on_watched(s.revision);
         let before: Vec<&str> = read.iter().flat_map(|r| r.open.iter().map(|o| o.id.as_str())).collect();
         before.iter().filter(|id| !open.contains_key(**id)).for_each(|id| writer.on_ended(id));
         open.keys().for_each(|id| writer.on_opened(id));
@@ -113,7 +113,7 @@
             }
         }
         self.watched = s.revision;
-        self.known.watched(s.revision);
+        self.known.on_watched(s.revision);
     }
 }
 
@@ -208,7 +208,7 @@
                     deaths += 1;
                     late_first |= !by_checkpoint && s.checkpoint().is_err();
                     prop_assert_eq!(&next.open, &s.open(), "by checkpoint: {}", by_checkpoint);
-                    prop_assert_eq!(next.writer.open(), next.open.len());
+                    prop_assert_eq!(next.writer.open_count(), next.open.len());
                     leader = next;
                 }
             }
--- a/crates/scheduler/src/shard/checkpointing.rs
+++ b/crates/scheduler/src/shard/checkpointing.rs
@@ -85,7 +85,7 @@
         // moved to another shard stays in the checkpoint forever, and the leader after the next one starts it here
         // again long after it was done in the other shard.
         found.gone.iter().for_each(|id| checkpointer.writer.on_ended(id));
-        checkpointer.known.watched(found.revision);
+        checkpointer.known.on_watched(found.revision);
         checkpointer
     }
 
@@ -130,8 +130,8 @@
     }
 
     /// Records that all changes of jobs up to this revision have been applied.
-    pub fn watched(&mut self, revision: u64) {
-        self.checkpointer.known.watched(revision);
+    pub fn on_watched(&mut self, revision: u64) {
+        self.checkpointer.known.on_watched(revision);
         self.on_revision(revision);
     }
 
@@ -234,7 +234,7 @@
         gone.into_iter().for_each(|key| self.write_queue.mark_stale(key));
         let round = self.checkpointer.writer.stored_round();
         if round != before {
-            log::debug!("checkpoint stored round={round} open_jobs={}", self.checkpointer.writer.open());
+            log::debug!("checkpoint stored round={round} open_jobs={}", self.checkpointer.writer.open_count());
         }
     }
 
--- a/crates/scheduler/src/shard/commands.rs
+++ b/crates/scheduler/src/shard/commands.rs
@@ -14,8 +14,8 @@
 /// The outcome of commands that were pushed to a worker.
 #[derive(Debug)]
 pub enum PushOutcome {
-    /// The worker executed the commands or refused all of them; `report` is its heartbeat with the machine's state.
-    Answered { executed: bool, report: Option<Heartbeat> },
+    /// The worker executed the commands or refused all of them. The heartbeat lists the tasks on the machine.
+    Responded { executed: bool, heartbeat: Option<Heartbeat> },
     /// The commands never left this controller.
     NotSent,
     /// The commands never left this controller, because the state they were based on had changed.
@@ -335,7 +335,9 @@
             settle_starts(machine, &sent.starts);
         }
         match outcome {
-            PushOutcome::Answered { executed, report } => self.on_push_answered(sent, executed, report, now),
+            PushOutcome::Responded { executed, heartbeat: report } => {
+                self.on_push_answered(sent, executed, report, now)
+            }
             PushOutcome::Withheld => self.requeue_withheld(sent),
             PushOutcome::NotSent | PushOutcome::Unknown => self.on_push_unanswered(sent.machine, now),
         }
--- a/crates/scheduler/tests/shard/checkpoint.rs
+++ b/crates/scheduler/tests/shard/checkpoint.rs
@@ -22,12 +22,12 @@
 fn no_checkpoint_is_written_beside_a_record_that_cannot_be_read() {
     let mut whole = World::with(&["h1"]);
     whole.accept(job("req-1", 1, json!({"awaits": ["req-2"]})), 0.7);
-    whole.shard.watched(100_000);
+    whole.shard.on_watched(100_000);
     assert!(has_checkpoint(&mut whole));
 
     let mut incomplete = World::with(&["h1"]);
     incomplete.accept(job("req-1", 1, json!({"awaits": ["req-2"]})), 0.7);
-    incomplete.shard.watched(100_000);
+    incomplete.shard.on_watched(100_000);
     incomplete.shard.mark_unreadable_record("job/req-2");
     assert!(!has_checkpoint(&mut incomplete));
 }
--- a/crates/scheduler/tests/shard/starts.rs
+++ b/crates/scheduler/tests/shard/starts.rs
@@ -96,7 +96,7 @@
     // This leader stands still, or its links are slow, for longer than any reply is on its way.
     world.shard.on_push_outcome(
         &question,
-        PushOutcome::Answered { executed: true, report: Some(serde_json::from_value(answer).expect("a report")) },
+        PushOutcome::Responded { executed: true, heartbeat: Some(serde_json::from_value(answer).expect("a report")) },
         8.0,
     );
     assert!(world.machine("h1").assignments.contains_key(&key), "what may run there is taken for gone");
--- a/crates/scheduler/tests/shard/world.rs
+++ b/crates/scheduler/tests/shard/world.rs
@@ -214,7 +214,7 @@
     pub fn direct_answered(&mut self, executed: bool, report: &Value, now: f64) {
         let sent = self.direct(now).pop().expect("something was sent");
         let report = serde_json::from_value(report.clone()).expect("a report");
-        self.shard.on_push_outcome(&sent, PushOutcome::Answered { executed, report: Some(report) }, now);
+        self.shard.on_push_outcome(&sent, PushOutcome::Responded { executed, heartbeat: Some(report) }, now);
     }
 
     pub fn tick_until(&mut self, from: f64, until: f64) {
--- a/examples/history.rs
+++ b/examples/history.rs
@@ -138,7 +138,7 @@
         let now = 0.4 * i as f64;
         revision += 1;
         s.add_job(JobRecord::accepted(request(i), (now * 1000.0) as u64), revision, now);
-        s.watched(revision);
+        s.on_watched(revision);
         if i >= 75 {
             s.cancel(&format!("req-{:07}", i - 75));
         }
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -157,12 +157,12 @@
         }
         match lupinspur_recovery::read(values.iter().map(|item| (item.key.as_str(), &item.value))) {
             // Chunks alone may stand there before the first head does.
-            Err(lupinspur_recovery::CheckpointError::None) => {}
+            Err(lupinspur_recovery::CheckpointError::NotFound) => {}
             Err(e) => self.fault(lupinspur_recovery::HEAD, e.to_string()),
             Ok(r) => {
                 let open: HashSet<String> = r.open.into_iter().map(|o| o.id).collect();
                 self.findings.kinds.entry("checkpoint, open jobs".into()).or_default().keys = open.len() as u64;
-                self.checkpoint = Some(Checkpoint { at: r.head.at, open });
+                self.checkpoint = Some(Checkpoint { at: r.head.revision, open });
             }
         }
     }
--- a/src/node/failover/job_watch.rs
+++ b/src/node/failover/job_watch.rs
@@ -66,7 +66,7 @@
 
     fn on_watch_progress(&self, token: u64, revision: u64) {
         if let Some(shard) = lock(&self.shard).as_mut().filter(|shard| shard.token == token) {
-            shard.watched(revision);
+            shard.on_watched(revision);
         }
     }
 }
--- a/src/node/failover/records.rs
+++ b/src/node/failover/records.rs
@@ -65,7 +65,7 @@
             let key = format!("{JOB_PREFIX}{}", open.id);
             self.add(runtime, &key, &open.value, open.version, EndedJobs::Drop);
         }
-        let (checkpoint_revision, changes) = (checkpoint.head.at, since.events.len());
+        let (checkpoint_revision, changes) = (checkpoint.head.revision, since.events.len());
         for event in since.events {
             if let (Some(key), Some(value)) = (&event.put, &event.value) {
                 self.add(runtime, key, value, event.version, EndedJobs::Keep);
@@ -84,17 +84,17 @@
     pub(super) async fn read_jobs(&self) -> Result<(FailoverRecords, u64), StateError> {
         let mut records = FailoverRecords::default();
         match self.read_checkpoint(&mut records).await? {
-            Ok(checkpoint) => match self.state.watch(JOB_PREFIX, checkpoint.head.at, Duration::ZERO).await {
+            Ok(checkpoint) => match self.state.watch(JOB_PREFIX, checkpoint.head.revision, Duration::ZERO).await {
                 Ok(since) => {
                     let revision = records.add_checkpoint(self, checkpoint, since);
                     return Ok((records, revision));
                 }
                 Err(StateError::TooOld) => {
-                    log::warn!("checkpoint skipped revision={} reason=changes_compacted", checkpoint.head.at)
+                    log::warn!("checkpoint skipped revision={} reason=changes_compacted", checkpoint.head.revision)
                 }
                 Err(error) => return Err(error),
             },
-            Err(CheckpointError::None) => log::info!("checkpoint skipped reason=none_stored"),
+            Err(CheckpointError::NotFound) => log::info!("checkpoint skipped reason=none_stored"),
             Err(error) => log::warn!("checkpoint skipped reason=\"{error}\""),
         }
         let revision = self.read_every_job(&mut records).await?;
--- a/src/node/merging.rs
+++ b/src/node/merging.rs
@@ -183,7 +183,7 @@
         }
         let Ok(items) = self.list_own(lupinspur_recovery::PREFIX).await else { return false };
         let read = lupinspur_recovery::read(items.iter().map(|item| (item.key.as_str(), &item.value)));
-        read.is_ok_and(|checkpoint| checkpoint.head.at >= read_at)
+        read.is_ok_and(|checkpoint| checkpoint.head.revision >= read_at)
     }
 
     /// What the other shards kept, while they merge into this one: machine groups, and the rest, which is of
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -37,7 +37,7 @@
         let timeout = if pushed.commands.is_empty() { PROBE_TIMEOUT } else { COMMAND_TIMEOUT };
         match self.http.call_if(may_be_sent, addr, Method::Post, wire::COMMANDS_PATH, Some(body), timeout).await {
             Ok((status, body)) => {
-                PushOutcome::Answered { executed: status == 200, report: serde_json::from_slice(&body).ok() }
+                PushOutcome::Responded { executed: status == 200, heartbeat: serde_json::from_slice(&body).ok() }
             }
             Err(CallError::NotSent) => PushOutcome::NotSent,
             Err(CallError::Withheld) => PushOutcome::Withheld,
--- a/tests/golden/keys.rs
+++ b/tests/golden/keys.rs
@@ -38,9 +38,9 @@
 #[test]
 fn keys_of_checkpoints_and_service_levels() {
     assert_eq!((checkpoint::PREFIX, checkpoint::HEAD), ("ckpt/", "ckpt/head"));
-    assert_eq!(checkpoint::chunk::key(17), "ckpt/c/17");
+    assert_eq!(checkpoint::chunk::chunk_key(17), "ckpt/c/17");
     assert_eq!(checkpoint::index::part_key(1, 2), "ckpt/i/1/2");
-    assert_eq!(checkpoint::index::FORM, 1);
+    assert_eq!(checkpoint::index::FORMAT, 1);
     assert_eq!(ACCOUNTS_PREFIX, "ckpt/a/");
 }
 
--- a/tests/golden/stored.rs
+++ b/tests/golden/stored.rs
@@ -10,7 +10,7 @@
 use lupinspur_quota::plan::Organisation;
 use lupinspur_quota::stored as quota;
 use lupinspur_recovery::chunk::{Chunk, ChunkBuilder, StoredRecord};
-use lupinspur_recovery::index::{Head, Line, Part};
+use lupinspur_recovery::index::{Head, IndexEntry, IndexPart};
 use lupinspur_service_levels::inheritance;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -151,9 +151,9 @@
 
 #[test]
 fn checkpoint_head_and_index() {
-    same("checkpoint_head", &Head { form: 1, round: 9, place: 1, parts: 2, at: 431, open: 77 });
-    let chunks = vec![Line(0, 8, "5a".into()), Line(3, 9, String::new())];
-    same("checkpoint_index", &Part { round: 9, chunks });
+    same("checkpoint_head", &Head { format: 1, round: 9, slot: 1, parts: 2, revision: 431, open: 77 });
+    let chunks = vec![IndexEntry(0, 8, "5a".into()), IndexEntry(3, 9, String::new())];
+    same("checkpoint_index", &IndexPart { round: 9, chunks });
 }
 
 /// A pattern, the difference of a record like it, and a record that is unlike.
--- a/tests/traces/events/leader.rs
+++ b/tests/traces/events/leader.rs
@@ -49,7 +49,7 @@
             // The watch has brought all there is.
             "watched" => {
                 let revision = self.revision;
-                self.shard().watched(revision);
+                self.shard().on_watched(revision);
             }
             "lookups" => {
                 let ids = self.shard().dependencies_to_look_up();
--- a/tests/unanswered.rs
+++ b/tests/unanswered.rs
@@ -84,7 +84,7 @@
         let closed = client.commands(stand_in(&executor, Then::Closes), &commands, || true).await;
         assert!(matches!(closed, PushOutcome::Unknown), "{closed:?}");
         let refused = client.commands(stand_in(&executor, Then::Refuses), &commands, || true).await;
-        assert!(matches!(refused, PushOutcome::Answered { executed: false, .. }), "{refused:?}");
+        assert!(matches!(refused, PushOutcome::Responded { executed: false, .. }), "{refused:?}");
         let not_sent = client.commands(nobody(), &commands, || true).await;
         assert!(matches!(not_sent, PushOutcome::NotSent), "{not_sent:?}");
     }));
@@ -102,7 +102,7 @@
         assert!(matches!(withheld, PushOutcome::Withheld), "{withheld:?}");
         // The connection that was opened for it serves the next one.
         let sent = client.commands(address, &commands, || true).await;
-        assert!(matches!(sent, PushOutcome::Answered { executed: false, .. }), "{sent:?}");
+        assert!(matches!(sent, PushOutcome::Responded { executed: false, .. }), "{sent:?}");
         // Of one that cannot be opened nothing is asked.
         let not_sent = client.commands(nobody(), &commands, || panic!("asked before there is a connection")).await;
         assert!(matches!(not_sent, PushOutcome::NotSent), "{not_sent:?}");
--- a/tests/waiting.rs
+++ b/tests/waiting.rs
@@ -205,7 +205,7 @@
                     if executed {
                         w.obey(&sent.body.commands, now, &self.jobs);
                     }
-                    PushOutcome::Answered { executed, report: Some(w.report(&name, now)) }
+                    PushOutcome::Responded { executed, heartbeat: Some(w.report(&name, now)) }
                 }
             };
             self.shard.on_push_outcome(&sent, outcome, now);
