--- a/crates/recovery/src/chunk.rs
+++ b/crates/recovery/src/chunk.rs
@@ -1,14 +1,14 @@
-//! Records packed into values.
+//! Chunks: values into which records are packed.
 //!
-//! Jobs of a class are much alike. A chunk holds a few whole objects, the *patterns*, and of
-//! each record its pattern's number, what differs from it, and what it lacks. It does not
-//! know what the fields mean: one that a later version adds is kept as it is. It never decides which records
-//! are open.
+//! Jobs of a class are much alike. A chunk holds a few whole objects, the *patterns*, and for
+//! each record the number of its pattern and the difference from it, including the fields that it lacks. The packing
+//! doesn't depend on the meaning of fields, so fields that a later version adds are kept unchanged. It doesn't
+//! decide which records are open.
 
 use serde::{Deserialize, Serialize};
 use serde_json::{Map, Value};
 
-/// A record as the state service holds it: its key's last part, its version, and its value.
+/// A record stored at the state service: the last part of its key, its version, and its value.
 #[derive(Debug, Clone, PartialEq)]
 pub struct StoredRecord {
     pub id: String,
@@ -16,117 +16,122 @@
     pub value: Value,
 }
 
-/// One record: its id, its version, the number of its pattern, and the difference.
+/// A packed record: its id, its version, the number of its pattern, and the difference from the pattern.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 struct Entry(String, u64, u32, Value);
 
-/// What a value under [`chunk_key`] holds.
+/// The value stored under [`chunk_key`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Chunk {
-    /// The round in which it was written: an index that means another one is out of step.
+    /// The round in which the chunk was written. It has to match the round in the index.
     pub round: u64,
     patterns: Vec<Value>,
     jobs: Vec<Entry>,
 }
 
-/// The key of the chunk of this number.
+/// Returns the key of the chunk with this number.
 pub fn chunk_key(number: u32) -> String {
     format!("{}c/{number}", crate::PREFIX)
 }
 
-/// What `a` has to become to be `b`: fields with other values, objects in turn, null for a
-/// field that goes. A record that has nulls itself is told whole.
-fn difference(a: &Map<String, Value>, b: &Map<String, Value>) -> Map<String, Value> {
-    let mut out = Map::new();
-    for (k, v) in b {
-        match (a.get(k), v) {
-            (Some(was), now) if was == now => {}
-            (Some(Value::Object(was)), Value::Object(now)) => {
-                out.insert(k.clone(), Value::Object(difference(was, now)));
+/// Returns the change that turns `old` into `new`: fields with changed values, nested changes of objects, and null for
+/// removed fields. It loses nulls in the record; see [`is_lossless`].
+fn difference(old: &Map<String, Value>, new: &Map<String, Value>) -> Map<String, Value> {
+    let mut change = Map::new();
+    for (field, value) in new {
+        match (old.get(field), value) {
+            (Some(old_value), new_value) if old_value == new_value => {}
+            (Some(Value::Object(old_object)), Value::Object(new_object)) => {
+                change.insert(field.clone(), Value::Object(difference(old_object, new_object)));
             }
-            _ => _ = out.insert(k.clone(), v.clone()),
+            _ => _ = change.insert(field.clone(), value.clone()),
         }
     }
-    for k in a.keys().filter(|k| !b.contains_key(*k)) {
-        out.insert(k.clone(), Value::Null);
+    for field in old.keys().filter(|field| !new.contains_key(*field)) {
+        change.insert(field.clone(), Value::Null);
     }
-    out
+    change
 }
 
-fn apply(a: &mut Map<String, Value>, change: &Map<String, Value>) {
-    for (k, v) in change {
-        match (a.get_mut(k), v) {
-            (_, Value::Null) => _ = a.remove(k),
-            (Some(Value::Object(was)), Value::Object(now)) => apply(was, now),
-            _ => _ = a.insert(k.clone(), v.clone()),
+/// Applies a change returned by [`difference`].
+fn apply(object: &mut Map<String, Value>, change: &Map<String, Value>) {
+    for (field, value) in change {
+        match (object.get_mut(field), value) {
+            (_, Value::Null) => _ = object.remove(field),
+            (Some(Value::Object(old_object)), Value::Object(nested_change)) => apply(old_object, nested_change),
+            _ => _ = object.insert(field.clone(), value.clone()),
         }
     }
 }
 
-/// Does the difference say all there is? Nulls, and objects in place of something else, would
-/// be lost in it.
-fn faithful(pattern: &Map<String, Value>, record: &Map<String, Value>, change: &Map<String, Value>) -> bool {
-    let mut again = pattern.clone();
-    apply(&mut again, change);
-    again == *record
+/// Returns true if the change turns the pattern into exactly this record. A change can't express nulls in the record.
+fn is_lossless(pattern: &Map<String, Value>, record: &Map<String, Value>, change: &Map<String, Value>) -> bool {
+    let mut restored = pattern.clone();
+    apply(&mut restored, change);
+    restored == *record
 }
 
-fn bytes(v: &impl Serialize) -> usize {
-    serde_json::to_string(v).map_or(usize::MAX / 4, |t| t.len())
+fn json_bytes(value: &impl Serialize) -> usize {
+    serde_json::to_string(value).map_or(usize::MAX / 4, |text| text.len())
 }
 
-/// A pattern that saves less than this part of a record is none.
-const SAVES: usize = 2;
+/// A record is packed as a change of a pattern only if the record is at least this many times as large as the change.
+const MIN_SIZE_RATIO: usize = 2;
 /// Bytes of a chunk besides its patterns and entries.
-const FRAME: usize = 64;
+const CHUNK_OVERHEAD_BYTES: usize = 64;
 
-/// Fills chunks of up to `limit` bytes with records, in their order.
+/// Fills a chunk of up to `limit` bytes with records, in their order.
 #[derive(Debug)]
 pub struct ChunkBuilder {
+    /// Maximum size of the chunk in bytes.
     limit: usize,
     round: u64,
     patterns: Vec<Value>,
     jobs: Vec<Entry>,
+    /// Bytes used so far.
     used: usize,
 }
 
 impl ChunkBuilder {
-    /// An empty chunk of up to `limit` bytes, for this round.
+    /// Creates a builder of a chunk of up to `limit` bytes, for this round.
     pub fn new(limit: usize, round: u64) -> ChunkBuilder {
-        ChunkBuilder { limit, round, patterns: Vec::new(), jobs: Vec::new(), used: FRAME }
+        ChunkBuilder { limit, round, patterns: Vec::new(), jobs: Vec::new(), used: CHUNK_OVERHEAD_BYTES }
     }
 
-    fn entry(&self, r: &StoredRecord) -> (Option<Value>, Entry) {
-        let whole = bytes(&r.value);
-        let best = r.value.as_object().and_then(|now| {
-            let tries = self.patterns.iter().enumerate().filter_map(|(i, p)| {
-                let was = p.as_object()?;
-                let change = difference(was, now);
-                let fits = faithful(was, now, &change);
+    /// Returns a record's entry, which refers to the pattern with the smallest change. If no pattern is similar enough,
+    /// the record becomes a new pattern, which is returned as well.
+    fn entry(&self, record: &StoredRecord) -> (Option<Value>, Entry) {
+        let record_bytes = json_bytes(&record.value);
+        let best = record.value.as_object().and_then(|object| {
+            let changes = self.patterns.iter().enumerate().filter_map(|(number, pattern)| {
+                let pattern = pattern.as_object()?;
+                let change = difference(pattern, object);
+                let lossless = is_lossless(pattern, object, &change);
                 let change = Value::Object(change);
-                fits.then(|| (bytes(&change), i, change))
+                lossless.then(|| (json_bytes(&change), number, change))
             });
-            tries.min_by_key(|t| t.0)
+            changes.min_by_key(|(change_bytes, _, _)| *change_bytes)
         });
         match best {
-            Some((size, i, change)) if size * SAVES <= whole => {
-                (None, Entry(r.id.clone(), r.version, i as u32, change))
+            Some((change_bytes, number, change)) if change_bytes * MIN_SIZE_RATIO <= record_bytes => {
+                (None, Entry(record.id.clone(), record.version, number as u32, change))
             }
             _ => {
-                let new = self.patterns.len() as u32;
-                (Some(r.value.clone()), Entry(r.id.clone(), r.version, new, Value::Object(Map::new())))
+                let new_number = self.patterns.len() as u32;
+                let entry = Entry(record.id.clone(), record.version, new_number, Value::Object(Map::new()));
+                (Some(record.value.clone()), entry)
             }
         }
     }
 
-    /// Takes one more record, or gives it back where it does not fit any more.
-    pub fn push(&mut self, r: StoredRecord) -> Result<(), StoredRecord> {
-        let (pattern, entry) = self.entry(&r);
-        let more = pattern.as_ref().map_or(0, |p| bytes(p) + 1) + bytes(&entry) + 1;
-        if self.used + more > self.limit {
-            return Err(r);
+    /// Adds a record to the chunk. Returns the record as the error if it does not fit.
+    pub fn push(&mut self, record: StoredRecord) -> Result<(), StoredRecord> {
+        let (pattern, entry) = self.entry(&record);
+        let added_bytes = pattern.as_ref().map_or(0, |pattern| json_bytes(pattern) + 1) + json_bytes(&entry) + 1;
+        if self.used + added_bytes > self.limit {
+            return Err(record);
         }
-        self.used += more;
+        self.used += added_bytes;
         self.patterns.extend(pattern);
         self.jobs.push(entry);
         Ok(())
@@ -136,7 +141,7 @@
         self.jobs.is_empty()
     }
 
-    /// The chunk as it is stored.
+    /// Returns the chunk in its stored form.
     pub fn finish(self) -> Chunk {
         Chunk { round: self.round, patterns: self.patterns, jobs: self.jobs }
     }
@@ -144,11 +149,15 @@
 
 /// Why a chunk cannot be unpacked.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("entry {0} names pattern {1} of {2}")]
-pub struct ChunkError(usize, u32, usize);
+#[error("entry {entry} refers to pattern {pattern}, but the chunk has {pattern_count} patterns")]
+pub struct ChunkError {
+    entry: usize,
+    pattern: u32,
+    pattern_count: usize,
+}
 
 impl Chunk {
-    /// How many records it holds.
+    /// Returns the number of records in the chunk.
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
@@ -157,21 +166,23 @@
         self.jobs.is_empty()
     }
 
-    /// The ids of its records, in their order.
+    /// Returns the ids of the records, in their order.
     pub fn ids(&self) -> impl Iterator<Item = &str> {
-        self.jobs.iter().map(|e| e.0.as_str())
+        self.jobs.iter().map(|Entry(id, ..)| id.as_str())
     }
 
-    /// The records, as they were stored.
+    /// Returns the records as they were before packing.
     pub fn unpack(&self) -> Result<Vec<StoredRecord>, ChunkError> {
-        let one = |(i, e): (usize, &Entry)| {
-            let pattern = self.patterns.get(e.2 as usize).ok_or(ChunkError(i, e.2, self.patterns.len()))?;
+        let unpack_entry = |(position, Entry(id, version, number, change)): (usize, &Entry)| {
+            let pattern_count = self.patterns.len();
+            let pattern = self.patterns.get(*number as usize);
+            let pattern = pattern.ok_or(ChunkError { entry: position, pattern: *number, pattern_count })?;
             let mut value = pattern.clone();
-            if let (Some(v), Some(change)) = (value.as_object_mut(), e.3.as_object()) {
-                apply(v, change);
+            if let (Some(object), Some(change)) = (value.as_object_mut(), change.as_object()) {
+                apply(object, change);
             }
-            Ok(StoredRecord { id: e.0.clone(), version: e.1, value })
+            Ok(StoredRecord { id: id.clone(), version: *version, value })
         };
-        self.jobs.iter().enumerate().map(one).collect()
+        self.jobs.iter().enumerate().map(unpack_entry).collect()
     }
 }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,21 +1,21 @@
-//! A checkpoint of the jobs that are open, and the changes since.
+//! Checkpoints of open jobs, for fast failover.
 //!
-//! Records of jobs are kept for ever under one prefix, whatever became of them. A leader
-//! writes, every so often, what is open *as of a revision* of the state service; a successor
-//! reads that and asks for the changes after that revision. What is over costs it nothing.
-//! Everything here decides and nothing waits: no sockets, no clock.
+//! Job records are kept forever under one prefix, whether open or ended. A leader regularly
+//! writes a checkpoint of the jobs open *at a revision* of the state service. A new leader
+//! reads it and requests only the changes after that revision, so ended jobs cost it nothing.
+//! This crate only makes decisions: it uses no sockets and no clock, and never blocks.
 //!
-//! - [`chunk`]: records packed into values, each told by its difference to one like it
-//! - [`index`]: which chunks hold, and which of their records are over, in values that fit;
-//!   the head that one conditional write switches
-//! - [`writer`]: what to write next, and what each outcome means
-//! - [`safe_revision`]: up to which revision everything is known
-//! - [`reader`]: what a successor has, or why it must read everything
+//! - [`chunk`]: records packed into values, each as a difference from a similar one
+//! - [`index`]: the list of chunks and of their ended records, split into values that fit the limit, and the
+//!   head, which one conditional write switches to a new index
+//! - [`writer`]: the next value to write, and the handling of each outcome
+//! - [`safe_revision`]: the revision up to which every change is known
+//! - [`reader`]: reads a checkpoint, or returns why every record has to be read instead
 //!
-//! A checkpoint is a help and never the truth: whatever is wrong with it is *seen*, and the
+//! A checkpoint is not authoritative: any inconsistency in it is *detected*, and the
 //! records themselves are read then.
 
-// What is decided must not follow the order of a hash.
+// Decisions must not depend on hash order.
 #![warn(clippy::iter_over_hash_type)]
 
 pub mod chunk;
@@ -29,10 +29,10 @@
 pub use safe_revision::SafeRevision;
 pub use writer::{ValueToWrite, Writer};
 
-/// All of a checkpoint stands under this; earlier versions do not know it.
+/// Prefix of all keys of a checkpoint. Earlier versions ignore it.
 pub const PREFIX: &str = "ckpt/";
-/// The key of the head: it says which index holds.
+/// Key of the head, which refers to the current index.
 pub const HEAD: &str = "ckpt/head";
 
-/// Changes that the state service keeps for those who ask what came after a revision.
-pub const CHANGES_KEPT: u64 = 10_000;
+/// Number of changes that the state service retains for watches from an earlier revision.
+pub const RETAINED_CHANGES: u64 = 10_000;
--- a/crates/recovery/src/reader.rs
+++ b/crates/recovery/src/reader.rs
@@ -1,59 +1,59 @@
-//! What a successor makes of the values that it finds.
+//! Reads a checkpoint from its stored values.
 //!
-//! Owns the checks of a checkpoint against itself. It repairs nothing: what is wrong is an error.
+//! Checks the consistency of the checkpoint. Any inconsistency is an error; nothing is repaired.
 
 use crate::chunk::{Chunk, StoredRecord, chunk_key};
-use crate::index::{FORMAT, Head, IndexEntry, IndexPart, marked, part_key};
+use crate::index::{FORMAT, Head, IndexEntry, IndexPart, is_marked_ended, part_key};
 use crate::{HEAD, PREFIX};
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 use std::collections::{HashMap, HashSet};
 
-/// A record of a chunk.
+/// A record in a chunk.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ChunkRecord {
     pub id: String,
-    /// It has ended since the chunk was written.
-    pub over: bool,
+    /// True if the record's job has ended since the chunk was written.
+    pub ended: bool,
 }
 
-/// A chunk for whoever goes on with it.
+/// A chunk as read, for the writer that continues the checkpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReadChunk {
     pub number: u32,
-    /// The round in which it was written.
+    /// The round in which the chunk was written.
     pub round: u64,
-    /// In the order in which they stand in it.
+    /// The records in their order in the chunk.
     pub records: Vec<ChunkRecord>,
 }
 
-/// What is open, as of a revision.
+/// A checkpoint: the records open at the revision in the head.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Checkpoint {
     pub head: Head,
-    /// The records that are open.
+    /// The open records.
     pub open: Vec<StoredRecord>,
-    /// The chunks that hold them, those that are over included.
+    /// The chunks, with their open and ended records.
     pub chunks: Vec<ReadChunk>,
 }
 
-/// Why the records themselves have to be read.
+/// Why a checkpoint can't be used, so that the records themselves have to be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum CheckpointError {
-    #[error("there is none")]
+    #[error("no checkpoint is stored")]
     NotFound,
     #[error("{0} is malformed: {1}")]
     Malformed(String, String),
-    #[error("it is of form {0}, which is not known here")]
-    Form(u32),
+    #[error("checkpoint format {0} is unknown, this version reads format {FORMAT}")]
+    UnknownFormat(u32),
     #[error("{0} is missing")]
     Missing(String),
-    #[error("{0} is of round {1}, not of {2}")]
-    Torn(String, u64, u64),
-    #[error("{0} records are open by the index, {1} by the head")]
-    Count(u64, u64),
-    #[error("{0} stands in it twice")]
-    Twice(String),
+    #[error("{key} is of round {round}, expected round {expected_round}")]
+    RoundMismatch { key: String, round: u64, expected_round: u64 },
+    #[error("the index lists {listed} open records, the head says {expected}")]
+    CountMismatch { listed: u64, expected: u64 },
+    #[error("record {0} is listed twice")]
+    DuplicateRecord(String),
 }
 
 fn parse<T: DeserializeOwned>(values: &HashMap<&str, &Value>, key: &str) -> Result<T, CheckpointError> {
@@ -61,7 +61,7 @@
     T::deserialize(value).map_err(|error| CheckpointError::Malformed(key.to_owned(), error.to_string()))
 }
 
-/// Reads a checkpoint from everything that stands under its prefix.
+/// Reads a checkpoint from its stored values; keys without the checkpoint's prefix are ignored.
 pub fn read<'a>(items: impl Iterator<Item = (&'a str, &'a Value)>) -> Result<Checkpoint, CheckpointError> {
     let values: HashMap<&str, &Value> = items.filter(|(key, _)| key.starts_with(PREFIX)).collect();
     if !values.contains_key(HEAD) {
@@ -69,40 +69,44 @@
     }
     let head: Head = parse(&values, HEAD)?;
     if head.format != FORMAT {
-        return Err(CheckpointError::Form(head.format));
+        return Err(CheckpointError::UnknownFormat(head.format));
     }
     let (mut open, mut chunks, mut seen) = (Vec::new(), Vec::new(), HashSet::new());
-    for line in index_lines(&values, &head)? {
-        let (chunk, open_records) = read_chunk(&values, line)?;
+    for entry in index_entries(&values, &head)? {
+        let (chunk, open_records) = read_chunk(&values, entry)?;
         for record in open_records {
             if !seen.insert(record.id.clone()) {
-                return Err(CheckpointError::Twice(record.id));
+                return Err(CheckpointError::DuplicateRecord(record.id));
             }
             open.push(record);
         }
         chunks.push(chunk);
     }
     if open.len() as u64 != head.open {
-        return Err(CheckpointError::Count(open.len() as u64, head.open));
+        return Err(CheckpointError::CountMismatch { listed: open.len() as u64, expected: head.open });
     }
     Ok(Checkpoint { head, open, chunks })
 }
 
-/// The lines of all parts of the index that the head names.
-fn index_lines(values: &HashMap<&str, &Value>, head: &Head) -> Result<Vec<IndexEntry>, CheckpointError> {
-    let mut lines: Vec<IndexEntry> = Vec::new();
+/// Returns the entries of all parts of the index that the head refers to.
+fn index_entries(values: &HashMap<&str, &Value>, head: &Head) -> Result<Vec<IndexEntry>, CheckpointError> {
+    let mut entries: Vec<IndexEntry> = Vec::new();
     for number in 0..head.parts {
         let part_key = part_key(head.slot, number);
         let part: IndexPart = parse(values, &part_key)?;
         if part.round != head.round {
-            return Err(CheckpointError::Torn(part_key, part.round, head.round));
+            return Err(CheckpointError::RoundMismatch {
+                key: part_key,
+                round: part.round,
+                expected_round: head.round,
+            });
         }
-        lines.extend(part.chunks);
+        entries.extend(part.chunks);
     }
-    Ok(lines)
+    Ok(entries)
 }
 
-/// A chunk as the index tells of it, and those of its records that are open.
+/// Reads the chunk of an index entry. Returns the chunk and its open records.
 fn read_chunk(
     values: &HashMap<&str, &Value>,
     IndexEntry(number, round, marks): IndexEntry,
@@ -110,16 +114,17 @@
     let chunk_key = chunk_key(number);
     let chunk: Chunk = parse(values, &chunk_key)?;
     if chunk.round != round {
-        return Err(CheckpointError::Torn(chunk_key, chunk.round, round));
+        return Err(CheckpointError::RoundMismatch { key: chunk_key, round: chunk.round, expected_round: round });
     }
     let malformed = |reason: String| CheckpointError::Malformed(chunk_key.clone(), reason);
     let stored = chunk.unpack().map_err(|error| malformed(error.to_string()))?;
     let mut records = Vec::with_capacity(stored.len());
     let mut open = Vec::new();
-    for (place, record) in stored.into_iter().enumerate() {
-        let over = marked(&marks, place).ok_or_else(|| malformed("its marks".into()))?;
-        records.push(ChunkRecord { id: record.id.clone(), over });
-        if !over {
+    for (position, record) in stored.into_iter().enumerate() {
+        let ended = is_marked_ended(&marks, position)
+            .ok_or_else(|| malformed(format!("marks in the index are not hexadecimal digits: {marks:?}")))?;
+        records.push(ChunkRecord { id: record.id.clone(), ended });
+        if !ended {
             open.push(record);
         }
     }
--- a/crates/recovery/src/safe_revision.rs
+++ b/crates/recovery/src/safe_revision.rs
@@ -1,44 +1,43 @@
-//! Up to which revision everything is known.
+//! The revision up to which every change is known.
 //!
-//! Owns what a checkpoint may claim, and nothing of what stands in it.
+//! Decides the revision that a checkpoint may state, not the checkpoint's contents.
 
 use std::collections::HashMap;
 
-/// What a checkpoint may claim. A leader hears of others' acceptances by a watch; of its own
-/// ends it knows when they are answered. An end that is under way may be stored at a revision
-/// that the watch has passed already: until it is settled, nothing after the moment when it
-/// was sent is claimed. Otherwise a successor would not be told of that end, and would take
-/// the job for open.
+/// Tracks the revision that a checkpoint may state. A leader learns of jobs accepted by other nodes from a watch, and of
+/// the job ends that it writes from the responses. An end in flight may be stored at a revision that the watch has
+/// already passed. Until its outcome is known, the checkpoint may not state a revision after the one watched when
+/// the end was sent. Otherwise a new leader would not receive that end as a change, and would treat the job as open.
 #[derive(Debug, Default)]
 pub struct SafeRevision {
-    /// All changes up to this revision were taken in.
+    /// Revision up to which all changes from the watch have been applied.
     watched: u64,
-    /// Of each end that is under way, the revision that was watched when it was sent first.
+    /// For each end in flight, by job id, the watched revision when it was first sent.
     ends_in_flight: HashMap<String, u64>,
 }
 
 impl SafeRevision {
-    /// All changes up to this revision were taken in.
+    /// Records that all changes from the watch up to this revision have been applied.
     pub fn on_watched(&mut self, revision: u64) {
         self.watched = self.watched.max(revision);
     }
 
-    /// Up to here all changes were taken in, and no older one is to come.
+    /// Returns the revision up to which all changes have been applied. The watch delivers no older change after it.
     pub fn watched_revision(&self) -> u64 {
         self.watched
     }
 
-    /// The end of this record was sent, for the first time or again.
+    /// Records that the end of this record is sent, for the first time or again.
     pub fn on_end_sent(&mut self, id: &str) {
         self.ends_in_flight.entry(id.to_owned()).or_insert(self.watched);
     }
 
-    /// Its end is stored, and known here.
+    /// Records that the end of this record is known to be stored.
     pub fn on_end_settled(&mut self, id: &str) {
         self.ends_in_flight.remove(id);
     }
 
-    /// The revision that a checkpoint may claim.
+    /// Returns the revision that a checkpoint may state.
     pub fn revision(&self) -> u64 {
         self.ends_in_flight.values().copied().fold(self.watched, u64::min)
     }
--- a/crates/recovery/src/writer.rs
+++ b/crates/recovery/src/writer.rs
@@ -1,46 +1,52 @@
-//! What to write next, and what each outcome means.
+//! The checkpoint writer: decides the next value to write and handles the outcome of each write.
 //!
-//! A *round* begins with a revision of which everything is known here. What is open and in no
-//! chunk is packed into new ones; then the index is written to the place that the head does
-//! not mean, then the head. A chunk is never written over while the stored head means it, so
-//! that a round may end between any two writes.
+//! A *round* begins at a revision up to which every change is known. Open records that are in no
+//! chunk are packed into new chunks; then the index is written to the slot that the stored head doesn't
+//! refer to, then the head. A chunk that the stored head refers to is never overwritten, so
+//! a round may be aborted between any two writes.
 //!
-//! Owns the chunks, the index and the head that are stored or to come. It sends nothing and reads no clock: whoever
-//! holds it puts its values and tells what became of them.
+//! The writer tracks the stored and pending chunks, index and head. It sends nothing and reads no clock: its caller
+//! writes the values and reports the outcomes.
 
 use crate::chunk::{Chunk, ChunkBuilder, StoredRecord, chunk_key};
-use crate::index::{FORMAT, Head, IndexEntry, marks, part_key, parts};
+use crate::index::{FORMAT, Head, IndexEntry, IndexPart, encode_ended_marks, part_key, split_into_parts};
 use crate::reader::{Checkpoint, ChunkRecord};
-use crate::{CHANGES_KEPT, HEAD, PREFIX};
+use crate::{HEAD, PREFIX, RETAINED_CHANGES};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// A chunk of which less than this part is open still is dissolved: one of so many.
-const MIN_OPEN_SHARE: usize = 3;
-/// A round begins after so many changes, or so many seconds if there are fewer.
-const CHANGES_PER_ROUND: u64 = CHANGES_KEPT / 5;
-const SECONDS_PER_ROUND: f64 = 60.0;
-const MIN_SECONDS_PER_ROUND: f64 = 5.0;
-/// After so many changes without a new head it does not wait for writes that can be spared.
-const OVERDUE_CHANGES: u64 = CHANGES_KEPT / 3;
-/// Numbers of chunks that are free and kept for use again; the others' values are deleted.
-const KEPT_FREE: usize = 4;
+/// A chunk is dissolved if fewer than one in this many of its records are open.
+const RECORDS_PER_OPEN_RECORD: usize = 3;
+/// Number of changes since the stored head after which a round begins.
+const CHANGES_PER_ROUND: u64 = RETAINED_CHANGES / 5;
+/// Time after which a round begins even if there are fewer changes.
+const ROUND_INTERVAL_S: f64 = 60.0;
+/// Minimum time between the beginnings of two rounds.
+const MIN_ROUND_INTERVAL_S: f64 = 5.0;
+/// Number of changes since the stored head after which the checkpoint no longer waits for spare write capacity.
+const OVERDUE_CHANGES: u64 = RETAINED_CHANGES / 3;
+/// Number of unused chunk numbers kept for reuse. The values of further ones are deleted.
+const MAX_FREE_CHUNKS: usize = 4;
 
-/// One value to be put. Its outcome is told by [`Writer::on_applied`] or [`Writer::on_failed`].
+/// A value to be written. Its outcome has to be reported by [`Writer::on_applied`] or [`Writer::on_failed`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct ValueToWrite {
     pub key: String,
     pub value: Value,
 }
 
+/// A chunk that is stored or being written.
 #[derive(Debug, Clone)]
 struct ChunkState {
+    /// The round in which the chunk was written.
     round: u64,
-    /// In the order in which they stand in it.
+    /// The records in their order in the chunk.
     records: Vec<ChunkRecord>,
+    /// Number of open records.
     open: usize,
 }
 
+/// The step of a round: chunks are written first, then the index, then the head.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum RoundStep {
     Chunks,
@@ -48,55 +54,56 @@
     Head(Head),
 }
 
-/// A value whose outcome is not known.
+/// A value that is being written and whose outcome is not known.
 #[derive(Debug)]
 struct InFlightValue {
     key: String,
-    /// The number of the chunk that it holds, if it is one.
+    /// The chunk's number, if the value is a chunk.
     chunk: Option<u32>,
 }
 
 /// A round that is being written.
 #[derive(Debug)]
 struct Round {
-    /// The revision of which it tells.
-    at: u64,
+    /// The revision that the head will state.
+    revision: u64,
     step: RoundStep,
-    /// Chunks that the next head will no longer mean.
+    /// Chunks that the next head will no longer refer to.
     dissolved: BTreeSet<u32>,
-    /// The put under way.
-    under_way: Option<InFlightValue>,
+    /// The value being written.
+    in_flight: Option<InFlightValue>,
 }
 
-/// What of the checkpoint is stored, and what is to be written next. Times are seconds of the steady clock.
+/// The stored state of the checkpoint and the round in progress. Times are seconds of the monotonic clock.
 #[derive(Debug, Default)]
 pub struct Writer {
-    /// Bytes of a value, at the most.
+    /// Maximum size of a value in bytes.
     limit: usize,
-    /// The number of the last round that was begun.
+    /// Number of the last round that was begun.
     round: u64,
     chunks: BTreeMap<u32, ChunkState>,
-    /// The chunk of each open record, and its place there.
-    place: HashMap<String, (u32, usize)>,
-    /// Open, and in no chunk.
-    fresh: BTreeSet<String>,
-    /// What the stored head means, if there is one.
+    /// For each open record in a chunk, the chunk's number and the record's position in it.
+    positions: HashMap<String, (u32, usize)>,
+    /// Open records that are in no chunk.
+    unpacked: BTreeSet<String>,
+    /// The stored head, if there is one.
     head: Option<Head>,
-    /// The chunks that the stored head means.
-    meant: BTreeSet<u32>,
+    /// Numbers of the chunks that the stored head refers to.
+    referenced: BTreeSet<u32>,
+    /// The round in progress.
     current: Option<Round>,
-    /// When the last round began.
-    began_at: f64,
-    /// When this writer began.
-    since: f64,
-    /// Values that hold nothing any more.
+    /// Time at which the last round began.
+    round_began_at: f64,
+    /// Time at which this writer was created.
+    created_at: f64,
+    /// Numbers of chunks whose stored values are no longer used.
     free: BTreeSet<u32>,
-    /// A record was found that fits no chunk.
-    too_large: bool,
+    /// True if a record was found that fits no chunk.
+    has_too_large_record: bool,
     pub counts: Counts,
 }
 
-/// What was written, for reports.
+/// Numbers of writes and completed rounds, for reports.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub struct Counts {
     pub puts: u64,
@@ -104,12 +111,12 @@
 }
 
 impl Writer {
-    /// A writer whose values are no larger than `limit` bytes, beginning with nothing stored.
+    /// Creates a writer of a new checkpoint, with values of up to `limit` bytes.
     pub fn new(limit: usize, now: f64) -> Writer {
-        Writer { limit, began_at: now, since: now, ..Writer::default() }
+        Writer { limit, round_began_at: now, created_at: now, ..Writer::default() }
     }
 
-    /// Goes on with what was read. `keys`: all that stands under the prefix.
+    /// Creates a writer that continues the checkpoint that was read. `keys` are all stored keys under the prefix.
     pub fn resume(limit: usize, now: f64, read: Option<&Checkpoint>, keys: &[String]) -> Writer {
         let mut writer = Writer::new(limit, now);
         let number = |key: &String| key.strip_prefix(PREFIX)?.strip_prefix("c/")?.parse::<u32>().ok();
@@ -118,10 +125,10 @@
         (writer.head, writer.round) = (Some(checkpoint.head), checkpoint.head.round);
         for chunk in &checkpoint.chunks {
             writer.free.remove(&chunk.number);
-            writer.meant.insert(chunk.number);
+            writer.referenced.insert(chunk.number);
             let mut open = 0;
-            for (place, record) in chunk.records.iter().enumerate().filter(|(_, record)| !record.over) {
-                writer.place.insert(record.id.clone(), (chunk.number, place));
+            for (position, record) in chunk.records.iter().enumerate().filter(|(_, record)| !record.ended) {
+                writer.positions.insert(record.id.clone(), (chunk.number, position));
                 open += 1;
             }
             let state = ChunkState { round: chunk.round, records: chunk.records.clone(), open };
@@ -130,55 +137,55 @@
         writer
     }
 
-    /// A record is open: it belongs into the checkpoint.
+    /// Adds an open record to the checkpoint.
     pub fn on_opened(&mut self, id: &str) {
-        if !self.place.contains_key(id) {
-            self.fresh.insert(id.to_owned());
+        if !self.positions.contains_key(id) {
+            self.unpacked.insert(id.to_owned());
         }
     }
 
-    /// A record is over, and that is stored.
+    /// Removes a record whose end is stored.
     pub fn on_ended(&mut self, id: &str) {
-        self.fresh.remove(id);
-        if let Some((n, i)) = self.place.remove(id)
-            && let Some(c) = self.chunks.get_mut(&n)
-            && let Some(record) = c.records.get_mut(i)
+        self.unpacked.remove(id);
+        if let Some((number, position)) = self.positions.remove(id)
+            && let Some(chunk) = self.chunks.get_mut(&number)
+            && let Some(record) = chunk.records.get_mut(position)
         {
-            record.over = true;
-            c.open -= 1;
+            record.ended = true;
+            chunk.open -= 1;
         }
     }
 
-    /// Records in it or due for it.
+    /// Returns the number of open records, in chunks or not.
     pub fn open_count(&self) -> usize {
-        self.place.len() + self.fresh.len()
+        self.positions.len() + self.unpacked.len()
     }
 
     fn changes_behind(&self, revision: u64) -> u64 {
-        self.head.map_or(u64::MAX, |h| revision.saturating_sub(h.revision))
+        self.head.map_or(u64::MAX, |head| revision.saturating_sub(head.revision))
     }
 
-    /// Is a put wanted now? `known`: a revision up to which every change is known here;
-    /// `revision`: the newest that was seen. A round that is under way goes on.
+    /// Returns true if a value should be written now: a round is in progress, or one has to begin. `known` is a revision
+    /// up to which every change is known; `revision` is the newest revision seen.
     pub fn is_due(&self, known: u64, revision: u64, now: f64) -> bool {
-        let waited = now - self.began_at;
-        let enough = self.changes_behind(revision) >= CHANGES_PER_ROUND || waited >= SECONDS_PER_ROUND;
-        // Where nothing is known there is nothing to claim.
-        let new = known > self.head.map_or(0, |h| h.revision);
-        self.current.is_some() || enough && waited >= MIN_SECONDS_PER_ROUND && new
+        let elapsed_s = now - self.round_began_at;
+        let wanted = self.changes_behind(revision) >= CHANGES_PER_ROUND || elapsed_s >= ROUND_INTERVAL_S;
+        // A new round is useful only if it can state a newer revision than the stored head.
+        let has_progress = known > self.head.map_or(0, |head| head.revision);
+        self.current.is_some() || wanted && elapsed_s >= MIN_ROUND_INTERVAL_S && has_progress
     }
 
-    /// May it take a write that cannot be spared? Only where the changes since the last head
-    /// would soon be gone, or none was ever stored for a while.
+    /// Returns true if the checkpoint may use write capacity that other writes need: the changes since the stored head
+    /// will soon be compacted, or no head has been stored for a while.
     pub fn is_overdue(&self, revision: u64, now: f64) -> bool {
         match self.head {
             Some(_) => self.changes_behind(revision) >= OVERDUE_CHANGES,
-            None => now - self.since >= SECONDS_PER_ROUND,
+            None => now - self.created_at >= ROUND_INTERVAL_S,
         }
     }
 
-    /// The next value to be put, none while one is under way. `record` gives a record's
-    /// version and value as they are stored; one that it does not know is over.
+    /// Returns the next value to write, or `None` while one is in flight. `record` returns the stored version and value
+    /// of a record; a record for which it returns `None` has ended.
     pub fn next_value(
         &mut self,
         known: u64,
@@ -189,129 +196,134 @@
             self.begin(known, now);
         }
         let mut round = self.current.take()?;
-        let put = if round.under_way.is_some() { None } else { self.step(&mut round, record) };
+        let next = if round.in_flight.is_some() { None } else { self.step(&mut round, record) };
         self.current = Some(round);
-        self.counts.puts += u64::from(put.is_some());
-        put
+        self.counts.puts += u64::from(next.is_some());
+        next
     }
 
-    fn begin(&mut self, at: u64, now: f64) {
+    fn begin(&mut self, revision: u64, now: f64) {
         self.round += 1;
-        self.began_at = now;
-        let sparse = |c: &ChunkState| c.open * MIN_OPEN_SHARE < c.records.len();
-        let dissolved: BTreeSet<u32> = self.chunks.iter().filter(|(_, c)| sparse(c)).map(|(n, _)| *n).collect();
-        for n in &dissolved {
-            if let Some(chunk) = self.chunks.remove(n) {
+        self.round_began_at = now;
+        let is_sparse = |chunk: &ChunkState| chunk.open * RECORDS_PER_OPEN_RECORD < chunk.records.len();
+        let dissolved: BTreeSet<u32> =
+            self.chunks.iter().filter(|(_, chunk)| is_sparse(chunk)).map(|(number, _)| *number).collect();
+        for number in &dissolved {
+            if let Some(chunk) = self.chunks.remove(number) {
                 self.return_open_records(chunk);
             }
         }
-        self.current = Some(Round { at, step: RoundStep::Chunks, dissolved, under_way: None });
+        self.current = Some(Round { revision, step: RoundStep::Chunks, dissolved, in_flight: None });
     }
 
-    /// The open records of a chunk that goes are in none any more.
+    /// Returns the open records of a removed chunk to the unpacked records.
     fn return_open_records(&mut self, chunk: ChunkState) {
-        for record in chunk.records.into_iter().filter(|record| !record.over) {
-            self.place.remove(&record.id);
-            self.fresh.insert(record.id);
+        for record in chunk.records.into_iter().filter(|record| !record.ended) {
+            self.positions.remove(&record.id);
+            self.unpacked.insert(record.id);
         }
     }
 
-    /// A number that no head means, stored or to come.
-    fn number(&mut self) -> u32 {
-        let taken = |n: &u32| self.meant.contains(n) || self.chunks.contains_key(n);
-        let n = self.free.iter().copied().find(|n| !taken(n));
-        let n = n.or_else(|| (0..).find(|n| !taken(n) && !self.free.contains(n))).unwrap_or(u32::MAX);
-        self.free.remove(&n);
-        n
+    /// Returns an unused chunk number, which neither the stored nor the next head refers to.
+    fn unused_number(&mut self) -> u32 {
+        let is_used = |number: &u32| self.referenced.contains(number) || self.chunks.contains_key(number);
+        let freed = self.free.iter().copied().find(|number| !is_used(number));
+        let unused = freed.or_else(|| (0..).find(|number| !is_used(number) && !self.free.contains(number)));
+        let number = unused.unwrap_or(u32::MAX);
+        self.free.remove(&number);
+        number
     }
 
+    /// Returns the next value of a round, moving on to the next step of the round as needed.
     fn step(&mut self, round: &mut Round, record: impl Fn(&str) -> Option<(u64, Value)>) -> Option<ValueToWrite> {
         if round.step == RoundStep::Chunks {
-            if let Some((n, chunk)) = self.pack(&record) {
+            if let Some((number, chunk)) = self.pack(&record) {
                 let value = serde_json::to_value(&chunk).ok()?;
-                let put = ValueToWrite { key: chunk_key(n), value };
-                round.under_way = Some(InFlightValue { key: put.key.clone(), chunk: Some(n) });
-                return Some(put);
+                let next = ValueToWrite { key: chunk_key(number), value };
+                round.in_flight = Some(InFlightValue { key: next.key.clone(), chunk: Some(number) });
+                return Some(next);
             }
-            if !self.fresh.is_empty() {
+            if !self.unpacked.is_empty() {
                 return None;
             }
-            round.step = self.index(round.at);
+            round.step = self.index(round.revision);
         }
         if let RoundStep::Index { parts, written, head } = &round.step {
             if let Some((key, value)) = parts.get(*written) {
-                let put = ValueToWrite { key: key.clone(), value: value.clone() };
-                round.under_way = Some(InFlightValue { key: put.key.clone(), chunk: None });
-                return Some(put);
+                let next = ValueToWrite { key: key.clone(), value: value.clone() };
+                round.in_flight = Some(InFlightValue { key: next.key.clone(), chunk: None });
+                return Some(next);
             }
             round.step = RoundStep::Head(*head);
         }
         let RoundStep::Head(head) = &round.step else { return None };
-        let put = ValueToWrite { key: HEAD.into(), value: serde_json::to_value(head).ok()? };
-        round.under_way = Some(InFlightValue { key: put.key.clone(), chunk: None });
-        Some(put)
+        let next = ValueToWrite { key: HEAD.into(), value: serde_json::to_value(head).ok()? };
+        round.in_flight = Some(InFlightValue { key: next.key.clone(), chunk: None });
+        Some(next)
     }
 
-    /// A chunk of what is in none. A record that is larger than a value may be is left out of
-    /// the checkpoint, and the checkpoint with it: it would not be complete.
+    /// Packs records that are in no chunk into a new one. A record that exceeds the value limit stays unpacked, and
+    /// while it does, no checkpoint is written, because it would be incomplete.
     fn pack(&mut self, record: &impl Fn(&str) -> Option<(u64, Value)>) -> Option<(u32, Chunk)> {
-        let mut packer = ChunkBuilder::new(self.limit, self.round);
-        let mut taken = Vec::new();
-        let mut over = Vec::new();
-        for id in &self.fresh {
+        let mut builder = ChunkBuilder::new(self.limit, self.round);
+        let mut packed = Vec::new();
+        let mut ended = Vec::new();
+        for id in &self.unpacked {
             let Some((version, value)) = record(id) else {
-                over.push(id.clone());
+                ended.push(id.clone());
                 continue;
             };
-            match packer.push(StoredRecord { id: id.clone(), version, value }) {
-                Ok(()) => taken.push(id.clone()),
-                Err(_) if taken.is_empty() => {}
+            match builder.push(StoredRecord { id: id.clone(), version, value }) {
+                Ok(()) => packed.push(id.clone()),
+                Err(_) if packed.is_empty() => {}
                 Err(_) => break,
             }
         }
-        for id in over.iter().chain(&taken) {
-            self.fresh.remove(id);
+        for id in ended.iter().chain(&packed) {
+            self.unpacked.remove(id);
         }
-        self.too_large = taken.is_empty() && !self.fresh.is_empty();
-        if packer.is_empty() {
+        self.has_too_large_record = packed.is_empty() && !self.unpacked.is_empty();
+        if builder.is_empty() {
             return None;
         }
-        let n = self.number();
-        for (i, id) in taken.iter().enumerate() {
-            self.place.insert(id.clone(), (n, i));
+        let number = self.unused_number();
+        for (position, id) in packed.iter().enumerate() {
+            self.positions.insert(id.clone(), (number, position));
         }
-        let records: Vec<ChunkRecord> = taken.into_iter().map(|id| ChunkRecord { id, over: false }).collect();
+        let records: Vec<ChunkRecord> = packed.into_iter().map(|id| ChunkRecord { id, ended: false }).collect();
         let open = records.len();
-        self.chunks.insert(n, ChunkState { round: self.round, records, open });
-        Some((n, packer.finish()))
+        self.chunks.insert(number, ChunkState { round: self.round, records, open });
+        Some((number, builder.finish()))
     }
 
+    /// Returns the step that writes the index of the current chunks.
     fn index(&self, revision: u64) -> RoundStep {
-        let line =
-            |(n, c): (&u32, &ChunkState)| IndexEntry(*n, c.round, marks(c.records.iter().map(|record| record.over)));
-        let lines: Vec<IndexEntry> = self.chunks.iter().filter(|(_, c)| c.open > 0).map(line).collect();
-        let open = self.chunks.values().map(|c| c.open as u64).sum();
-        let parts = parts(self.round, lines, self.limit);
-        let slot = self.head.map_or(0, |h| 1 - h.slot.min(1));
+        let entry = |(number, chunk): (&u32, &ChunkState)| {
+            IndexEntry(*number, chunk.round, encode_ended_marks(chunk.records.iter().map(|record| record.ended)))
+        };
+        let entries: Vec<IndexEntry> = self.chunks.iter().filter(|(_, chunk)| chunk.open > 0).map(entry).collect();
+        let open = self.chunks.values().map(|chunk| chunk.open as u64).sum();
+        let parts = split_into_parts(self.round, entries, self.limit);
+        let slot = self.head.map_or(0, |head| 1 - head.slot.min(1));
         let head = Head { format: FORMAT, round: self.round, slot, parts: parts.len() as u32, revision, open };
-        let value = |(i, p): (usize, &crate::index::IndexPart)| {
-            serde_json::to_value(p).ok().map(|v| (part_key(slot, i as u32), v))
+        let value = |(number, part): (usize, &IndexPart)| {
+            serde_json::to_value(part).ok().map(|value| (part_key(slot, number as u32), value))
         };
         RoundStep::Index { parts: parts.iter().enumerate().filter_map(value).collect(), written: 0, head }
     }
 
-    /// A record that is too large for any chunk keeps a checkpoint from being written.
-    pub fn stuck(&self) -> bool {
-        self.too_large
+    /// Returns true if a record is too large for any chunk, so that no checkpoint can be written.
+    pub fn has_too_large_record(&self) -> bool {
+        self.has_too_large_record
     }
 
-    /// The put under way is stored. Returns keys whose values are of no more use.
+    /// Handles a written value. Returns the keys whose values are no longer used and should be deleted.
     pub fn on_applied(&mut self, key: &str) -> Vec<String> {
         let Some(round) = &mut self.current else { return Vec::new() };
-        if round.under_way.as_ref().is_none_or(|in_flight| in_flight.key != key) {
+        if round.in_flight.as_ref().is_none_or(|in_flight| in_flight.key != key) {
             return Vec::new();
         }
-        round.under_way = None;
+        round.in_flight = None;
         match &mut round.step {
             RoundStep::Chunks => {}
             RoundStep::Index { written, .. } => *written += 1,
@@ -321,34 +333,35 @@
                 self.current = None;
                 self.counts.rounds += 1;
                 self.head = Some(head);
-                // Empty chunks are in no index, and nothing points at them any more.
-                let empty: Vec<u32> = self.chunks.iter().filter(|(_, c)| c.open == 0).map(|(n, _)| *n).collect();
-                for n in &empty {
-                    self.chunks.remove(n);
+                // Chunks without open records are not in the index, so their numbers are free.
+                let empty: Vec<u32> =
+                    self.chunks.iter().filter(|(_, chunk)| chunk.open == 0).map(|(number, _)| *number).collect();
+                for number in &empty {
+                    self.chunks.remove(number);
                 }
                 self.free.extend(empty);
                 self.free.extend(dissolved);
-                self.free.extend(self.meant.iter().filter(|n| !self.chunks.contains_key(n)));
-                self.meant = self.chunks.keys().copied().collect();
-                let drop: Vec<u32> =
-                    self.free.iter().rev().copied().take(self.free.len().saturating_sub(KEPT_FREE)).collect();
-                for n in &drop {
-                    self.free.remove(n);
+                self.free.extend(self.referenced.iter().filter(|number| !self.chunks.contains_key(number)));
+                self.referenced = self.chunks.keys().copied().collect();
+                let deletable: Vec<u32> =
+                    self.free.iter().rev().copied().take(self.free.len().saturating_sub(MAX_FREE_CHUNKS)).collect();
+                for number in &deletable {
+                    self.free.remove(number);
                 }
-                return drop.into_iter().map(chunk_key).collect();
+                return deletable.into_iter().map(chunk_key).collect();
             }
         }
         Vec::new()
     }
 
-    /// The put under way was not applied, or nobody knows: it is wanted again. A chunk is made
-    /// anew, since some of it may be over.
+    /// Handles a value that was not written, or whose outcome is unknown: it is written again. A chunk is built again,
+    /// because some of its records may have ended.
     pub fn on_failed(&mut self, key: &str) {
         let Some(round) = &mut self.current else { return };
-        if round.under_way.as_ref().is_none_or(|in_flight| in_flight.key != key) {
+        if round.in_flight.as_ref().is_none_or(|in_flight| in_flight.key != key) {
             return;
         }
-        if let Some(InFlightValue { chunk: Some(number), .. }) = round.under_way.take()
+        if let Some(InFlightValue { chunk: Some(number), .. }) = round.in_flight.take()
             && let Some(chunk) = self.chunks.remove(&number)
         {
             self.return_open_records(chunk);
@@ -356,8 +369,8 @@
         }
     }
 
-    /// The round in which the stored head was written, for people; 0: none.
+    /// Returns the round in which the stored head was written, for log lines; 0 if there is none.
     pub fn stored_round(&self) -> u64 {
-        self.head.map_or(0, |h| h.round)
+        self.head.map_or(0, |head| head.round)
     }
 }
--- a/crates/scheduler/src/shard/checkpointing.rs
+++ b/crates/scheduler/src/shard/checkpointing.rs
@@ -259,7 +259,7 @@
         }
     }
 
-    /// Returns the next dependencies to be read, at most [`MAX_DEPENDENCIES_READ_AT_ONCE`].
+    /// Returns the next dependencies to be read, at most `MAX_DEPENDENCIES_READ_AT_ONCE`.
     pub fn unread_dependencies(&self) -> Vec<String> {
         self.checkpointer.unread_dependencies.iter().take(MAX_DEPENDENCIES_READ_AT_ONCE).cloned().collect()
     }
--- a/tests/traces/events/workers.rs
+++ b/tests/traces/events/workers.rs
@@ -35,7 +35,9 @@
                     .unwrap_or_else(|| panic!("nothing was sent to {first} at {now}:\n{}", self.out));
                 let outcome = match what {
                     "silence" => PushOutcome::Unknown,
-                    _ => PushOutcome::Responded { executed: what == "answer", heartbeat: Some(self.report(first, args)) },
+                    _ => {
+                        PushOutcome::Responded { executed: what == "answer", heartbeat: Some(self.report(first, args)) }
+                    }
                 };
                 self.shard().on_push_outcome(&d, outcome, now);
             }
