--- a/crates/scheduler/src/shard/machine_records.rs
+++ b/crates/scheduler/src/shard/machine_records.rs
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Returns true if the group's value is nearly full, no write of it is due or in flight, and one of its machines has
-    /// free capacity for a service.
+    /// Returns true if the group's value is nearly full, no write of it is due or in flight, and one of its machines
+    /// has free capacity for a service.
     fn wants_compaction(&self, group_index: MachineGroupIndex, group: &MachineGroup) -> bool {
         let write_pending = self.write_queue.is_group_due(group_index)
             || self.write_queue.is_in_flight(&machine_group_key(group_index));
--- a/crates/scheduler/src/shard/rebalancing.rs
+++ b/crates/scheduler/src/shard/rebalancing.rs
@@ -42,8 +42,8 @@
         self.placement_due = true;
     }
 
-    /// Returns an upper bound of each team's usage of its limit: its assigned tasks, planned ones included, and the whole
-    /// capacity of each unreconciled machine, because the tasks on it are unknown.
+    /// Returns an upper bound of each team's usage of its limit: its assigned tasks, planned ones included, and the
+    /// whole capacity of each unreconciled machine, because the tasks on it are unknown.
     pub fn limit_usage(&self) -> Vec<(String, Amount)> {
         let unreconciled = self.machines.iter().filter(|(_, machine)| !machine.is_reconciled());
         let unreconciled_capacity = unreconciled.fold(Amount::default(), |sum, (_, machine)| {
--- a/crates/scheduler/src/shard/starts.rs
+++ b/crates/scheduler/src/shard/starts.rs
@@ -80,8 +80,8 @@
         true
     }
 
-    /// Returns a new attempt number. The numbers of different leaders differ, because each leadership record has its own
-    /// fencing token.
+    /// Returns a new attempt number. The numbers of different leaders differ, because each leadership record has its
+    /// own fencing token.
     fn next_attempt(&mut self) -> u64 {
         self.attempts += 1;
         (self.token << ATTEMPT_COUNTER_BITS) + self.attempts
@@ -245,7 +245,8 @@
         let keys: Vec<TaskKey> = self.machines[machine_index].assignments.keys().copied().collect();
         self.clear_listed_attempts(machine_index);
         for key in keys {
-            // Planned starts are released, too: they were never sent, but only a machine that stays in use may keep them.
+            // Planned starts are released, too: they were never sent, but only a machine that stays in use may keep
+            // them.
             self.release_resources(machine_index, key);
             self.requeue(key);
         }
--- a/crates/scheduler/src/shard/writes/batch.rs
+++ b/crates/scheduler/src/shard/writes/batch.rs
@@ -1,7 +1,7 @@
 //! Selection of the next writes, the most urgent first.
 //!
-//! Decides the order of writes and which writes may be made without spare write capacity. Outcomes of writes are handled
-//! in [`super::outcome`].
+//! Decides the order of writes and which writes may be made without spare write capacity. Outcomes of writes are
+//! handled in [`super::outcome`].
 
 use super::{PendingWrite, SizedValue, WritePurpose};
 use crate::fleet::FLEET_KEY;
@@ -67,8 +67,8 @@
     fn fill(&mut self, batch: &mut Batch, now: f64) -> ControlFlow<()> {
         self.write_ends(batch, now)?;
         self.delete_stale_records(batch)?;
-        // Machine groups can use all write capacity for minutes, and a checkpoint that is too old is useless. An overdue
-        // checkpoint therefore gets one write a second before them.
+        // Machine groups can use all write capacity for minutes, and a checkpoint that is too old is useless. An
+        // overdue checkpoint therefore gets one write a second before them.
         if self.checkpoint_is_overdue(now) {
             batch.push(self.checkpoint_write(false, now))?;
         }
@@ -90,15 +90,15 @@
         self.delete_stale_keys(batch)
     }
 
-    /// Returns the job ends to be stored, in order: cancellations by users, completed jobs, then cancellations caused by
-    /// a cancelled dependency. The latter have most of `cancel_s` left, so only a few at a time are written until
+    /// Returns the job ends to be stored, in order: cancellations by users, completed jobs, then cancellations caused
+    /// by a cancelled dependency. The latter have most of `cancel_s` left, so only a few at a time are written until
     /// they are overdue.
     fn ordered_ends(&mut self, spare: usize, now: f64) -> Vec<JobIndex> {
         let mut due: Vec<DueEnd> = self.write_queue.pending_ends().map(|job| self.due_end(job, now)).collect();
         due.sort();
         let urgent_count = due.iter().position(|end| end.can_wait).unwrap_or(due.len());
-        // The writer takes a batch as soon as there is a write, so batches are often small, and a limit as a share of the
-        // batch would not limit anything. The limit is therefore a number of writes for each interval.
+        // The writer takes a batch as soon as there is a write, so batches are often small, and a limit as a share of
+        // the batch would not limit anything. The limit is therefore a number of writes for each interval.
         let throttled_count = usize::from(self.write_queue.may_write_cascade(now));
         due.truncate(urgent_count + throttled_count.max(spare));
         if throttled_count > 0 && due.len() > urgent_count {
@@ -140,8 +140,8 @@
         self.enqueue_write(key, WritePurpose::JobEnd { job: job_index, phase }, &record)
     }
 
-    /// Deletes a stale value that names machines which are gone or recorded in another value. One deletion in each batch
-    /// doesn't depend on spare write capacity, of which there is none while starts use all of it. Without these
+    /// Deletes a stale value that names machines which are gone or recorded in another value. One deletion in each
+    /// batch doesn't depend on spare write capacity, of which there is none while starts use all of it. Without these
     /// deletions, a new leader found twice as many machines as there were, and waited for the nonexistent ones.
     fn delete_stale_records(&mut self, batch: &mut Batch) -> ControlFlow<()> {
         if let Some(key) = self.write_queue.stale_machine_record() {
--- a/crates/scheduler/src/shard/writes/group_values.rs
+++ b/crates/scheduler/src/shard/writes/group_values.rs
@@ -75,8 +75,8 @@
         self.delete_write(machine_group_key(group_index))
     }
 
-    /// Returns the write of a machine group's value. Until its outcome is known, only jobs that both the old and the new
-    /// value name count as stored.
+    /// Returns the write of a machine group's value. Until its outcome is known, only jobs that both the old and the
+    /// new value name count as stored.
     pub(super) fn write_group(&mut self, group_index: MachineGroupIndex) -> Option<PendingWrite> {
         self.write_queue.clear_group_due(group_index);
         if let Some(machine_group) = self.machine_groups.list.get_mut(&group_index) {
@@ -93,8 +93,8 @@
         Some(self.enqueue_sized_write(machine_group_key(group_index), purpose, value))
     }
 
-    /// Returns the value of a machine group with the first contents that fit, because a value over the limit would never
-    /// be stored.
+    /// Returns the value of a machine group with the first contents that fit, because a value over the limit would
+    /// never be stored.
     fn group_value(&mut self, group_index: MachineGroupIndex) -> Option<GroupValue> {
         for contents in CONTENTS_IN_TURN {
             if !contents.planned_starts {
