--- a/crates/scheduler/tests/shard/checkpoint.rs
+++ b/crates/scheduler/tests/shard/checkpoint.rs
@@ -23,12 +23,12 @@
 fn no_checkpoint_is_written_beside_a_record_that_cannot_be_read() {
     let mut complete = ShardHarness::with_machines(&["h1"]);
     complete.accept_job(job("req-1", 1, json!({"awaits": ["req-2"]})), 0.7);
-    complete.shard.watched(100_000);
+    complete.shard.on_watched(100_000);
     assert!(writes_checkpoint(&mut complete), "all records can be read");
 
     let mut incomplete = ShardHarness::with_machines(&["h1"]);
     incomplete.accept_job(job("req-1", 1, json!({"awaits": ["req-2"]})), 0.7);
-    incomplete.shard.watched(100_000);
+    incomplete.shard.on_watched(100_000);
     incomplete.shard.mark_unreadable_record("job/req-2");
     assert!(!writes_checkpoint(&mut incomplete), "the record of req-2 cannot be read");
 }
--- a/crates/scheduler/tests/shard/starts.rs
+++ b/crates/scheduler/tests/shard/starts.rs
@@ -104,9 +104,9 @@
     // The leader is paused, or its connections are slow, for longer than any reply is in flight.
     harness.shard.on_push_outcome(
         &push,
-        PushOutcome::Answered {
+        PushOutcome::Responded {
             executed: true,
-            report: Some(serde_json::from_value(response).expect("a valid heartbeat")),
+            heartbeat: Some(serde_json::from_value(response).expect("a valid heartbeat")),
         },
         8.0,
     );
--- a/crates/scheduler/tests/shard/world.rs
+++ b/crates/scheduler/tests/shard/world.rs
@@ -244,7 +244,7 @@
     pub fn push_with_response(&mut self, executed: bool, heartbeat: &Value, now: f64) {
         let push = self.take_pushes(now).pop().expect("a pending push");
         let heartbeat = serde_json::from_value(heartbeat.clone()).expect("a valid heartbeat");
-        self.shard.on_push_outcome(&push, PushOutcome::Answered { executed, report: Some(heartbeat) }, now);
+        self.shard.on_push_outcome(&push, PushOutcome::Responded { executed, heartbeat: Some(heartbeat) }, now);
     }
 
     /// Ticks every [`TICK_S`].
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -168,12 +168,12 @@
         }
         match lupinspur_recovery::read(values.iter().map(|item| (item.key.as_str(), &item.value))) {
             // Chunks are written before the first head, so they may be stored without one.
-            Err(lupinspur_recovery::CheckpointError::None) => {}
+            Err(lupinspur_recovery::CheckpointError::NotFound) => {}
             Err(error) => self.record_fault(lupinspur_recovery::HEAD, error.to_string()),
             Ok(checkpoint) => {
                 let open: HashSet<String> = checkpoint.open.into_iter().map(|job| job.id).collect();
                 self.findings.kinds.entry("checkpoint, open jobs".into()).or_default().keys = open.len() as u64;
-                self.checkpoint = Some(Checkpoint { revision: checkpoint.head.at, open });
+                self.checkpoint = Some(Checkpoint { revision: checkpoint.head.revision, open });
             }
         }
     }
--- a/src/audit/tests.rs
+++ b/src/audit/tests.rs
@@ -68,7 +68,7 @@
     assert_eq!(reported[0], "job/req-1 has ended, but is open in the checkpoint");
     assert_eq!(reported[1], "job/req-2 is open, but is not in the checkpoint");
     assert_eq!(reported[2], "job/req-4 holds the record of another job, req-5");
-    assert!(reported[3].starts_with("job/req-6 holds something unknown"), "{reported:?}");
+    assert!(reported[3].starts_with("job/req-6 is not a valid job record"), "{reported:?}");
     assert!(reported[4].starts_with("prog/req-2/0 is malformed"));
     assert_eq!(reported[5], "rack/0 refers to job 3, but lists only 1, for machine h1");
     assert_eq!(reported[6], "what/1 has an unknown kind of key");
--- a/src/node/merging.rs
+++ b/src/node/merging.rs
@@ -188,7 +188,7 @@
         }
         let Ok(items) = self.list_own(lupinspur_recovery::PREFIX).await else { return false };
         let read = lupinspur_recovery::read(items.iter().map(|item| (item.key.as_str(), &item.value)));
-        read.is_ok_and(|checkpoint| checkpoint.head.at >= loaded_revision)
+        read.is_ok_and(|checkpoint| checkpoint.head.revision >= loaded_revision)
     }
 
     /// Reads the stored values of the other shards while they merge into this one: their machine groups, and the
