--- a/crates/model/src/controllers.rs
+++ b/crates/model/src/controllers.rs
@@ -1,14 +1,14 @@
 //! Controllers: their claims, and the shell's part around each leader's decisions.
 
-use crate::elections::ClaimState;
+use crate::elections::ElectionState;
 use crate::machines::Machine;
-use crate::messages::{Message, UNANSWERED_S};
-use crate::shard_exchange::{Seen, concerns};
+use crate::messages::{Message, PUSH_RESPONSE_LIMIT_S};
+use crate::shard_exchange::{SharedState, belongs_to_shard};
 use crate::transactions::LeaderCommit;
-use crate::trouble::Wrong;
+use crate::trouble::WrongDecision;
 use crate::world::{World, ZONES};
 use crate::wrong_decisions;
-use crate::{CLAIM_S, STEP};
+use crate::{LEADER_LEASE_S, STEP_S};
 use lupinspur_scheduler::election::{LeaderElection, LeadershipRecord};
 use lupinspur_scheduler::intern::DenseIndex;
 use lupinspur_scheduler::jobs::{JOB_PREFIX, JobRecord};
@@ -21,20 +21,20 @@
 
 pub(crate) struct Node {
     pub(crate) name: String,
-    pub(crate) back_at: f64,
-    pub(crate) still: f64,
-    pub(crate) no_state: f64,
-    pub(crate) no_peers: f64,
-    pub(crate) no_workers: f64,
+    pub(crate) restarts_at: f64,
+    pub(crate) paused_until: f64,
+    pub(crate) state_service_lost_until: f64,
+    pub(crate) peers_lost_until: f64,
+    pub(crate) workers_lost_until: f64,
     /// Until when the zone in which it stands is cut off, with it.
-    pub(crate) zone_cut: f64,
+    pub(crate) zone_partitioned_until: f64,
     pub(crate) acts_past_lease_s: f64,
     /// Which of its lives this is.
-    pub(crate) life: u64,
-    pub(crate) cells: Vec<Held>,
+    pub(crate) generation: u64,
+    pub(crate) cells: Vec<ShardSlot>,
     /// What it last saw of what passes between shards, and where it met jobs and machines.
-    pub(crate) seen: Seen,
-    pub(crate) seen_at: f64,
+    pub(crate) shared_state: SharedState,
+    pub(crate) shared_state_read_at: f64,
     pub(crate) shard_by_job: HashMap<String, usize>,
     pub(crate) shard_by_machine: HashMap<String, usize>,
 }
@@ -48,48 +48,51 @@
 }
 
 /// One shard's place in a controller.
-pub(crate) struct Held {
-    pub(crate) own: LeaderElection,
+pub(crate) struct ShardSlot {
+    pub(crate) election: LeaderElection,
     pub(crate) shard: Option<Shard>,
     pub(crate) watched: u64,
-    pub(crate) claim: ClaimState,
+    pub(crate) election_state: ElectionState,
     /// How long it acts past its lease: none, unless that is the decision that is wrong on purpose.
     pub(crate) acts_past_lease_s: f64,
     pub(crate) listed_at: f64,
     pub(crate) commits: usize,
-    pub(crate) looked_at: f64,
+    pub(crate) exchanged_at: f64,
     /// When records of needs were last looked up.
     pub(crate) dependencies_read_at: f64,
     pub(crate) leader: (u64, Rebalancer),
 }
 
-impl Held {
+impl ShardSlot {
     /// The token, while this controller surely owns the shard.
     pub(crate) fn valid_token(&self, now: f64) -> Option<u64> {
-        self.own.valid_token(now - self.acts_past_lease_s)
+        self.election.valid_token(now - self.acts_past_lease_s)
     }
 }
 
 impl Node {
     pub(crate) fn runs(&self, now: f64) -> bool {
-        now >= self.back_at && now >= self.still
+        now >= self.restarts_at && now >= self.paused_until
     }
 
     pub(crate) fn begin(&mut self, cells: usize) {
-        let held = |_| Held {
-            own: LeaderElection::new(LeadershipRecord::new(self.name.clone(), self.life.to_string()), CLAIM_S),
+        let held = |_| ShardSlot {
+            election: LeaderElection::new(
+                LeadershipRecord::new(self.name.clone(), self.generation.to_string()),
+                LEADER_LEASE_S,
+            ),
             shard: None,
             watched: 0,
-            claim: ClaimState::default(),
+            election_state: ElectionState::default(),
             acts_past_lease_s: self.acts_past_lease_s,
             listed_at: 0.0,
             commits: 0,
-            looked_at: 0.0,
+            exchanged_at: 0.0,
             dependencies_read_at: 0.0,
             leader: Default::default(),
         };
         self.cells = (0..cells).map(held).collect();
-        (self.seen, self.seen_at) = (Seen::default(), -10.0);
+        (self.shared_state, self.shared_state_read_at) = (SharedState::default(), -10.0);
         self.shard_by_job.clear();
         self.shard_by_machine.clear();
     }
@@ -108,47 +111,47 @@
 }
 
 impl World {
-    pub(crate) fn reaches(&self, i: usize) -> bool {
-        self.store.up(self.now) && self.now >= self.nodes[i].no_state
+    pub(crate) fn reaches_state_service(&self, i: usize) -> bool {
+        self.store.up(self.now) && self.now >= self.nodes[i].state_service_lost_until
     }
 
     pub(crate) fn step_node(&mut self, i: usize) {
         if !self.nodes[i].runs(self.now) {
             return;
         }
-        if self.cells > 1 && self.reaches(i) && self.now - self.nodes[i].seen_at > 0.6 {
-            self.see(i);
+        if self.cells > 1 && self.reaches_state_service(i) && self.now - self.nodes[i].shared_state_read_at > 0.6 {
+            self.refresh_shared_state(i);
         }
         (0..self.cells).for_each(|c| self.step_shard(i, c));
     }
 
     pub(crate) fn step_shard(&mut self, i: usize, c: usize) {
         let now = self.now;
-        let reaches = self.reaches(i);
-        if reaches {
-            self.keep_claim(i, c);
+        let reaches_state_service = self.reaches_state_service(i);
+        if reaches_state_service {
+            self.step_election(i, c);
         }
         if self.nodes[i].acting(c, now).is_none() {
             return;
         }
         let Some(token) = self.nodes[i].cells[c].valid_token(now) else { return };
-        if reaches {
+        if reaches_state_service {
             self.watch(i, c);
-            self.look_around(i, c);
+            self.exchange_with_shards(i, c);
             self.look_up_dependencies(i, c);
         }
-        self.misjudge_silence(i, c);
-        let wrong = self.wrong;
-        let (life, one) = (self.nodes[i].life, self.cells == 1);
+        self.apply_wrong_silence_decision(i, c);
+        let wrong = self.wrong_decision;
+        let (generation, one) = (self.nodes[i].generation, self.cells == 1);
         let n = &mut self.nodes[i].cells[c];
         let Some(s) = &mut n.shard else { return };
-        s.state_service_writable = reaches;
-        if ((now / STEP) as u64).is_multiple_of(20) {
+        s.state_service_writable = reaches_state_service;
+        if ((now / STEP_S) as u64).is_multiple_of(20) {
             s.request_placement();
         }
         let began = Instant::now();
         s.tick(now);
-        if wrong == Some(Wrong::Resolved) {
+        if wrong == Some(WrongDecision::SkipsReconciliation) {
             let all: Vec<_> = s.machines.present.iter().copied().collect();
             for m in all {
                 s.machines[m].reconcile_deadline = None;
@@ -157,7 +160,7 @@
             let jobs: Vec<_> = s.jobs.live.iter().copied().collect();
             jobs.into_iter().for_each(|j| s.jobs[j].unreconciled_machines = 0);
         }
-        if wrong == Some(Wrong::Spot) {
+        if wrong == Some(WrongDecision::TreatsSpotAsOnDemand) {
             let all: Vec<_> = s.machines.present.iter().copied().collect();
             all.into_iter().for_each(|m| s.machines[m].spot = false);
         }
@@ -165,11 +168,11 @@
         let deaf = s.is_partitioned_from_workers(now);
         let mut directs: Vec<(usize, PushRequest)> = Vec::new();
         while let Some(d) = s.next_push(now) {
-            directs.push((self.by_name[&*s.machines[d.machine].name], d));
+            directs.push((self.machine_index_by_name[&*s.machines[d.machine].name], d));
         }
         let rentals = s.launches.pending.clone();
         let mut writes = Vec::new();
-        while reaches && n.commits < 3 {
+        while reaches_state_service && n.commits < 3 {
             let some = s.next_writes(8, 50_000, 8, now);
             if some.is_empty() {
                 break;
@@ -178,46 +181,46 @@
             writes.push(some);
         }
         let deletion = s.next_delete();
-        self.counts.processor[c] += began.elapsed().as_secs_f64();
+        self.counts.decision_seconds[c] += began.elapsed().as_secs_f64();
         if now - n.listed_at > 3.0 {
             n.listed_at = now;
             let listed = |m: &Machine| -> ListedMachine {
                 let state = if now >= m.up_at { "running" } else { "booting" };
                 let zone = ZONES[m.zone];
                 serde_json::from_value(json!({"id": m.name, "addr": "127.0.0.1:9", "strain": "m32",
-                    "field": zone, "fallow": m.spot, "bloom": state, "held_s": now - m.born}))
+                    "field": zone, "fallow": m.spot, "bloom": state, "held_s": now - m.launched_at}))
                 .expect("a machine")
             };
             let list: Vec<ListedMachine> =
-                self.machines.iter().filter(|m| !m.gone && now - m.born > 5.0).map(listed).collect();
+                self.machines.iter().filter(|m| !m.gone && now - m.launched_at > 5.0).map(listed).collect();
             s.on_list(&list, one, now);
         }
         for l in rentals {
             self.rent(i, token, &l);
         }
-        self.start_cancelled(&mut directs);
-        let no_workers = now < self.nodes[i].no_workers;
-        for (to, send) in directs {
+        self.apply_wrong_start_decision(&mut directs);
+        let no_workers = now < self.nodes[i].workers_lost_until;
+        for (to, push) in directs {
             let after = self.latency();
             if no_workers {
-                self.send(1.2, Message::Outcome { node: i, life, send, outcome: PushOutcome::Unknown });
-            } else if now < self.late_commands && self.rng.bool() || after > UNANSWERED_S {
+                self.send(1.2, Message::PushOutcome { node: i, generation, push, outcome: PushOutcome::Unknown });
+            } else if now < self.commands_delayed_until && self.rng.bool() || after > PUSH_RESPONSE_LIMIT_S {
                 // Given up, and executed later all the same.
-                let late = if after > UNANSWERED_S { after } else { 2.0 + self.rng.f64() * 30.0 };
-                let copy = PushRequest { starts: send.starts.clone(), body: send.body.clone(), ..send };
-                self.send(late, Message::Commands { node: i, life, to, send, outcome: false });
-                self.send(2.5, Message::Outcome { node: i, life, send: copy, outcome: PushOutcome::Unknown });
+                let late = if after > PUSH_RESPONSE_LIMIT_S { after } else { 2.0 + self.rng.f64() * 30.0 };
+                let copy = PushRequest { starts: push.starts.clone(), body: push.body.clone(), ..push };
+                self.send(late, Message::Push { node: i, generation, to, push, reports_outcome: false });
+                self.send(2.5, Message::PushOutcome { node: i, generation, push: copy, outcome: PushOutcome::Unknown });
             } else {
-                self.send(after, Message::Commands { node: i, life, to, send, outcome: true });
+                self.send(after, Message::Push { node: i, generation, to, push, reports_outcome: true });
             }
         }
         for writes in writes {
             self.transactions += 1;
             let number = self.transactions;
-            self.send_commit(LeaderCommit { node: i, life, cell: c, token, number, writes });
+            self.send_commit(LeaderCommit { node: i, generation, cell: c, token, number, writes });
         }
         if let Some(CloudCall::Delete(machines, names)) = deletion {
-            self.send(0.3, Message::Deleted { node: i, life, token, machines, names });
+            self.send(0.3, Message::MachinesDeleted { node: i, generation, token, machines, names });
         }
         if deaf {
             self.step_down(i, c);
@@ -237,7 +240,7 @@
             }
             if *version > n.watched {
                 let r: JobRecord = serde_json::from_value(v.clone()).expect("a record");
-                if concerns(c, &r) {
+                if belongs_to_shard(c, &r) {
                     s.add_job(r, *version, now);
                 } else {
                     s.on_job_moved(&r.job.id, now);
@@ -251,7 +254,7 @@
     pub(crate) fn rent(&mut self, node: usize, token: u64, l: &lupinspur_scheduler::fleet::launch::Launch) {
         let now = self.now;
         let there = self.machines.iter().filter(|m| !m.gone).count();
-        let rental = match self.rented.get(&l.name) {
+        let rental = match self.rentals_by_name.get(&l.name) {
             Some(rental) => rental.clone(),
             None => {
                 let most = self.scenario.most_machines;
@@ -268,7 +271,7 @@
                     })
                     .collect();
                 let rental = Rental { names, answered_at: self.rental_answered_at() };
-                self.rented.insert(l.name.clone(), rental.clone());
+                self.rentals_by_name.insert(l.name.clone(), rental.clone());
                 rental
             }
         };
@@ -276,7 +279,7 @@
             return;
         }
         let names = rental.names;
-        self.misjudge_rented(node, token, &names);
+        self.apply_wrong_rental_decision(node, token, &names);
         let Some(s) = self.nodes[node].shard_of(token) else { return };
         if names.is_empty() { s.on_rental_refused(l, now) } else { s.on_rented(l, &names, now) }
     }
--- a/crates/model/src/late_reports.rs
+++ b/crates/model/src/late_reports.rs
@@ -1,47 +1,48 @@
-//! Copies of reports that are kept and reach every controller as soon as a new leader begins.
+//! Duplicated heartbeats that are held back and delivered to every controller when a shard has a new leader.
 
 use crate::messages::Message;
 use crate::world::World;
 use lupinspur_wire::Heartbeat;
 
-/// Copies that are kept at most.
-const MAX_KEPT: usize = 200;
-/// They arrive within so many seconds of the leader's beginning.
-const WITHIN_S: f64 = 0.5;
+/// Largest number of copies that are held back.
+const MAX_COPIES: usize = 200;
+/// The copies arrive within this time after the new leader begins, in seconds.
+const DELIVERED_WITHIN_S: f64 = 0.5;
 
+/// The copies held back, and the leaders known so far.
 #[derive(Default)]
-pub(crate) struct LateReports {
-    kept: Vec<Heartbeat>,
-    /// The newest token of a leader, by shard.
-    leaders: Vec<u64>,
+pub(crate) struct HeartbeatCopies {
+    copies: Vec<Heartbeat>,
+    /// The highest fencing token of a leader, by shard.
+    leader_tokens: Vec<u64>,
 }
 
 impl World {
-    /// A copy of half of the reports is kept while the trouble lasts.
-    pub(crate) fn keep_report(&mut self, report: &Heartbeat) {
-        let lasts = self.now < self.spells.copies_for_next_leader;
-        if lasts && self.late_reports.kept.len() < MAX_KEPT && self.chance.bool() {
-            self.late_reports.kept.push(report.clone());
+    /// Holds back copies of half of the heartbeats, chosen at random, while the fault is active.
+    pub(crate) fn keep_heartbeat_copy(&mut self, heartbeat: &Heartbeat) {
+        let is_active = self.now < self.active_faults.heartbeat_copies_until;
+        if is_active && self.heartbeat_copies.copies.len() < MAX_COPIES && self.fault_rng.bool() {
+            self.heartbeat_copies.copies.push(heartbeat.clone());
         }
     }
 
-    /// Delivers the copies once a shard has a new leader.
-    pub(crate) fn step_late_reports(&mut self) {
+    /// Sends the copies to every controller when a shard has a new leader.
+    pub(crate) fn step_heartbeat_copies(&mut self) {
         let tokens = |c: usize| self.nodes.iter().filter_map(|n| Some(n.cells[c].shard.as_ref()?.token)).max();
         let newest: Vec<u64> = (0..self.cells).map(|c| tokens(c).unwrap_or(0)).collect();
-        self.late_reports.leaders.resize(self.cells, 0);
-        let begins = newest.iter().zip(&self.late_reports.leaders).any(|(new, old)| new > old);
-        for (old, new) in self.late_reports.leaders.iter_mut().zip(newest) {
+        self.heartbeat_copies.leader_tokens.resize(self.cells, 0);
+        let has_new_leader = newest.iter().zip(&self.heartbeat_copies.leader_tokens).any(|(new, old)| new > old);
+        for (old, new) in self.heartbeat_copies.leader_tokens.iter_mut().zip(newest) {
             *old = new.max(*old);
         }
-        if !begins {
+        if !has_new_leader {
             return;
         }
-        for report in std::mem::take(&mut self.late_reports.kept) {
+        for heartbeat in std::mem::take(&mut self.heartbeat_copies.copies) {
             for node in 0..self.controllers {
-                let after = self.chance.f64() * WITHIN_S;
+                let after = self.fault_rng.f64() * DELIVERED_WITHIN_S;
                 let (machine, sent) = (usize::MAX, self.now);
-                self.send(after, Message::Report { node, report: report.clone(), machine, sent });
+                self.send(after, Message::Heartbeat { node, heartbeat: heartbeat.clone(), machine, sent });
             }
         }
     }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -53,17 +53,20 @@
 pub use lupinspur_files::Fault;
 pub use report::{Counts, Run, play, simulate};
 pub use scenario::Scenario;
-pub use trouble::{CONTROLLER_KINDS, KINDS, Kind, LEADER, SAME_LEADER, Trouble, USER_AND_MACHINE_KINDS, Wrong};
+pub use trouble::{
+    CONTROLLER_FAULT_KINDS, FAULT_KINDS, FaultKind, InjectedFault, LEADER, SAME_LEADER, USER_AND_MACHINE_FAULT_KINDS,
+    WrongDecision,
+};
 pub use work::Work;
 
 /// Seconds between two looks at everything.
-const STEP: f64 = 0.05;
+const STEP_S: f64 = 0.05;
 /// Seconds that a machine goes on without an answer.
-const LEASE_S: f64 = 20.0;
-const REPORT_S: f64 = 3.0;
+const MACHINE_LEASE_S: f64 = 20.0;
+const HEARTBEAT_INTERVAL_S: f64 = 3.0;
 /// Seconds within which nothing of a cancelled job runs any more.
-const CANCEL_S: f64 = 45.0;
-const CLAIM_S: f64 = 4.0;
+const CANCELLATION_LIMIT_S: f64 = 45.0;
+const LEADER_LEASE_S: f64 = 4.0;
 /// How long a leader acts past its lease where that is the decision that is wrong on purpose.
 const ACTS_PAST_LEASE_S: f64 = 30.0;
 /// How long after all troubles a question about any job may be without an answer.
--- a/crates/model/src/machines.rs
+++ b/crates/model/src/machines.rs
@@ -1,26 +1,31 @@
-//! Machines: their leases, what runs on them, what they report and obey.
+//! Machines: their leases, their tasks, the heartbeats that they send and the commands that they execute.
 
 use crate::messages::Message;
-use crate::trouble::Wrong;
+use crate::trouble::WrongDecision;
 use crate::users::job_done;
 use crate::world::{World, ZONES};
-use crate::{LEASE_S, REPORT_S};
+use crate::{HEARTBEAT_INTERVAL_S, MACHINE_LEASE_S};
 use lupinspur_wire::{Command, CommandKind, Heartbeat, TaskReport};
 use serde_json::json;
 use std::collections::BTreeMap;
 
+/// What a machine does with a task.
 #[derive(Clone, Copy, PartialEq)]
-pub(crate) enum State {
-    Fetches(f64),
-    Runs(f64),
-    Saves(f64),
+pub(crate) enum TaskPhase {
+    /// Pulls the image until this time.
+    Pulling(f64),
+    /// Has run the task since this time.
+    Running(f64),
+    /// Saves the state of a stopped task until this time.
+    Flushing(f64),
+    /// The exit reason.
     Ended(&'static str),
 }
 
 #[derive(Clone)]
 pub(crate) struct Task {
     pub(crate) attempt: u64,
-    pub(crate) state: State,
+    pub(crate) phase: TaskPhase,
 }
 
 #[derive(Clone)]
@@ -29,48 +34,55 @@
     pub(crate) zone: usize,
     pub(crate) spot: bool,
     pub(crate) up_at: f64,
-    pub(crate) born: f64,
+    pub(crate) launched_at: f64,
     pub(crate) gone: bool,
     pub(crate) incarnation: u64,
     pub(crate) seq: u64,
     pub(crate) token: u64,
-    pub(crate) renewed: f64,
+    pub(crate) lease_renewed_at: f64,
     pub(crate) tasks: BTreeMap<String, Task>,
-    /// Until when it hangs, hears no answers, hears no commands, is cut off, fails its tasks.
-    pub(crate) hangs: f64,
-    pub(crate) deaf_answers: f64,
-    pub(crate) deaf_commands: f64,
-    pub(crate) cut: f64,
-    /// Until when it reaches no controller, while direct commands reach it.
-    pub(crate) mute: f64,
-    pub(crate) faulty: f64,
-    pub(crate) at: usize,
+    /// End of the active fault in which the machine hangs.
+    pub(crate) hangs_until: f64,
+    /// End of the active fault in which replies to its heartbeats are lost.
+    pub(crate) replies_lost_until: f64,
+    /// End of the active fault in which commands pushed to it are lost.
+    pub(crate) commands_lost_until: f64,
+    /// End of the network partition between the machine and all controllers.
+    pub(crate) partitioned_until: f64,
+    /// End of the active fault in which its heartbeats are lost, while pushed commands still arrive.
+    pub(crate) heartbeats_lost_until: f64,
+    /// End of the active fault in which every task on it fails.
+    pub(crate) tasks_fail_until: f64,
+    /// Number of the controller that it sends heartbeats to.
+    pub(crate) controller: usize,
     pub(crate) next_report: f64,
-    /// The report under way: when it was sent, and until when its answer is waited for.
-    pub(crate) waits: Option<(f64, f64)>,
+    /// The heartbeat without a reply so far: when it was sent, and until when the machine waits for the reply.
+    pub(crate) pending_heartbeat: Option<(f64, f64)>,
 }
 
 impl Machine {
-    pub(crate) fn there(&self, now: f64) -> bool {
+    /// Returns whether the machine has booted and still exists.
+    pub(crate) fn is_up(&self, now: f64) -> bool {
         !self.gone && now >= self.up_at
     }
 
-    /// What is on it, also while it hangs, until its lease is over.
-    pub(crate) fn holds(&self, task: &str, now: f64) -> bool {
-        let alive = !self.gone && now - self.renewed <= LEASE_S;
-        alive && self.tasks.get(task).is_some_and(|t| matches!(t.state, State::Runs(_) | State::Saves(_)))
+    /// Returns whether a task runs or flushes on the machine, also while it hangs, until its lease expires.
+    pub(crate) fn runs_task(&self, task: &str, now: f64) -> bool {
+        let alive = !self.gone && now - self.lease_renewed_at <= MACHINE_LEASE_S;
+        alive && self.tasks.get(task).is_some_and(|t| matches!(t.phase, TaskPhase::Running(_) | TaskPhase::Flushing(_)))
     }
 
-    pub(crate) fn report(&mut self, wrong: Option<Wrong>) -> Heartbeat {
-        let errors_are_done = wrong == Some(Wrong::ErrorsAreDone);
+    /// Returns the machine's next heartbeat, with the next sequence number.
+    pub(crate) fn next_heartbeat(&mut self, wrong_decision: Option<WrongDecision>) -> Heartbeat {
+        let reports_errors_as_done = wrong_decision == Some(WrongDecision::ReportsErrorsAsDone);
         self.seq += 1;
         let task = |(n, t): (&String, &Task)| -> TaskReport {
-            let (bloom, wilt) = match t.state {
-                State::Fetches(_) => ("pulling", None),
-                State::Runs(_) => ("running", None),
-                State::Saves(_) => ("flushing", None),
-                State::Ended("error") if errors_are_done => ("ended", Some("done")),
-                State::Ended(why) => ("ended", Some(why)),
+            let (bloom, wilt) = match t.phase {
+                TaskPhase::Pulling(_) => ("pulling", None),
+                TaskPhase::Running(_) => ("running", None),
+                TaskPhase::Flushing(_) => ("flushing", None),
+                TaskPhase::Ended("error") if reports_errors_as_done => ("ended", Some("done")),
+                TaskPhase::Ended(why) => ("ended", Some(why)),
             };
             serde_json::from_value(json!({"seed": n, "sowing": t.attempt, "bloom": bloom, "wilt": wilt}))
                 .expect("a task")
@@ -90,59 +102,62 @@
     }
 }
 
-/// The number of a task within its job.
+/// Returns the number of a task within its job.
 fn task_number(task: &str) -> u32 {
     task.rsplit('/').next().and_then(|n| n.parse().ok()).unwrap_or(0)
 }
 
 impl World {
-    pub(crate) fn step_machine(&mut self, i: usize) {
+    /// Advances a machine: checks its lease, its tasks and its pending heartbeat, and sends the next heartbeat.
+    pub(crate) fn step_machine(&mut self, index: usize) {
         let now = self.now;
-        if !self.machines[i].there(now) || now < self.machines[i].hangs {
+        if !self.machines[index].is_up(now) || now < self.machines[index].hangs_until {
             return;
         }
-        let lease_over = now - self.machines[i].renewed > LEASE_S;
-        if lease_over {
-            self.observe_loss(i);
+        let lease_expired = now - self.machines[index].lease_renewed_at > MACHINE_LEASE_S;
+        if lease_expired {
+            self.observe_loss(index);
         }
-        let m = &mut self.machines[i];
-        if lease_over {
+        let m = &mut self.machines[index];
+        if lease_expired {
             m.tasks.clear();
             m.incarnation += 1;
-            (m.renewed, m.waits) = (now, None);
+            (m.lease_renewed_at, m.pending_heartbeat) = (now, None);
         }
         let mut changed = false;
         for (name, t) in &mut m.tasks {
             let (job, n) = name.split_once('/').expect("a task");
-            let kept = self.jobs.get(job).is_some_and(|j| j.done.contains(&n.parse().expect("a number")));
-            let next = match t.state {
-                // A result is kept: started again, it is done at once.
-                State::Fetches(until) if now >= until => {
-                    if kept {
-                        State::Ended("done")
+            let is_stored = self.jobs.get(job).is_some_and(|j| j.done.contains(&n.parse().expect("a number")));
+            let next = match t.phase {
+                // The result of a finished task is stored: the task is done at once when it is started again.
+                TaskPhase::Pulling(until) if now >= until => {
+                    if is_stored {
+                        TaskPhase::Ended("done")
                     } else {
-                        State::Runs(now)
+                        TaskPhase::Running(now)
                     }
                 }
-                State::Runs(_) if now < m.faulty => State::Ended("error"),
-                State::Saves(until) if now >= until => State::Ended("stopped"),
+                TaskPhase::Running(_) if now < m.tasks_fail_until => TaskPhase::Ended("error"),
+                TaskPhase::Flushing(until) if now >= until => TaskPhase::Ended("stopped"),
                 s => s,
             };
-            changed |= next != t.state;
-            t.state = next;
+            changed |= next != t.phase;
+            t.phase = next;
         }
-        // Arrays' tasks complete.
+        // Tasks of arrays complete; services run until they are stopped.
         let work = self.scenario.work;
         let ended: Vec<String> = m
             .tasks
             .iter()
-            .filter(|(n, t)| matches!(t.state, State::Runs(since) if now - since > work.task_runs_s(task_number(n))))
+            .filter(
+                |(n, t)| matches!(t.phase, TaskPhase::Running(since) if now - since > work.task_runs_s(task_number(n))),
+            )
             .map(|(n, _)| n.clone())
             .filter(|n| self.jobs.get(n.split('/').next().unwrap_or("")).is_some_and(|j| j.spec.estimate_s > 0.0))
             .collect();
         for name in ended {
-            if let Some(t) = self.machines[i].tasks.get_mut(&name) {
-                t.state = State::Ended("done");
+            if let Some(t) = self.machines[index].tasks.get_mut(&name) {
+                t.phase = TaskPhase::Ended("done");
             }
             let (job, task) = name.split_once('/').expect("a task");
             if let Some(j) = self.jobs.get_mut(job) {
@@ -154,71 +169,77 @@
             self.observe_end(job);
             changed = true;
         }
-        self.check_starts(i);
-        let m = &mut self.machines[i];
+        self.check_starts(index);
+        let m = &mut self.machines[index];
         if changed {
             m.next_report = m.next_report.min(now + 0.5);
         }
-        if let Some((_, until)) = m.waits {
+        if let Some((_, until)) = m.pending_heartbeat {
             if now < until {
                 return;
             }
-            m.waits = None;
-            m.at = (m.at + 1) % self.controllers;
+            m.pending_heartbeat = None;
+            m.controller = (m.controller + 1) % self.controllers;
             m.next_report = now + 1.0;
         }
         if now >= m.next_report {
-            m.next_report = now + REPORT_S * (0.75 + self.rng.f64() * 0.5);
-            let report = m.report(self.wrong);
-            m.waits = Some((now, now + 4.0));
-            if self.wrong == Some(Wrong::RenewsBySending) {
-                m.renewed = now;
+            m.next_report = now + HEARTBEAT_INTERVAL_S * (0.75 + self.rng.f64() * 0.5);
+            let heartbeat = m.next_heartbeat(self.wrong_decision);
+            m.pending_heartbeat = Some((now, now + 4.0));
+            if self.wrong_decision == Some(WrongDecision::RenewsLeaseBySending) {
+                m.lease_renewed_at = now;
             }
-            let node = m.at;
-            if now < m.mute || !self.linked(node, i) {
+            let node = m.controller;
+            if now < m.heartbeats_lost_until || !self.can_communicate(node, index) {
                 return;
             }
             let after = self.latency();
-            self.keep_report(&report);
-            if now < self.copies {
-                let late = 1.0 + self.rng.f64() * LEASE_S * 2.0;
+            self.keep_heartbeat_copy(&heartbeat);
+            if now < self.heartbeats_duplicated_until {
+                let late = 1.0 + self.rng.f64() * MACHINE_LEASE_S * 2.0;
                 let to = self.rng.usize(0..self.controllers);
-                self.send(late, Message::Report { node: to, report: report.clone(), machine: usize::MAX, sent: now });
+                let duplicate =
+                    Message::Heartbeat { node: to, heartbeat: heartbeat.clone(), machine: usize::MAX, sent: now };
+                self.send(late, duplicate);
             }
-            self.send(after, Message::Report { node, report, machine: i, sent: now });
+            self.send(after, Message::Heartbeat { node, heartbeat, machine: index, sent: now });
         }
     }
 
-    pub(crate) fn obey(&mut self, i: usize, commands: &[Command]) {
+    /// Executes commands on a machine, in their order.
+    pub(crate) fn execute_commands(&mut self, index: usize, commands: &[Command]) {
         let now = self.now;
-        let wrong = self.wrong;
-        let fetch = 0.3 + self.rng.f64() + self.slow_fetch();
-        let m = &mut self.machines[i];
+        let wrong_decision = self.wrong_decision;
+        let pull_s = 0.3 + self.rng.f64() + self.extra_pull_s();
+        let m = &mut self.machines[index];
         for c in commands {
             match c.kind {
                 CommandKind::Start => {
                     m.tasks
                         .entry(c.task.clone())
-                        .or_insert(Task { attempt: c.attempt, state: State::Fetches(now + fetch) });
+                        .or_insert(Task { attempt: c.attempt, phase: TaskPhase::Pulling(now + pull_s) });
                 }
-                CommandKind::Stop if wrong == Some(Wrong::Stops) => {}
-                CommandKind::Stop if wrong == Some(Wrong::IgnoresStopsAfterHang) && m.hangs > 0.0 => {}
+                CommandKind::Stop if wrong_decision == Some(WrongDecision::IgnoresStops) => {}
+                CommandKind::Stop
+                    if wrong_decision == Some(WrongDecision::IgnoresStopsAfterHang) && m.hangs_until > 0.0 => {}
                 CommandKind::Stop => {
-                    let saves_s = self.jobs.get(c.task.split('/').next().unwrap_or("")).map_or(0.0, |j| j.spec.save_s);
+                    let flush_s = self.jobs.get(c.task.split('/').next().unwrap_or("")).map_or(0.0, |j| j.spec.save_s);
                     if let Some(t) = m.tasks.get_mut(&c.task).filter(|t| t.attempt == c.attempt) {
-                        let mercy = saves_s > 0.0 && c.grace_s.is_some_and(|g| g >= saves_s);
-                        t.state = match t.state {
-                            State::Ended(why) => State::Ended(why),
-                            State::Runs(_) if mercy => State::Saves(now + saves_s),
-                            State::Saves(until) if c.grace_s.is_some_and(|g| g > 0.0) => State::Saves(until),
-                            _ => State::Ended("stopped"),
+                        let may_flush = flush_s > 0.0 && c.grace_s.is_some_and(|g| g >= flush_s);
+                        t.phase = match t.phase {
+                            TaskPhase::Ended(why) => TaskPhase::Ended(why),
+                            TaskPhase::Running(_) if may_flush => TaskPhase::Flushing(now + flush_s),
+                            TaskPhase::Flushing(until) if c.grace_s.is_some_and(|g| g > 0.0) => {
+                                TaskPhase::Flushing(until)
+                            }
+                            _ => TaskPhase::Ended("stopped"),
                         };
                     }
                 }
                 CommandKind::Forget => {
                     if m.tasks
                         .get(&c.task)
-                        .is_some_and(|t| t.attempt == c.attempt && matches!(t.state, State::Ended(_)))
+                        .is_some_and(|t| t.attempt == c.attempt && matches!(t.phase, TaskPhase::Ended(_)))
                     {
                         m.tasks.remove(&c.task);
                     }
--- a/crates/model/src/messages.rs
+++ b/crates/model/src/messages.rs
@@ -1,182 +1,195 @@
-//! What is under way between controllers, machines, the state service and the cloud.
+//! Messages in flight between controllers, machines, the state service and the cloud, and their delivery.
 
-use crate::elections::ClaimMessage;
+use crate::elections::ElectionMessage;
 use crate::transactions::{CommitOutcome, LeaderCommit};
-use crate::trouble::Wrong;
+use crate::trouble::WrongDecision;
 use crate::world::World;
 use lupinspur_scheduler::election::{LEADERSHIP_KEY, shard_leadership_key};
 use lupinspur_scheduler::shard::{HeartbeatOutcome, PushOutcome, PushRequest};
 use lupinspur_wire::{Command, Heartbeat, Mutation, PushedCommands};
 use std::time::Instant;
 
-/// After this a controller knows that direct commands have no answer.
-pub(crate) const UNANSWERED_S: f64 = 1.2;
+/// How long a controller waits for the response to pushed commands, in seconds.
+pub(crate) const PUSH_RESPONSE_LIMIT_S: f64 = 1.2;
 
-/// Why direct commands do not reach a machine.
-enum HeldUp {
+/// Why pushed commands do not reach a machine.
+enum Undelivered {
     Lost,
-    /// They may arrive after this.
-    Until(f64),
+    /// They may be executed after this time.
+    DelayedUntil(f64),
 }
 
 pub(crate) enum Message {
-    Report {
+    /// A heartbeat on its way to a controller. `machine` is `usize::MAX` in a duplicate, which gets no reply.
+    Heartbeat {
         node: usize,
-        report: Heartbeat,
+        heartbeat: Heartbeat,
         machine: usize,
         sent: f64,
     },
-    Answer {
+    /// The reply to a heartbeat: the fencing token and commands of the leader; without them, `redirect_to` is the
+    /// controller that the machine contacts next, if it is a valid number.
+    HeartbeatReply {
         machine: usize,
         incarnation: u64,
         sent: f64,
-        answer: Option<(u64, Vec<Command>)>,
-        to: usize,
+        reply: Option<(u64, Vec<Command>)>,
+        redirect_to: usize,
     },
-    Commands {
+    /// Pushed commands on their way to the machine with the number `to`.
+    Push {
         node: usize,
-        life: u64,
+        generation: u64,
         to: usize,
-        send: PushRequest,
-        outcome: bool,
+        push: PushRequest,
+        /// Whether the sender still waits for the outcome.
+        reports_outcome: bool,
     },
-    Outcome {
+    /// The outcome of pushed commands, as it reaches the controller that sent them.
+    PushOutcome {
         node: usize,
-        life: u64,
-        send: PushRequest,
+        generation: u64,
+        push: PushRequest,
         outcome: PushOutcome,
     },
+    /// A leader's transaction on its way to the state service.
     Commit {
         commit: LeaderCommit,
         answered: Option<f64>,
     },
-    /// A write of what passes between shards that comes once more, late.
-    Again {
+    /// A delayed write, executed apart from the request that sent it: a duplicate of an exchange between shards, or a
+    /// submission without a response.
+    DelayedWrite {
         conditions: Vec<(String, u64)>,
         changes: Vec<Mutation>,
     },
-    Deleted {
+    /// The cloud has deleted these machines.
+    MachinesDeleted {
         node: usize,
-        life: u64,
+        generation: u64,
         token: u64,
         machines: Vec<lupinspur_scheduler::intern::MachineIndex>,
         names: Vec<String>,
     },
-    CommitAnswer {
+    /// The response to a leader's transaction, or the end of the wait for one.
+    CommitResponse {
         commit: LeaderCommit,
         outcome: CommitOutcome,
     },
-    Claim(ClaimMessage),
+    Election(ElectionMessage),
 }
 
 impl World {
     pub(crate) fn deliver(&mut self, m: Message) {
-        let (now, wrong) = (self.now, self.wrong);
+        let (now, wrong) = (self.now, self.wrong_decision);
         match m {
-            Message::Report { node, report, machine, sent } => {
+            Message::Heartbeat { node, heartbeat, machine, sent } => {
                 let n = &mut self.nodes[node];
-                if now < n.back_at || now < n.no_workers {
+                if now < n.restarts_at || now < n.workers_lost_until {
                     return;
                 }
-                // A process that stands still reads it when it goes on.
-                if now < n.still {
-                    let after = n.still - now;
-                    return self.send(after, Message::Report { node, report, machine, sent });
+                // A paused process reads it when it resumes.
+                if now < n.paused_until {
+                    let after = n.paused_until - now;
+                    return self.send(after, Message::Heartbeat { node, heartbeat, machine, sent });
                 }
-                let incarnation = report.incarnation;
-                let report = self.misread(node, report, machine == usize::MAX);
-                let cell = self.shard_of_machine(node, &report.machine, report.token);
+                let incarnation = heartbeat.incarnation;
+                let heartbeat = self.apply_wrong_heartbeat_decision(node, heartbeat, machine == usize::MAX);
+                let shard = self.shard_of_machine(node, &heartbeat.machine, heartbeat.token);
                 let began = Instant::now();
-                let heard = cell.and_then(|c| Some(self.nodes[node].acting(c, now)?.on_heartbeat(&report, now)));
-                if let Some(c) = cell {
-                    self.counts.processor[c] += began.elapsed().as_secs_f64();
+                let outcome = shard.and_then(|c| Some(self.nodes[node].acting(c, now)?.on_heartbeat(&heartbeat, now)));
+                if let Some(c) = shard {
+                    self.counts.decision_seconds[c] += began.elapsed().as_secs_f64();
                 }
-                if let Some(c) = cell.filter(|_| heard.is_some()) {
-                    let answered = matches!(heard, Some(HeartbeatOutcome::Reply(_)));
-                    self.observe_report(node, c, &report, machine == usize::MAX, answered);
+                if let Some(c) = shard.filter(|_| outcome.is_some()) {
+                    let answered = matches!(outcome, Some(HeartbeatOutcome::Reply(_)));
+                    self.observe_heartbeat(node, c, &heartbeat, machine == usize::MAX, answered);
                 }
-                let (answer, to) = match (heard, cell) {
+                let (reply, redirect_to) = match (outcome, shard) {
                     (Some(HeartbeatOutcome::Reply(r)), _) => (Some((r.token, r.commands)), node),
                     (Some(HeartbeatOutcome::Stale), _) | (_, None) => (None, usize::MAX),
                     (_, Some(c)) => (None, self.leader_known_to(node, c).unwrap_or(usize::MAX)),
                 };
                 if machine != usize::MAX {
                     let after = self.latency();
-                    self.send(after, Message::Answer { machine, incarnation, sent, answer, to });
+                    self.send(after, Message::HeartbeatReply { machine, incarnation, sent, reply, redirect_to });
                 }
             }
-            Message::Answer { machine, incarnation, sent, answer, to } => {
-                let linked = self.linked(self.machines[machine].at, machine);
+            Message::HeartbeatReply { machine, incarnation, sent, reply, redirect_to } => {
+                let can_communicate = self.can_communicate(self.machines[machine].controller, machine);
                 let m = &mut self.machines[machine];
-                let waited = m.waits == Some((sent, sent + 4.0));
-                if !m.there(now) || now < m.hangs || !linked || now < m.deaf_answers || !waited {
-                    self.counts.coincidences.answers_lost += 1;
+                let is_awaited = m.pending_heartbeat == Some((sent, sent + 4.0));
+                if !m.is_up(now) || now < m.hangs_until || !can_communicate || now < m.replies_lost_until || !is_awaited
+                {
+                    self.counts.coincidences.heartbeat_replies_lost += 1;
                     return;
                 }
-                m.waits = None;
-                match answer {
+                m.pending_heartbeat = None;
+                match reply {
                     Some((token, commands)) => {
                         if token >= m.token && m.incarnation == incarnation {
                             m.token = token;
-                            m.renewed = sent;
-                            self.obey(machine, &commands);
+                            m.lease_renewed_at = sent;
+                            self.execute_commands(machine, &commands);
                         }
                     }
-                    None if to < self.controllers && to != m.at => (m.at, m.next_report) = (to, now + 0.2),
-                    None => (m.at, m.next_report) = ((m.at + 1) % self.controllers, now + 1.0),
+                    None if redirect_to < self.controllers && redirect_to != m.controller => {
+                        (m.controller, m.next_report) = (redirect_to, now + 0.2);
+                    }
+                    None => (m.controller, m.next_report) = ((m.controller + 1) % self.controllers, now + 1.0),
                 }
             }
-            Message::Commands { node, life, to: i, send, outcome } => {
-                if let Some(held) = self.held_up(node, i) {
-                    return self.hold_commands(held, node, life, i, send, outcome);
-                }
-                let m = &self.machines[i];
-                let PushedCommands { token, incarnation, commands } = send.body.clone();
-                let token_holds = token >= m.token || wrong == Some(Wrong::IgnoresTokens);
-                let good = token_holds && incarnation == m.incarnation;
-                self.observe_commands(i, &send, !outcome, good);
-                if good {
-                    self.machines[i].token = token.max(self.machines[i].token);
-                    self.obey(i, &commands);
-                }
-                let report = self.machines[i].report(self.wrong);
-                if outcome {
+            Message::Push { node, generation, to: index, push, reports_outcome } => {
+                if let Some(reason) = self.undelivered(node, index) {
+                    return self.delay_push(reason, node, generation, index, push, reports_outcome);
+                }
+                let m = &self.machines[index];
+                let PushedCommands { token, incarnation, commands } = push.body.clone();
+                let token_is_current = token >= m.token || wrong == Some(WrongDecision::IgnoresFencingTokens);
+                let accepted = token_is_current && incarnation == m.incarnation;
+                self.observe_commands(index, &push, !reports_outcome, accepted);
+                if accepted {
+                    self.machines[index].token = token.max(self.machines[index].token);
+                    self.execute_commands(index, &commands);
+                }
+                let report = self.machines[index].next_heartbeat(self.wrong_decision);
+                if reports_outcome {
                     let after = self.latency();
-                    let outcome = PushOutcome::Answered { executed: good, report: Some(report) };
-                    self.send(after, Message::Outcome { node, life, send, outcome });
+                    let outcome = PushOutcome::Answered { executed: accepted, report: Some(report) };
+                    self.send(after, Message::PushOutcome { node, generation, push, outcome });
                 }
             }
-            Message::Outcome { node, life, send, outcome } => {
+            Message::PushOutcome { node, generation, push, outcome } => {
                 let n = &mut self.nodes[node];
-                if n.life != life {
+                if n.generation != generation {
                     return;
                 }
-                if now < n.still {
-                    let after = n.still - now;
-                    return self.send(after, Message::Outcome { node, life, send, outcome });
+                if now < n.paused_until {
+                    let after = n.paused_until - now;
+                    return self.send(after, Message::PushOutcome { node, generation, push, outcome });
                 }
-                let outcome = self.misjudge_outcome(node, &send, outcome);
-                if let Some(s) = self.nodes[node].shard_of(send.body.token) {
-                    s.on_push_outcome(&send, outcome, now);
+                let outcome = self.apply_wrong_push_decision(node, &push, outcome);
+                if let Some(s) = self.nodes[node].shard_of(push.body.token) {
+                    s.on_push_outcome(&push, outcome, now);
                 }
             }
-            Message::Again { conditions, changes } => {
+            Message::DelayedWrite { conditions, changes } => {
                 if self.store.up(now) {
                     self.store.commit(&conditions, &changes, None);
                 }
             }
             Message::Commit { commit, answered } => self.execute(commit, answered),
-            Message::CommitAnswer { commit, outcome } => self.on_commit_answer(commit, outcome),
-            Message::Claim(message) => self.on_claim_message(message),
-            Message::Deleted { node, life, token, machines, names } => {
+            Message::CommitResponse { commit, outcome } => self.on_commit_response(commit, outcome),
+            Message::Election(message) => self.on_election_message(message),
+            Message::MachinesDeleted { node, generation, token, machines, names } => {
                 for n in &names {
-                    if let Some(i) = self.by_name.get(n) {
+                    if let Some(i) = self.machine_index_by_name.get(n) {
                         self.machines[*i].gone = true;
                         self.machines[*i].tasks.clear();
                     }
                 }
                 let n = &mut self.nodes[node];
-                if n.life == life
+                if n.generation == generation
                     && let Some(s) = n.shard_of(token)
                 {
                     s.on_deleted(&machines);
@@ -185,39 +198,51 @@
         }
     }
 
-    /// Why direct commands do not reach a machine now, if they do not.
-    fn held_up(&self, node: usize, machine: usize) -> Option<HeldUp> {
+    /// Returns why pushed commands do not reach a machine now; `None` if they do.
+    fn undelivered(&self, node: usize, machine: usize) -> Option<Undelivered> {
         let (now, n, m) = (self.now, &self.nodes[node], &self.machines[machine]);
-        let until = |until| Some(HeldUp::Until(until));
+        let until = |until| Some(Undelivered::DelayedUntil(until));
         match () {
-            () if !m.there(now) || now < m.deaf_commands => Some(HeldUp::Lost),
-            () if !self.linked(node, machine) => until(m.cut.max(n.zone_cut)),
-            () if now < m.hangs => until(m.hangs),
+            () if !m.is_up(now) || now < m.commands_lost_until => Some(Undelivered::Lost),
+            () if !self.can_communicate(node, machine) => until(m.partitioned_until.max(n.zone_partitioned_until)),
+            () if now < m.hangs_until => until(m.hangs_until),
             () => None,
         }
     }
 
-    /// Their sender does not learn what becomes of them. What is held up by a hang is executed when the machine
-    /// goes on, and half of what is held up by a cut when the cut is over.
-    fn hold_commands(&mut self, held: HeldUp, node: usize, life: u64, to: usize, send: PushRequest, outcome: bool) {
-        if let HeldUp::Until(until) = held
-            && (self.linked(node, to) || self.chance.bool())
+    /// Delays or drops pushed commands; their sender does not learn the outcome. Commands to a hanging machine are
+    /// executed when it resumes. Of the commands to a partitioned machine half are lost, and half are executed when
+    /// the partition ends.
+    fn delay_push(
+        &mut self,
+        reason: Undelivered,
+        node: usize,
+        generation: u64,
+        to: usize,
+        push: PushRequest,
+        reports_outcome: bool,
+    ) {
+        if let Undelivered::DelayedUntil(until) = reason
+            && (self.can_communicate(node, to) || self.fault_rng.bool())
         {
-            let copy = PushRequest { starts: send.starts.clone(), body: send.body.clone(), ..send };
-            let message = Message::Commands { node, life, to, send: copy, outcome: false };
-            self.under_way.push((until, message));
+            let copy = PushRequest { starts: push.starts.clone(), body: push.body.clone(), ..push };
+            let message = Message::Push { node, generation, to, push: copy, reports_outcome: false };
+            self.in_flight.push((until, message));
         }
-        if outcome {
-            self.send(UNANSWERED_S, Message::Outcome { node, life, send, outcome: PushOutcome::Unknown });
+        if reports_outcome {
+            self.send(
+                PUSH_RESPONSE_LIMIT_S,
+                Message::PushOutcome { node, generation, push, outcome: PushOutcome::Unknown },
+            );
         }
     }
 
-    pub(crate) fn leadership_key(&self, cell: usize) -> String {
-        if self.cells == 1 { LEADERSHIP_KEY.to_owned() } else { shard_leadership_key(cell as u32) }
+    pub(crate) fn leadership_key(&self, shard: usize) -> String {
+        if self.cells == 1 { LEADERSHIP_KEY.to_owned() } else { shard_leadership_key(shard as u32) }
     }
 
-    pub(crate) fn leader_known_to(&self, node: usize, cell: usize) -> Option<usize> {
-        let name = self.nodes[node].cells[cell].own.other_leader()?;
+    pub(crate) fn leader_known_to(&self, node: usize, shard: usize) -> Option<usize> {
+        let name = self.nodes[node].cells[shard].election.other_leader()?;
         self.nodes.iter().position(|n| n.name == name)
     }
 }
--- a/crates/model/src/odd_requests.rs
+++ b/crates/model/src/odd_requests.rs
@@ -2,7 +2,7 @@
 //! done, questions about jobs that nobody submitted.
 
 use crate::stored::known_types;
-use crate::trouble::Wrong;
+use crate::trouble::WrongDecision;
 use crate::world::World;
 use lupinspur_histories::{Answer, Request, Unfit};
 use lupinspur_scheduler::jobs::{JobRecord, job_key};
@@ -15,7 +15,7 @@
 
 /// A submission that has to be refused.
 #[derive(Debug, Clone, Copy)]
-enum Odd {
+enum InvalidSubmission {
     LacksTeam,
     LacksCpus,
     LacksSameZone,
@@ -28,23 +28,25 @@
     ServiceOverLimit,
 }
 
-const ODD: [Odd; 10] = [
-    Odd::LacksTeam,
-    Odd::LacksCpus,
-    Odd::LacksSameZone,
-    Odd::LargerThanAnyMachine,
-    Odd::MoreMemoryThanAnyMachine,
-    Odd::UnknownTeam,
-    Odd::UnknownZone,
-    Odd::UnknownType,
-    Odd::TaskOverLimit,
-    Odd::ServiceOverLimit,
+const INVALID_SUBMISSIONS: [InvalidSubmission; 10] = [
+    InvalidSubmission::LacksTeam,
+    InvalidSubmission::LacksCpus,
+    InvalidSubmission::LacksSameZone,
+    InvalidSubmission::LargerThanAnyMachine,
+    InvalidSubmission::MoreMemoryThanAnyMachine,
+    InvalidSubmission::UnknownTeam,
+    InvalidSubmission::UnknownZone,
+    InvalidSubmission::UnknownType,
+    InvalidSubmission::TaskOverLimit,
+    InvalidSubmission::ServiceOverLimit,
 ];
 
-impl Odd {
+impl InvalidSubmission {
     fn unfit(self) -> Unfit {
         match self {
-            Odd::LacksTeam | Odd::LacksCpus | Odd::LacksSameZone => Unfit::LacksField,
+            InvalidSubmission::LacksTeam | InvalidSubmission::LacksCpus | InvalidSubmission::LacksSameZone => {
+                Unfit::LacksField
+            }
             _ => Unfit::CannotRun,
         }
     }
@@ -54,16 +56,16 @@
         let over = if limit > 0.0 { limit + 1.0 } else { 1e4 };
         let without = |request: &mut Value, field: &str| _ = request.as_object_mut().and_then(|o| o.remove(field));
         match self {
-            Odd::LacksTeam => without(request, "herd"),
-            Odd::LacksCpus => without(request, "cpus"),
-            Odd::LacksSameZone => without(request, "same_place"),
-            Odd::LargerThanAnyMachine => request["cpus"] = json!(1000.0),
-            Odd::MoreMemoryThanAnyMachine => request["memory_gb"] = json!(1000.0),
-            Odd::UnknownTeam => request["herd"] = json!("nobody"),
-            Odd::UnknownZone => request["field"] = json!("z"),
-            Odd::UnknownType => request["strains"] = json!(["z9"]),
-            Odd::TaskOverLimit => request["cpus"] = json!(over),
-            Odd::ServiceOverLimit => {
+            InvalidSubmission::LacksTeam => without(request, "herd"),
+            InvalidSubmission::LacksCpus => without(request, "cpus"),
+            InvalidSubmission::LacksSameZone => without(request, "same_place"),
+            InvalidSubmission::LargerThanAnyMachine => request["cpus"] = json!(1000.0),
+            InvalidSubmission::MoreMemoryThanAnyMachine => request["memory_gb"] = json!(1000.0),
+            InvalidSubmission::UnknownTeam => request["herd"] = json!("nobody"),
+            InvalidSubmission::UnknownZone => request["field"] = json!("z"),
+            InvalidSubmission::UnknownType => request["strains"] = json!(["z9"]),
+            InvalidSubmission::TaskOverLimit => request["cpus"] = json!(over),
+            InvalidSubmission::ServiceOverLimit => {
                 request["habit"] = json!("standing");
                 request["cpus"] = json!(1.0);
                 request["seeds"] = json!(over as u32 + 1);
@@ -72,61 +74,61 @@
     }
 
     /// Is this submission one that may be accepted all the same?
-    fn is_harmless(self, limit: f64) -> bool {
-        matches!(self, Odd::ServiceOverLimit) && limit == 0.0
+    fn may_be_accepted(self, limit: f64) -> bool {
+        matches!(self, InvalidSubmission::ServiceOverLimit) && limit == 0.0
     }
 }
 
 impl World {
     /// Reads and judges a submission as every controller does; none: it is refused.
-    pub(crate) fn judge(&self, request: &Value) -> Option<JobRequest> {
+    pub(crate) fn admit(&self, request: &Value) -> Option<JobRequest> {
         let mut request = request.clone();
-        if self.wrong == Some(Wrong::FillsIn) {
+        if self.wrong_decision == Some(WrongDecision::FillsInMissingFields) {
             for (field, value) in [("herd", json!(self.scenario.teams[0].name)), ("cpus", json!(1.0))] {
                 request.as_object_mut().expect("an object").entry(field).or_insert(value);
             }
         }
         let job: JobRequest = serde_json::from_value(request).ok()?;
-        if self.wrong != Some(Wrong::Unjudged) {
+        if self.wrong_decision != Some(WrongDecision::SkipsAdmissionCheck) {
             check_admission(&job, &self.params.teams, known_types()).ok()?;
         }
         Some(job)
     }
 
-    pub(crate) fn step_odd_requests(&mut self, steps: u64) {
-        if self.now >= self.spells.odd_requests || !steps.is_multiple_of(STEPS_BETWEEN_REQUESTS) {
+    pub(crate) fn step_invalid_requests(&mut self, steps: u64) {
+        if self.now >= self.active_faults.invalid_requests_until || !steps.is_multiple_of(STEPS_BETWEEN_REQUESTS) {
             return;
         }
-        self.counts.coincidences.odd_requests += 1;
-        let node = self.chance.usize(0..self.controllers);
-        match self.chance.u8(0..3) {
-            0 => self.submit_odd(node),
+        self.counts.coincidences.invalid_requests += 1;
+        let node = self.fault_rng.usize(0..self.controllers);
+        match self.fault_rng.u8(0..3) {
+            0 => self.submit_invalid(node),
             1 => self.cancel_done(node),
             _ => self.ask_unknown(node),
         }
     }
 
-    fn submit_odd(&mut self, node: usize) {
-        if !self.nodes[node].runs(self.now) || !self.reaches(node) {
+    fn submit_invalid(&mut self, node: usize) {
+        if !self.nodes[node].runs(self.now) || !self.reaches_state_service(node) {
             return;
         }
-        let odd = ODD[self.chance.usize(0..ODD.len())];
+        let odd = INVALID_SUBMISSIONS[self.fault_rng.usize(0..INVALID_SUBMISSIONS.len())];
         let Some(good) = self.jobs.values().next().map(|j| j.spec.clone()) else { return };
         let limit = self.scenario.teams.iter().find(|t| t.name == good.team).map_or(0.0, |t| t.cpus_max);
-        if odd.is_harmless(limit) {
+        if odd.may_be_accepted(limit) {
             return;
         }
-        self.odd_requests += 1;
-        let id = format!("req-9{:05}", self.odd_requests);
+        self.invalid_submissions += 1;
+        let id = format!("req-9{:05}", self.invalid_submissions);
         let mut request = serde_json::to_value(&good).expect("JSON");
         request["id"] = json!(id);
         odd.change(&mut request, limit);
-        let answer = self.judge(&request).map_or(Some(Answer::REFUSED), |job| self.accept_odd(&id, job));
-        self.judge_answer(node, &id, Request::Submit { unfit: Some(odd.unfit()) }, answer);
+        let answer = self.admit(&request).map_or(Some(Answer::REFUSED), |job| self.accept_invalid(&id, job));
+        self.record_answer(node, &id, Request::Submit { unfit: Some(odd.unfit()) }, answer);
     }
 
     /// The answer to a submission that was judged to be good, if it was stored.
-    fn accept_odd(&mut self, id: &str, job: JobRequest) -> Option<Answer> {
+    fn accept_invalid(&mut self, id: &str, job: JobRequest) -> Option<Answer> {
         let record = JobRecord::accepted(job, (self.now * 1000.0) as u64);
         let value = serde_json::to_value(&record).expect("a record");
         let change = Mutation::Put { key: job_key(id), value, lease: None };
@@ -136,18 +138,18 @@
     /// A job that is done stays done.
     fn cancel_done(&mut self, node: usize) {
         let done: Vec<&String> =
-            self.jobs.iter().filter(|(_, j)| j.told == Some(JobState::Done)).map(|(id, _)| id).collect();
+            self.jobs.iter().filter(|(_, j)| j.last_state == Some(JobState::Done)).map(|(id, _)| id).collect();
         if done.is_empty() {
             return;
         }
-        let id = done[self.chance.usize(0..done.len())].clone();
+        let id = done[self.fault_rng.usize(0..done.len())].clone();
         self.request(node, &id, Request::Cancel);
     }
 
     /// A job that nobody submitted, or that was refused, has no state.
     fn ask_unknown(&mut self, node: usize) {
-        let id = format!("req-9{:05}", self.chance.u32(0..self.odd_requests + 2));
+        let id = format!("req-9{:05}", self.fault_rng.u32(0..self.invalid_submissions + 2));
         let answer = self.lookup(node, &id, false);
-        self.judge_answer(node, &id, Request::Poll, answer);
+        self.record_answer(node, &id, Request::Poll, answer);
     }
 }
--- a/crates/model/src/pipelines.rs
+++ b/crates/model/src/pipelines.rs
@@ -1,7 +1,7 @@
 //! Pipelines: jobs that wait for earlier ones. Users submit them, a new leader reads the records of needs that ended
 //! before its checkpoint, and no task may start before all that its job needs is done.
 
-use crate::shard_exchange::concerns;
+use crate::shard_exchange::belongs_to_shard;
 use crate::users::{Job, job_done};
 use crate::world::World;
 use lupinspur_scheduler::jobs::{JobRecord, job_key};
@@ -16,9 +16,9 @@
 
 impl World {
     /// Makes this job wait for an earlier one, as the scenario says. Nobody cancels what others need.
-    pub(crate) fn may_need_another(&mut self, job: &mut Job) {
+    pub(crate) fn maybe_add_dependency(&mut self, job: &mut Job) {
         let share = self.scenario.pipelines;
-        if share == 0.0 || job.spec.estimate_s == 0.0 || self.pipeline_draws.f64() >= share {
+        if share == 0.0 || job.spec.estimate_s == 0.0 || self.pipeline_rng.f64() >= share {
             return;
         }
         let now = self.now;
@@ -31,9 +31,9 @@
         if earlier.is_empty() {
             return;
         }
-        let dependency = earlier[self.pipeline_draws.usize(0..earlier.len())].clone();
+        let dependency = earlier[self.pipeline_rng.usize(0..earlier.len())].clone();
         if let Some(j) = self.jobs.get_mut(&dependency) {
-            j.needed = true;
+            j.has_dependents = true;
         }
         job.spec.dependencies = Some(vec![dependency]);
     }
@@ -45,13 +45,13 @@
     }
 
     /// Notes since when jobs wait for no other any more.
-    pub(crate) fn note_free_jobs(&mut self) {
-        let waits = self.jobs.iter().filter(|(_, j)| j.free_since.is_none());
+    pub(crate) fn record_ready_jobs(&mut self) {
+        let waits = self.jobs.iter().filter(|(_, j)| j.ready_since.is_none());
         let free: Vec<String> =
             waits.filter(|(_, j)| self.dependencies_are_done(j)).map(|(id, _)| id.clone()).collect();
         for id in free {
             if let Some(j) = self.jobs.get_mut(&id) {
-                j.free_since = Some(self.now);
+                j.ready_since = Some(self.now);
             }
         }
     }
@@ -70,7 +70,7 @@
         for id in dependencies {
             let Some((value, version)) = self.store.keys.get(&job_key(&id)) else { continue };
             let record: JobRecord = serde_json::from_value(value.clone()).expect("a record");
-            if concerns(cell, &record) {
+            if belongs_to_shard(cell, &record) {
                 shard.add_job(record, *version, now);
             } else {
                 shard.on_job_moved(&id, now);
@@ -80,7 +80,7 @@
     }
 
     /// What a failover meets: needs that it has not read, and tasks that run behind them.
-    pub(crate) fn observe_unread_needs(&mut self, node: usize, cell: usize) {
+    pub(crate) fn observe_unread_dependencies(&mut self, node: usize, cell: usize) {
         let Some(shard) = self.nodes[node].cells[cell].shard.as_ref() else { return };
         let unread: BTreeSet<String> = shard.unread_dependencies().into_iter().collect();
         let waits = |id: &str| {
@@ -88,10 +88,10 @@
             dependencies.is_some_and(|dependencies| dependencies.iter().any(|dependency| unread.contains(dependency)))
         };
         let now = self.now;
-        let tasks = self.machines.iter().flat_map(|m| m.tasks.keys().filter(move |task| m.holds(task, now)));
+        let tasks = self.machines.iter().flat_map(|m| m.tasks.keys().filter(move |task| m.runs_task(task, now)));
         let running = tasks.filter(|task| task.split('/').next().is_some_and(waits)).count();
         let seen = &mut self.counts.coincidences;
-        seen.unread_needs_at_takeover += unread.len() as u64;
-        seen.tasks_behind_unread_needs_at_takeover += running as u64;
+        seen.unread_dependencies_at_failover += unread.len() as u64;
+        seen.tasks_with_unread_dependencies_at_failover += running as u64;
     }
 }
--- a/crates/model/src/report.rs
+++ b/crates/model/src/report.rs
@@ -2,7 +2,7 @@
 
 use crate::coincidences::Coincidences;
 use crate::scenario::Scenario;
-use crate::trouble::{Trouble, Wrong, random};
+use crate::trouble::{InjectedFault, WrongDecision, random};
 use crate::world::World;
 use lupinspur_wire::JobState;
 use serde::Serialize;
@@ -30,25 +30,32 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct Counts {
     /// The longest that a question about a job was without an answer after all troubles.
-    pub unanswered: f64,
+    #[serde(rename = "unanswered")]
+    pub longest_unanswered_s: f64,
     /// Answers that told a job's state, by controller.
     pub answers: Vec<u64>,
     /// Claims that were made, and those that were taken anew by their leaders.
-    pub claims: u64,
-    pub raised: u64,
+    #[serde(rename = "claims")]
+    pub elections: u64,
+    #[serde(rename = "raised")]
+    pub reacquisitions: u64,
     pub starts: u64,
     /// Tasks that ran after their job's cancellation was confirmed, by commands that were still on their way.
     pub starts_after_cancellation: u64,
     /// Keys that leaders wrote, by shard.
     pub writes: Vec<u64>,
     /// Jobs, machines and teams' homes that changed shards.
-    pub spilled: u64,
-    pub handed: u64,
-    pub homes: u64,
+    #[serde(rename = "spilled")]
+    pub jobs_moved: u64,
+    #[serde(rename = "handed")]
+    pub machines_transferred: u64,
+    #[serde(rename = "homes")]
+    pub team_homes_moved: u64,
     #[serde(flatten)]
     pub coincidences: Coincidences,
     /// Real seconds that the decisions took, by shard; the only thing here that differs from run to run.
-    pub processor: Vec<f64>,
+    #[serde(rename = "processor")]
+    pub decision_seconds: Vec<f64>,
 }
 
 impl Counts {
@@ -56,19 +63,19 @@
         Counts {
             answers: vec![0; controllers],
             writes: vec![0; cells],
-            processor: vec![0.0; cells],
+            decision_seconds: vec![0.0; cells],
             ..Counts::default()
         }
     }
 }
 
 /// Plays a scenario with these troubles besides its own.
-pub fn play(scenario: &Scenario, seed: u64, troubles: &[Trouble], wrong: Option<Wrong>) -> Run {
-    let mut w = World::new(seed, scenario, wrong);
-    let all: Vec<Trouble> = scenario.troubles.iter().chain(troubles).copied().collect();
+pub fn play(scenario: &Scenario, seed: u64, faults: &[InjectedFault], wrong_decision: Option<WrongDecision>) -> Run {
+    let mut w = World::new(seed, scenario, wrong_decision);
+    let all: Vec<InjectedFault> = scenario.faults.iter().chain(faults).copied().collect();
     w.play(&all);
     let jobs = || w.jobs.values().filter(|j| j.accepted.is_some());
-    let told = |s| jobs().filter(|j| j.told == Some(s)).count();
+    let told = |s| jobs().filter(|j| j.last_state == Some(s)).count();
     let mut waits: Vec<f64> = jobs().filter_map(|j| Some((j.begun? - j.accepted?).max(0.0))).collect();
     waits.sort_by(f64::total_cmp);
     let part = |p: f64| waits.get(((waits.len() as f64 * p).ceil() as usize).saturating_sub(1)).copied();
@@ -95,8 +102,8 @@
             if seed >= first.saturating_add(seeds) {
                 return runs;
             }
-            let troubles = random(seed, scenario.random_troubles, scenario.jobs_for_s);
-            runs.push(play(scenario, seed, &troubles, None));
+            let faults = random(seed, scenario.random_troubles, scenario.jobs_for_s);
+            runs.push(play(scenario, seed, &faults, None));
         }
     };
     let mut runs: Vec<Run> = std::thread::scope(|s| {
--- a/crates/model/src/rules.rs
+++ b/crates/model/src/rules.rs
@@ -1,6 +1,6 @@
 //! The rules, counted from the machines' and the users' side.
 
-use crate::machines::State;
+use crate::machines::TaskPhase;
 use crate::shard_exchange::LEDGER_KEY;
 use crate::world::{World, ZONES};
 use crate::{ANSWERED_WITHIN_S, BEGUN_WITHIN_S};
@@ -16,62 +16,65 @@
         let begun: Vec<String> = self.machines[i]
             .tasks
             .iter()
-            .filter(|(_, t)| matches!(t.state, State::Runs(since) if since == now))
+            .filter(|(_, t)| matches!(t.phase, TaskPhase::Running(since) if since == now))
             .map(|(n, _)| n.clone())
             .collect();
         self.counts.starts += begun.len() as u64;
         for task in begun {
             let id = task.split('/').next().unwrap_or("").to_owned();
-            let other = self.machines.iter().enumerate().find(|(o, m)| *o != i && m.holds(&task, now));
+            let other = self.machines.iter().enumerate().find(|(o, m)| *o != i && m.runs_task(&task, now));
             if let Some((_, other)) = other {
                 let what = format!("ran_twice: {task} on {} and {}", other.name, self.machines[i].name);
-                self.breaks(what);
+                self.record_violation(what);
             }
             self.check_started_cancelled(&task);
             self.observe_start(i);
             if self.jobs.get(&id).is_some_and(|job| !self.dependencies_are_done(job)) {
-                self.breaks(format!("too_early: {task} started before all that its job needs was done"));
+                self.record_violation(format!("too_early: {task} started before all that its job needs was done"));
             }
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             job.begun.get_or_insert(now);
             let (spec, m) = (job.spec.clone(), &self.machines[i]);
             if m.spot && !spec.spot {
-                self.breaks(format!("wrong_place: {task} on a spot machine"));
+                self.record_violation(format!("wrong_place: {task} on a spot machine"));
             }
             let on = |zone: Option<usize>| {
                 let there = self.machines.iter().filter(|m| zone.is_none_or(|z| m.zone == z));
                 let of = |n: &String| n.split('/').next() == Some(&id);
-                there.map(|m| m.tasks.keys().filter(|n| of(n) && m.holds(n, now)).count()).sum::<usize>()
+                there.map(|m| m.tasks.keys().filter(|n| of(n) && m.runs_task(n, now)).count()).sum::<usize>()
             };
             let zone = self.machines[i].zone;
             let (here, everywhere) = (on(Some(zone)), on(None));
             if spec.zone_anti_affinity && here > (spec.tasks as usize).div_ceil(2) {
-                self.breaks(format!("wrong_place: {id} is not spread"));
+                self.record_violation(format!("wrong_place: {id} is not spread"));
             }
             if spec.zone.as_ref().is_some_and(|z| z != ZONES[zone]) {
-                self.breaks(format!("wrong_place: {task} in zone {}", ZONES[zone]));
+                self.record_violation(format!("wrong_place: {task} in zone {}", ZONES[zone]));
             }
             if spec.zone_affinity && here < everywhere {
-                self.breaks(format!("wrong_place: {id} is in more than one zone"));
+                self.record_violation(format!("wrong_place: {id} is in more than one zone"));
             }
             let limit = self.params.teams.iter().find(|t| t.name == spec.team).map_or(0.0, |t| t.cpus_max);
             if limit > 0.0 {
                 let of = |n: &String| {
                     self.jobs.get(n.split('/').next()?).filter(|j| j.spec.team == spec.team).map(|j| j.spec.cpus)
                 };
-                let used: f64 =
-                    self.machines.iter().flat_map(|m| m.tasks.keys().filter(|n| m.holds(n, now)).filter_map(of)).sum();
+                let used: f64 = self
+                    .machines
+                    .iter()
+                    .flat_map(|m| m.tasks.keys().filter(|n| m.runs_task(n, now)).filter_map(of))
+                    .sum();
                 if used > limit + 1e-6 {
-                    self.breaks(format!("quota: {} uses {used} of {limit}", spec.team));
+                    self.record_violation(format!("quota: {} uses {used} of {limit}", spec.team));
                 }
             }
         }
     }
 
     /// What the leader makes of a job, for whoever reads a failure.
-    pub(crate) fn leader_assumes(&self, id: &str) -> String {
+    pub(crate) fn describe_leader_view(&self, id: &str) -> String {
         let held = self.nodes.iter().flat_map(|n| &n.cells);
-        let mut shards = held.filter(|h| h.own.valid_token(self.now).is_some()).filter_map(|h| h.shard.as_ref());
+        let mut shards = held.filter(|h| h.election.valid_token(self.now).is_some()).filter_map(|h| h.shard.as_ref());
         let Some(s) = shards.find(|s| s.jobs.find(id).is_some()) else {
             return format!("no owner knows it; {:?}", self.store.job(id).map(|r| (r.shard, r.phase)));
         };
@@ -103,27 +106,27 @@
 
     pub(crate) fn check(&mut self) {
         let now = self.now;
-        self.note_free_jobs();
-        let calm = now - self.trouble_until;
-        let (mut wrong, mut longest) = (Vec::new(), self.counts.unanswered);
+        self.record_ready_jobs();
+        let calm = now - self.faults_until;
+        let (mut wrong, mut longest) = (Vec::new(), self.counts.longest_unanswered_s);
         for (id, j) in &self.jobs {
-            wrong.extend(self.still_runs(id, j.told_cancelled_at));
-            let over = matches!(j.told, Some(JobState::Done | JobState::Cancelled));
+            wrong.extend(self.cancelled_too_late(id, j.cancellation_confirmed_at));
+            let over = matches!(j.last_state, Some(JobState::Done | JobState::Cancelled));
             if j.accepted.is_none() || over || calm < 0.0 {
                 continue;
             }
-            let unanswered = now - j.answered.max(self.trouble_until);
+            let unanswered = now - j.answered.max(self.faults_until);
             longest = longest.max(unanswered);
             if unanswered > ANSWERED_WITHIN_S {
                 wrong.push(format!("forgotten: {id} is not answered for {unanswered:.0} s"));
             }
-            let free_s = j.free_since.map_or(0.0, |free| now - free.max(self.trouble_until));
+            let free_s = j.ready_since.map_or(0.0, |free| now - free.max(self.faults_until));
             if self.scenario.room && free_s > BEGUN_WITHIN_S && j.begun.is_none() && j.cancel_at.is_none() {
-                let thinks = self.leader_assumes(id);
+                let thinks = self.describe_leader_view(id);
                 wrong.push(format!("forgotten: {id} has not begun after {free_s:.0} s of calm; {thinks}"));
             }
         }
-        self.counts.unanswered = longest;
+        self.counts.longest_unanswered_s = longest;
         if calm >= 0.0 {
             self.check_waiting(&mut wrong);
         }
@@ -133,7 +136,7 @@
             wrong.push(format!("{mended} differences between jobs and machines had to be mended"));
         }
         if let Some(w) = wrong.into_iter().next() {
-            self.breaks(w);
+            self.record_violation(w);
         }
     }
 }
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -1,6 +1,6 @@
 //! What is played: the size of a deployment, its work, and its troubles.
 
-use crate::trouble::Trouble;
+use crate::trouble::InjectedFault;
 use crate::work::Work;
 use garde::Validate;
 use lupinspur_files::{Fault, out_of_bounds};
@@ -52,7 +52,7 @@
     pub random_troubles: usize,
     #[serde(rename = "trouble")]
     #[garde(dive, length(max = 1000))]
-    pub troubles: Vec<Trouble>,
+    pub faults: Vec<InjectedFault>,
     #[serde(rename = "team")]
     #[garde(dive, length(min = 1, max = 200))]
     pub teams: Vec<Team>,
@@ -92,7 +92,7 @@
             calm_s: 120.0,
             room: true,
             random_troubles: 0,
-            troubles: Vec::new(),
+            faults: Vec::new(),
             teams: vec![team("red", 16.0, 64.0), team("blue", 0.0, 0.0)],
         }
     }
@@ -102,7 +102,7 @@
     /// Reads a scenario from TOML, or tells all that is wrong with it.
     pub fn parse(text: &str) -> Result<Scenario, Vec<Fault>> {
         let s: Scenario = lupinspur_files::read(text).map_err(|f| vec![f])?;
-        let mut faults = out_of_bounds(&s, &[("teams[", "team["), ("troubles[", "trouble["), ("].at", "].at_s")]);
+        let mut faults = out_of_bounds(&s, &[("teams[", "team["), ("faults[", "trouble["), ("].at", "].at_s")]);
         let mut fault = |path: String, what: String| faults.push(Fault { path, what });
         if s.most_machines < s.machines {
             fault("most_machines".into(), format!("there are {} from the beginning", s.machines));
--- a/crates/model/src/store.rs
+++ b/crates/model/src/store.rs
@@ -93,7 +93,7 @@
         Some(self.revision)
     }
 
-    pub(crate) fn claim(&self, key: &str) -> Option<ObservedRecord> {
+    pub(crate) fn leadership_record(&self, key: &str) -> Option<ObservedRecord> {
         let (v, version) = self.keys.get(key)?;
         Some(ObservedRecord { record: serde_json::from_value(v.clone()).expect("a claim"), version: *version })
     }
--- a/crates/model/src/transactions.rs
+++ b/crates/model/src/transactions.rs
@@ -2,9 +2,9 @@
 //! executed late, and what a leader does about a write whose outcome it does not know.
 
 use crate::messages::Message;
-use crate::observer::SLOW_ANSWER_S;
-use crate::shard_exchange::{outer, outer_change};
-use crate::trouble::Wrong;
+use crate::observer::SLOW_RESPONSE_S;
+use crate::shard_exchange::{stored_key, stored_mutation};
+use crate::trouble::WrongDecision;
 use crate::world::World;
 use lupinspur_scheduler::jobs::job_key;
 use lupinspur_scheduler::shard::{PendingWrite, WritePurpose};
@@ -23,10 +23,10 @@
 
 /// Until when the state service's requests and answers suffer, by the kind of the trouble.
 #[derive(Debug, Default)]
-pub(crate) struct StateTroubles {
-    pub(crate) late_writes: f64,
-    pub(crate) lost_answers: f64,
-    pub(crate) slow: f64,
+pub(crate) struct StateServiceFaults {
+    pub(crate) writes_delayed_until: f64,
+    pub(crate) responses_lost_until: f64,
+    pub(crate) slow_until: f64,
 }
 
 /// When a request is executed, in seconds after it was sent, and how long its answer then takes.
@@ -49,7 +49,7 @@
 /// One transaction of a leader.
 pub(crate) struct LeaderCommit {
     pub(crate) node: usize,
-    pub(crate) life: u64,
+    pub(crate) generation: u64,
     pub(crate) cell: usize,
     pub(crate) token: u64,
     /// Counts up with each transaction of the controller.
@@ -87,20 +87,20 @@
         let now = self.now;
         let mut executed = self.latency();
         let mut back = self.latency();
-        if now < self.state_troubles.slow {
+        if now < self.state_service_faults.slow_until {
             executed += 0.1 + self.rng.f64() * SLOW_S;
             back += 0.1 + self.rng.f64() * SLOW_S;
         }
         let answered = Some(back).filter(|back| executed + back < limit_s);
-        self.counts.coincidences.slow_answers += u64::from(answered.is_some() && executed + back > SLOW_ANSWER_S);
+        self.counts.coincidences.slow_responses += u64::from(answered.is_some() && executed + back > SLOW_RESPONSE_S);
         let concerned = self.rng.u8(..) < LOST;
-        if concerned && now < self.state_troubles.late_writes {
+        if concerned && now < self.state_service_faults.writes_delayed_until {
             return Delivery { executed: 2.0 + self.rng.f64() * 10.0, answered: None };
         }
-        if concerned && now < self.state_troubles.lost_answers {
+        if concerned && now < self.state_service_faults.responses_lost_until {
             return Delivery { executed, answered: None };
         }
-        if concerned && now < self.late_commits {
+        if concerned && now < self.commits_unreliable_until {
             let late = self.rng.bool();
             let executed = if late { 1.0 + self.rng.f64() * 25.0 } else { executed };
             return Delivery { executed, answered: None };
@@ -116,17 +116,17 @@
         }
         let copy = LeaderCommit { writes: copies(&commit.writes), ..commit };
         self.send(executed, Message::Commit { commit: copy, answered });
-        self.send(COMMIT_LIMIT_S, Message::CommitAnswer { commit, outcome: CommitOutcome::Unknown });
+        self.send(COMMIT_LIMIT_S, Message::CommitResponse { commit, outcome: CommitOutcome::Unknown });
     }
 
     /// The state service executes a transaction.
     pub(crate) fn execute(&mut self, commit: LeaderCommit, answered: Option<f64>) {
         let outcome = self.outcome_of(&commit);
-        let keys = commit.writes.iter().map(|w| outer(commit.cell, &w.key)).collect();
+        let keys = commit.writes.iter().map(|w| stored_key(commit.cell, &w.key)).collect();
         let applied = matches!(outcome, CommitOutcome::Applied(_));
         self.observe_transaction(commit.node, commit.number, keys, answered.is_some(), applied);
         if let Some(after) = answered {
-            self.send(after, Message::CommitAnswer { commit, outcome });
+            self.send(after, Message::CommitResponse { commit, outcome });
         }
     }
 
@@ -136,8 +136,8 @@
         }
         let cell = commit.cell;
         let mut conditions = vec![(self.leadership_key(cell), commit.token)];
-        conditions.extend(commit.writes.iter().map(|w| (outer(cell, &w.key), w.version)));
-        let changes: Vec<Mutation> = commit.writes.iter().map(|w| outer_change(cell, &w.mutation)).collect();
+        conditions.extend(commit.writes.iter().map(|w| (stored_key(cell, &w.key), w.version)));
+        let changes: Vec<Mutation> = commit.writes.iter().map(|w| stored_mutation(cell, &w.mutation)).collect();
         match self.store.commit(&conditions, &changes, None) {
             Some(revision) => {
                 self.counts.writes[cell] += changes.len() as u64;
@@ -148,23 +148,23 @@
     }
 
     /// The leader learns what became of its transaction, or that it will not learn it.
-    pub(crate) fn on_commit_answer(&mut self, commit: LeaderCommit, outcome: CommitOutcome) {
+    pub(crate) fn on_commit_response(&mut self, commit: LeaderCommit, outcome: CommitOutcome) {
         let now = self.now;
-        let LeaderCommit { node, life, cell, token, .. } = commit;
+        let LeaderCommit { node, generation, cell, token, .. } = commit;
         let n = &self.nodes[node];
-        if n.life != life {
+        if n.generation != generation {
             return;
         }
-        if now < n.still {
-            let after = n.still - now;
-            return self.send(after, Message::CommitAnswer { commit, outcome });
+        if now < n.paused_until {
+            let after = n.paused_until - now;
+            return self.send(after, Message::CommitResponse { commit, outcome });
         }
         let owns = n.cells[cell].shard.as_ref().is_some_and(|s| s.token == token);
         let in_doubt = matches!(outcome, CommitOutcome::Failed | CommitOutcome::Unknown);
-        if owns && in_doubt && !self.reaches(node) {
-            return self.send(RETRY_S, Message::CommitAnswer { commit, outcome });
+        if owns && in_doubt && !self.reaches_state_service(node) {
+            return self.send(RETRY_S, Message::CommitResponse { commit, outcome });
         }
-        let never_looks_up = self.wrong == Some(Wrong::NeverLooksUp);
+        let never_looks_up = self.wrong_decision == Some(WrongDecision::NeverReadsInDoubtWrites);
         let held = &mut self.nodes[node].cells[cell];
         held.commits = held.commits.saturating_sub(1);
         let Some(shard) = held.shard.as_mut().filter(|s| s.token == token) else { return };
@@ -174,7 +174,7 @@
             CommitOutcome::Failed | CommitOutcome::Unknown if never_looks_up => shard.on_writes_rejected(commit.writes),
             CommitOutcome::Failed | CommitOutcome::Unknown => {
                 for write in &commit.writes {
-                    shard.on_version_known(&write.key, self.store.version(&outer(cell, &write.key)));
+                    shard.on_version_known(&write.key, self.store.version(&stored_key(cell, &write.key)));
                 }
                 shard.on_writes_rejected(commit.writes);
                 self.read_leadership_record(node, cell);
@@ -186,14 +186,14 @@
     pub(crate) fn submit(&mut self, id: &str, change: Mutation) -> Submitted {
         let conditions = vec![(job_key(id), 0)];
         let concerned = self.rng.u8(..) < LOST;
-        if concerned && self.now < self.state_troubles.late_writes {
+        if concerned && self.now < self.state_service_faults.writes_delayed_until {
             let after = 2.0 + self.rng.f64() * 10.0;
-            self.send(after, Message::Again { conditions, changes: vec![change] });
+            self.send(after, Message::DelayedWrite { conditions, changes: vec![change] });
             return Submitted::Unanswered;
         }
         let stored = self.store.commit(&conditions, &[change], None).is_some();
-        let lost = concerned && self.now < self.state_troubles.lost_answers;
-        let lost_at_random = self.now < self.late_commits && self.rng.bool();
+        let lost = concerned && self.now < self.state_service_faults.responses_lost_until;
+        let lost_at_random = self.now < self.commits_unreliable_until && self.rng.bool();
         match stored {
             _ if lost || lost_at_random => Submitted::Unanswered,
             true => Submitted::Stored,
--- a/crates/model/src/trouble.rs
+++ b/crates/model/src/trouble.rs
@@ -8,115 +8,151 @@
 /// What goes wrong. `which` is a controller or a machine, by its number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize, JsonSchema)]
 #[serde(rename_all = "snake_case")]
-pub enum Kind {
+#[schemars(rename = "Kind")]
+pub enum FaultKind {
     /// A controller ends, and is back after a moment.
-    Ends,
+    #[serde(rename = "ends")]
+    ControllerRestarts,
     /// It stands still while its clock runs on.
-    StandsStill,
+    #[serde(rename = "stands_still")]
+    ControllerPauses,
     /// It loses the state service and the other controllers, and keeps its workers.
-    Alone,
+    #[serde(rename = "alone")]
+    ControllerLosesStateAndPeers,
     /// It loses its workers only.
-    LosesWorkers,
+    #[serde(rename = "loses_workers")]
+    ControllerLosesWorkers,
     /// It is silent to everybody.
-    Silent,
+    #[serde(rename = "silent")]
+    ControllerPartitioned,
     /// The state service is down for all.
-    Outage,
+    #[serde(rename = "outage")]
+    StateServiceOutage,
     /// Answers to commits are lost, and some commits come late.
-    LateCommits,
+    #[serde(rename = "late_commits")]
+    UnreliableCommits,
     /// Direct commands are held back, and come late.
-    LateCommands,
-    Hangs,
+    #[serde(rename = "late_commands")]
+    CommandsDelayed,
+    #[serde(rename = "hangs")]
+    MachineHangs,
     /// A machine's process ends and is back at once, with a new session.
-    Restarts,
+    #[serde(rename = "restarts")]
+    MachineRestarts,
     /// A machine is gone.
-    Dies,
+    #[serde(rename = "dies")]
+    MachineDies,
     /// What is said to a machine does not reach it, in answers, in commands, or in either.
-    DeafToAnswers,
-    DeafToCommands,
-    Deaf,
+    #[serde(rename = "deaf_to_answers")]
+    HeartbeatRepliesLost,
+    #[serde(rename = "deaf_to_commands")]
+    CommandsLost,
+    #[serde(rename = "deaf")]
+    RepliesAndCommandsLost,
     /// The same for a whole zone.
-    DeafZone,
+    #[serde(rename = "deaf_zone")]
+    ZoneRepliesAndCommandsLost,
     /// A zone is cut off.
-    CutZone,
+    #[serde(rename = "cut_zone")]
+    ZonePartitioned,
     /// Copies of reports come late, some after more than a lease.
-    Copies,
+    #[serde(rename = "copies")]
+    HeartbeatsDuplicated,
     /// Whatever runs there fails.
-    Faulty,
+    #[serde(rename = "faulty")]
+    TasksFail,
     /// The state service refuses a controller, which the other controllers still reach.
-    RefusedByState,
+    #[serde(rename = "refused_by_state")]
+    StateServiceRefuses,
     /// Transactions get no answer and are executed 2 to 12 s later, after newer ones of the same controller.
-    LateWrites,
+    #[serde(rename = "late_writes")]
+    WritesDelayed,
     /// Transactions are executed at once, and only their answers are lost.
-    LostAnswers,
+    #[serde(rename = "lost_answers")]
+    WriteResponsesLost,
     /// The state service takes seconds for each answer.
-    SlowState,
+    #[serde(rename = "slow_state")]
+    SlowStateService,
     /// A controller gives up what it owns.
-    StepsDown,
+    #[serde(rename = "steps_down")]
+    LeaderStepsDown,
     /// All controllers end; the one that is named is back within a second.
-    AllEnd,
+    #[serde(rename = "all_end")]
+    AllControllersRestart,
     /// All controllers end, and none is back before the time is over.
-    AllAway,
+    #[serde(rename = "all_away")]
+    AllControllersDown,
     /// A controller's zone is cut off together with it.
-    CutZoneWithController,
+    #[serde(rename = "cut_zone_with_controller")]
+    ZoneAndControllerPartitioned,
     /// Users cancel all services that run, spread over the time.
     CancelServices,
 
     // What machines, reports and users do: `USER_AND_MACHINE_KINDS`.
     /// A machine reaches no controller, while direct commands reach it.
-    Mute,
+    #[serde(rename = "mute")]
+    HeartbeatsLost,
     /// The same for a whole zone.
-    MuteZone,
+    #[serde(rename = "mute_zone")]
+    ZoneHeartbeatsLost,
     /// Copies of reports are kept, and reach every controller as soon as a new leader begins.
-    CopiesForNextLeader,
+    #[serde(rename = "copies_for_next_leader")]
+    HeartbeatCopiesForNextLeader,
     /// Users cancel `which % 8 + 1` running jobs within a fifth of a second; their machines hang for `for_s`.
-    CancelNow,
+    #[serde(rename = "cancel_now")]
+    CancelRunningJobs,
     /// Half of the jobs that end are cancelled within a second of the end.
-    CancelAtEnd,
+    #[serde(rename = "cancel_at_end")]
+    CancelEndingJobs,
     /// Users ask every controller right after a job was accepted, ended or cancelled, and repeat its submission;
     /// one accepted job in four is cancelled at once.
-    CloseLooks,
+    #[serde(rename = "close_looks")]
+    PollAfterEvents,
     /// Users submit jobs that cannot run or lack a field, cancel jobs that are done, and ask about unknown jobs.
-    OddRequests,
+    #[serde(rename = "odd_requests")]
+    InvalidRequests,
     /// Rented machines are up within two seconds, most of them before the answer to their rental comes.
     FastBoots,
     /// Other keys of the state service change thousands of times: a leader writes its checkpoint anew.
-    ManyChanges,
+    #[serde(rename = "many_changes")]
+    ManyStateChanges,
     /// Messages between controllers and machines take up to two seconds, and images up to twenty seconds more.
-    SlowLinks,
+    #[serde(rename = "slow_links")]
+    SlowNetwork,
 }
 
-pub const KINDS: [Kind; 18] = [
-    Kind::Ends,
-    Kind::StandsStill,
-    Kind::Alone,
-    Kind::LosesWorkers,
-    Kind::Silent,
-    Kind::Outage,
-    Kind::LateCommits,
-    Kind::LateCommands,
-    Kind::Hangs,
-    Kind::Restarts,
-    Kind::Dies,
-    Kind::DeafToAnswers,
-    Kind::DeafToCommands,
-    Kind::Deaf,
-    Kind::DeafZone,
-    Kind::CutZone,
-    Kind::Copies,
-    Kind::Faulty,
+pub const FAULT_KINDS: [FaultKind; 18] = [
+    FaultKind::ControllerRestarts,
+    FaultKind::ControllerPauses,
+    FaultKind::ControllerLosesStateAndPeers,
+    FaultKind::ControllerLosesWorkers,
+    FaultKind::ControllerPartitioned,
+    FaultKind::StateServiceOutage,
+    FaultKind::UnreliableCommits,
+    FaultKind::CommandsDelayed,
+    FaultKind::MachineHangs,
+    FaultKind::MachineRestarts,
+    FaultKind::MachineDies,
+    FaultKind::HeartbeatRepliesLost,
+    FaultKind::CommandsLost,
+    FaultKind::RepliesAndCommandsLost,
+    FaultKind::ZoneRepliesAndCommandsLost,
+    FaultKind::ZonePartitioned,
+    FaultKind::HeartbeatsDuplicated,
+    FaultKind::TasksFail,
 ];
 
 /// Those of controllers and of what they send to the state service.
-pub const CONTROLLER_KINDS: [Kind; 9] = [
-    Kind::RefusedByState,
-    Kind::LateWrites,
-    Kind::LostAnswers,
-    Kind::SlowState,
-    Kind::StepsDown,
-    Kind::AllEnd,
-    Kind::AllAway,
-    Kind::CutZoneWithController,
-    Kind::CancelServices,
+pub const CONTROLLER_FAULT_KINDS: [FaultKind; 9] = [
+    FaultKind::StateServiceRefuses,
+    FaultKind::WritesDelayed,
+    FaultKind::WriteResponsesLost,
+    FaultKind::SlowStateService,
+    FaultKind::LeaderStepsDown,
+    FaultKind::AllControllersRestart,
+    FaultKind::AllControllersDown,
+    FaultKind::ZoneAndControllerPartitioned,
+    FaultKind::CancelServices,
 ];
 
 /// As the number of a controller, `LEADER + cell`: whichever owns that cell when the trouble begins.
@@ -126,27 +162,28 @@
 
 /// The kinds that concern machines, reports and users, which [`KINDS`] does not have: the storms that are played
 /// with a seed would otherwise be others.
-pub const USER_AND_MACHINE_KINDS: [Kind; 9] = [
-    Kind::Mute,
-    Kind::MuteZone,
-    Kind::CopiesForNextLeader,
-    Kind::CancelNow,
-    Kind::CancelAtEnd,
-    Kind::CloseLooks,
-    Kind::OddRequests,
-    Kind::FastBoots,
-    Kind::SlowLinks,
+pub const USER_AND_MACHINE_FAULT_KINDS: [FaultKind; 9] = [
+    FaultKind::HeartbeatsLost,
+    FaultKind::ZoneHeartbeatsLost,
+    FaultKind::HeartbeatCopiesForNextLeader,
+    FaultKind::CancelRunningJobs,
+    FaultKind::CancelEndingJobs,
+    FaultKind::PollAfterEvents,
+    FaultKind::InvalidRequests,
+    FaultKind::FastBoots,
+    FaultKind::SlowNetwork,
 ];
 
 /// One trouble: what, to whom, from when on and for how long, in seconds.
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize, JsonSchema, Validate)]
 #[serde(deny_unknown_fields)]
-pub struct Trouble {
+#[schemars(rename = "Trouble")]
+pub struct InjectedFault {
     #[serde(rename = "at_s")]
     #[garde(range(min = 0.0, max = 36000.0))]
     pub at: f64,
     #[garde(skip)]
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// The number of a controller, a machine or a zone, by the kind; past the last it begins anew.
     #[serde(default)]
     #[garde(skip)]
@@ -157,12 +194,12 @@
 }
 
 /// So many troubles of any kind while jobs are submitted.
-pub(crate) fn random(seed: u64, n: usize, within_s: f64) -> Vec<Trouble> {
+pub(crate) fn random(seed: u64, n: usize, within_s: f64) -> Vec<InjectedFault> {
     // Not the draws that the world makes with this seed.
     let mut rng = Rng::with_seed(!seed);
-    let mut one = || Trouble {
+    let mut one = || InjectedFault {
         at: rng.f64() * (within_s - 10.0).max(0.0),
-        kind: KINDS[rng.usize(0..KINDS.len())],
+        kind: FAULT_KINDS[rng.usize(0..FAULT_KINDS.len())],
         which: rng.usize(..),
         for_s: 0.2 + rng.f64() * 35.0,
     };
@@ -171,71 +208,71 @@
 
 /// A deliberately wrong decision, by which the checks show that they see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Wrong {
+pub enum WrongDecision {
     /// What earlier owners' machines may hold is thought to be known at once.
-    Resolved,
+    SkipsReconciliation,
     /// Limits are four times what they are.
-    Limits,
+    RaisesLimits,
     /// Spot machines pass for others.
-    Spot,
+    TreatsSpotAsOnDemand,
     /// Nothing is ever told to stop.
-    Stops,
+    IgnoresStops,
     /// A job is called done before it is.
-    Done,
+    ReportsDoneEarly,
     /// A cancelled job is called what it was.
-    Back,
+    ReportsCancelledAsRunning,
     /// Questions about one job are not answered.
-    Silent,
+    LeavesPollsUnanswered,
     /// Each cell may use the whole of every limit.
-    Shares,
+    IgnoresLimitShares,
     /// An owner acts for 30 s past its lease.
     ActsPastLease,
 
     // What machines, reports and users see.
     /// Jobs whose number ends in 7 are never placed.
-    LeavesWaiting,
+    NeverPlacesSomeJobs,
     /// A machine that has hung ignores commands to stop.
     IgnoresStopsAfterHang,
     /// An owner commands starts of jobs whose cancellation was confirmed.
-    StartsCancelled,
+    StartsCancelledJobs,
     /// Submissions are not judged before they are accepted.
-    Unjudged,
+    SkipsAdmissionCheck,
     /// A field that a submission lacks is filled in.
-    FillsIn,
+    FillsInMissingFields,
     /// A repeated submission is always answered as if the job was new.
-    RepeatedAsNew,
+    AnswersResubmissionAsNew,
     /// All machines pass for ones of the same zone.
-    Zones,
+    TreatsZonesAsOne,
     /// A question about a job that nobody submitted is answered with a state.
-    Invents,
+    InventsUnknownJobs,
 
     // Those that only one kind of fault reveals.
     /// A cancellation is confirmed before it is stored.
-    ConfirmsUnstored,
+    ConfirmsUnstoredCancellation,
     /// Machines execute direct commands whatever their token.
-    IgnoresTokens,
+    IgnoresFencingTokens,
     /// An owner never gives a silent machine up.
-    NeverGivesUp,
+    NeverDeclaresMachinesLost,
     /// A machine that has not reported for some seconds passes for one whose session is over.
-    TakesSilenceForEnd,
+    TreatsSilenceAsIncarnationEnd,
     /// Tasks whose user asked to cancel them pass for gone.
-    CancelledIsGone,
+    TreatsCancelledTasksAsGone,
     /// A copy of a report passes for the newest one.
-    TakesOldReports,
+    AcceptsStaleHeartbeats,
     /// A task that failed passes for one that is done.
-    ErrorsAreDone,
+    ReportsErrorsAsDone,
     /// A machine's new session passes for the one before, and what ran in that for what runs on.
-    MissesRestarts,
+    MissesMachineRestarts,
     /// A machine's lease is renewed by the sending of a report, whether an answer comes or not.
-    RenewsBySending,
+    RenewsLeaseBySending,
     /// A transaction without an answer passes for one that was not executed, and what it wrote is not read.
-    NeverLooksUp,
+    NeverReadsInDoubtWrites,
     /// A late copy of a report to an earlier owner passes for a report to this one.
-    TakesOldTokens,
+    AcceptsStaleTokens,
     /// A machine passes for empty when the answer to its rental comes.
-    RentedAreEmpty,
+    TreatsRentedAsEmpty,
     /// A start without an answer passes for one that never arrives.
-    UnansweredNeverArrives,
+    TreatsUnansweredStartsAsLost,
     /// A running task of a job whose needs were not read yet passes for gone.
-    UnreadIsOpen,
+    TreatsUnreadDependenciesAsOpen,
 }
--- a/crates/model/src/users.rs
+++ b/crates/model/src/users.rs
@@ -1,7 +1,7 @@
 //! Users: what they submit, ask and cancel, and what they are told.
 
 use crate::transactions::Submitted;
-use crate::trouble::Wrong;
+use crate::trouble::WrongDecision;
 use crate::world::World;
 use lupinspur_histories::{Answer, Request};
 use lupinspur_scheduler::jobs::{JobRecord, Phase, job_key};
@@ -15,14 +15,14 @@
     pub(crate) accepted: Option<f64>,
     pub(crate) cancel_at: Option<f64>,
     /// Another job waits for it: its user does not cancel it.
-    pub(crate) needed: bool,
-    pub(crate) told: Option<JobState>,
-    pub(crate) told_cancelled_at: f64,
+    pub(crate) has_dependents: bool,
+    pub(crate) last_state: Option<JobState>,
+    pub(crate) cancellation_confirmed_at: f64,
     pub(crate) answered: f64,
     pub(crate) next_poll: f64,
     pub(crate) done: BTreeSet<u32>,
     /// Since when all that it needs is done.
-    pub(crate) free_since: Option<f64>,
+    pub(crate) ready_since: Option<f64>,
     /// When its first task ran.
     pub(crate) begun: Option<f64>,
     /// Since when it waits while a machine has room for it, after all troubles.
@@ -36,13 +36,13 @@
             spec,
             accepted: None,
             cancel_at,
-            needed: false,
-            told: None,
-            told_cancelled_at: f64::MAX,
+            has_dependents: false,
+            last_state: None,
+            cancellation_confirmed_at: f64::MAX,
             answered: now,
             next_poll: now,
             done: BTreeSet::new(),
-            free_since: None,
+            ready_since: None,
             begun: None,
             waits_since: None,
         }
@@ -61,21 +61,21 @@
     /// What this controller's leader side says: None, it cannot say anything.
     pub(crate) fn leader_status(&mut self, node: usize, c: usize, id: &str, cancel: bool) -> Option<Answer> {
         let now = self.now;
-        let reaches = self.reaches(node);
+        let reaches_state_service = self.reaches_state_service(node);
         let s = self.nodes[node].acting(c, now)?;
         if cancel {
             s.cancel(id);
-            if self.wrong == Some(Wrong::ConfirmsUnstored) {
+            if self.wrong_decision == Some(WrongDecision::ConfirmsUnstoredCancellation) {
                 return Some(Answer::known(JobState::Cancelled));
             }
         }
         match s.job_view(id) {
             Some(JobView::Visible(state, ..)) => {
-                let early = self.wrong == Some(Wrong::Done) && state == JobState::Running;
+                let early = self.wrong_decision == Some(WrongDecision::ReportsDoneEarly) && state == JobState::Running;
                 Some(Answer::known(if early { JobState::Done } else { state }))
             }
             Some(JobView::Committing) => None,
-            None if reaches => self.record_says(id, cancel),
+            None if reaches_state_service => self.record_says(id, cancel),
             None => None,
         }
     }
@@ -96,25 +96,26 @@
         let answer = match request {
             Request::Poll => self.lookup(node, id, false),
             Request::Cancel => self.lookup(node, id, true),
-            Request::Submit { .. } => self.submit_again(node, id),
+            Request::Submit { .. } => self.resubmit(node, id),
         };
-        let cancelled = self.wrong == Some(Wrong::Back) && self.jobs[id].told == Some(JobState::Cancelled);
+        let cancelled = self.wrong_decision == Some(WrongDecision::ReportsCancelledAsRunning)
+            && self.jobs[id].last_state == Some(JobState::Cancelled);
         let answer = answer.map(|a| if cancelled { Answer::known(JobState::Running) } else { a });
         let is_open = matches!(answer.and_then(Answer::told), Some(JobState::Queued | JobState::Running));
         if request == Request::Cancel && is_open {
             // A cancellation is answered once it is stored. Until then this is what a poll hears.
             let _unanswered = self.history.sent(id, node, request);
-            self.judge_answer(node, id, Request::Poll, answer);
+            self.record_answer(node, id, Request::Poll, answer);
         } else {
-            self.judge_answer(node, id, request, answer);
+            self.record_answer(node, id, request, answer);
         }
         let state = answer.and_then(Answer::told)?;
-        self.hear(id, state);
+        self.record_state(id, state);
         Some(state)
     }
 
     /// Notes a request that is answered at once or never, and breaks a rule if the answer does.
-    pub(crate) fn judge_answer(&mut self, node: usize, id: &str, request: Request, answer: Option<Answer>) {
+    pub(crate) fn record_answer(&mut self, node: usize, id: &str, request: Request, answer: Option<Answer>) {
         if self.jobs.get(id).is_some_and(job_done) {
             self.history.tasks_done(id);
         }
@@ -122,23 +123,23 @@
         let Some(answer) = answer else { return };
         self.counts.answers[node] += u64::from(answer.told().is_some());
         let violation = self.history.answered(pending, answer).map(ToString::to_string);
-        violation.into_iter().for_each(|v| self.breaks(v));
+        violation.into_iter().for_each(|v| self.record_violation(v));
     }
 
     /// A user hears a job's state.
-    fn hear(&mut self, id: &str, state: JobState) {
+    fn record_state(&mut self, id: &str, state: JobState) {
         let now = self.now;
         let Some(j) = self.jobs.get_mut(id) else { return };
-        let before = j.told.replace(state);
+        let before = j.last_state.replace(state);
         j.answered = now;
         if state == JobState::Cancelled {
-            j.told_cancelled_at = j.told_cancelled_at.min(now);
+            j.cancellation_confirmed_at = j.cancellation_confirmed_at.min(now);
         }
         if state == JobState::Cancelled && before != Some(state) {
             self.observe_cancellation(id);
         }
         if matches!(state, JobState::Done | JobState::Cancelled) && before != Some(state) {
-            self.look_closely(id);
+            self.poll_after_event(id);
         }
     }
 
@@ -149,17 +150,17 @@
             self.observe_cancel_request(id);
         }
         if !self.nodes[node].runs(now)
-            || now < self.nodes[node].zone_cut
-            || self.wrong == Some(Wrong::Silent) && id.ends_with('3')
+            || now < self.nodes[node].zone_partitioned_until
+            || self.wrong_decision == Some(WrongDecision::LeavesPollsUnanswered) && id.ends_with('3')
         {
             return None;
         }
-        if self.wrong == Some(Wrong::Invents) && !self.jobs.contains_key(id) {
+        if self.wrong_decision == Some(WrongDecision::InventsUnknownJobs) && !self.jobs.contains_key(id) {
             return Some(Answer::known(JobState::Queued));
         }
         let Some(c) = self.shard_of_job(node, id) else {
             // Without a record there is no shard: that is the answer, where the state service says so.
-            let absent = self.reaches(node) && self.store.job(id).is_none();
+            let absent = self.reaches_state_service(node) && self.store.job(id).is_none();
             return if absent { self.record_says(id, cancel) } else { None };
         };
         let owns = self.nodes[node].cells[c].valid_token(now).is_some();
@@ -167,17 +168,17 @@
             return self.leader_status(node, c, id, cancel);
         }
         if let Some(o) = self.leader_known_to(node, c)
-            && self.hear_each_other(node, o)
+            && self.peers_connected(node, o)
             && let Some(said) = self.leader_status(o, c, id, cancel)
         {
             return Some(said);
         }
-        if self.reaches(node) { self.record_says(id, cancel) } else { None }
+        if self.reaches_state_service(node) { self.record_says(id, cancel) } else { None }
     }
 
-    pub(crate) fn hear_each_other(&self, a: usize, b: usize) -> bool {
+    pub(crate) fn peers_connected(&self, a: usize, b: usize) -> bool {
         let now = self.now;
-        self.nodes[b].runs(now) && now >= self.nodes[a].no_peers && now >= self.nodes[b].no_peers
+        self.nodes[b].runs(now) && now >= self.nodes[a].peers_lost_until && now >= self.nodes[b].peers_lost_until
     }
 
     pub(crate) fn step_users(&mut self) {
@@ -188,20 +189,20 @@
             let node = self.rng.usize(0..self.controllers);
             if job.accepted.is_none() {
                 let n = &self.nodes[node];
-                if now < job.next_poll || !n.runs(now) || !self.store.up(now) || now < n.no_state {
+                if now < job.next_poll || !n.runs(now) || !self.store.up(now) || now < n.state_service_lost_until {
                     continue;
                 }
                 let mut record = JobRecord::accepted(job.spec.clone(), (now * 1000.0) as u64);
                 if self.cells > 1 {
-                    record.shard = Some(n.seen.orders.0.home(&self.plan, &job.spec.team).0);
+                    record.shard = Some(n.shared_state.rebalance_plan.0.home(&self.plan, &job.spec.team).0);
                 }
                 let value = serde_json::to_value(&record).expect("a record");
                 let change = Mutation::Put { key: job_key(&id), value, lease: None };
                 self.submit_first(node, &id, change);
                 continue;
             }
-            let cancels = job.cancel_at.is_some_and(|t| now >= t) && job.told_cancelled_at == f64::MAX;
-            let over = matches!(job.told, Some(JobState::Done | JobState::Cancelled));
+            let cancels = job.cancel_at.is_some_and(|t| now >= t) && job.cancellation_confirmed_at == f64::MAX;
+            let over = matches!(job.last_state, Some(JobState::Done | JobState::Cancelled));
             if now < job.next_poll || over && self.rng.u8(..) > 20 {
                 continue;
             }
@@ -222,14 +223,14 @@
             Submitted::Stored => Some(Answer::ACCEPTED),
             Submitted::Known => self.record_says(id, false),
         };
-        self.judge_answer(node, id, Request::SUBMIT, answer);
+        self.record_answer(node, id, Request::SUBMIT, answer);
         let Some(j) = self.jobs.get_mut(id) else { return };
         j.next_poll = now + 1.0;
         if let Some(state) = answer.and_then(Answer::told) {
             (j.accepted, j.answered) = (Some(now), now);
-            self.told_accepted(id);
+            self.on_accepted(id);
             if state != JobState::Queued {
-                self.hear(id, state);
+                self.record_state(id, state);
             }
         }
     }
--- a/crates/model/src/waiting.rs
+++ b/crates/model/src/waiting.rs
@@ -1,7 +1,7 @@
 //! A job that is left waiting while a machine has room for it.
 
 use crate::WAITS_WITHIN_S;
-use crate::machines::{Machine, State};
+use crate::machines::{Machine, TaskPhase};
 use crate::stored::known_types;
 use crate::users::{Job, job_done};
 use crate::world::{World, ZONES};
@@ -26,7 +26,7 @@
             present: BTreeSet::new(),
         };
         for (i, m) in self.machines.iter().enumerate().filter(|(_, m)| !m.gone) {
-            for (name, _) in m.tasks.iter().filter(|(_, t)| !matches!(t.state, State::Ended(_))) {
+            for (name, _) in m.tasks.iter().filter(|(_, t)| !matches!(t.phase, TaskPhase::Ended(_))) {
                 let id = name.split('/').next().unwrap_or("");
                 let Some(job) = self.jobs.get(id) else { continue };
                 used.cpus[i] += job.spec.cpus;
@@ -55,14 +55,14 @@
             };
             let waited = self.now - *job.waits_since.get_or_insert(self.now);
             if waited > WAITS_WITHIN_S {
-                let thinks = self.leader_assumes(&id);
+                let thinks = self.describe_leader_view(&id);
                 wrong.push(format!("left_waiting: {id} waits for {waited:.0} s, {machine} has room; {thinks}"));
             }
         }
     }
 
     fn waits(&self, job: &Job) -> bool {
-        let over = matches!(job.told, Some(JobState::Done | JobState::Cancelled));
+        let over = matches!(job.last_state, Some(JobState::Done | JobState::Cancelled));
         let needs_done = self.dependencies_are_done(job);
         job.accepted.is_some() && !over && needs_done && job.cancel_at.is_none_or(|t| self.now < t) && !job_done(job)
     }
@@ -86,9 +86,15 @@
 
     /// Is the machine up, without any trouble of its own?
     fn serves(&self, machine: &Machine) -> bool {
-        let troubled =
-            [machine.hangs, machine.cut, machine.mute, machine.deaf_answers, machine.deaf_commands, machine.faulty];
-        machine.there(self.now) && troubled.iter().all(|until| self.now >= *until)
+        let troubled = [
+            machine.hangs_until,
+            machine.partitioned_until,
+            machine.heartbeats_lost_until,
+            machine.replies_lost_until,
+            machine.commands_lost_until,
+            machine.tasks_fail_until,
+        ];
+        machine.is_up(self.now) && troubled.iter().all(|until| self.now >= *until)
     }
 }
 
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -1,21 +1,21 @@
-//! Everything there is, in virtual time.
+//! The simulated cluster, in virtual time: its state, the injection of faults, and the main loop.
 
 use crate::controllers::{Node, Rental};
-use crate::late_reports::LateReports;
+use crate::late_reports::HeartbeatCopies;
 use crate::machines::Machine;
 use crate::messages::Message;
 use crate::observer::Observer;
-use crate::questions::Question;
+use crate::questions::ScheduledPoll;
 use crate::report::Counts;
 use crate::scenario::{self, Scenario};
-use crate::shard_exchange::{LEDGER_KEY, Seen, put};
-use crate::spells::Spells;
+use crate::shard_exchange::{LEDGER_KEY, SharedState, put};
+use crate::spells::ActiveFaults;
 use crate::store::Store;
-use crate::transactions::StateTroubles;
-use crate::trouble::{Kind, LEADER, SAME_LEADER, Trouble, Wrong};
+use crate::transactions::StateServiceFaults;
+use crate::trouble::{FaultKind, InjectedFault, LEADER, SAME_LEADER, WrongDecision};
 use crate::users::Job;
 use crate::work::spec;
-use crate::{ACTS_PAST_LEASE_S, CANCEL_S, LEASE_S, REPORT_S, STEP};
+use crate::{ACTS_PAST_LEASE_S, CANCELLATION_LIMIT_S, HEARTBEAT_INTERVAL_S, MACHINE_LEASE_S, STEP_S};
 use fastrand::Rng;
 use lupinspur_histories::History;
 use lupinspur_scheduler::params::{Params, Team};
@@ -27,17 +27,17 @@
 use lupinspur_wire::JobState;
 use std::collections::{BTreeMap, HashMap};
 
-/// After this one controller is back where all have ended.
-const BACK_AT_ONCE_S: f64 = 0.5;
+/// Seconds after which one controller is back when all controllers restart.
+const FIRST_RESTART_AFTER_S: f64 = 0.5;
 
-/// The zone in which a controller stands.
+/// Returns the zone of a controller.
 fn zone_of(node: usize) -> usize {
     node % ZONES.len()
 }
 
 pub(crate) const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// What the platform says: small values and transactions, so that much has to be parted.
+/// Parameters of the scheduler. Values are small, so that records and transactions have to be split.
 fn params(s: &Scenario) -> Params {
     let team = |t: &scenario::Team| Team {
         name: t.name.clone(),
@@ -54,9 +54,9 @@
         teams: s.teams.iter().map(team).collect(),
         zones: ZONES.map(str::to_owned).to_vec(),
         terms,
-        report_s: REPORT_S,
-        lease_s: LEASE_S,
-        cancel_s: CANCEL_S,
+        report_s: HEARTBEAT_INTERVAL_S,
+        lease_s: MACHINE_LEASE_S,
+        cancel_s: CANCELLATION_LIMIT_S,
         list_lag_s: 5.0,
         time_bound_s: 0.0,
         value_kb: 4.0,
@@ -64,6 +64,7 @@
     }
 }
 
+/// The state of the simulated cluster.
 pub(crate) struct World {
     pub(crate) now: f64,
     pub(crate) cells: usize,
@@ -75,40 +76,47 @@
     pub(crate) store: Store,
     pub(crate) nodes: Vec<Node>,
     pub(crate) machines: Vec<Machine>,
-    pub(crate) by_name: HashMap<String, usize>,
+    pub(crate) machine_index_by_name: HashMap<String, usize>,
     pub(crate) jobs: BTreeMap<String, Job>,
-    pub(crate) under_way: Vec<(f64, Message)>,
-    pub(crate) late_commits: f64,
-    pub(crate) late_commands: f64,
-    pub(crate) copies: f64,
-    pub(crate) state_troubles: StateTroubles,
-    /// The controller that a trouble of the leader struck last.
-    pub(crate) struck_leader: usize,
-    /// Rentals by their names.
-    pub(crate) rented: HashMap<String, Rental>,
-    pub(crate) trouble_until: f64,
-    pub(crate) wrong: Option<Wrong>,
+    /// Messages with the time of their delivery.
+    pub(crate) in_flight: Vec<(f64, Message)>,
+    /// End of the active fault in which responses to commits are lost and some commits are delayed.
+    pub(crate) commits_unreliable_until: f64,
+    /// End of the active fault in which pushed commands are delayed.
+    pub(crate) commands_delayed_until: f64,
+    /// End of the active fault in which heartbeats are duplicated and the duplicates delayed.
+    pub(crate) heartbeats_duplicated_until: f64,
+    pub(crate) state_service_faults: StateServiceFaults,
+    /// The controller that the last fault of a leader was injected into.
+    pub(crate) last_faulted_leader: usize,
+    /// Rented machines by the name of the rental.
+    pub(crate) rentals_by_name: HashMap<String, Rental>,
+    /// When the last fault ends.
+    pub(crate) faults_until: f64,
+    pub(crate) wrong_decision: Option<WrongDecision>,
+    /// The first violation of a rule.
     pub(crate) broken: Option<String>,
     pub(crate) counts: Counts,
-    /// Draws for the troubles of machines, reports and users; other draws are the same with and without them.
-    pub(crate) chance: Rng,
-    /// Draws for pipelines.
-    pub(crate) pipeline_draws: Rng,
-    pub(crate) spells: Spells,
-    pub(crate) late_reports: LateReports,
+    /// Random numbers for the faults of machines, heartbeats and users. They are separate, so that these faults do not
+    /// change the other random numbers of a seed.
+    pub(crate) fault_rng: Rng,
+    /// Random numbers for pipelines.
+    pub(crate) pipeline_rng: Rng,
+    pub(crate) active_faults: ActiveFaults,
+    pub(crate) heartbeat_copies: HeartbeatCopies,
     pub(crate) observer: Observer,
-    /// Transactions that leaders have sent so far.
+    /// Number of transactions that leaders have sent.
     pub(crate) transactions: u64,
-    /// Questions that users will ask at every controller.
-    pub(crate) questions: Vec<Question>,
-    /// What users asked and were answered.
+    /// Polls that users will send to every controller.
+    pub(crate) scheduled_polls: Vec<ScheduledPoll>,
+    /// Requests of users and their answers.
     pub(crate) history: History,
-    /// Submissions so far that no controller may accept.
-    pub(crate) odd_requests: u32,
+    /// Number of invalid submissions sent.
+    pub(crate) invalid_submissions: u32,
 }
 
 impl World {
-    pub(crate) fn new(seed: u64, scenario: &Scenario, wrong: Option<Wrong>) -> World {
+    pub(crate) fn new(seed: u64, scenario: &Scenario, wrong_decision: Option<WrongDecision>) -> World {
         let (cells, controllers) = (scenario.cells as usize, scenario.controllers);
         let mut plan = ShardingPlan::of(scenario.cells);
         if cells > 1 {
@@ -117,7 +125,7 @@
             plan.teams = scenario.teams.iter().enumerate().map(home).collect();
             plan.reassign_after_s = 4.0;
         }
-        let mut w = World {
+        let mut world = World {
             now: 0.0,
             cells,
             controllers,
@@ -128,202 +136,223 @@
             store: Store::default(),
             nodes: Vec::new(),
             machines: Vec::new(),
-            by_name: HashMap::new(),
+            machine_index_by_name: HashMap::new(),
             jobs: BTreeMap::new(),
-            under_way: Vec::new(),
-            late_commits: 0.0,
-            late_commands: 0.0,
-            copies: 0.0,
-            state_troubles: StateTroubles::default(),
-            struck_leader: 0,
-            rented: HashMap::new(),
-            trouble_until: 0.0,
-            wrong,
+            in_flight: Vec::new(),
+            commits_unreliable_until: 0.0,
+            commands_delayed_until: 0.0,
+            heartbeats_duplicated_until: 0.0,
+            state_service_faults: StateServiceFaults::default(),
+            last_faulted_leader: 0,
+            rentals_by_name: HashMap::new(),
+            faults_until: 0.0,
+            wrong_decision,
             broken: None,
             counts: Counts::of(cells, controllers),
-            chance: Rng::with_seed(seed.rotate_left(32) ^ 0x5eed),
-            pipeline_draws: Rng::with_seed(seed.rotate_left(16) ^ 0x9199),
-            spells: Spells::default(),
-            late_reports: LateReports::default(),
+            fault_rng: Rng::with_seed(seed.rotate_left(32) ^ 0x5eed),
+            pipeline_rng: Rng::with_seed(seed.rotate_left(16) ^ 0x9199),
+            active_faults: ActiveFaults::default(),
+            heartbeat_copies: HeartbeatCopies::default(),
             observer: Observer::default(),
             transactions: 0,
-            questions: Vec::new(),
+            scheduled_polls: Vec::new(),
             history: History::default(),
-            odd_requests: 0,
+            invalid_submissions: 0,
         };
         for i in 0..controllers {
-            w.nodes.push(Node {
+            world.nodes.push(Node {
                 name: format!("n{i}"),
-                back_at: 0.0,
-                still: 0.0,
-                no_state: 0.0,
-                no_peers: 0.0,
-                no_workers: 0.0,
-                zone_cut: 0.0,
-                acts_past_lease_s: if wrong == Some(Wrong::ActsPastLease) { ACTS_PAST_LEASE_S } else { 0.0 },
-                life: 0,
+                restarts_at: 0.0,
+                paused_until: 0.0,
+                state_service_lost_until: 0.0,
+                peers_lost_until: 0.0,
+                workers_lost_until: 0.0,
+                zone_partitioned_until: 0.0,
+                acts_past_lease_s: if wrong_decision == Some(WrongDecision::ActsPastLease) {
+                    ACTS_PAST_LEASE_S
+                } else {
+                    0.0
+                },
+                generation: 0,
                 cells: Vec::new(),
-                seen: Seen::default(),
-                seen_at: -10.0,
+                shared_state: SharedState::default(),
+                shared_state_read_at: -10.0,
                 shard_by_job: HashMap::new(),
                 shard_by_machine: HashMap::new(),
             });
-            w.nodes[i].begin(cells);
+            world.nodes[i].begin(cells);
         }
         if cells > 1 {
-            // As when the plan came into force, before anything ran.
-            let ledger = Ledger::new(&team_limits_by_name(&w.params.teams), cells as u32, ShardId(0));
-            w.store.commit(&[], &[put(LEDGER_KEY, &ledger)], None);
+            // The state when the sharding plan takes effect, before any task runs.
+            let ledger = Ledger::new(&team_limits_by_name(&world.params.teams), cells as u32, ShardId(0));
+            world.store.commit(&[], &[put(LEDGER_KEY, &ledger)], None);
         }
         for i in 0..scenario.machines {
-            w.add_machine(i % 3, i % 3 == 2, 0.0);
+            world.add_machine(i % 3, i % 3 == 2, 0.0);
         }
-        w
+        world
     }
 
+    /// Adds a machine that is up at `up_at`, unless boots are fast; returns its name.
     pub(crate) fn add_machine(&mut self, zone: usize, spot: bool, up_at: f64) -> String {
         let name = format!("host-{:06}", self.machines.len());
-        self.by_name.insert(name.clone(), self.machines.len());
-        let at = self.rng.usize(0..self.controllers);
-        let up_at = self.boots_at(up_at);
+        self.machine_index_by_name.insert(name.clone(), self.machines.len());
+        let controller = self.rng.usize(0..self.controllers);
+        let up_at = self.up_at_after_boot(up_at);
         self.machines.push(Machine {
             name: name.clone(),
             zone,
             spot,
             up_at,
-            born: self.now,
+            launched_at: self.now,
             gone: false,
             incarnation: 1,
             seq: 0,
             token: 0,
-            renewed: up_at,
+            lease_renewed_at: up_at,
             tasks: BTreeMap::new(),
-            hangs: 0.0,
-            deaf_answers: 0.0,
-            deaf_commands: 0.0,
-            cut: 0.0,
-            mute: 0.0,
-            faulty: 0.0,
-            at,
-            next_report: up_at + self.rng.f64() * REPORT_S,
-            waits: None,
+            hangs_until: 0.0,
+            replies_lost_until: 0.0,
+            commands_lost_until: 0.0,
+            partitioned_until: 0.0,
+            heartbeats_lost_until: 0.0,
+            tasks_fail_until: 0.0,
+            controller,
+            next_report: up_at + self.rng.f64() * HEARTBEAT_INTERVAL_S,
+            pending_heartbeat: None,
         });
         name
     }
 
-    pub(crate) fn breaks(&mut self, what: String) {
+    /// Records the first violation of a rule, which ends the run.
+    pub(crate) fn record_violation(&mut self, what: String) {
         let now = self.now;
         self.broken.get_or_insert(format!("at {now:.2}: {what}"));
     }
 
+    /// Sends a message that is delivered after `after` seconds.
     pub(crate) fn send(&mut self, after: f64, m: Message) {
-        self.check_commanded(&m);
-        self.under_way.push((self.now + after, m));
+        self.check_commands(&m);
+        self.in_flight.push((self.now + after, m));
     }
 
+    /// Draws the latency of a message, in seconds.
     pub(crate) fn latency(&mut self) -> f64 {
-        0.02 + self.rng.f64() * 0.08 + self.slow_link()
+        0.02 + self.rng.f64() * 0.08 + self.extra_latency_s()
     }
 
-    pub(crate) fn strikes(&mut self, t: Trouble) {
-        let (now, until) = (self.now, self.now + t.for_s);
-        self.trouble_until = self.trouble_until.max(until);
-        let n = self.controller_of(t.which);
-        let m = t.which % self.machines.len();
-        match t.kind {
-            Kind::Ends => self.ends(n, (t.for_s / 10.0).max(STEP)),
-            Kind::StandsStill => self.nodes[n].still = until,
-            Kind::Alone => (self.nodes[n].no_state, self.nodes[n].no_peers) = (until, until),
-            Kind::LosesWorkers => self.nodes[n].no_workers = until,
-            Kind::Silent => {
-                let node = &mut self.nodes[n];
-                (node.no_state, node.no_peers, node.no_workers) = (until, until, until);
+    /// Injects a fault at the current time.
+    pub(crate) fn inject_fault(&mut self, fault: InjectedFault) {
+        let (now, until) = (self.now, self.now + fault.for_s);
+        self.faults_until = self.faults_until.max(until);
+        let node = self.controller_of(fault.which);
+        let machine = fault.which % self.machines.len();
+        match fault.kind {
+            FaultKind::ControllerRestarts => self.restart_controller(node, (fault.for_s / 10.0).max(STEP_S)),
+            FaultKind::ControllerPauses => self.nodes[node].paused_until = until,
+            FaultKind::ControllerLosesStateAndPeers => {
+                (self.nodes[node].state_service_lost_until, self.nodes[node].peers_lost_until) = (until, until)
             }
-            Kind::Outage => self.store.down_until = self.store.down_until.max(until),
-            Kind::LateCommits => self.late_commits = until,
-            Kind::LateCommands => self.late_commands = until,
-            Kind::Copies => self.copies = until,
-            Kind::Hangs => self.machines[m].hangs = until,
-            Kind::Restarts => {
-                self.observe_loss(m);
-                let machine = &mut self.machines[m];
-                machine.tasks.clear();
-                machine.incarnation += 1;
-                (machine.renewed, machine.waits) = (now, None);
+            FaultKind::ControllerLosesWorkers => self.nodes[node].workers_lost_until = until,
+            FaultKind::ControllerPartitioned => {
+                let controller = &mut self.nodes[node];
+                (controller.state_service_lost_until, controller.peers_lost_until, controller.workers_lost_until) =
+                    (until, until, until);
             }
-            Kind::Dies => {
-                self.observe_loss(m);
-                self.machines[m].gone = true;
+            FaultKind::StateServiceOutage => self.store.down_until = self.store.down_until.max(until),
+            FaultKind::UnreliableCommits => self.commits_unreliable_until = until,
+            FaultKind::CommandsDelayed => self.commands_delayed_until = until,
+            FaultKind::HeartbeatsDuplicated => self.heartbeats_duplicated_until = until,
+            FaultKind::MachineHangs => self.machines[machine].hangs_until = until,
+            FaultKind::MachineRestarts => {
+                self.observe_loss(machine);
+                let restarted = &mut self.machines[machine];
+                restarted.tasks.clear();
+                restarted.incarnation += 1;
+                (restarted.lease_renewed_at, restarted.pending_heartbeat) = (now, None);
             }
-            Kind::DeafToAnswers => self.machines[m].deaf_answers = until,
-            Kind::DeafToCommands => self.machines[m].deaf_commands = until,
-            Kind::Deaf => (self.machines[m].deaf_answers, self.machines[m].deaf_commands) = (until, until),
-            Kind::DeafZone => {
-                for x in self.machines.iter_mut().filter(|x| x.zone == t.which % 3) {
-                    (x.deaf_answers, x.deaf_commands) = (until, until);
+            FaultKind::MachineDies => {
+                self.observe_loss(machine);
+                self.machines[machine].gone = true;
+            }
+            FaultKind::HeartbeatRepliesLost => self.machines[machine].replies_lost_until = until,
+            FaultKind::CommandsLost => self.machines[machine].commands_lost_until = until,
+            FaultKind::RepliesAndCommandsLost => {
+                (self.machines[machine].replies_lost_until, self.machines[machine].commands_lost_until) = (until, until)
+            }
+            FaultKind::ZoneRepliesAndCommandsLost => {
+                for m in self.machines.iter_mut().filter(|m| m.zone == fault.which % 3) {
+                    (m.replies_lost_until, m.commands_lost_until) = (until, until);
                 }
             }
-            Kind::CutZone => self.machines.iter_mut().filter(|x| x.zone == t.which % 3).for_each(|x| x.cut = until),
-            Kind::Faulty => self.machines[m].faulty = until,
-            Kind::RefusedByState => self.nodes[n].no_state = until,
-            Kind::LateWrites => self.state_troubles.late_writes = until,
-            Kind::LostAnswers => self.state_troubles.lost_answers = until,
-            Kind::SlowState => self.state_troubles.slow = until,
-            Kind::StepsDown => (0..self.cells).for_each(|c| self.hand_back(n, c)),
-            Kind::AllEnd | Kind::AllAway => {
-                let sooner = (t.kind == Kind::AllEnd).then_some(n);
+            FaultKind::ZonePartitioned => {
+                self.machines.iter_mut().filter(|m| m.zone == fault.which % 3).for_each(|m| m.partitioned_until = until)
+            }
+            FaultKind::TasksFail => self.machines[machine].tasks_fail_until = until,
+            FaultKind::StateServiceRefuses => self.nodes[node].state_service_lost_until = until,
+            FaultKind::WritesDelayed => self.state_service_faults.writes_delayed_until = until,
+            FaultKind::WriteResponsesLost => self.state_service_faults.responses_lost_until = until,
+            FaultKind::SlowStateService => self.state_service_faults.slow_until = until,
+            FaultKind::LeaderStepsDown => (0..self.cells).for_each(|shard| self.step_down_if_leader(node, shard)),
+            FaultKind::AllControllersRestart | FaultKind::AllControllersDown => {
+                let first_back = (fault.kind == FaultKind::AllControllersRestart).then_some(node);
                 for i in 0..self.controllers {
-                    self.ends(i, if sooner == Some(i) { BACK_AT_ONCE_S } else { t.for_s.max(STEP) });
+                    self.restart_controller(
+                        i,
+                        if first_back == Some(i) { FIRST_RESTART_AFTER_S } else { fault.for_s.max(STEP_S) },
+                    );
                 }
             }
-            Kind::CutZoneWithController => {
-                let zone = zone_of(n);
-                self.machines.iter_mut().filter(|x| x.zone == zone).for_each(|x| x.cut = until);
-                let node = &mut self.nodes[n];
-                (node.zone_cut, node.no_state, node.no_peers) = (until, until, until);
+            FaultKind::ZoneAndControllerPartitioned => {
+                let zone = zone_of(node);
+                self.machines.iter_mut().filter(|m| m.zone == zone).for_each(|m| m.partitioned_until = until);
+                let controller = &mut self.nodes[node];
+                (controller.zone_partitioned_until, controller.state_service_lost_until, controller.peers_lost_until) =
+                    (until, until, until);
             }
-            Kind::CancelServices => self.cancel_services(t.for_s),
-            _ => self.strikes_users_and_machines(t, m, until),
+            FaultKind::CancelServices => self.cancel_services(fault.for_s),
+            _ => self.inject_user_or_machine_fault(fault, machine, until),
         }
     }
 
-    /// The controller that a trouble's number means.
+    /// Returns the controller that the number in a fault stands for.
     fn controller_of(&mut self, which: usize) -> usize {
         let cell = which.wrapping_sub(LEADER);
         if cell < self.cells {
             let owns = |n: &Node| n.cells[cell].valid_token(self.now).is_some();
-            let leader = self.nodes.iter().position(owns).unwrap_or(self.struck_leader);
-            self.struck_leader = leader;
+            let leader = self.nodes.iter().position(owns).unwrap_or(self.last_faulted_leader);
+            self.last_faulted_leader = leader;
         }
-        if cell < self.cells || which == SAME_LEADER { self.struck_leader } else { which % self.controllers }
+        if cell < self.cells || which == SAME_LEADER { self.last_faulted_leader } else { which % self.controllers }
     }
 
-    /// A controller's process ends, and another begins after a while.
-    fn ends(&mut self, n: usize, back_after_s: f64) {
+    /// Ends a controller's process and starts a new one after `back_after_s`.
+    fn restart_controller(&mut self, n: usize, back_after_s: f64) {
         let node = &mut self.nodes[n];
-        node.back_at = self.now + back_after_s;
-        node.life += 1;
+        node.restarts_at = self.now + back_after_s;
+        node.generation += 1;
         node.begin(self.cells);
     }
 
-    fn hand_back(&mut self, n: usize, cell: usize) {
-        if self.nodes[n].runs(self.now) && self.nodes[n].cells[cell].own.token().is_some() {
+    /// Makes a controller step down as the leader of a shard, if it leads it.
+    fn step_down_if_leader(&mut self, n: usize, cell: usize) {
+        if self.nodes[n].runs(self.now) && self.nodes[n].cells[cell].election.token().is_some() {
             self.step_down(n, cell);
         }
     }
 
-    /// Can a controller and a machine send each other anything?
-    pub(crate) fn linked(&self, node: usize, machine: usize) -> bool {
+    /// Returns whether messages pass between a controller and a machine.
+    pub(crate) fn can_communicate(&self, node: usize, machine: usize) -> bool {
         let (n, m) = (&self.nodes[node], &self.machines[machine]);
-        let inside = self.now < n.zone_cut && zone_of(node) == m.zone;
-        inside || self.now >= n.zone_cut && self.now >= m.cut
+        let inside = self.now < n.zone_partitioned_until && zone_of(node) == m.zone;
+        inside || self.now >= n.zone_partitioned_until && self.now >= m.partitioned_until
     }
 
-    /// Users cancel every service that runs, each at some moment within this time.
+    /// Lets users cancel every running service, each at a random time within `within_s`.
     fn cancel_services(&mut self, within_s: f64) {
         let now = self.now;
         for j in self.jobs.values_mut() {
-            let over = matches!(j.told, Some(JobState::Done | JobState::Cancelled));
+            let over = matches!(j.last_state, Some(JobState::Done | JobState::Cancelled));
             let service = j.spec.estimate_s == 0.0;
             if service && j.begun.is_some() && !over && j.cancel_at.is_none_or(|t| t > now) {
                 let at = now + self.rng.f64() * within_s;
@@ -333,20 +362,21 @@
         }
     }
 
-    pub(crate) fn play(&mut self, troubles: &[Trouble]) {
+    /// Runs the scenario with these faults until it is over or a rule is violated.
+    pub(crate) fn play(&mut self, faults: &[InjectedFault]) {
         let mut next_job = 0_u32;
-        let mut due: Vec<Trouble> = troubles.to_vec();
+        let mut due: Vec<InjectedFault> = faults.to_vec();
         due.sort_by(|a, b| a.at.total_cmp(&b.at));
         let (jobs_for, calm) = (self.scenario.jobs_for_s, self.scenario.calm_s);
         let last = due.iter().map(|t| t.at + t.for_s).fold(jobs_for, f64::max);
-        self.trouble_until = last;
+        self.faults_until = last;
         let mut due = due.into_iter().peekable();
         let mut steps = 0u64;
         while self.now < last + calm && self.broken.is_none() {
-            self.now = steps as f64 * STEP;
+            self.now = steps as f64 * STEP_S;
             steps += 1;
             while let Some(t) = due.next_if(|t| t.at + 8.0 <= self.now) {
-                self.strikes(t);
+                self.inject_fault(t);
             }
             while self.now > 3.0 && self.now < jobs_for && self.now >= f64::from(next_job) * self.scenario.job_every_s {
                 next_job += 1;
@@ -354,8 +384,8 @@
                 let cancels = f64::from(self.rng.u8(..)) < self.scenario.cancelled * 256.0;
                 let cancel_at = cancels.then(|| self.now + 2.0 + self.rng.f64() * 30.0);
                 let mut job = Job::new(spec, cancel_at, self.now);
-                self.may_need_another(&mut job);
-                // A team's services must not fill its limit: then others wait rightly.
+                self.maybe_add_dependency(&mut job);
+                // A team's services must not fill its limit, or its other jobs would wait for a valid reason.
                 let held: f64 = self
                     .jobs
                     .values()
@@ -369,15 +399,15 @@
             self.store.step(self.now);
             let now = self.now;
             let (ready, rest): (Vec<_>, Vec<_>) =
-                std::mem::take(&mut self.under_way).into_iter().partition(|(t, _)| *t <= now);
-            self.under_way = rest;
+                std::mem::take(&mut self.in_flight).into_iter().partition(|(t, _)| *t <= now);
+            self.in_flight = rest;
             ready.into_iter().for_each(|(_, m)| self.deliver(m));
             (0..self.controllers).for_each(|i| self.step_node(i));
             (0..self.machines.len()).for_each(|i| self.step_machine(i));
             self.step_users();
-            self.step_questions();
-            self.step_odd_requests(steps);
-            self.step_late_reports();
+            self.step_scheduled_polls();
+            self.step_invalid_requests(steps);
+            self.step_heartbeat_copies();
             self.observe();
             if steps.is_multiple_of(10) {
                 self.check();
--- a/crates/model/tests/all_machines_die.rs
+++ b/crates/model/tests/all_machines_die.rs
@@ -1,7 +1,7 @@
 //! All machines die at once, and for a while no worker is there to be heard. A leader that took itself for the one
 //! that is cut off stepped down, and so did each after it: none stayed for long enough to rent others.
 
-use lupinspur_model::{Kind, LEADER, Run, Scenario, Trouble, play};
+use lupinspur_model::{FaultKind, InjectedFault, LEADER, Run, Scenario, play};
 
 /// In one of four or five of them nothing else than the leader's own machines would tell that it is not cut off.
 const SEEDS: u64 = 24;
@@ -17,11 +17,11 @@
     Scenario { cells, jobs_for_s: JOBS_FOR_S, job_every_s: 4.0, cancelled: 0.0, ..Scenario::default() }
 }
 
-fn runs(scenario: &Scenario, besides: &[Trouble]) -> Vec<Run> {
-    let dies = |which| Trouble { at: DIE_AT_S, kind: Kind::Dies, which, for_s: 0.0 };
-    let troubles: Vec<Trouble> = (0..scenario.machines).map(dies).chain(besides.iter().copied()).collect();
+fn runs(scenario: &Scenario, besides: &[InjectedFault]) -> Vec<Run> {
+    let dies = |which| InjectedFault { at: DIE_AT_S, kind: FaultKind::MachineDies, which, for_s: 0.0 };
+    let faults: Vec<InjectedFault> = (0..scenario.machines).map(dies).chain(besides.iter().copied()).collect();
     let seeds = if scenario.cells > 1 { SEEDS_OVER_CELLS } else { SEEDS };
-    (0..seeds).map(|seed| play(scenario, seed, &troubles, None)).collect()
+    (0..seeds).map(|seed| play(scenario, seed, &faults, None)).collect()
 }
 
 /// Every job that was accepted has begun, those too that came when no machine was left; in most runs some had to wait
@@ -44,10 +44,10 @@
 
 #[test]
 fn jobs_begin_after_all_machines_have_died_with_the_leader() {
-    let ends = Trouble { at: DIE_AT_S, kind: Kind::Ends, which: LEADER, for_s: 30.0 };
+    let ends = InjectedFault { at: DIE_AT_S, kind: FaultKind::ControllerRestarts, which: LEADER, for_s: 30.0 };
     for cells in [1, 3] {
         let runs = runs(&few_jobs(cells), &[ends]);
         all_jobs_begin(&runs);
-        assert!(runs.iter().all(|r| r.counts.coincidences.takeovers > 0), "{runs:?}");
+        assert!(runs.iter().all(|r| r.counts.coincidences.failovers > 0), "{runs:?}");
     }
 }
--- a/crates/model/tests/close_looks.rs
+++ b/crates/model/tests/close_looks.rs
@@ -2,7 +2,7 @@
 //! one in four accepted jobs is cancelled at once. Nothing else goes wrong, or the leader changes meanwhile, by
 //! every way in which it can. Answers are judged by the histories of all jobs.
 
-use lupinspur_model::{Kind, LEADER, Run, SAME_LEADER, Scenario, Trouble, Work, Wrong, play};
+use lupinspur_model::{FaultKind, InjectedFault, LEADER, Run, SAME_LEADER, Scenario, Work, WrongDecision, play};
 
 /// Seeds of each over one shard and over several; `MEETING_SEEDS` plays more.
 const SEEDS: u64 = 2;
@@ -19,14 +19,14 @@
 const CHANGED_FOR_S: f64 = 20.0;
 
 /// By which a leader changes, or is started again and remembers nothing.
-const CHANGES: [Kind; 7] = [
-    Kind::Ends,
-    Kind::StepsDown,
-    Kind::StandsStill,
-    Kind::RefusedByState,
-    Kind::Alone,
-    Kind::AllEnd,
-    Kind::CutZoneWithController,
+const CHANGES: [FaultKind; 7] = [
+    FaultKind::ControllerRestarts,
+    FaultKind::LeaderStepsDown,
+    FaultKind::ControllerPauses,
+    FaultKind::StateServiceRefuses,
+    FaultKind::ControllerLosesStateAndPeers,
+    FaultKind::AllControllersRestart,
+    FaultKind::ZoneAndControllerPartitioned,
 ];
 
 /// Many small jobs, so that at any moment some are accepted, end or are cancelled.
@@ -42,12 +42,12 @@
     }
 }
 
-fn trouble(at: f64, kind: Kind, which: usize, for_s: f64) -> Trouble {
-    Trouble { at, kind, which, for_s }
+fn fault(at: f64, kind: FaultKind, which: usize, for_s: f64) -> InjectedFault {
+    InjectedFault { at, kind, which, for_s }
 }
 
-fn looks() -> Trouble {
-    trouble(0.0, Kind::CloseLooks, 0, JOBS_FOR_S + 10.0)
+fn looks() -> InjectedFault {
+    fault(0.0, FaultKind::PollAfterEvents, 0, JOBS_FOR_S + 10.0)
 }
 
 fn seeds(cells: u32) -> u64 {
@@ -55,18 +55,18 @@
     std::env::var("MEETING_SEEDS").ok().and_then(|v| v.parse().ok()).unwrap_or(usual)
 }
 
-fn runs(cells: u32, troubles: &[Trouble], wrong: Option<Wrong>) -> Vec<Run> {
-    (0..seeds(cells)).map(|seed| play(&busy(cells), seed, troubles, wrong)).collect()
+fn runs(cells: u32, faults: &[InjectedFault], wrong: Option<WrongDecision>) -> Vec<Run> {
+    (0..seeds(cells)).map(|seed| play(&busy(cells), seed, faults, wrong)).collect()
 }
 
 /// `claims`: as many more than one for each shard are made at least.
-fn no_rule_is_broken(troubles: &[Trouble], claims: u64) {
+fn no_rule_is_broken(faults: &[InjectedFault], claims: u64) {
     for cells in CELLS {
-        for run in runs(cells, troubles, None) {
+        for run in runs(cells, faults, None) {
             assert_eq!(run.broken, None, "{cells} cells, seed {}", run.seed);
             let answers = &run.counts.answers;
             assert!(answers.iter().all(|n| *n > FEWEST_ANSWERS), "some controller was hardly asked: {answers:?}");
-            let made = run.counts.claims;
+            let made = run.counts.elections;
             assert!(made >= u64::from(cells) + claims, "{made} claims: the leader did not change");
             assert!(run.done > 0 && run.cancelled > 0, "{} done, {} cancelled", run.done, run.cancelled);
         }
@@ -81,33 +81,33 @@
 #[test]
 fn no_answer_is_older_around_a_change_of_leader() {
     for change in CHANGES {
-        no_rule_is_broken(&[looks(), trouble(CHANGE_AT_S, change, LEADER, CHANGED_FOR_S)], 1);
+        no_rule_is_broken(&[looks(), fault(CHANGE_AT_S, change, LEADER, CHANGED_FOR_S)], 1);
     }
 }
 
 /// The leader changes while transactions are carried out at once and only their answers are lost.
 #[test]
 fn no_answer_is_older_around_a_change_of_leader_with_lost_answers() {
-    let lost = trouble(CHANGE_AT_S - 10.0, Kind::LostAnswers, 0, CHANGED_FOR_S + 15.0);
+    let lost = fault(CHANGE_AT_S - 10.0, FaultKind::WriteResponsesLost, 0, CHANGED_FOR_S + 15.0);
     for change in CHANGES {
-        no_rule_is_broken(&[looks(), lost, trouble(CHANGE_AT_S, change, LEADER, CHANGED_FOR_S)], 1);
+        no_rule_is_broken(&[looks(), lost, fault(CHANGE_AT_S, change, LEADER, CHANGED_FOR_S)], 1);
     }
 }
 
 /// The old leader is cut off, and is then started again: all that it remembered is gone.
 #[test]
 fn no_answer_is_older_at_a_leader_that_was_cut_off_and_started_again() {
-    let cut = trouble(CHANGE_AT_S, Kind::Alone, LEADER, CHANGED_FOR_S);
-    let ends = trouble(CHANGE_AT_S + CHANGED_FOR_S - 1.0, Kind::Ends, SAME_LEADER, 10.0);
+    let cut = fault(CHANGE_AT_S, FaultKind::ControllerLosesStateAndPeers, LEADER, CHANGED_FOR_S);
+    let ends = fault(CHANGE_AT_S + CHANGED_FOR_S - 1.0, FaultKind::ControllerRestarts, SAME_LEADER, 10.0);
     no_rule_is_broken(&[looks(), cut, ends], 1);
 }
 
 /// A leader that acts past its lease tells what was before: seen through answers alone.
 #[test]
 fn a_leader_that_answers_past_its_lease_is_seen() {
-    let still = trouble(CHANGE_AT_S, Kind::StandsStill, LEADER, 8.0);
+    let still = fault(CHANGE_AT_S, FaultKind::ControllerPauses, LEADER, 8.0);
     for cells in CELLS {
-        let broken = |seed| play(&busy(cells), seed, &[looks(), still], Some(Wrong::ActsPastLease)).broken;
+        let broken = |seed| play(&busy(cells), seed, &[looks(), still], Some(WrongDecision::ActsPastLease)).broken;
         let seen = |seed| broken(seed).is_some_and(|what| what.contains("went_back"));
         assert!((0..SEEN_WITHIN_SEEDS).any(seen), "{cells} cells");
     }
@@ -117,7 +117,7 @@
 #[test]
 fn a_repetition_that_is_answered_as_new_is_seen() {
     for cells in CELLS {
-        let runs = runs(cells, &[looks()], Some(Wrong::RepeatedAsNew));
+        let runs = runs(cells, &[looks()], Some(WrongDecision::AnswersResubmissionAsNew));
         assert!(runs.iter().all(|run| run.broken.as_ref().is_some_and(|what| what.contains("went_back"))));
     }
 }
--- a/crates/model/tests/fault_combinations_machines.rs
+++ b/crates/model/tests/fault_combinations_machines.rs
@@ -6,7 +6,7 @@
 use evidence::{Evidence, mostly};
 use fastrand::Rng;
 use lupinspur_model::scenario::Team;
-use lupinspur_model::{KINDS, Kind, Run, Scenario, Trouble, USER_AND_MACHINE_KINDS, Work, play};
+use lupinspur_model::{FAULT_KINDS, FaultKind, InjectedFault, Run, Scenario, USER_AND_MACHINE_FAULT_KINDS, Work, play};
 use std::ops::Range;
 
 const SEEDS: u64 = 12;
@@ -19,26 +19,26 @@
     std::env::var("MEETING_SEEDS").ok().and_then(|v| v.parse().ok()).unwrap_or(SEEDS)
 }
 
-fn trouble(at: f64, kind: Kind, which: usize, for_s: f64) -> Trouble {
-    Trouble { at, kind, which, for_s }
+fn fault(at: f64, kind: FaultKind, which: usize, for_s: f64) -> InjectedFault {
+    InjectedFault { at, kind, which, for_s }
 }
 
 /// The leaders change: all controllers end at once, or one after the other ends or loses the state service.
 /// It begins within so many seconds of `from`.
-fn change_of_leader(rng: &mut Rng, from: f64, within_s: f64) -> Vec<Trouble> {
+fn change_of_leader(rng: &mut Rng, from: f64, within_s: f64) -> Vec<InjectedFault> {
     let at = from + rng.f64() * within_s;
     match rng.u8(0..3) {
-        0 => (0..3).map(|n| trouble(at, Kind::Ends, n, 10.0)).collect(),
-        1 => (0..3).map(|n| trouble(at + 1.5 * n as f64, Kind::Ends, n, 40.0)).collect(),
-        _ => (0..3).map(|n| trouble(at + 7.0 * n as f64, Kind::Alone, n, 7.0)).collect(),
+        0 => (0..3).map(|n| fault(at, FaultKind::ControllerRestarts, n, 10.0)).collect(),
+        1 => (0..3).map(|n| fault(at + 1.5 * n as f64, FaultKind::ControllerRestarts, n, 40.0)).collect(),
+        _ => (0..3).map(|n| fault(at + 7.0 * n as f64, FaultKind::ControllerLosesStateAndPeers, n, 7.0)).collect(),
     }
 }
 
 /// The kind strikes so many different machines within a second, for between the least and the most time.
-fn machines(rng: &mut Rng, kind: Kind, count: usize, at: f64, for_s: Range<f64>) -> Vec<Trouble> {
+fn machines(rng: &mut Rng, kind: FaultKind, count: usize, at: f64, for_s: Range<f64>) -> Vec<InjectedFault> {
     let for_s = for_s.start + rng.f64() * (for_s.end - for_s.start);
     let first = rng.usize(0..9);
-    (0..count).map(|n| trouble(at + rng.f64(), kind, first + n, for_s)).collect()
+    (0..count).map(|n| fault(at + rng.f64(), kind, first + n, for_s)).collect()
 }
 
 fn small(cells: u32) -> Scenario {
@@ -54,8 +54,8 @@
 }
 
 /// Plays the meeting with one shard and with three, and tells what happened in all runs.
-fn meets(scenario: fn(u32) -> Scenario, evidence: Evidence, troubles: fn(&mut Rng) -> Vec<Trouble>) -> Vec<Run> {
-    meets_over(&[1, 3], scenario, evidence, troubles)
+fn meets(scenario: fn(u32) -> Scenario, evidence: Evidence, faults: fn(&mut Rng) -> Vec<InjectedFault>) -> Vec<Run> {
+    meets_over(&[1, 3], scenario, evidence, faults)
 }
 
 /// Plays the meeting with each of these numbers of shards.
@@ -63,22 +63,22 @@
     cells: &[u32],
     scenario: fn(u32) -> Scenario,
     evidence: Evidence,
-    troubles: fn(&mut Rng) -> Vec<Trouble>,
+    faults: fn(&mut Rng) -> Vec<InjectedFault>,
 ) -> Vec<Run> {
     let run = |cells: u32, seed: u64| {
-        let troubles = troubles(&mut Rng::with_seed(seed));
-        (cells, troubles.clone(), play(&scenario(cells), seed, &troubles, None))
+        let faults = faults(&mut Rng::with_seed(seed));
+        (cells, faults.clone(), play(&scenario(cells), seed, &faults, None))
     };
     let cases: Vec<(u32, u64)> = cells.iter().flat_map(|c| (0..seeds()).map(move |s| (*c, s))).collect();
     let share = |t: u64| cases.iter().skip(t as usize).step_by(THREADS as usize).map(|(c, s)| run(*c, *s)).collect();
-    let runs: Vec<(u32, Vec<Trouble>, Run)> = std::thread::scope(|s| {
+    let runs: Vec<(u32, Vec<InjectedFault>, Run)> = std::thread::scope(|s| {
         let all: Vec<_> = (0..THREADS).map(|t| s.spawn(move || -> Vec<_> { share(t) })).collect();
         all.into_iter().flat_map(|t| t.join().expect("a run")).collect()
     });
     let broken: Vec<String> = runs
         .iter()
-        .filter_map(|(cells, troubles, r)| {
-            Some(format!("{cells} cells, seed {}: {}\n  {troubles:?}", r.seed, r.broken.as_ref()?))
+        .filter_map(|(cells, faults, r)| {
+            Some(format!("{cells} cells, seed {}: {}\n  {faults:?}", r.seed, r.broken.as_ref()?))
         })
         .collect();
     assert!(broken.is_empty(), "{} of {} runs broke a rule:\n{}", broken.len(), runs.len(), broken.join("\n"));
@@ -92,28 +92,34 @@
 /// Machines reach no controller, while direct commands reach them; jobs are cancelled, and the leader changes.
 #[test]
 fn mute_machines_and_a_change_of_leader() {
-    let evidence =
-        mostly(signs![takeovers >= 1, commands_to_unreporting_machines >= 3, unreachable_machines_at_takeover >= 1]);
+    let evidence = mostly(signs![
+        failovers >= 1,
+        commands_to_machines_without_heartbeats >= 3,
+        unreachable_machines_at_failover >= 1
+    ]);
     let runs = meets(small, evidence, |rng| {
-        let mut troubles = machines(rng, Kind::Mute, 5, BEGINS_S, 4.0..44.0);
-        troubles.extend(change_of_leader(rng, BEGINS_S, 10.0));
-        troubles.push(trouble(BEGINS_S + rng.f64() * 10.0, Kind::CancelNow, rng.usize(0..8), 0.0));
-        troubles
+        let mut faults = machines(rng, FaultKind::HeartbeatsLost, 5, BEGINS_S, 4.0..44.0);
+        faults.extend(change_of_leader(rng, BEGINS_S, 10.0));
+        faults.push(fault(BEGINS_S + rng.f64() * 10.0, FaultKind::CancelRunningJobs, rng.usize(0..8), 0.0));
+        faults
     });
-    let claims: u64 = runs.iter().map(|r| r.counts.claims).sum();
+    let claims: u64 = runs.iter().map(|r| r.counts.elections).sum();
     assert!(claims > 2 * runs.len() as u64, "leaders change");
 }
 
 /// A whole zone reaches no controller, and its machines hold what others must not be given meanwhile.
 #[test]
 fn a_mute_zone_and_a_change_of_leader() {
-    let evidence =
-        mostly(signs![takeovers >= 1, commands_to_unreporting_machines >= 3, unreachable_machines_at_takeover >= 1]);
+    let evidence = mostly(signs![
+        failovers >= 1,
+        commands_to_machines_without_heartbeats >= 3,
+        unreachable_machines_at_failover >= 1
+    ]);
     meets(small, evidence, |rng| {
         let zone = rng.usize(0..3);
-        let mut troubles = vec![trouble(BEGINS_S, Kind::MuteZone, zone, 10.0 + rng.f64() * 30.0)];
-        troubles.extend(change_of_leader(rng, BEGINS_S, 15.0));
-        troubles
+        let mut faults = vec![fault(BEGINS_S, FaultKind::ZoneHeartbeatsLost, zone, 10.0 + rng.f64() * 30.0)];
+        faults.extend(change_of_leader(rng, BEGINS_S, 15.0));
+        faults
     });
 }
 
@@ -121,19 +127,19 @@
 #[test]
 fn copies_of_heartbeats_for_the_next_leader() {
     let evidence = mostly(signs![
-        takeovers >= 2,
-        copies_to_new_leader >= 5,
-        overtaken_reports >= 5,
-        reports_of_earlier_session >= 1
+        failovers >= 2,
+        duplicate_heartbeats_to_new_leader >= 5,
+        overtaken_heartbeats >= 5,
+        heartbeats_of_earlier_incarnation >= 1
     ]);
     meets(small, evidence, |rng| {
-        let mut troubles = vec![trouble(BEGINS_S - 10.0, Kind::CopiesForNextLeader, 0, 40.0)];
+        let mut faults = vec![fault(BEGINS_S - 10.0, FaultKind::HeartbeatCopiesForNextLeader, 0, 40.0)];
         let at = BEGINS_S + rng.f64() * 5.0;
-        troubles.extend(machines(rng, Kind::Restarts, 4, at, 0.0..0.0));
-        troubles.extend(machines(rng, Kind::DeafToAnswers, 3, at, 25.0..25.0));
-        troubles.extend(change_of_leader(rng, at, 5.0));
-        troubles.extend(change_of_leader(rng, at + 20.0, 5.0));
-        troubles
+        faults.extend(machines(rng, FaultKind::MachineRestarts, 4, at, 0.0..0.0));
+        faults.extend(machines(rng, FaultKind::HeartbeatRepliesLost, 3, at, 25.0..25.0));
+        faults.extend(change_of_leader(rng, at, 5.0));
+        faults.extend(change_of_leader(rng, at + 20.0, 5.0));
+        faults
     });
 }
 
@@ -141,23 +147,27 @@
 /// return in the meantime.
 #[test]
 fn old_heartbeats_after_newer_ones() {
-    let evidence = mostly(signs![takeovers >= 1, overtaken_reports >= 5, reports_of_earlier_session >= 1]);
+    let evidence = mostly(signs![failovers >= 1, overtaken_heartbeats >= 5, heartbeats_of_earlier_incarnation >= 1]);
     meets(small, evidence, |rng| {
-        let mut troubles = vec![trouble(BEGINS_S - 10.0, Kind::Copies, 0, 50.0)];
-        troubles.extend(machines(rng, Kind::Restarts, 5, BEGINS_S, 0.0..0.0));
-        troubles.extend(machines(rng, Kind::Deaf, 3, BEGINS_S, 30.0..30.0));
-        troubles.extend(machines(rng, Kind::Faulty, 2, BEGINS_S + 5.0, 15.0..15.0));
-        troubles.extend(change_of_leader(rng, BEGINS_S, 30.0));
-        troubles
+        let mut faults = vec![fault(BEGINS_S - 10.0, FaultKind::HeartbeatsDuplicated, 0, 50.0)];
+        faults.extend(machines(rng, FaultKind::MachineRestarts, 5, BEGINS_S, 0.0..0.0));
+        faults.extend(machines(rng, FaultKind::RepliesAndCommandsLost, 3, BEGINS_S, 30.0..30.0));
+        faults.extend(machines(rng, FaultKind::TasksFail, 2, BEGINS_S + 5.0, 15.0..15.0));
+        faults.extend(change_of_leader(rng, BEGINS_S, 30.0));
+        faults
     });
 }
 
 /// Jobs are cancelled at the end of their last task, with no other trouble but users who ask everywhere.
 #[test]
 fn cancellations_at_the_end_of_the_last_task() {
-    let evidence = mostly(signs![cancellations_at_last_end >= 1, close_answers >= 100, close_repetitions >= 100]);
+    let evidence = mostly(signs![
+        cancellations_at_last_end >= 1,
+        polls_answered_after_events >= 100,
+        resubmissions_answered_after_events >= 100
+    ]);
     let runs = meets(small, evidence, |_| {
-        vec![trouble(0.0, Kind::CancelAtEnd, 0, 60.0), trouble(0.0, Kind::CloseLooks, 0, 60.0)]
+        vec![fault(0.0, FaultKind::CancelEndingJobs, 0, 60.0), fault(0.0, FaultKind::PollAfterEvents, 0, 60.0)]
     });
     assert!(runs.iter().any(|r| r.done > 0) && runs.iter().any(|r| r.cancelled > 0));
 }
@@ -165,16 +175,17 @@
 /// The same while answers to commits are lost and the leader changes.
 #[test]
 fn cancellations_at_the_end_and_lost_answers() {
-    let evidence = mostly(signs![takeovers >= 1, cancellations_at_last_end >= 1, unanswered_transactions_applied >= 1])
-        .sometimes(signs![reads_of_unanswered_transactions >= 1]);
+    let evidence =
+        mostly(signs![failovers >= 1, cancellations_at_last_end >= 1, applied_transactions_without_response >= 1])
+            .sometimes(signs![reads_of_transactions_without_response >= 1]);
     meets(small, evidence, |rng| {
-        let mut troubles = vec![
-            trouble(0.0, Kind::CancelAtEnd, 0, 70.0),
-            trouble(0.0, Kind::CloseLooks, 0, 70.0),
-            trouble(BEGINS_S - 5.0, Kind::LateCommits, 0, 30.0),
+        let mut faults = vec![
+            fault(0.0, FaultKind::CancelEndingJobs, 0, 70.0),
+            fault(0.0, FaultKind::PollAfterEvents, 0, 70.0),
+            fault(BEGINS_S - 5.0, FaultKind::UnreliableCommits, 0, 30.0),
         ];
-        troubles.extend(change_of_leader(rng, BEGINS_S, 10.0));
-        troubles
+        faults.extend(change_of_leader(rng, BEGINS_S, 10.0));
+        faults
     });
 }
 
@@ -182,16 +193,16 @@
 #[test]
 fn cancellations_in_the_second_of_a_change_of_leader_with_hanging_machines() {
     let evidence =
-        mostly(signs![takeovers >= 1, cancellations_with_hanging_machine >= 1, unreachable_machines_at_takeover >= 1])
-            .sometimes(signs![cancellations_at_takeover >= 1, late_commands_after_cancellation >= 1]);
+        mostly(signs![failovers >= 1, cancellations_with_hanging_machine >= 1, unreachable_machines_at_failover >= 1])
+            .sometimes(signs![cancellations_at_failover >= 1, late_commands_after_cancellation >= 1]);
     let runs = meets(small, evidence, |rng| {
         let at = BEGINS_S + rng.f64() * 10.0;
-        let mut troubles = change_of_leader(rng, at, 0.0);
+        let mut faults = change_of_leader(rng, at, 0.0);
         for _ in 0..3 {
             let hang_s = 2.0 + rng.f64() * 20.0;
-            troubles.push(trouble(at - 0.5 + rng.f64() * 1.5, Kind::CancelNow, rng.usize(0..8), hang_s));
+            faults.push(fault(at - 0.5 + rng.f64() * 1.5, FaultKind::CancelRunningJobs, rng.usize(0..8), hang_s));
         }
-        troubles
+        faults
     });
     assert!(runs.iter().any(|r| r.cancelled > 10));
 }
@@ -200,30 +211,31 @@
 #[test]
 fn users_ask_every_controller_while_leaders_change() {
     let evidence = mostly(signs![
-        takeovers >= 2,
-        close_answers >= 100,
-        close_repetitions >= 100,
-        unanswered_transactions_applied >= 1
+        failovers >= 2,
+        polls_answered_after_events >= 100,
+        resubmissions_answered_after_events >= 100,
+        applied_transactions_without_response >= 1
     ])
-    .sometimes(signs![reads_of_unanswered_transactions >= 1]);
+    .sometimes(signs![reads_of_transactions_without_response >= 1]);
     meets(small, evidence, |rng| {
-        let mut troubles = vec![trouble(0.0, Kind::CloseLooks, 0, 70.0)];
-        troubles.extend(change_of_leader(rng, BEGINS_S, 5.0));
-        troubles.extend(change_of_leader(rng, BEGINS_S + 15.0, 5.0));
-        troubles.push(trouble(BEGINS_S + rng.f64() * 10.0, Kind::LateCommits, 0, 20.0));
-        troubles
+        let mut faults = vec![fault(0.0, FaultKind::PollAfterEvents, 0, 70.0)];
+        faults.extend(change_of_leader(rng, BEGINS_S, 5.0));
+        faults.extend(change_of_leader(rng, BEGINS_S + 15.0, 5.0));
+        faults.push(fault(BEGINS_S + rng.f64() * 10.0, FaultKind::UnreliableCommits, 0, 20.0));
+        faults
     });
 }
 
 /// Odd requests: jobs that cannot run or lack a field, repeated submissions, cancellations of jobs that are done.
 #[test]
 fn odd_requests_while_leaders_change() {
-    let evidence = mostly(signs![takeovers >= 1, odd_requests >= 50]);
+    let evidence = mostly(signs![failovers >= 1, invalid_requests >= 50]);
     meets(small, evidence, |rng| {
-        let mut troubles = vec![trouble(0.0, Kind::OddRequests, 0, 70.0), trouble(0.0, Kind::CloseLooks, 0, 70.0)];
-        troubles.extend(change_of_leader(rng, BEGINS_S, 20.0));
-        troubles.push(trouble(BEGINS_S + rng.f64() * 20.0, Kind::Outage, 0, 10.0));
-        troubles
+        let mut faults =
+            vec![fault(0.0, FaultKind::InvalidRequests, 0, 70.0), fault(0.0, FaultKind::PollAfterEvents, 0, 70.0)];
+        faults.extend(change_of_leader(rng, BEGINS_S, 20.0));
+        faults.push(fault(BEGINS_S + rng.f64() * 20.0, FaultKind::StateServiceOutage, 0, 10.0));
+        faults
     });
 }
 
@@ -232,16 +244,16 @@
 fn fast_boots_beside_lagging_writes() {
     let scenario = |cells| Scenario { machines: 3, job_every_s: 0.8, ..small(cells) };
     let evidence =
-        mostly(signs![takeovers >= 1, starts_on_fast_boots_during_lag >= 1, overtaken_transactions_applied >= 1]);
+        mostly(signs![failovers >= 1, starts_on_fast_boots_during_lag >= 1, overtaken_transactions_applied >= 1]);
     meets(scenario, evidence, |rng| {
-        let mut troubles = vec![
-            trouble(0.0, Kind::FastBoots, 0, 60.0),
-            trouble(2.0, Kind::LateCommits, 0, 40.0),
-            trouble(2.0, Kind::LateCommands, 0, 30.0),
+        let mut faults = vec![
+            fault(0.0, FaultKind::FastBoots, 0, 60.0),
+            fault(2.0, FaultKind::UnreliableCommits, 0, 40.0),
+            fault(2.0, FaultKind::CommandsDelayed, 0, 30.0),
         ];
-        troubles.extend(change_of_leader(rng, 4.0, 15.0));
-        troubles.extend(machines(rng, Kind::Hangs, 3, 10.0, 5.0..20.0));
-        troubles
+        faults.extend(change_of_leader(rng, 4.0, 15.0));
+        faults.extend(machines(rng, FaultKind::MachineHangs, 3, 10.0, 5.0..20.0));
+        faults
     });
 }
 
@@ -249,13 +261,18 @@
 #[test]
 fn one_zone_jobs_lose_machines() {
     let scenario = |cells| Scenario { work: Work::OneZone, ..small(cells) };
-    let evidence = mostly(signs![takeovers >= 1, one_zone_jobs_losing_machine >= 1]);
+    let evidence = mostly(signs![failovers >= 1, one_zone_jobs_losing_machine >= 1]);
     meets(scenario, evidence, |rng| {
-        let mut troubles = machines(rng, Kind::Dies, 3, BEGINS_S, 0.0..0.0);
-        troubles.extend(machines(rng, Kind::Restarts, 3, BEGINS_S + 3.0, 0.0..0.0));
-        troubles.push(trouble(BEGINS_S + rng.f64() * 5.0, Kind::CutZone, rng.usize(0..3), 10.0 + rng.f64() * 20.0));
-        troubles.extend(change_of_leader(rng, BEGINS_S, 15.0));
-        troubles
+        let mut faults = machines(rng, FaultKind::MachineDies, 3, BEGINS_S, 0.0..0.0);
+        faults.extend(machines(rng, FaultKind::MachineRestarts, 3, BEGINS_S + 3.0, 0.0..0.0));
+        faults.push(fault(
+            BEGINS_S + rng.f64() * 5.0,
+            FaultKind::ZonePartitioned,
+            rng.usize(0..3),
+            10.0 + rng.f64() * 20.0,
+        ));
+        faults.extend(change_of_leader(rng, BEGINS_S, 15.0));
+        faults
     });
 }
 
@@ -268,12 +285,12 @@
         ];
         Scenario { machines: 6, most_machines: 6, job_every_s: 0.4, room: false, teams, ..small(cells) }
     };
-    let evidence = mostly(signs![takeovers >= 1, waiting_jobs_at_takeover >= 5]);
+    let evidence = mostly(signs![failovers >= 1, waiting_jobs_at_failover >= 5]);
     meets_over(&[cells], scenario, evidence, |rng| {
-        let mut troubles = vec![trouble(0.0, Kind::SlowLinks, 0, 60.0)];
-        troubles.extend(change_of_leader(rng, BEGINS_S, 10.0));
-        troubles.push(trouble(BEGINS_S + rng.f64() * 20.0, Kind::CancelNow, 7, 10.0));
-        troubles
+        let mut faults = vec![fault(0.0, FaultKind::SlowNetwork, 0, 60.0)];
+        faults.extend(change_of_leader(rng, BEGINS_S, 10.0));
+        faults.push(fault(BEGINS_S + rng.f64() * 20.0, FaultKind::CancelRunningJobs, 7, 10.0));
+        faults
     });
 }
 
@@ -291,14 +308,14 @@
 #[test]
 fn few_tasks_end_far_apart_across_changes_of_leader() {
     let scenario = |cells| Scenario { work: Work::FewTasks, ..small(cells) };
-    let evidence = mostly(signs![takeovers >= 2, jobs_ending_across_takeover >= 3]);
+    let evidence = mostly(signs![failovers >= 2, jobs_ending_across_failover >= 3]);
     let runs = meets(scenario, evidence, |rng| {
-        let mut troubles = vec![trouble(0.0, Kind::CloseLooks, 0, 80.0)];
-        troubles.extend(change_of_leader(rng, BEGINS_S, 0.0));
-        troubles.extend(change_of_leader(rng, BEGINS_S + 25.0, 5.0));
-        troubles.extend(machines(rng, Kind::Restarts, 2, BEGINS_S + 10.0, 0.0..0.0));
-        troubles.push(trouble(BEGINS_S, Kind::LateCommits, 0, 40.0));
-        troubles
+        let mut faults = vec![fault(0.0, FaultKind::PollAfterEvents, 0, 80.0)];
+        faults.extend(change_of_leader(rng, BEGINS_S, 0.0));
+        faults.extend(change_of_leader(rng, BEGINS_S + 25.0, 5.0));
+        faults.extend(machines(rng, FaultKind::MachineRestarts, 2, BEGINS_S + 10.0, 0.0..0.0));
+        faults.push(fault(BEGINS_S, FaultKind::UnreliableCommits, 0, 40.0));
+        faults
     });
     assert!(runs.iter().any(|r| r.done > 10));
 }
@@ -310,12 +327,14 @@
         let (work, jobs_for_s) = (Work::OneTask, 40.0);
         Scenario { work, jobs_for_s, job_every_s: 0.25, cancelled: 0.25, ..small(cells) }
     };
-    let evidence = mostly(signs![takeovers >= 1, cancellations_at_last_end >= 1, unanswered_transactions_applied >= 1]);
+    let evidence =
+        mostly(signs![failovers >= 1, cancellations_at_last_end >= 1, applied_transactions_without_response >= 1]);
     let runs = meets(scenario, evidence, |rng| {
-        let mut troubles = vec![trouble(0.0, Kind::CancelAtEnd, 0, 20.0), trouble(0.0, Kind::CloseLooks, 0, 30.0)];
-        troubles.push(trouble(5.0, Kind::LateCommits, 0, 20.0));
-        troubles.extend(change_of_leader(rng, BEGINS_S, 10.0));
-        troubles
+        let mut faults =
+            vec![fault(0.0, FaultKind::CancelEndingJobs, 0, 20.0), fault(0.0, FaultKind::PollAfterEvents, 0, 30.0)];
+        faults.push(fault(5.0, FaultKind::UnreliableCommits, 0, 20.0));
+        faults.extend(change_of_leader(rng, BEGINS_S, 10.0));
+        faults
     });
     assert!(runs.iter().all(|r| r.jobs > 100), "four a second");
 }
@@ -324,18 +343,18 @@
 #[test]
 fn every_team_at_its_limit_while_machines_are_cut_off_and_the_leader_changes() {
     let evidence = mostly(signs![
-        teams_at_limit_at_takeover >= 2,
+        teams_at_limit_at_failover >= 2,
         cancellations_at_limit >= 1,
         cancellations_with_hanging_machine >= 1,
-        unreachable_machines_at_takeover >= 1
+        unreachable_machines_at_failover >= 1
     ]);
     let runs = meets(at_limits, evidence, |rng| {
         let at = BEGINS_S + rng.f64() * 10.0;
-        let mut troubles = change_of_leader(rng, at, 0.0);
-        troubles.push(trouble(at - 1.0, Kind::CancelNow, 7, 5.0 + rng.f64() * 14.0));
-        troubles.push(trouble(at - 2.0, Kind::CutZone, rng.usize(0..3), 5.0 + rng.f64() * 25.0));
-        troubles.push(trouble(at + 1.0, Kind::CancelNow, 3, 10.0));
-        troubles
+        let mut faults = change_of_leader(rng, at, 0.0);
+        faults.push(fault(at - 1.0, FaultKind::CancelRunningJobs, 7, 5.0 + rng.f64() * 14.0));
+        faults.push(fault(at - 2.0, FaultKind::ZonePartitioned, rng.usize(0..3), 5.0 + rng.f64() * 25.0));
+        faults.push(fault(at + 1.0, FaultKind::CancelRunningJobs, 3, 10.0));
+        faults
     });
     assert!(runs.iter().any(|r| r.cancelled > 5));
 }
@@ -350,11 +369,11 @@
         late_commands_after_cancellation >= 1
     ]);
     let runs = meets(small, evidence, |rng| {
-        let mut troubles = vec![trouble(BEGINS_S - 10.0, Kind::LateCommands, 0, 45.0)];
-        troubles.extend(machines(rng, Kind::DeafToAnswers, 4, BEGINS_S, 15.0..15.0));
-        troubles.extend(change_of_leader(rng, BEGINS_S, 10.0));
-        troubles.push(trouble(BEGINS_S + rng.f64() * 15.0, Kind::CancelNow, 7, 6.0));
-        troubles
+        let mut faults = vec![fault(BEGINS_S - 10.0, FaultKind::CommandsDelayed, 0, 45.0)];
+        faults.extend(machines(rng, FaultKind::HeartbeatRepliesLost, 4, BEGINS_S, 15.0..15.0));
+        faults.extend(change_of_leader(rng, BEGINS_S, 10.0));
+        faults.push(fault(BEGINS_S + rng.f64() * 15.0, FaultKind::CancelRunningJobs, 7, 6.0));
+        faults
     });
     assert!(runs.iter().any(|r| r.cancelled > 5));
 }
@@ -371,30 +390,30 @@
         ];
         Scenario { work: Work::Long, jobs_for_s: 25.0, room: cells == 1, teams, ..small(cells) }
     };
-    let evidence = mostly(signs![unreachable_machines_at_takeover >= 2, answers_lost >= 3]);
+    let evidence = mostly(signs![unreachable_machines_at_failover >= 2, heartbeat_replies_lost >= 3]);
     meets(scenario, evidence, |rng| {
         let at = BEGINS_S + rng.f64() * 5.0;
-        let mut troubles = change_of_leader(rng, at, 0.0);
-        troubles.extend(machines(rng, Kind::DeafToAnswers, 3, at - 1.0, 10.0..35.0));
-        troubles.extend(machines(rng, Kind::DeafToCommands, 3, at - 1.0, 10.0..35.0));
-        troubles.extend(machines(rng, Kind::Hangs, 3, at - 1.0, 5.0..25.0));
-        troubles
+        let mut faults = change_of_leader(rng, at, 0.0);
+        faults.extend(machines(rng, FaultKind::HeartbeatRepliesLost, 3, at - 1.0, 10.0..35.0));
+        faults.extend(machines(rng, FaultKind::CommandsLost, 3, at - 1.0, 10.0..35.0));
+        faults.extend(machines(rng, FaultKind::MachineHangs, 3, at - 1.0, 5.0..25.0));
+        faults
     });
 }
 
 /// Two to five troubles of any kind within seconds of a change of leader.
 #[test]
 fn random_meetings_around_a_change_of_leader() {
-    let evidence = mostly(signs![takeovers >= 1]);
+    let evidence = mostly(signs![failovers >= 1]);
     meets(small, evidence, |rng| {
         let at = BEGINS_S + rng.f64() * 10.0;
-        let mut troubles = change_of_leader(rng, at, 0.0);
+        let mut faults = change_of_leader(rng, at, 0.0);
         for _ in 0..rng.usize(2..6) {
-            let kind = rng.usize(0..KINDS.len() + USER_AND_MACHINE_KINDS.len());
-            let kind = *KINDS.iter().chain(&USER_AND_MACHINE_KINDS).nth(kind).expect("a kind");
+            let kind = rng.usize(0..FAULT_KINDS.len() + USER_AND_MACHINE_FAULT_KINDS.len());
+            let kind = *FAULT_KINDS.iter().chain(&USER_AND_MACHINE_FAULT_KINDS).nth(kind).expect("a kind");
             let begins = at - 4.0 + rng.f64() * 8.0;
-            troubles.push(trouble(begins, kind, rng.usize(0..64), 0.2 + rng.f64() * 30.0));
+            faults.push(fault(begins, kind, rng.usize(0..64), 0.2 + rng.f64() * 30.0));
         }
-        troubles
+        faults
     });
 }
--- a/crates/model/tests/kinds.rs
+++ b/crates/model/tests/kinds.rs
@@ -3,7 +3,8 @@
 
 use lupinspur_model::scenario::Team;
 use lupinspur_model::{
-    CONTROLLER_KINDS, KINDS, Kind, LEADER, Scenario, Trouble, USER_AND_MACHINE_KINDS, Work, Wrong, play,
+    CONTROLLER_FAULT_KINDS, FAULT_KINDS, FaultKind, InjectedFault, LEADER, Scenario, USER_AND_MACHINE_FAULT_KINDS,
+    Work, WrongDecision, play,
 };
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -16,21 +17,21 @@
 
 /// A wrong decision that is seen only where a kind of fault strikes.
 struct Case {
-    wrong: Wrong,
+    wrong: WrongDecision,
     /// How a run with the wrong decision ends.
     rule: &'static str,
     /// The kind that reveals it.
-    faults: Vec<Trouble>,
+    faults: Vec<InjectedFault>,
     /// What happens besides, with the fault and without it.
-    context: Vec<Trouble>,
+    context: Vec<InjectedFault>,
     scenario: Scenario,
 }
 
-fn at(at: f64, kind: Kind, which: usize, for_s: f64) -> Trouble {
-    Trouble { at, kind, which, for_s }
+fn at(at: f64, kind: FaultKind, which: usize, for_s: f64) -> InjectedFault {
+    InjectedFault { at, kind, which, for_s }
 }
 
-fn machines(begins: f64, kind: Kind, for_s: f64) -> Vec<Trouble> {
+fn machines(begins: f64, kind: FaultKind, for_s: f64) -> Vec<InjectedFault> {
     (0..Scenario::default().machines).map(|m| at(begins, kind, m, for_s)).collect()
 }
 
@@ -65,129 +66,167 @@
 }
 
 /// One cut zone: whoever becomes the leader meanwhile does not know what runs there.
-fn cut_zone() -> Vec<Trouble> {
-    vec![at(19.0, Kind::CutZone, 0, 15.0)]
+fn cut_zone() -> Vec<InjectedFault> {
+    vec![at(19.0, FaultKind::ZonePartitioned, 0, 15.0)]
 }
 
-fn all_controllers_end() -> Vec<Trouble> {
-    (0..3).map(|n| at(20.0, Kind::Ends, n, 60.0)).collect()
+fn all_controllers_end() -> Vec<InjectedFault> {
+    (0..3).map(|n| at(20.0, FaultKind::ControllerRestarts, n, 60.0)).collect()
 }
 
 /// A new leader takes for free what it cannot ask.
-fn unresolved(faults: Vec<Trouble>, context: Vec<Trouble>) -> Case {
-    Case { wrong: Wrong::Resolved, rule: "ran_twice", faults, context, scenario: Scenario::default() }
+fn unresolved(faults: Vec<InjectedFault>, context: Vec<InjectedFault>) -> Case {
+    Case {
+        wrong: WrongDecision::SkipsReconciliation,
+        rule: "ran_twice",
+        faults,
+        context,
+        scenario: Scenario::default(),
+    }
 }
 
 fn cases() -> Vec<Case> {
     let leader = |kind, for_s| unresolved(vec![at(20.0, kind, LEADER, for_s)], cut_zone());
     let case = |wrong, rule, faults| Case { wrong, rule, faults, context: vec![], scenario: nobody_cancels() };
     let flood = || Scenario { work: Work::OneTask, job_every_s: 0.25, cancelled: 0.0, ..Scenario::default() };
-    let services = |begins: f64| at(begins, Kind::CancelServices, 0, 1.0);
+    let services = |begins: f64| at(begins, FaultKind::CancelServices, 0, 1.0);
     let zones = |begins, kind, for_s| (0..3).map(|z| at(begins, kind, z, for_s)).collect::<Vec<_>>();
     let silent = |faults| Case {
-        wrong: Wrong::TakesSilenceForEnd,
+        wrong: WrongDecision::TreatsSilenceAsIncarnationEnd,
         rule: "ran_twice",
         faults,
         context: vec![],
         scenario: long_tasks(),
     };
     let unstored = |kind, begins, for_s, ends_at| Case {
-        wrong: Wrong::ConfirmsUnstored,
+        wrong: WrongDecision::ConfirmsUnstoredCancellation,
         rule: "",
         faults: vec![at(begins, kind, 0, for_s)],
-        context: vec![services(20.0), at(ends_at, Kind::Ends, LEADER, 40.0)],
+        context: vec![services(20.0), at(ends_at, FaultKind::ControllerRestarts, LEADER, 40.0)],
         scenario: nobody_cancels(),
     };
-    let cancelled = |kind, which, for_s| case(Wrong::Stops, "ran_cancelled", vec![at(20.0, kind, which, for_s)]);
+    let cancelled =
+        |kind, which, for_s| case(WrongDecision::IgnoresStops, "ran_cancelled", vec![at(20.0, kind, which, for_s)]);
     vec![
         // Changes of leader.
-        leader(Kind::Ends, 60.0),
-        leader(Kind::StandsStill, 12.0),
-        leader(Kind::Alone, 12.0),
-        leader(Kind::LosesWorkers, 20.0),
-        leader(Kind::Silent, 12.0),
-        leader(Kind::RefusedByState, 12.0),
-        leader(Kind::StepsDown, 1.0),
-        leader(Kind::AllEnd, 20.0),
-        leader(Kind::AllAway, 6.0),
-        leader(Kind::CutZoneWithController, 15.0),
+        leader(FaultKind::ControllerRestarts, 60.0),
+        leader(FaultKind::ControllerPauses, 12.0),
+        leader(FaultKind::ControllerLosesStateAndPeers, 12.0),
+        leader(FaultKind::ControllerLosesWorkers, 20.0),
+        leader(FaultKind::ControllerPartitioned, 12.0),
+        leader(FaultKind::StateServiceRefuses, 12.0),
+        leader(FaultKind::LeaderStepsDown, 1.0),
+        leader(FaultKind::AllControllersRestart, 20.0),
+        leader(FaultKind::AllControllersDown, 6.0),
+        leader(FaultKind::ZoneAndControllerPartitioned, 15.0),
         // Machines.
         unresolved(cut_zone(), all_controllers_end()),
-        unresolved(machines(19.0, Kind::Hangs, 14.0), all_controllers_end()),
-        silent(machines(15.0, Kind::Mute, 15.0)),
-        silent(zones(15.0, Kind::MuteZone, 15.0)),
-        silent(machines(15.0, Kind::DeafToAnswers, 15.0)),
-        case(Wrong::NeverGivesUp, "left_waiting", machines(20.0, Kind::Dies, 0.0)),
-        case(Wrong::ErrorsAreDone, "not_done", machines(10.0, Kind::Faulty, 20.0)),
+        unresolved(machines(19.0, FaultKind::MachineHangs, 14.0), all_controllers_end()),
+        silent(machines(15.0, FaultKind::HeartbeatsLost, 15.0)),
+        silent(zones(15.0, FaultKind::ZoneHeartbeatsLost, 15.0)),
+        silent(machines(15.0, FaultKind::HeartbeatRepliesLost, 15.0)),
+        case(WrongDecision::NeverDeclaresMachinesLost, "left_waiting", machines(20.0, FaultKind::MachineDies, 0.0)),
+        case(WrongDecision::ReportsErrorsAsDone, "not_done", machines(10.0, FaultKind::TasksFail, 20.0)),
         Case {
-            wrong: Wrong::CancelledIsGone,
+            wrong: WrongDecision::TreatsCancelledTasksAsGone,
             rule: "quota",
-            faults: machines(19.0, Kind::DeafToCommands, 12.0),
-            context: vec![at(20.0, Kind::CancelNow, 7, 0.0)],
+            faults: machines(19.0, FaultKind::CommandsLost, 12.0),
+            context: vec![at(20.0, FaultKind::CancelRunningJobs, 7, 0.0)],
             scenario: teams_at_limit(),
         },
-        case(Wrong::TakesOldReports, "ran_twice", vec![at(5.0, Kind::Copies, 0, 50.0)]),
+        case(
+            WrongDecision::AcceptsStaleHeartbeats,
+            "ran_twice",
+            vec![at(5.0, FaultKind::HeartbeatsDuplicated, 0, 50.0)],
+        ),
         Case {
-            wrong: Wrong::IgnoresTokens,
+            wrong: WrongDecision::IgnoresFencingTokens,
             rule: "ran_twice",
-            faults: vec![at(10.0, Kind::LateCommands, 0, 40.0)],
-            context: vec![at(20.0, Kind::Ends, LEADER, 40.0), at(30.0, Kind::Ends, LEADER, 40.0)],
+            faults: vec![at(10.0, FaultKind::CommandsDelayed, 0, 40.0)],
+            context: vec![
+                at(20.0, FaultKind::ControllerRestarts, LEADER, 40.0),
+                at(30.0, FaultKind::ControllerRestarts, LEADER, 40.0),
+            ],
             scenario: Scenario { job_every_s: 0.25, jobs_for_s: 60.0, ..long_tasks() },
         },
-        case(Wrong::UnansweredNeverArrives, "ran_twice", vec![at(0.0, Kind::LateCommands, 0, 60.0)]),
+        case(
+            WrongDecision::TreatsUnansweredStartsAsLost,
+            "ran_twice",
+            vec![at(0.0, FaultKind::CommandsDelayed, 0, 60.0)],
+        ),
         Case {
             scenario: long_tasks(),
-            ..case(Wrong::UnansweredNeverArrives, "", vec![at(0.0, Kind::SlowLinks, 0, 60.0)])
+            ..case(WrongDecision::TreatsUnansweredStartsAsLost, "", vec![at(0.0, FaultKind::SlowNetwork, 0, 60.0)])
         },
         Case {
             scenario: long_tasks(),
-            ..case(Wrong::MissesRestarts, "left_waiting", machines(20.0, Kind::Restarts, 0.0))
+            ..case(
+                WrongDecision::MissesMachineRestarts,
+                "left_waiting",
+                machines(20.0, FaultKind::MachineRestarts, 0.0),
+            )
         },
         Case {
             context: vec![services(20.0)],
             scenario: no_other_machines(9, 0.5),
-            ..case(Wrong::RenewsBySending, "ran_cancelled", machines(18.0, Kind::Deaf, 80.0))
+            ..case(
+                WrongDecision::RenewsLeaseBySending,
+                "ran_cancelled",
+                machines(18.0, FaultKind::RepliesAndCommandsLost, 80.0),
+            )
         },
         Case {
             context: vec![services(20.0)],
             scenario: no_other_machines(15, 0.3),
-            ..case(Wrong::RenewsBySending, "ran_cancelled", zones(19.8, Kind::DeafZone, 80.0))
+            ..case(
+                WrongDecision::RenewsLeaseBySending,
+                "ran_cancelled",
+                zones(19.8, FaultKind::ZoneRepliesAndCommandsLost, 80.0),
+            )
         },
         // Two zones are cut off: so many silent machines are not given up, and their leases are waited out.
         Case {
             context: vec![
-                at(19.0, Kind::CutZone, 0, 18.0),
-                at(19.0, Kind::CutZone, 1, 18.0),
-                at(20.0, Kind::Ends, LEADER, 40.0),
+                at(19.0, FaultKind::ZonePartitioned, 0, 18.0),
+                at(19.0, FaultKind::ZonePartitioned, 1, 18.0),
+                at(20.0, FaultKind::ControllerRestarts, LEADER, 40.0),
             ],
             scenario: long_tasks(),
-            ..case(Wrong::TakesOldTokens, "ran_twice", vec![at(1.0, Kind::CopiesForNextLeader, 0, 8.0)])
+            ..case(
+                WrongDecision::AcceptsStaleTokens,
+                "ran_twice",
+                vec![at(1.0, FaultKind::HeartbeatCopiesForNextLeader, 0, 8.0)],
+            )
         },
         Case {
             scenario: Scenario { machines: 3, ..long_tasks() },
-            ..case(Wrong::RentedAreEmpty, "ran_twice", vec![at(0.0, Kind::FastBoots, 0, 60.0)])
+            ..case(WrongDecision::TreatsRentedAsEmpty, "ran_twice", vec![at(0.0, FaultKind::FastBoots, 0, 60.0)])
         },
         // The state service.
-        case(Wrong::NeverLooksUp, "", vec![at(10.0, Kind::LostAnswers, 0, 20.0)]),
-        unstored(Kind::Outage, 20.0, 10.0, 29.0),
-        unstored(Kind::LateWrites, 18.0, 15.0, 21.5),
-        unstored(Kind::LateCommits, 18.0, 15.0, 21.5),
-        unstored(Kind::SlowState, 18.0, 15.0, 22.2),
+        case(WrongDecision::NeverReadsInDoubtWrites, "", vec![at(10.0, FaultKind::WriteResponsesLost, 0, 20.0)]),
+        unstored(FaultKind::StateServiceOutage, 20.0, 10.0, 29.0),
+        unstored(FaultKind::WritesDelayed, 18.0, 15.0, 21.5),
+        unstored(FaultKind::UnreliableCommits, 18.0, 15.0, 21.5),
+        unstored(FaultKind::SlowStateService, 18.0, 15.0, 22.2),
         // Users.
-        cancelled(Kind::CancelServices, 0, 1.0),
-        cancelled(Kind::CancelNow, 7, 0.0),
+        cancelled(FaultKind::CancelServices, 0, 1.0),
+        cancelled(FaultKind::CancelRunningJobs, 7, 0.0),
         Case {
             scenario: flood(),
-            ..case(Wrong::ConfirmsUnstored, "went_back", vec![at(5.0, Kind::CancelAtEnd, 0, 60.0)])
+            ..case(
+                WrongDecision::ConfirmsUnstoredCancellation,
+                "went_back",
+                vec![at(5.0, FaultKind::CancelEndingJobs, 0, 60.0)],
+            )
         },
-        case(Wrong::RepeatedAsNew, "went_back", vec![at(0.0, Kind::CloseLooks, 0, 70.0)]),
-        case(Wrong::Unjudged, "accepted", vec![at(5.0, Kind::OddRequests, 0, 60.0)]),
+        case(WrongDecision::AnswersResubmissionAsNew, "went_back", vec![at(0.0, FaultKind::PollAfterEvents, 0, 70.0)]),
+        case(WrongDecision::SkipsAdmissionCheck, "accepted", vec![at(5.0, FaultKind::InvalidRequests, 0, 60.0)]),
     ]
 }
 
 /// The first seed with which the wrong decision breaks the rule.
-fn first_seen(case: &Case, seeds: u64, troubles: &[Trouble]) -> Option<u64> {
-    let broken = |seed: &u64| play(&case.scenario, *seed, troubles, Some(case.wrong)).broken;
+fn first_seen(case: &Case, seeds: u64, faults: &[InjectedFault]) -> Option<u64> {
+    let broken = |seed: &u64| play(&case.scenario, *seed, faults, Some(case.wrong)).broken;
     (0..seeds).find(|seed| broken(seed).is_some_and(|b| b.contains(case.rule)))
 }
 
@@ -220,7 +259,7 @@
 #[test]
 fn each_kind_has_a_case() {
     let cases = cases();
-    for kind in KINDS.iter().chain(&CONTROLLER_KINDS).chain(&USER_AND_MACHINE_KINDS) {
+    for kind in FAULT_KINDS.iter().chain(&CONTROLLER_FAULT_KINDS).chain(&USER_AND_MACHINE_FAULT_KINDS) {
         assert!(cases.iter().any(|c| c.faults[0].kind == *kind), "{kind:?}");
     }
 }
--- a/crates/model/tests/pipelines.rs
+++ b/crates/model/tests/pipelines.rs
@@ -6,7 +6,7 @@
 mod takeover;
 
 use evidence::mostly;
-use lupinspur_model::{Kind, LEADER, Scenario, Trouble, Work, Wrong, play};
+use lupinspur_model::{FaultKind, InjectedFault, LEADER, Scenario, Work, WrongDecision, play};
 use takeover::{at, broken, machines, no_rule_is_broken_in, runs, with};
 
 /// Seeds in which a wrong decision is looked for.
@@ -25,24 +25,27 @@
 }
 
 /// The leader ends again and again, each time soon after it has written its checkpoint anew.
-fn leaders_in_series() -> Vec<Trouble> {
+fn leaders_in_series() -> Vec<InjectedFault> {
     let change = |n: u32| {
         let begins = 38.0 + 13.0 * f64::from(n);
-        [at(begins, Kind::ManyChanges, 0, 0.1), at(begins + 7.0, Kind::Ends, LEADER, 5.0)]
+        [at(begins, FaultKind::ManyStateChanges, 0, 0.1), at(begins + 7.0, FaultKind::ControllerRestarts, LEADER, 5.0)]
     };
     (0..4).flat_map(change).collect()
 }
 
 /// Commands are held back, and machines hear nothing from a moment after each change of leader on.
-fn lost_stops() -> Vec<Trouble> {
-    let deaf = (0..4).flat_map(|n| machines(49.3 + 13.0 * f64::from(n), Kind::Deaf, 4.0));
-    with(vec![at(40.0, Kind::LateCommands, 0, 60.0)], deaf)
+fn lost_stops() -> Vec<InjectedFault> {
+    let deaf = (0..4).flat_map(|n| machines(49.3 + 13.0 * f64::from(n), FaultKind::RepliesAndCommandsLost, 4.0));
+    with(vec![at(40.0, FaultKind::CommandsDelayed, 0, 60.0)], deaf)
 }
 
 #[test]
 fn pipelines_across_leaders_in_series() {
-    let evidence =
-        mostly(signs![takeovers >= 3, unread_needs_at_takeover >= 1, tasks_behind_unread_needs_at_takeover >= 1]);
+    let evidence = mostly(signs![
+        failovers >= 3,
+        unread_dependencies_at_failover >= 1,
+        tasks_with_unread_dependencies_at_failover >= 1
+    ]);
     for cells in [1, 3] {
         no_rule_is_broken_in(&deployment(cells), &leaders_in_series(), evidence);
     }
@@ -50,7 +53,8 @@
 
 #[test]
 fn pipelines_across_leaders_in_series_whose_commands_are_lost() {
-    let evidence = mostly(signs![takeovers >= 3, unread_needs_at_takeover >= 1]).sometimes(signs![answers_lost >= 1]);
+    let evidence = mostly(signs![failovers >= 3, unread_dependencies_at_failover >= 1])
+        .sometimes(signs![heartbeat_replies_lost >= 1]);
     for cells in [1, 3] {
         no_rule_is_broken_in(&deployment(cells), &with(leaders_in_series(), lost_stops()), evidence);
     }
@@ -60,7 +64,8 @@
 #[test]
 fn a_running_task_that_passes_for_gone_until_its_need_is_read_is_seen() {
     let seen = |seed: &u64| {
-        let run = play(&deployment(1), *seed, &leaders_in_series(), Some(Wrong::UnreadIsOpen));
+        let run =
+            play(&deployment(1), *seed, &leaders_in_series(), Some(WrongDecision::TreatsUnreadDependenciesAsOpen));
         run.broken.is_some_and(|what| what.contains("ran_twice"))
     };
     let seen = (0..SEEDS).filter(seen).count();
@@ -71,6 +76,6 @@
 /// Without changes of leader nothing tells it from the right one.
 #[test]
 fn the_same_passes_where_the_leader_stays() {
-    let broken = broken(&runs(&deployment(1), &[], Some(Wrong::UnreadIsOpen)));
+    let broken = broken(&runs(&deployment(1), &[], Some(WrongDecision::TreatsUnreadDependenciesAsOpen)));
     assert!(broken.is_empty(), "{broken:#?}");
 }
--- a/crates/model/tests/random_fault_combinations.rs
+++ b/crates/model/tests/random_fault_combinations.rs
@@ -6,7 +6,8 @@
 use fastrand::Rng;
 use lupinspur_model::scenario::Team;
 use lupinspur_model::{
-    CONTROLLER_KINDS, KINDS, Kind, LEADER, SAME_LEADER, Scenario, Trouble, USER_AND_MACHINE_KINDS, Work, play,
+    CONTROLLER_FAULT_KINDS, FAULT_KINDS, FaultKind, InjectedFault, LEADER, SAME_LEADER, Scenario,
+    USER_AND_MACHINE_FAULT_KINDS, Work, play,
 };
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -27,15 +28,15 @@
 const CANCEL_WITHIN_S: f64 = 5.0;
 
 /// By which a leader changes.
-const CHANGES: [Kind; 8] = [
-    Kind::Ends,
-    Kind::StepsDown,
-    Kind::RefusedByState,
-    Kind::Alone,
-    Kind::StandsStill,
-    Kind::AllEnd,
-    Kind::AllAway,
-    Kind::CutZoneWithController,
+const CHANGES: [FaultKind; 8] = [
+    FaultKind::ControllerRestarts,
+    FaultKind::LeaderStepsDown,
+    FaultKind::StateServiceRefuses,
+    FaultKind::ControllerLosesStateAndPeers,
+    FaultKind::ControllerPauses,
+    FaultKind::AllControllersRestart,
+    FaultKind::AllControllersDown,
+    FaultKind::ZoneAndControllerPartitioned,
 ];
 
 /// What is played: sizes, limits and work.
@@ -77,10 +78,10 @@
     }
 
     /// By which users cancel jobs that run.
-    fn cancellation(self) -> Kind {
+    fn cancellation(self) -> FaultKind {
         match self {
-            Deployment::OneTaskFlood | Deployment::FewTasks | Deployment::Pipelines => Kind::CancelNow,
-            Deployment::Mixed | Deployment::TeamsAtLimit | Deployment::OneZone => Kind::CancelServices,
+            Deployment::OneTaskFlood | Deployment::FewTasks | Deployment::Pipelines => FaultKind::CancelRunningJobs,
+            Deployment::Mixed | Deployment::TeamsAtLimit | Deployment::OneZone => FaultKind::CancelServices,
         }
     }
 }
@@ -94,33 +95,34 @@
     0.2 + rng.f64().powi(2) * LONGEST_S
 }
 
-fn any_kind(rng: &mut Rng) -> Kind {
-    let kinds: Vec<Kind> = KINDS.into_iter().chain(CONTROLLER_KINDS).chain(USER_AND_MACHINE_KINDS).collect();
+fn any_kind(rng: &mut Rng) -> FaultKind {
+    let kinds: Vec<FaultKind> =
+        FAULT_KINDS.into_iter().chain(CONTROLLER_FAULT_KINDS).chain(USER_AND_MACHINE_FAULT_KINDS).collect();
     kinds[rng.usize(0..kinds.len())]
 }
 
-fn change_of_leader(rng: &mut Rng, at: f64, which: usize) -> Trouble {
-    Trouble { at, kind: CHANGES[rng.usize(0..CHANGES.len())], which, for_s: lasts(rng) }
+fn change_of_leader(rng: &mut Rng, at: f64, which: usize) -> InjectedFault {
+    InjectedFault { at, kind: CHANGES[rng.usize(0..CHANGES.len())], which, for_s: lasts(rng) }
 }
 
 /// One change of leader or two, cancellations, and one to three other faults of any kind, all within seconds.
-fn combination(deployment: Deployment, seed: u64, cells: u32) -> Vec<Trouble> {
+fn combination(deployment: Deployment, seed: u64, cells: u32) -> Vec<InjectedFault> {
     let mut rng = Rng::with_seed(seed);
     let begins = FIRST_AT_S + rng.f64() * (LAST_AT_S - FIRST_AT_S);
     let at = |rng: &mut Rng| begins + rng.f64() * WITHIN_S;
     let leader = LEADER + rng.usize(0..cells as usize);
     let changes_at = at(&mut rng);
-    let mut troubles = vec![change_of_leader(&mut rng, changes_at, leader)];
+    let mut faults = vec![change_of_leader(&mut rng, changes_at, leader)];
     if rng.bool() {
         let again = changes_at + rng.f64() * SECOND_CHANGE_WITHIN_S;
-        troubles.push(change_of_leader(&mut rng, again, leader));
+        faults.push(change_of_leader(&mut rng, again, leader));
     }
     let kind = deployment.cancellation();
     let for_s = rng.f64() * CANCEL_WITHIN_S;
-    troubles.push(Trouble { at: at(&mut rng), kind, which: rng.usize(0..8), for_s });
+    faults.push(InjectedFault { at: at(&mut rng), kind, which: rng.usize(0..8), for_s });
     if matches!(deployment, Deployment::Pipelines) {
         let written_by = (changes_at - CHECKPOINT_BEFORE_S).max(0.0);
-        troubles.push(Trouble { at: written_by, kind: Kind::ManyChanges, which: 0, for_s: 0.1 });
+        faults.push(InjectedFault { at: written_by, kind: FaultKind::ManyStateChanges, which: 0, for_s: 0.1 });
     }
     for _ in 0..rng.usize(1..4) {
         let which = match rng.u8(0..4) {
@@ -129,9 +131,9 @@
             _ => rng.usize(0..64),
         };
         let kind = any_kind(&mut rng);
-        troubles.push(Trouble { at: at(&mut rng), kind, which, for_s: lasts(&mut rng) });
+        faults.push(InjectedFault { at: at(&mut rng), kind, which, for_s: lasts(&mut rng) });
     }
-    troubles
+    faults
 }
 
 /// What was broken in these combinations, with their faults.
@@ -145,9 +147,9 @@
             if seed >= first + combinations {
                 return broken;
             }
-            let troubles = combination(deployment, seed, cells);
-            if let Some(what) = play(&scenario, seed, &troubles, None).broken {
-                broken.push(format!("{deployment:?}, {cells} cells, seed {seed}: {what}; {troubles:?}"));
+            let faults = combination(deployment, seed, cells);
+            if let Some(what) = play(&scenario, seed, &faults, None).broken {
+                broken.push(format!("{deployment:?}, {cells} cells, seed {seed}: {what}; {faults:?}"));
             }
         }
     };
--- a/crates/model/tests/scenario.rs
+++ b/crates/model/tests/scenario.rs
@@ -23,7 +23,7 @@
     let text = std::fs::read_to_string(deploy("scenario.toml")).expect("an example");
     let scenario = Scenario::parse(&text).expect("a scenario");
     for r in simulate(&scenario, 1, 2, 2) {
-        assert_eq!((r.broken, r.begun > 0, r.counts.claims > 1), (None, true, true), "an owner ends in it");
+        assert_eq!((r.broken, r.begun > 0, r.counts.elections > 1), (None, true, true), "an owner ends in it");
     }
 }
 
--- a/crates/model/tests/storms.rs
+++ b/crates/model/tests/storms.rs
@@ -2,7 +2,7 @@
 //! shortens the list of one that breaks a rule. `STORMS=200 cargo test -p lupinspur-model --test storms`
 //! plays more of them, `STORM_MACHINES=300` larger ones, `STORM_CELLS=5` over more shards.
 
-use lupinspur_model::{Counts, KINDS, Kind, Run, Scenario, Trouble, Wrong, play};
+use lupinspur_model::{Counts, FAULT_KINDS, FaultKind, InjectedFault, Run, Scenario, WrongDecision, play};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed, TestRunner};
 
@@ -10,13 +10,9 @@
     std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(otherwise)
 }
 
-fn troubles(most: usize) -> impl Strategy<Value = Vec<Trouble>> {
-    let one = (0.0..50.0, 0..KINDS.len(), 0..64usize, 0.2..35.0f64).prop_map(|(at, kind, which, for_s)| Trouble {
-        at,
-        kind: KINDS[kind],
-        which,
-        for_s,
-    });
+fn faults(most: usize) -> impl Strategy<Value = Vec<InjectedFault>> {
+    let one = (0.0..50.0, 0..FAULT_KINDS.len(), 0..64usize, 0.2..35.0f64)
+        .prop_map(|(at, kind, which, for_s)| InjectedFault { at, kind: FAULT_KINDS[kind], which, for_s });
     proptest::collection::vec(one, 0..most)
 }
 
@@ -46,8 +42,8 @@
         max_shrink_iters: 400,
         ..Config::default()
     };
-    let result = TestRunner::new(config).run(&(any::<u64>(), troubles(14)), |(seed, troubles)| {
-        play(&scenario, seed, &troubles, None).broken.map_or(Ok(()), |what| Err(TestCaseError::fail(what)))
+    let result = TestRunner::new(config).run(&(any::<u64>(), faults(14)), |(seed, faults)| {
+        play(&scenario, seed, &faults, None).broken.map_or(Ok(()), |what| Err(TestCaseError::fail(what)))
     });
     if let Err(e) = result {
         panic!("{e}");
@@ -57,23 +53,23 @@
 /// Each check sees a decision that is deliberately wrong.
 #[test]
 fn wrong_decisions_are_seen() {
-    let ends = |which| Trouble { at: 20.0, kind: Kind::Ends, which, for_s: 60.0 };
-    let cut = [Trouble { at: 19.0, kind: Kind::CutZone, which: 0, for_s: 15.0 }];
-    let cut: Vec<Trouble> = (0..3).map(ends).chain(cut).collect();
+    let ends = |which| InjectedFault { at: 20.0, kind: FaultKind::ControllerRestarts, which, for_s: 60.0 };
+    let cut = [InjectedFault { at: 19.0, kind: FaultKind::ZonePartitioned, which: 0, for_s: 15.0 }];
+    let cut: Vec<InjectedFault> = (0..3).map(ends).chain(cut).collect();
     let cases = [
-        (Wrong::Resolved, cut, "ran_twice", 1),
-        (Wrong::Limits, Vec::new(), "quota", 1),
-        (Wrong::Spot, Vec::new(), "wrong_place", 1),
-        (Wrong::Stops, Vec::new(), "ran_cancelled", 1),
-        (Wrong::Done, Vec::new(), "not_done", 1),
-        (Wrong::Back, Vec::new(), "went_back", 1),
-        (Wrong::Silent, Vec::new(), "forgotten", 1),
-        (Wrong::Shares, Vec::new(), "quota", 3),
+        (WrongDecision::SkipsReconciliation, cut, "ran_twice", 1),
+        (WrongDecision::RaisesLimits, Vec::new(), "quota", 1),
+        (WrongDecision::TreatsSpotAsOnDemand, Vec::new(), "wrong_place", 1),
+        (WrongDecision::IgnoresStops, Vec::new(), "ran_cancelled", 1),
+        (WrongDecision::ReportsDoneEarly, Vec::new(), "not_done", 1),
+        (WrongDecision::ReportsCancelledAsRunning, Vec::new(), "went_back", 1),
+        (WrongDecision::LeavesPollsUnanswered, Vec::new(), "forgotten", 1),
+        (WrongDecision::IgnoresLimitShares, Vec::new(), "quota", 3),
     ];
-    for (wrong, troubles, rule, cells) in cases {
+    for (wrong, faults, rule, cells) in cases {
         let most_machines = if cells > 1 { 9 } else { 80 };
         let scenario = Scenario { cells, most_machines, ..Scenario::default() };
-        let sees = |seed| play(&scenario, seed, &troubles, Some(wrong)).broken.is_some_and(|s| s.contains(rule));
+        let sees = |seed| play(&scenario, seed, &faults, Some(wrong)).broken.is_some_and(|s| s.contains(rule));
         assert!((0..40).any(sees), "{wrong:?} is not seen as {rule}");
     }
 }
@@ -84,7 +80,7 @@
     let scenario = Scenario { cells: 3, most_machines: 9, random_troubles: 6, ..Scenario::default() };
     let runs = || -> Vec<Run> {
         let all = lupinspur_model::simulate(&scenario, 7, 3, 2);
-        all.into_iter().map(|r| Run { counts: Counts { processor: Vec::new(), ..r.counts }, ..r }).collect()
+        all.into_iter().map(|r| Run { counts: Counts { decision_seconds: Vec::new(), ..r.counts }, ..r }).collect()
     };
     let (first, second) = (runs(), runs());
     assert_eq!(first, second);
@@ -99,5 +95,5 @@
 fn a_cell_that_is_short_by_a_part_of_a_machine_gets_one() {
     let scenario = Scenario { cells: 3, machines: 6, most_machines: 8, random_troubles: 10, ..Scenario::default() };
     let run = lupinspur_model::simulate(&scenario, 1074, 1, 1).remove(0);
-    assert_eq!((run.broken, run.counts.handed > 0), (None, true));
+    assert_eq!((run.broken, run.counts.machines_transferred > 0), (None, true));
 }
