--- a/crates/model/tests/takeover/mod.rs
+++ b/crates/model/tests/takeover/mod.rs
@@ -1,7 +1,7 @@
 //! Fault combinations around a change of leader: the deployment, its faults, and how they are played.
 
 use crate::evidence::Evidence;
-use lupinspur_model::{Kind, Run, Scenario, Trouble, Wrong, play};
+use lupinspur_model::{FaultKind, InjectedFault, Run, Scenario, WrongDecision, play};
 
 /// Seeds of each combination over one shard and over several; `MEETING_SEEDS` plays more.
 pub const SEEDS: u64 = 4;
@@ -18,17 +18,17 @@
 }
 
 /// A fault of a controller or of everything.
-pub fn at(at: f64, kind: Kind, which: usize, for_s: f64) -> Trouble {
-    Trouble { at, kind, which, for_s }
+pub fn at(at: f64, kind: FaultKind, which: usize, for_s: f64) -> InjectedFault {
+    InjectedFault { at, kind, which, for_s }
 }
 
 /// The same fault for each of the machines that there are from the beginning.
-pub fn machines(begins: f64, kind: Kind, for_s: f64) -> Vec<Trouble> {
+pub fn machines(begins: f64, kind: FaultKind, for_s: f64) -> Vec<InjectedFault> {
     (0..deployment(1).machines).map(|m| at(begins, kind, m, for_s)).collect()
 }
 
-pub fn runs(scenario: &Scenario, troubles: &[Trouble], wrong: Option<Wrong>) -> Vec<Run> {
-    (0..seeds(scenario.cells)).map(|seed| play(scenario, seed, troubles, wrong)).collect()
+pub fn runs(scenario: &Scenario, faults: &[InjectedFault], wrong: Option<WrongDecision>) -> Vec<Run> {
+    (0..seeds(scenario.cells)).map(|seed| play(scenario, seed, faults, wrong)).collect()
 }
 
 /// What was broken, seed by seed.
@@ -37,20 +37,20 @@
 }
 
 /// No rule is broken, and the runs show that the combination happened.
-pub fn no_rule_is_broken_in(scenario: &Scenario, troubles: &[Trouble], evidence: Evidence) {
-    let runs = runs(scenario, troubles, None);
+pub fn no_rule_is_broken_in(scenario: &Scenario, faults: &[InjectedFault], evidence: Evidence) {
+    let runs = runs(scenario, faults, None);
     let broken = broken(&runs);
     assert!(broken.is_empty(), "over {} cells: {broken:#?}", scenario.cells);
     evidence.assert_seen(runs.iter(), &format!("over {} cells", scenario.cells));
 }
 
-pub fn no_rule_is_broken(troubles: &[Trouble], evidence: Evidence) {
+pub fn no_rule_is_broken(faults: &[InjectedFault], evidence: Evidence) {
     for cells in [1, 3] {
-        no_rule_is_broken_in(&deployment(cells), troubles, evidence);
+        no_rule_is_broken_in(&deployment(cells), faults, evidence);
     }
 }
 
-pub fn with(mut troubles: Vec<Trouble>, more: impl IntoIterator<Item = Trouble>) -> Vec<Trouble> {
-    troubles.extend(more);
-    troubles
+pub fn with(mut faults: Vec<InjectedFault>, more: impl IntoIterator<Item = InjectedFault>) -> Vec<InjectedFault> {
+    faults.extend(more);
+    faults
 }
--- a/src/query/tables.rs
+++ b/src/query/tables.rs
@@ -74,11 +74,17 @@
     let waits = run.waits.map_or("-".to_owned(), |[p50, p90, max]| format!("{p50:.1}/{p90:.1}/{max:.1}"));
     let writes = counts.writes.iter().sum::<u64>();
     let jobs = [run.seed, run.jobs as u64, run.begun as u64, run.done as u64, run.cancelled as u64];
-    let work = [counts.claims + counts.raised, counts.starts, writes, counts.spilled, counts.handed];
+    let work = [
+        counts.elections + counts.reacquisitions,
+        counts.starts,
+        writes,
+        counts.jobs_moved,
+        counts.machines_transferred,
+    ];
     let mut row: Vec<String> = jobs.map(|count| count.to_string()).to_vec();
-    row.extend([waits, format!("{:.1}", counts.unanswered)]);
+    row.extend([waits, format!("{:.1}", counts.longest_unanswered_s)]);
     row.extend(work.map(|count| count.to_string()));
-    row.push(format!("{:.2}", counts.processor.iter().sum::<f64>()));
+    row.push(format!("{:.2}", counts.decision_seconds.iter().sum::<f64>()));
     row
 }
 
