--- a/crates/model/src/cancelled.rs
+++ b/crates/model/src/cancelled.rs
@@ -55,8 +55,8 @@
         let holds = |m: &&crate::machines::Machine| m.tasks.keys().any(|t| job_of(t) == id && m.runs_task(t, self.now));
         let m = self.machines.iter().find(holds)?;
         let has_hung = m.hangs_until > confirmed_at;
-        let after_hang = if has_hung && self.now >= m.hangs_until { ", and went on after it hung" } else { "" };
-        Some(format!("ran_cancelled: {id} is on {}{after_hang}", m.name))
+        let after_hang = if has_hung && self.now >= m.hangs_until { ", and resumed after a hang" } else { "" };
+        Some(format!("ran_cancelled: {id} still runs on {}{after_hang}", m.name))
     }
 }
 
--- a/crates/model/src/controllers.rs
+++ b/crates/model/src/controllers.rs
@@ -1,4 +1,4 @@
-//! Controllers: their claims, and the shell's part around each leader's decisions.
+//! Controllers: the I/O around each leader's decisions, and the rental of machines.
 
 use crate::elections::ElectionState;
 use crate::machines::Machine;
@@ -19,20 +19,26 @@
 use std::collections::HashMap;
 use std::time::Instant;
 
+/// A controller.
 pub(crate) struct Node {
     pub(crate) name: String,
+    /// When its process has started again after a restart.
     pub(crate) restarts_at: f64,
+    /// End of the active fault in which its process is paused.
     pub(crate) paused_until: f64,
+    /// End of the active fault in which it cannot reach the state service.
     pub(crate) state_service_lost_until: f64,
+    /// End of the active fault in which it cannot reach the other controllers.
     pub(crate) peers_lost_until: f64,
+    /// End of the active fault in which it cannot reach any machine.
     pub(crate) workers_lost_until: f64,
-    /// Until when the zone in which it stands is cut off, with it.
+    /// End of the partition that separates its zone, with the controller inside, from everything else.
     pub(crate) zone_partitioned_until: f64,
     pub(crate) acts_past_lease_s: f64,
-    /// Which of its lives this is.
+    /// Number of restarts of its process so far.
     pub(crate) generation: u64,
-    pub(crate) cells: Vec<ShardSlot>,
-    /// What it last saw of what passes between shards, and where it met jobs and machines.
+    pub(crate) slots: Vec<ShardSlot>,
+    /// The records that shards exchange, as last read, and the shards in which it found jobs and machines.
     pub(crate) shared_state: SharedState,
     pub(crate) shared_state_read_at: f64,
     pub(crate) shard_by_job: HashMap<String, usize>,
@@ -43,40 +49,47 @@
 #[derive(Clone)]
 pub(crate) struct Rental {
     pub(crate) names: Vec<String>,
-    /// From then on whoever asks is answered.
+    /// Requests for this rental get a response from this time on.
     pub(crate) answered_at: f64,
 }
 
-/// One shard's place in a controller.
+/// A controller's state for one shard.
 pub(crate) struct ShardSlot {
     pub(crate) election: LeaderElection,
     pub(crate) shard: Option<Shard>,
+    /// Revision of the state service up to which the watch has delivered job records.
     pub(crate) watched: u64,
     pub(crate) election_state: ElectionState,
-    /// How long it acts past its lease: none, unless that is the decision that is wrong on purpose.
+    /// Seconds for which it acts as the leader past its lease; 0 without the wrong decision to do so.
     pub(crate) acts_past_lease_s: f64,
+    /// When the machines were last listed.
     pub(crate) listed_at: f64,
+    /// Transactions without an outcome.
     pub(crate) commits: usize,
+    /// When the shard last exchanged records with other shards.
     pub(crate) exchanged_at: f64,
-    /// When records of needs were last looked up.
+    /// When records of dependencies were last read.
     pub(crate) dependencies_read_at: f64,
-    pub(crate) leader: (u64, Rebalancer),
+    /// The rebalancer of the first shard's leader, with the fencing token of the leadership that it belongs to.
+    pub(crate) rebalancer: (u64, Rebalancer),
 }
 
 impl ShardSlot {
-    /// The token, while this controller surely owns the shard.
+    /// Returns the fencing token while this controller certainly leads the shard.
     pub(crate) fn valid_token(&self, now: f64) -> Option<u64> {
         self.election.valid_token(now - self.acts_past_lease_s)
     }
 }
 
 impl Node {
+    /// Returns whether the process runs: it is neither restarting nor paused.
     pub(crate) fn runs(&self, now: f64) -> bool {
         now >= self.restarts_at && now >= self.paused_until
     }
 
-    pub(crate) fn begin(&mut self, cells: usize) {
-        let held = |_| ShardSlot {
+    /// Resets the state of the process to that after a start.
+    pub(crate) fn begin(&mut self, shard_count: usize) {
+        let slot = |_| ShardSlot {
             election: LeaderElection::new(
                 LeadershipRecord::new(self.name.clone(), self.generation.to_string()),
                 LEADER_LEASE_S,
@@ -89,101 +102,107 @@
             commits: 0,
             exchanged_at: 0.0,
             dependencies_read_at: 0.0,
-            leader: Default::default(),
+            rebalancer: Default::default(),
         };
-        self.cells = (0..cells).map(held).collect();
+        self.slots = (0..shard_count).map(slot).collect();
         (self.shared_state, self.shared_state_read_at) = (SharedState::default(), -10.0);
         self.shard_by_job.clear();
         self.shard_by_machine.clear();
     }
 
-    /// The shard that acts by this token.
+    /// Returns the shard state that was loaded with this fencing token.
     pub(crate) fn shard_of(&mut self, token: u64) -> Option<&mut Shard> {
-        self.cells.iter_mut().filter_map(|h| h.shard.as_mut()).find(|s| s.token == token)
+        self.slots.iter_mut().filter_map(|h| h.shard.as_mut()).find(|s| s.token == token)
     }
 
-    /// The shard of a shard, while this controller surely owns it.
-    pub(crate) fn acting(&mut self, c: usize, now: f64) -> Option<&mut Shard> {
-        let h = &mut self.cells[c];
-        let token = h.valid_token(now)?;
-        h.shard.as_mut().filter(|s| s.token == token)
+    /// Returns the state of a shard while this controller certainly leads it.
+    pub(crate) fn acting(&mut self, shard_index: usize, now: f64) -> Option<&mut Shard> {
+        let slot = &mut self.slots[shard_index];
+        let token = slot.valid_token(now)?;
+        slot.shard.as_mut().filter(|s| s.token == token)
     }
 }
 
 impl World {
-    pub(crate) fn reaches_state_service(&self, i: usize) -> bool {
-        self.store.up(self.now) && self.now >= self.nodes[i].state_service_lost_until
+    /// Returns whether the state service is up and a controller can reach it.
+    pub(crate) fn reaches_state_service(&self, node: usize) -> bool {
+        self.store.up(self.now) && self.now >= self.nodes[node].state_service_lost_until
     }
 
-    pub(crate) fn step_node(&mut self, i: usize) {
-        if !self.nodes[i].runs(self.now) {
+    /// Advances a controller.
+    pub(crate) fn step_node(&mut self, node: usize) {
+        if !self.nodes[node].runs(self.now) {
             return;
         }
-        if self.cells > 1 && self.reaches_state_service(i) && self.now - self.nodes[i].shared_state_read_at > 0.6 {
-            self.refresh_shared_state(i);
+        if self.shard_count > 1
+            && self.reaches_state_service(node)
+            && self.now - self.nodes[node].shared_state_read_at > 0.6
+        {
+            self.refresh_shared_state(node);
         }
-        (0..self.cells).for_each(|c| self.step_shard(i, c));
+        (0..self.shard_count).for_each(|shard_index| self.step_shard(node, shard_index));
     }
 
-    pub(crate) fn step_shard(&mut self, i: usize, c: usize) {
+    /// Advances the election of one shard at a controller, and the leader's decisions while it leads the shard.
+    pub(crate) fn step_shard(&mut self, node: usize, shard_index: usize) {
         let now = self.now;
-        let reaches_state_service = self.reaches_state_service(i);
+        let reaches_state_service = self.reaches_state_service(node);
         if reaches_state_service {
-            self.step_election(i, c);
+            self.step_election(node, shard_index);
         }
-        if self.nodes[i].acting(c, now).is_none() {
+        if self.nodes[node].acting(shard_index, now).is_none() {
             return;
         }
-        let Some(token) = self.nodes[i].cells[c].valid_token(now) else { return };
+        let Some(token) = self.nodes[node].slots[shard_index].valid_token(now) else { return };
         if reaches_state_service {
-            self.watch(i, c);
-            self.exchange_with_shards(i, c);
-            self.look_up_dependencies(i, c);
+            self.watch(node, shard_index);
+            self.exchange_with_shards(node, shard_index);
+            self.look_up_dependencies(node, shard_index);
         }
-        self.apply_wrong_silence_decision(i, c);
-        let wrong = self.wrong_decision;
-        let (generation, one) = (self.nodes[i].generation, self.cells == 1);
-        let n = &mut self.nodes[i].cells[c];
-        let Some(s) = &mut n.shard else { return };
-        s.state_service_writable = reaches_state_service;
+        self.apply_wrong_silence_decision(node, shard_index);
+        let wrong_decision = self.wrong_decision;
+        let (generation, is_only_shard) = (self.nodes[node].generation, self.shard_count == 1);
+        let slot = &mut self.nodes[node].slots[shard_index];
+        let Some(shard) = &mut slot.shard else { return };
+        shard.state_service_writable = reaches_state_service;
         if ((now / STEP_S) as u64).is_multiple_of(20) {
-            s.request_placement();
+            shard.request_placement();
         }
         let began = Instant::now();
-        s.tick(now);
-        if wrong == Some(WrongDecision::SkipsReconciliation) {
-            let all: Vec<_> = s.machines.present.iter().copied().collect();
+        shard.tick(now);
+        if wrong_decision == Some(WrongDecision::SkipsReconciliation) {
+            let all: Vec<_> = shard.machines.present.iter().copied().collect();
             for m in all {
-                s.machines[m].reconcile_deadline = None;
-                s.machines[m].stored_jobs.clear();
+                shard.machines[m].reconcile_deadline = None;
+                shard.machines[m].stored_jobs.clear();
             }
-            let jobs: Vec<_> = s.jobs.live.iter().copied().collect();
-            jobs.into_iter().for_each(|j| s.jobs[j].unreconciled_machines = 0);
+            let jobs: Vec<_> = shard.jobs.live.iter().copied().collect();
+            jobs.into_iter().for_each(|j| shard.jobs[j].unreconciled_machines = 0);
         }
-        if wrong == Some(WrongDecision::TreatsSpotAsOnDemand) {
-            let all: Vec<_> = s.machines.present.iter().copied().collect();
-            all.into_iter().for_each(|m| s.machines[m].spot = false);
+        if wrong_decision == Some(WrongDecision::TreatsSpotAsOnDemand) {
+            let all: Vec<_> = shard.machines.present.iter().copied().collect();
+            all.into_iter().for_each(|m| shard.machines[m].spot = false);
         }
-        wrong_decisions::apply(wrong, s, now);
-        let deaf = s.is_partitioned_from_workers(now);
-        let mut directs: Vec<(usize, PushRequest)> = Vec::new();
-        while let Some(d) = s.next_push(now) {
-            directs.push((self.machine_index_by_name[&*s.machines[d.machine].name], d));
+        wrong_decisions::apply(wrong_decision, shard, now);
+        let is_partitioned = shard.is_partitioned_from_workers(now);
+        let mut pushes: Vec<(usize, PushRequest)> = Vec::new();
+        while let Some(push) = shard.next_push(now) {
+            pushes.push((self.machine_index_by_name[&*shard.machines[push.machine].name], push));
         }
-        let rentals = s.launches.pending.clone();
+        let rentals = shard.launches.pending.clone();
         let mut writes = Vec::new();
-        while reaches_state_service && n.commits < 3 {
-            let some = s.next_writes(8, 50_000, 8, now);
-            if some.is_empty() {
+        while reaches_state_service && slot.commits < 3 {
+            let batch = shard.next_writes(8, 50_000, 8, now);
+            if batch.is_empty() {
                 break;
             }
-            n.commits += 1;
-            writes.push(some);
+            slot.commits += 1;
+            writes.push(batch);
         }
-        let deletion = s.next_delete();
-        self.counts.decision_seconds[c] += began.elapsed().as_secs_f64();
-        if now - n.listed_at > 3.0 {
-            n.listed_at = now;
+        let deletion = shard.next_delete();
+        self.counts.decision_seconds[shard_index] += began.elapsed().as_secs_f64();
+        if now - slot.listed_at > 3.0 {
+            slot.listed_at = now;
             let listed = |m: &Machine| -> ListedMachine {
                 let state = if now >= m.up_at { "running" } else { "booting" };
                 let zone = ZONES[m.zone];
@@ -193,85 +212,86 @@
             };
             let list: Vec<ListedMachine> =
                 self.machines.iter().filter(|m| !m.gone && now - m.launched_at > 5.0).map(listed).collect();
-            s.on_list(&list, one, now);
+            shard.on_list(&list, is_only_shard, now);
         }
-        for l in rentals {
-            self.rent(i, token, &l);
+        for launch in rentals {
+            self.rent(node, token, &launch);
         }
-        self.apply_wrong_start_decision(&mut directs);
-        let no_workers = now < self.nodes[i].workers_lost_until;
-        for (to, push) in directs {
+        self.apply_wrong_start_decision(&mut pushes);
+        let workers_lost = now < self.nodes[node].workers_lost_until;
+        for (to, push) in pushes {
             let after = self.latency();
-            if no_workers {
-                self.send(1.2, Message::PushOutcome { node: i, generation, push, outcome: PushOutcome::Unknown });
+            if workers_lost {
+                self.send(1.2, Message::PushOutcome { node, generation, push, outcome: PushOutcome::Unknown });
             } else if now < self.commands_delayed_until && self.rng.bool() || after > PUSH_RESPONSE_LIMIT_S {
-                // Given up, and executed later all the same.
+                // The sender stops waiting for the response, and the commands are executed later nevertheless.
                 let late = if after > PUSH_RESPONSE_LIMIT_S { after } else { 2.0 + self.rng.f64() * 30.0 };
                 let copy = PushRequest { starts: push.starts.clone(), body: push.body.clone(), ..push };
-                self.send(late, Message::Push { node: i, generation, to, push, reports_outcome: false });
-                self.send(2.5, Message::PushOutcome { node: i, generation, push: copy, outcome: PushOutcome::Unknown });
+                self.send(late, Message::Push { node, generation, to, push, reports_outcome: false });
+                self.send(2.5, Message::PushOutcome { node, generation, push: copy, outcome: PushOutcome::Unknown });
             } else {
-                self.send(after, Message::Push { node: i, generation, to, push, reports_outcome: true });
+                self.send(after, Message::Push { node, generation, to, push, reports_outcome: true });
             }
         }
         for writes in writes {
             self.transactions += 1;
             let number = self.transactions;
-            self.send_commit(LeaderCommit { node: i, generation, cell: c, token, number, writes });
+            self.send_commit(LeaderCommit { node, generation, shard_index, token, number, writes });
         }
         if let Some(CloudCall::Delete(machines, names)) = deletion {
-            self.send(0.3, Message::MachinesDeleted { node: i, generation, token, machines, names });
+            self.send(0.3, Message::MachinesDeleted { node, generation, token, machines, names });
         }
-        if deaf {
-            self.step_down(i, c);
+        if is_partitioned {
+            self.step_down(node, shard_index);
         }
     }
 
-    /// Jobs that other controllers accepted.
-    pub(crate) fn watch(&mut self, i: usize, c: usize) {
-        let (now, n) = (self.now, &mut self.nodes[i].cells[c]);
-        if n.watched == self.store.revision {
+    /// Delivers the records of jobs that other controllers accepted or changed.
+    pub(crate) fn watch(&mut self, node: usize, shard_index: usize) {
+        let (now, slot) = (self.now, &mut self.nodes[node].slots[shard_index]);
+        if slot.watched == self.store.revision {
             return;
         }
-        let Some(s) = &mut n.shard else { return };
+        let Some(shard) = &mut slot.shard else { return };
         for (k, (v, version)) in self.store.keys.range(JOB_PREFIX.to_owned()..) {
             if !k.starts_with(JOB_PREFIX) {
                 break;
             }
-            if *version > n.watched {
+            if *version > slot.watched {
                 let r: JobRecord = serde_json::from_value(v.clone()).expect("a record");
-                if belongs_to_shard(c, &r) {
-                    s.add_job(r, *version, now);
+                if belongs_to_shard(shard_index, &r) {
+                    shard.add_job(r, *version, now);
                 } else {
-                    s.on_job_moved(&r.job.id, now);
+                    shard.on_job_moved(&r.job.id, now);
                 }
             }
         }
-        n.watched = self.store.revision;
-        s.watched(n.watched);
+        slot.watched = self.store.revision;
+        shard.watched(slot.watched);
     }
 
-    pub(crate) fn rent(&mut self, node: usize, token: u64, l: &lupinspur_scheduler::fleet::launch::Launch) {
+    /// Rents machines, once for each rental name, and delivers the response.
+    pub(crate) fn rent(&mut self, node: usize, token: u64, launch: &lupinspur_scheduler::fleet::launch::Launch) {
         let now = self.now;
-        let there = self.machines.iter().filter(|m| !m.gone).count();
-        let rental = match self.rentals_by_name.get(&l.name) {
+        let existing = self.machines.iter().filter(|m| !m.gone).count();
+        let rental = match self.rentals_by_name.get(&launch.name) {
             Some(rental) => rental.clone(),
             None => {
                 let most = self.scenario.most_machines;
-                let n = l.count.min(usize::saturating_sub(most, there));
-                // Some come up at once, some late, some never.
-                let names: Vec<String> = (0..n)
+                let count = launch.count.min(usize::saturating_sub(most, existing));
+                // Some machines boot at once, some late, some never.
+                let names: Vec<String> = (0..count)
                     .map(|_| {
-                        let boots = match self.rng.u8(..) {
+                        let boot_s = match self.rng.u8(..) {
                             0..10 => 1e9,
                             10..40 => 0.5,
                             _ => 5.0 + self.rng.f64() * 10.0,
                         };
-                        self.add_machine(l.zone.as_usize(), l.spot, now + boots)
+                        self.add_machine(launch.zone.as_usize(), launch.spot, now + boot_s)
                     })
                     .collect();
                 let rental = Rental { names, answered_at: self.rental_answered_at() };
-                self.rentals_by_name.insert(l.name.clone(), rental.clone());
+                self.rentals_by_name.insert(launch.name.clone(), rental.clone());
                 rental
             }
         };
@@ -280,7 +300,7 @@
         }
         let names = rental.names;
         self.apply_wrong_rental_decision(node, token, &names);
-        let Some(s) = self.nodes[node].shard_of(token) else { return };
-        if names.is_empty() { s.on_rental_refused(l, now) } else { s.on_rented(l, &names, now) }
+        let Some(shard) = self.nodes[node].shard_of(token) else { return };
+        if names.is_empty() { shard.on_rental_refused(launch, now) } else { shard.on_rented(launch, &names, now) }
     }
 }
--- a/crates/model/src/elections.rs
+++ b/crates/model/src/elections.rs
@@ -1,5 +1,5 @@
-//! A controller's lease and claim of a shard: requests that take time, answers that are late or lost, and a
-//! watch that tells of the claim a moment after it has changed.
+//! A controller's lease and leadership record of a shard: requests that take time, responses that are delayed or
+//! lost, and a watch that reports changes of the record with a delay.
 
 use crate::LEADER_LEASE_S;
 use crate::messages::Message;
@@ -10,23 +10,24 @@
 use lupinspur_sharding::activation::campaign_delay_s;
 use lupinspur_wire::Mutation;
 
-/// How often a leader renews its lease, and how often whoever may not act tries.
+/// Seconds between the lease renewals of a leader, and of a controller whose lease is not known to be valid.
 const RENEW_INTERVAL_S: f64 = 0.8;
 const RETRY_INTERVAL_S: f64 = 0.15;
 
-/// A process that goes on after a pause reads what came meanwhile in any order, within this.
+/// A process that resumes after a pause reads the messages that arrived meanwhile in random order within this time,
+/// in seconds.
 const AFTER_PAUSE_S: f64 = 0.4;
 
-/// What a controller has under way about one shard's claim.
+/// A controller's pending requests about the leadership of one shard.
 #[derive(Debug)]
 pub(crate) struct ElectionState {
     renewed_at: f64,
     renewing: bool,
     campaigning: bool,
     watching: bool,
-    /// The last change of the claim, its end included, that the watch has told.
+    /// Revision of the last change or deletion of the leadership record that the watch has reported.
     last_watched_revision: Option<u64>,
-    /// The token whose keys are being read, and until when.
+    /// Fencing token of the leadership for which the stored state is being loaded, and when loading ends.
     pub(crate) loading: Option<(u64, f64)>,
 }
 
@@ -43,26 +44,27 @@
     }
 }
 
-/// Whose request it is, and when it was sent.
+/// The sender of a request, and when it was sent.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Sender {
     node: usize,
     generation: u64,
-    cell: usize,
+    shard_index: usize,
     sent: f64,
 }
 
+/// A request of a controller to the state service about its lease or a leadership record.
 #[derive(Debug, Clone)]
 pub(crate) enum ElectionRequest {
     Renew {
         lease: u64,
     },
     Grant,
-    /// `raises`: the leader takes its own claim anew.
+    /// Writes the leadership record. `reacquires`: the leader replaces its own record to get a new fencing token.
     Campaign {
         lease: u64,
         over: u64,
-        claim: LeadershipRecord,
+        record: LeadershipRecord,
         reacquires: bool,
     },
     Yield {
@@ -84,6 +86,7 @@
     }
 }
 
+/// The outcome of an election request.
 #[derive(Debug, Clone)]
 pub(crate) enum ElectionOutcome {
     Renewed(u64),
@@ -94,71 +97,77 @@
     },
     Yielded,
     NoSuchLease(u64),
-    /// The claim's version was not the one that was expected, or nobody knows: it is looked at.
+    /// The record did not have the expected version, or the outcome is unknown: the sender reads the record.
     InDoubt,
     NotExecuted,
 }
 
+/// A message of an election in flight.
 #[derive(Debug)]
 pub(crate) enum ElectionMessage {
-    Request { sender: Sender, call: ElectionRequest, answered: Option<f64> },
+    Request { sender: Sender, request: ElectionRequest, response_after_s: Option<f64> },
     Response { sender: Sender, outcome: ElectionOutcome, renews: bool },
-    Watched { sender: Sender, seen: Option<ObservedRecord> },
+    Watched { sender: Sender, record: Option<ObservedRecord> },
 }
 
 impl World {
-    pub(crate) fn step_election(&mut self, i: usize, c: usize) {
-        self.renew(i, c);
-        self.watch_leadership_record(i, c);
-        self.campaign(i, c);
-        self.begin_leading(i, c);
+    /// Advances the election of one shard at a controller.
+    pub(crate) fn step_election(&mut self, node: usize, shard_index: usize) {
+        self.renew(node, shard_index);
+        self.watch_leadership_record(node, shard_index);
+        self.campaign(node, shard_index);
+        self.begin_leading(node, shard_index);
     }
 
-    pub(crate) fn election_state(&mut self, i: usize, c: usize) -> &mut ElectionState {
-        &mut self.nodes[i].cells[c].election_state
+    pub(crate) fn election_state(&mut self, node: usize, shard_index: usize) -> &mut ElectionState {
+        &mut self.nodes[node].slots[shard_index].election_state
     }
 
-    fn sender(&self, i: usize, c: usize) -> Sender {
-        Sender { node: i, generation: self.nodes[i].generation, cell: c, sent: self.now }
+    fn sender(&self, node: usize, shard_index: usize) -> Sender {
+        Sender { node, generation: self.nodes[node].generation, shard_index, sent: self.now }
     }
 
-    fn call(&mut self, i: usize, c: usize, call: ElectionRequest) {
-        let sender = self.sender(i, c);
-        let renews = call.renews();
-        let limit_s = call.limit_s();
-        let state = self.election_state(i, c);
+    fn send_election_request(&mut self, node: usize, shard_index: usize, request: ElectionRequest) {
+        let sender = self.sender(node, shard_index);
+        let renews = request.renews();
+        let limit_s = request.limit_s();
+        let state = self.election_state(node, shard_index);
         if renews {
             state.renewing = true;
         } else {
             state.campaigning = true;
         }
         let delivery = self.delivery(limit_s);
-        let answered = delivery.answered;
-        self.send(delivery.executed, Message::Election(ElectionMessage::Request { sender, call, answered }));
-        if answered.is_none() {
+        let response_after_s = delivery.response_after_s;
+        self.send(
+            delivery.executed_after_s,
+            Message::Election(ElectionMessage::Request { sender, request, response_after_s }),
+        );
+        if response_after_s.is_none() {
             let outcome = ElectionOutcome::InDoubt;
             self.send(limit_s, Message::Election(ElectionMessage::Response { sender, outcome, renews }));
         }
     }
 
-    fn renew(&mut self, i: usize, c: usize) {
+    /// Renews the lease when the next renewal is due.
+    fn renew(&mut self, node: usize, shard_index: usize) {
         let now = self.now;
-        let held = &self.nodes[i].cells[c];
-        let every = if held.election.valid_token(now).is_some() { RENEW_INTERVAL_S } else { RETRY_INTERVAL_S };
-        let Some(lease) = held.election.lease() else { return };
-        if held.election_state.renewing || now - held.election_state.renewed_at < every {
+        let slot = &self.nodes[node].slots[shard_index];
+        let interval_s = if slot.election.valid_token(now).is_some() { RENEW_INTERVAL_S } else { RETRY_INTERVAL_S };
+        let Some(lease) = slot.election.lease() else { return };
+        if slot.election_state.renewing || now - slot.election_state.renewed_at < interval_s {
             return;
         }
-        self.election_state(i, c).renewed_at = now;
-        self.call(i, c, ElectionRequest::Renew { lease });
+        self.election_state(node, shard_index).renewed_at = now;
+        self.send_election_request(node, shard_index, ElectionRequest::Renew { lease });
     }
 
-    /// Tells a change of the claim a moment later, one after the other.
-    fn watch_leadership_record(&mut self, i: usize, c: usize) {
-        let key = self.leadership_key(c);
-        let seen = self.store.leadership_record(&key);
+    /// Reports a change of the leadership record after a delay; one report is in flight at a time.
+    fn watch_leadership_record(&mut self, node: usize, shard_index: usize) {
+        let key = self.leadership_key(shard_index);
+        let record = self.store.leadership_record(&key);
         let changed = self.store.changed(&key);
-        let state = self.election_state(i, c);
+        let state = self.election_state(node, shard_index);
         if state.watching || state.last_watched_revision == Some(changed) {
             return;
         }
@@ -166,99 +175,114 @@
         state.last_watched_revision = Some(changed);
         let slow = self.now < self.state_service_faults.slow_until;
         let after = self.latency() + if slow { self.rng.f64() * 2.0 } else { 0.0 };
-        let sender = self.sender(i, c);
-        self.send(after, Message::Election(ElectionMessage::Watched { sender, seen }));
+        let sender = self.sender(node, shard_index);
+        self.send(after, Message::Election(ElectionMessage::Watched { sender, record }));
     }
 
-    fn campaign(&mut self, i: usize, c: usize) {
+    /// Takes the next step of the election, unless a request of it is pending.
+    fn campaign(&mut self, node: usize, shard_index: usize) {
         let now = self.now;
-        if self.nodes[i].cells[c].election_state.campaigning {
+        if self.nodes[node].slots[shard_index].election_state.campaigning {
             return;
         }
-        let day_ms = (now * 1000.0) as u64;
-        let campaign_delay_s = self.campaign_delay_s(i, c);
-        let own = &mut self.nodes[i].cells[c].election;
-        match own.next_step(now, day_ms, true, campaign_delay_s) {
+        let now_ms = (now * 1000.0) as u64;
+        let campaign_delay_s = self.campaign_delay_s(node, shard_index);
+        let election = &mut self.nodes[node].slots[shard_index].election;
+        match election.next_step(now, now_ms, true, campaign_delay_s) {
             ElectionStep::Wait => {}
-            ElectionStep::AcquireLease => self.call(i, c, ElectionRequest::Grant),
+            ElectionStep::AcquireLease => self.send_election_request(node, shard_index, ElectionRequest::Grant),
             ElectionStep::Campaign { lease, over } => {
-                let claim = own.prepare_campaign(lease, day_ms);
-                self.call(i, c, ElectionRequest::Campaign { lease, over, claim, reacquires: false });
+                let record = election.prepare_campaign(lease, now_ms);
+                self.send_election_request(
+                    node,
+                    shard_index,
+                    ElectionRequest::Campaign { lease, over, record, reacquires: false },
+                );
+            }
+            ElectionStep::AdoptOwnRecord { version } => _ = election.elected(version),
+            ElectionStep::Yield { over } => {
+                self.send_election_request(node, shard_index, ElectionRequest::Yield { over })
             }
-            ElectionStep::AdoptOwnRecord { version } => _ = own.elected(version),
-            ElectionStep::Yield { over } => self.call(i, c, ElectionRequest::Yield { over }),
         }
     }
 
-    /// A leader takes its own claim anew.
-    pub(crate) fn reacquire(&mut self, i: usize, c: usize, token: u64) {
-        let day_ms = (self.now * 1000.0) as u64;
-        let held = &mut self.nodes[i].cells[c];
-        let Some(lease) = held.election.lease().filter(|_| !held.election_state.campaigning) else { return };
-        let claim = held.election.prepare_campaign(lease, day_ms);
-        self.call(i, c, ElectionRequest::Campaign { lease, over: token, claim, reacquires: true });
+    /// Replaces the leadership record of a leader by a new one of its own, with a new fencing token.
+    pub(crate) fn reacquire(&mut self, node: usize, shard_index: usize, token: u64) {
+        let now_ms = (self.now * 1000.0) as u64;
+        let slot = &mut self.nodes[node].slots[shard_index];
+        let Some(lease) = slot.election.lease().filter(|_| !slot.election_state.campaigning) else { return };
+        let record = slot.election.prepare_campaign(lease, now_ms);
+        self.send_election_request(
+            node,
+            shard_index,
+            ElectionRequest::Campaign { lease, over: token, record, reacquires: true },
+        );
     }
 
-    /// How long a controller leaves a claim that nobody holds to the others.
-    fn campaign_delay_s(&self, i: usize, c: usize) -> f64 {
-        if self.cells == 1 {
+    /// Returns how long a controller leaves a vacant leadership to the others.
+    fn campaign_delay_s(&self, node: usize, shard_index: usize) -> f64 {
+        if self.shard_count == 1 {
             return 0.0;
         }
         let names: Vec<&str> = self.nodes.iter().map(|n| n.name.as_str()).collect();
-        let owned = self.nodes[i].cells.iter().filter(|h| h.election.token().is_some()).count();
-        campaign_delay_s(names[i], &names, ShardId(c as u32), owned)
+        let led = self.nodes[node].slots.iter().filter(|h| h.election.token().is_some()).count();
+        campaign_delay_s(names[node], &names, ShardId(shard_index as u32), led)
     }
 
+    /// Delivers a message of an election. A paused process reads it when it resumes.
     pub(crate) fn on_election_message(&mut self, message: ElectionMessage) {
         let (ElectionMessage::Request { sender, .. }
         | ElectionMessage::Response { sender, .. }
         | ElectionMessage::Watched { sender, .. }) = &message;
         let sender = *sender;
-        if let ElectionMessage::Request { call, answered, .. } = message {
-            return self.execute_election_request(sender, call, answered);
+        if let ElectionMessage::Request { request, response_after_s, .. } = message {
+            return self.execute_election_request(sender, request, response_after_s);
         }
         let node = &self.nodes[sender.node];
         if node.generation != sender.generation {
             return;
         }
         if self.now < node.paused_until {
-            let answer = matches!(message, ElectionMessage::Response { .. });
+            let is_response = matches!(message, ElectionMessage::Response { .. });
             let after = node.paused_until - self.now + self.rng.f64() * AFTER_PAUSE_S;
-            self.counts.coincidences.election_responses_during_pause += u64::from(answer);
+            self.counts.coincidences.election_responses_during_pause += u64::from(is_response);
             return self.send(after, Message::Election(message));
         }
         match message {
             ElectionMessage::Response { outcome, renews, .. } => self.on_election_response(sender, outcome, renews),
-            ElectionMessage::Watched { seen, .. } => {
-                self.election_state(sender.node, sender.cell).watching = false;
-                self.observe_record(sender.node, sender.cell, seen);
+            ElectionMessage::Watched { record, .. } => {
+                self.election_state(sender.node, sender.shard_index).watching = false;
+                self.observe_record(sender.node, sender.shard_index, record);
             }
             ElectionMessage::Request { .. } => {}
         }
     }
 
-    fn execute_election_request(&mut self, sender: Sender, call: ElectionRequest, answered: Option<f64>) {
-        let renews = call.renews();
+    fn execute_election_request(&mut self, sender: Sender, request: ElectionRequest, response_after_s: Option<f64>) {
+        let renews = request.renews();
         let up = self.store.up(self.now);
-        let outcome =
-            if up { self.outcome_of_election_request(sender.cell, call) } else { ElectionOutcome::NotExecuted };
-        if let Some(after) = answered {
+        let outcome = if up {
+            self.outcome_of_election_request(sender.shard_index, request)
+        } else {
+            ElectionOutcome::NotExecuted
+        };
+        if let Some(after) = response_after_s {
             self.send(after, Message::Election(ElectionMessage::Response { sender, outcome, renews }));
         }
     }
 
-    /// What the state service makes of a request about a lease or a claim.
-    fn outcome_of_election_request(&mut self, cell: usize, call: ElectionRequest) -> ElectionOutcome {
-        let (now, key) = (self.now, self.leadership_key(cell));
-        match call {
+    /// Executes a request about a lease or a leadership record at the state service.
+    fn outcome_of_election_request(&mut self, shard_index: usize, request: ElectionRequest) -> ElectionOutcome {
+        let (now, key) = (self.now, self.leadership_key(shard_index));
+        match request {
             ElectionRequest::Renew { lease } if self.store.renew(lease, now) => ElectionOutcome::Renewed(lease),
             ElectionRequest::Renew { lease } => ElectionOutcome::NoSuchLease(lease),
             ElectionRequest::Grant => ElectionOutcome::Granted(self.store.grant(now, LEADER_LEASE_S)),
             ElectionRequest::Campaign { lease, .. } if !self.store.leases.contains_key(&lease) => {
                 ElectionOutcome::NoSuchLease(lease)
             }
-            ElectionRequest::Campaign { lease, over, claim, reacquires } => {
-                let value = serde_json::to_value(&claim).expect("a claim");
+            ElectionRequest::Campaign { lease, over, record, reacquires } => {
+                let value = serde_json::to_value(&record).expect("a leadership record");
                 let change = Mutation::Put { key: key.clone(), value, lease: Some(lease) };
                 match self.store.commit(&[(key, over)], &[change], Some(lease)) {
                     Some(version) => {
@@ -270,8 +294,8 @@
                 }
             }
             ElectionRequest::Yield { over } => {
-                let gone = Mutation::Delete { key: key.clone() };
-                match self.store.commit(&[(key, over)], &[gone], None) {
+                let deletion = Mutation::Delete { key: key.clone() };
+                match self.store.commit(&[(key, over)], &[deletion], None) {
                     Some(_) => ElectionOutcome::Yielded,
                     None => ElectionOutcome::InDoubt,
                 }
@@ -280,64 +304,64 @@
     }
 
     fn on_election_response(&mut self, sender: Sender, outcome: ElectionOutcome, renews: bool) {
-        let (now, i, c) = (self.now, sender.node, sender.cell);
-        let state = self.election_state(i, c);
+        let (now, node, shard_index) = (self.now, sender.node, sender.shard_index);
+        let state = self.election_state(node, shard_index);
         if renews {
             state.renewing = false;
         } else {
             state.campaigning = false;
         }
-        let held = &mut self.nodes[i].cells[c];
+        let slot = &mut self.nodes[node].slots[shard_index];
         match outcome {
-            // The answer may be about an earlier lease.
-            ElectionOutcome::Renewed(lease) if held.election.lease() != Some(lease) => {}
+            // The response may be about an earlier lease.
+            ElectionOutcome::Renewed(lease) if slot.election.lease() != Some(lease) => {}
             ElectionOutcome::Renewed(lease) | ElectionOutcome::Granted(lease) => {
-                held.election.lease_renewed(lease, sender.sent)
+                slot.election.lease_renewed(lease, sender.sent)
             }
             ElectionOutcome::Elected { version, reacquires } => {
                 if reacquires {
-                    held.shard = None;
+                    slot.shard = None;
                 }
-                held.election.elected(version);
+                slot.election.elected(version);
             }
             ElectionOutcome::Yielded => {
-                held.election.leadership_yielded(now);
-                held.election.observe_record(None, now);
+                slot.election.leadership_yielded(now);
+                slot.election.observe_record(None, now);
             }
             ElectionOutcome::NoSuchLease(lease) => {
-                if held.election.lease_expired(lease) {
-                    held.shard = None;
+                if slot.election.lease_expired(lease) {
+                    slot.shard = None;
                 }
                 if renews {
-                    self.read_leadership_record(i, c);
+                    self.read_leadership_record(node, shard_index);
                 }
             }
-            ElectionOutcome::InDoubt if !renews => self.read_leadership_record(i, c),
+            ElectionOutcome::InDoubt if !renews => self.read_leadership_record(node, shard_index),
             ElectionOutcome::InDoubt | ElectionOutcome::NotExecuted => {}
         }
     }
 
-    /// Reads the claim, where the state service can be reached.
-    pub(crate) fn read_leadership_record(&mut self, i: usize, c: usize) {
-        if self.reaches_state_service(i) {
-            let seen = self.store.leadership_record(&self.leadership_key(c));
-            self.observe_record(i, c, seen);
+    /// Reads the leadership record, if the state service can be reached.
+    pub(crate) fn read_leadership_record(&mut self, node: usize, shard_index: usize) {
+        if self.reaches_state_service(node) {
+            let record = self.store.leadership_record(&self.leadership_key(shard_index));
+            self.observe_record(node, shard_index, record);
         }
     }
 
-    fn observe_record(&mut self, i: usize, c: usize, seen: Option<ObservedRecord>) {
-        let held = &mut self.nodes[i].cells[c];
-        if held.election.observe_record(seen, self.now) {
-            held.shard = None;
+    fn observe_record(&mut self, node: usize, shard_index: usize, record: Option<ObservedRecord>) {
+        let slot = &mut self.nodes[node].slots[shard_index];
+        if slot.election.observe_record(record, self.now) {
+            slot.shard = None;
         }
     }
 
-    /// The leader gives its claim up, so that others go first.
-    pub(crate) fn step_down(&mut self, i: usize, c: usize) {
-        let (now, reaches_state_service) = (self.now, self.reaches_state_service(i));
-        let held = &mut self.nodes[i].cells[c];
-        let lease = held.election.step_down(now);
-        held.shard = None;
+    /// Makes a leader step down, so that other controllers campaign first.
+    pub(crate) fn step_down(&mut self, node: usize, shard_index: usize) {
+        let (now, reaches_state_service) = (self.now, self.reaches_state_service(node));
+        let slot = &mut self.nodes[node].slots[shard_index];
+        let lease = slot.election.step_down(now);
+        slot.shard = None;
         if let Some(l) = lease.filter(|_| reaches_state_service)
             && let Some((until, ..)) = self.store.leases.get_mut(&l)
         {
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,25 +1,28 @@
-//! A deployment in virtual time: several controllers with the project's own decisions, and stand-ins
-//! for the state service, the cloud, the machines, the network and the users. The protocol's rules are
-//! counted from the machines' and the users' side, as the operators count them.
+//! A simulation of the cluster in virtual time, with fault injection: several controllers with the scheduler's real
+//! decisions, and stand-ins for the state service, the cloud, the machines, the network and the users. The protocol's
+//! rules are checked on what machines and users observe, as the operators check them.
 //!
-//! What happens follows from a [`Scenario`], a seed and a list of [`Trouble`]s alone. Tests play it with
-//! random troubles; `lupinspur simulate` plays it by hand.
+//! A run depends only on a [`Scenario`], a seed and a list of [`InjectedFault`]s. Tests run it with random faults;
+//! `lupinspur simulate` runs scenario files.
 //!
-//! - [`scenario`]: what is played, and the file that says it
-//! - [`trouble`]: what goes wrong
-//! - `controllers`, `between`: the shell's part around the decisions, of one shard and between several
-//! - `claims`, `transactions`: leases, claims and writes on their way to the state service and back
-//! - `takeover`: how a new leader begins
+//! - [`scenario`]: scenarios and their file format
+//! - [`trouble`]: the kinds of faults, and deliberately wrong decisions
+//! - `world`: the state of the cluster, and the main loop
+//! - `controllers`, `shard_exchange`: the I/O around the decisions, of one shard and between shards
+//! - `elections`, `transactions`: leases, leadership records and writes in flight to the state service and back
+//! - `failover`: how a new leader begins
 //! - `machines`, `store`, `users`, `messages`: the stand-ins
-//! - `questions`, `odd_requests`, `late_reports`, `spells`: troubles that users, machines and reports bring
-//! - `pipelines`: jobs that wait for others
-//! - `rules`, `cancelled`, `waiting`: what must not be
-//! - `wrong_decisions`: decisions that are wrong on purpose
-//! - [`report`]: what came of it
+//! - `work`: the jobs that users submit
+//! - `spells`: injection of faults of users, machines and heartbeats
+//! - `questions`, `odd_requests`, `late_reports`: polls after events, invalid requests, and duplicated heartbeats
+//! - `pipelines`: jobs that depend on others
+//! - `rules`, `cancelled`, `waiting`: the checks
+//! - `wrong_decisions`: deliberately wrong decisions
+//! - [`report`]: results of runs
 //! - [`coincidences`], `observer`: which faults coincided
-//! - [`stored`]: what a successor reads of the state service's keys
+//! - [`stored`]: the stored state as a new leader loads it
 
-// What is decided must not follow the order of a hash.
+// Decisions must not depend on the iteration order of a hash map, which differs between runs.
 #![warn(clippy::iter_over_hash_type)]
 
 mod cancelled;
@@ -59,19 +62,22 @@
 };
 pub use work::Work;
 
-/// Seconds between two looks at everything.
+/// Virtual time of one step of the simulation, in seconds.
 const STEP_S: f64 = 0.05;
-/// Seconds that a machine goes on without an answer.
+/// Seconds for which a machine runs its tasks without a reply to a heartbeat.
 const MACHINE_LEASE_S: f64 = 20.0;
+/// Mean seconds between two heartbeats of a machine.
 const HEARTBEAT_INTERVAL_S: f64 = 3.0;
-/// Seconds within which nothing of a cancelled job runs any more.
+/// Seconds after a confirmed cancellation within which every task of the job has to be gone.
 const CANCELLATION_LIMIT_S: f64 = 45.0;
+/// Duration of the lease of a leader, in seconds.
 const LEADER_LEASE_S: f64 = 4.0;
-/// How long a leader acts past its lease where that is the decision that is wrong on purpose.
+/// Seconds for which a leader acts past its lease under that wrong decision.
 const ACTS_PAST_LEASE_S: f64 = 30.0;
-/// How long after all troubles a question about any job may be without an answer.
-const ANSWERED_WITHIN_S: f64 = 30.0;
-/// And within how long after all troubles every job has begun, where there is room for all of them.
-const BEGUN_WITHIN_S: f64 = 100.0;
-/// How long after all troubles a job may wait while a machine has room for it and its team is under its limit.
-const WAITS_WITHIN_S: f64 = 90.0;
+/// Longest time without an answer about a job after the last fault, in seconds.
+const ANSWER_LIMIT_S: f64 = 30.0;
+/// Seconds after the last fault within which every job has to begin, if there is capacity for all jobs.
+const BEGIN_LIMIT_S: f64 = 100.0;
+/// Seconds after the last fault for which a job may wait while a machine has free capacity for it and its team is
+/// under its limit.
+const WAIT_LIMIT_S: f64 = 90.0;
--- a/crates/model/src/messages.rs
+++ b/crates/model/src/messages.rs
@@ -55,7 +55,7 @@
     /// A leader's transaction on its way to the state service.
     Commit {
         commit: LeaderCommit,
-        answered: Option<f64>,
+        response_after_s: Option<f64>,
     },
     /// A delayed write, executed apart from the request that sent it: a duplicate of an exchange between shards, or a
     /// submission without a response.
@@ -95,17 +95,18 @@
                 }
                 let incarnation = heartbeat.incarnation;
                 let heartbeat = self.apply_wrong_heartbeat_decision(node, heartbeat, machine == usize::MAX);
-                let shard = self.shard_of_machine(node, &heartbeat.machine, heartbeat.token);
+                let shard_index = self.shard_of_machine(node, &heartbeat.machine, heartbeat.token);
                 let began = Instant::now();
-                let outcome = shard.and_then(|c| Some(self.nodes[node].acting(c, now)?.on_heartbeat(&heartbeat, now)));
-                if let Some(c) = shard {
+                let outcome =
+                    shard_index.and_then(|c| Some(self.nodes[node].acting(c, now)?.on_heartbeat(&heartbeat, now)));
+                if let Some(c) = shard_index {
                     self.counts.decision_seconds[c] += began.elapsed().as_secs_f64();
                 }
-                if let Some(c) = shard.filter(|_| outcome.is_some()) {
+                if let Some(c) = shard_index.filter(|_| outcome.is_some()) {
                     let answered = matches!(outcome, Some(HeartbeatOutcome::Reply(_)));
                     self.observe_heartbeat(node, c, &heartbeat, machine == usize::MAX, answered);
                 }
-                let (reply, redirect_to) = match (outcome, shard) {
+                let (reply, redirect_to) = match (outcome, shard_index) {
                     (Some(HeartbeatOutcome::Reply(r)), _) => (Some((r.token, r.commands)), node),
                     (Some(HeartbeatOutcome::Stale), _) | (_, None) => (None, usize::MAX),
                     (_, Some(c)) => (None, self.leader_known_to(node, c).unwrap_or(usize::MAX)),
@@ -178,7 +179,7 @@
                     self.store.commit(&conditions, &changes, None);
                 }
             }
-            Message::Commit { commit, answered } => self.execute(commit, answered),
+            Message::Commit { commit, response_after_s } => self.execute(commit, response_after_s),
             Message::CommitResponse { commit, outcome } => self.on_commit_response(commit, outcome),
             Message::Election(message) => self.on_election_message(message),
             Message::MachinesDeleted { node, generation, token, machines, names } => {
@@ -237,12 +238,12 @@
         }
     }
 
-    pub(crate) fn leadership_key(&self, shard: usize) -> String {
-        if self.cells == 1 { LEADERSHIP_KEY.to_owned() } else { shard_leadership_key(shard as u32) }
+    pub(crate) fn leadership_key(&self, shard_index: usize) -> String {
+        if self.shard_count == 1 { LEADERSHIP_KEY.to_owned() } else { shard_leadership_key(shard_index as u32) }
     }
 
-    pub(crate) fn leader_known_to(&self, node: usize, shard: usize) -> Option<usize> {
-        let name = self.nodes[node].cells[shard].election.other_leader()?;
+    pub(crate) fn leader_known_to(&self, node: usize, shard_index: usize) -> Option<usize> {
+        let name = self.nodes[node].slots[shard_index].election.other_leader()?;
         self.nodes.iter().position(|n| n.name == name)
     }
 }
--- a/crates/model/src/observer.rs
+++ b/crates/model/src/observer.rs
@@ -1,4 +1,4 @@
-//! Sees which faults coincide, from outside; see [`Coincidences`](crate::coincidences::Coincidences).
+//! Counts coincidences of faults and events; see [`Coincidences`](crate::coincidences::Coincidences).
 
 use crate::machines::{Machine, TaskPhase};
 use crate::transactions::COMMIT_LIMIT_S;
@@ -8,43 +8,49 @@
 use lupinspur_wire::{Heartbeat, JobState};
 use std::collections::{BTreeSet, HashMap};
 
-/// What happens within this of a failover happens at it.
+/// Events within this time of a failover, in seconds, count as simultaneous with it.
 const AT_FAILOVER_S: f64 = 1.0;
+/// Seconds for which a leader counts as new.
 const NEW_LEADER_S: f64 = 2.0;
+/// Seconds before an outage within which a cancellation counts as just confirmed.
 const BEFORE_OUTAGE_S: f64 = 8.0;
+/// Seconds after the end of a job within which a cancellation counts as simultaneous.
 const AT_LAST_END_S: f64 = 1.0;
+/// Longest boot that counts as fast, in seconds.
 const FAST_BOOT_S: f64 = 2.0;
+/// Seconds for which a machine counts as new.
 const NEW_MACHINE_S: f64 = 10.0;
+/// Seconds from which a response of the state service counts as slow.
 pub(crate) const SLOW_RESPONSE_S: f64 = 0.5;
 
-/// A process: a controller in one of its lives.
+/// A process: the number of a controller and the number of its restarts.
 type Process = (usize, u64);
 
-/// Who leads a shard.
+/// The leadership of a shard.
 #[derive(Default)]
 struct Leadership {
     token: u64,
     leader: Option<Process>,
-    /// Processes that led before, in turn.
+    /// Earlier leaders, in order.
     former: Vec<Process>,
     began: f64,
-    /// When it was last seen to act.
+    /// When the leader was last able to act.
     acted: f64,
 }
 
-/// What is remembered of earlier events.
+/// Earlier events that later coincidences depend on.
 #[derive(Default)]
 pub(crate) struct Observer {
-    cells: Vec<Leadership>,
+    shards: Vec<Leadership>,
     last_failover: Option<f64>,
     confirmed: Vec<f64>,
     partly_done: BTreeSet<String>,
     last_ends: HashMap<String, f64>,
-    /// The newest transaction of each controller that was executed.
+    /// Highest number of an executed transaction, by controller.
     newest_executed: HashMap<usize, u64>,
-    /// Keys written without an answer, and when.
+    /// Keys written by transactions without a response, and when.
     keys_without_response: HashMap<String, f64>,
-    /// The newest report of each machine that each controller has had.
+    /// Incarnation and sequence number of the newest heartbeat, by controller and machine.
     newest_heartbeats: HashMap<(usize, String), (u64, u64)>,
     was_down: bool,
 }
@@ -54,10 +60,10 @@
 }
 
 impl World {
-    /// Looks for failovers and outages.
+    /// Detects failovers and the beginning of outages.
     pub(crate) fn observe(&mut self) {
-        self.observer.cells.resize_with(self.cells, Leadership::default);
-        (0..self.cells).for_each(|cell| self.observe_leader(cell));
+        self.observer.shards.resize_with(self.shard_count, Leadership::default);
+        (0..self.shard_count).for_each(|shard_index| self.observe_leader(shard_index));
         let down = !self.store.up(self.now);
         if down && !self.observer.was_down {
             self.observe_outage();
@@ -65,15 +71,15 @@
         self.observer.was_down = down;
     }
 
-    fn observe_leader(&mut self, cell: usize) {
+    fn observe_leader(&mut self, shard_index: usize) {
         let now = self.now;
-        let of = |(i, n): (usize, &crate::controllers::Node)| {
-            let held = &n.cells[cell];
+        let acting = |(i, n): (usize, &crate::controllers::Node)| {
+            let held = &n.slots[shard_index];
             let token = held.election.valid_token(now).filter(|_| n.runs(now))?;
             held.shard.as_ref().filter(|s| s.token == token).map(|_| (token, (i, n.generation)))
         };
-        let Some((token, process)) = self.nodes.iter().enumerate().filter_map(of).max() else { return };
-        let known = &mut self.observer.cells[cell];
+        let Some((token, process)) = self.nodes.iter().enumerate().filter_map(acting).max() else { return };
+        let known = &mut self.observer.shards[shard_index];
         if token <= known.token {
             if token == known.token {
                 known.acted = now;
@@ -110,11 +116,11 @@
         self.observer.partly_done.extend(self.jobs.iter().filter_map(partly));
         let since = self.observer.last_failover.replace(now).map_or(f64::MIN, |t| t + AT_FAILOVER_S);
         let just = self.observer.confirmed.iter().filter(|t| **t > since && now - **t <= AT_FAILOVER_S).count();
-        let seen = &mut self.counts.coincidences;
-        seen.waiting_jobs_at_failover += waiting_jobs;
-        seen.teams_at_limit_at_failover += at_limit;
-        seen.unreachable_machines_at_failover += unreachable;
-        seen.cancellations_at_failover += just as u64;
+        let counts = &mut self.counts.coincidences;
+        counts.waiting_jobs_at_failover += waiting_jobs;
+        counts.teams_at_limit_at_failover += at_limit;
+        counts.unreachable_machines_at_failover += unreachable;
+        counts.cancellations_at_failover += just as u64;
     }
 
     fn observe_outage(&mut self) {
@@ -129,7 +135,7 @@
         self.counts.coincidences.cancellations_before_outage += just;
     }
 
-    /// Is a team's limit what keeps a job of it from a machine?
+    /// Returns whether the limit of a team keeps one of its jobs waiting.
     fn at_limit(&self, team: &str) -> bool {
         let limit = self.params.teams.iter().find(|t| t.name == team).map_or(0.0, |t| t.cpus_max);
         let held = self.machines.iter().filter(|m| !m.gone).flat_map(|m| m.tasks.iter());
@@ -153,7 +159,7 @@
         .any(|until| self.now < *until)
     }
 
-    /// A user has heard for the first time that a job is cancelled.
+    /// Records the first confirmation of a cancellation.
     pub(crate) fn observe_cancellation(&mut self, id: &str) {
         let now = self.now;
         let holds = |m: &&Machine| m.tasks.keys().any(|t| job_of(t) == id && m.runs_task(t, now));
@@ -165,19 +171,19 @@
             let node = &self.nodes[*n];
             node.generation == *generation && now >= node.restarts_at && now < node.state_service_lost_until
         };
-        let leads = |p: &Process| self.observer.cells.iter().any(|c| c.leader == Some(*p));
-        let beside = self.observer.cells.iter().flat_map(|c| &c.former).any(|p| !leads(p) && isolated(p));
+        let leads = |p: &Process| self.observer.shards.iter().any(|c| c.leader == Some(*p));
+        let beside_isolated = self.observer.shards.iter().flat_map(|c| &c.former).any(|p| !leads(p) && isolated(p));
         let at_takeover = self.observer.last_failover.is_some_and(|t| now - t <= AT_FAILOVER_S);
         self.observer.confirmed.push(now);
-        let seen = &mut self.counts.coincidences;
-        seen.cancellations_at_failover += u64::from(at_takeover);
-        seen.cancellations_with_hanging_machine += u64::from(hanging);
-        seen.cancellations_with_unreachable_machine += u64::from(unreachable);
-        seen.cancellations_at_limit += u64::from(at_limit);
-        seen.cancellations_beside_isolated_leader += u64::from(beside);
+        let counts = &mut self.counts.coincidences;
+        counts.cancellations_at_failover += u64::from(at_takeover);
+        counts.cancellations_with_hanging_machine += u64::from(hanging);
+        counts.cancellations_with_unreachable_machine += u64::from(unreachable);
+        counts.cancellations_at_limit += u64::from(at_limit);
+        counts.cancellations_beside_isolated_leader += u64::from(beside_isolated);
     }
 
-    /// A user asks to cancel a job.
+    /// Records a request to cancel a job.
     pub(crate) fn observe_cancel_request(&mut self, id: &str) {
         let ended = self.observer.last_ends.get(id).copied();
         if ended.is_some_and(|t| self.now - t <= AT_LAST_END_S) {
@@ -186,7 +192,7 @@
         }
     }
 
-    /// A task has completed on a machine.
+    /// Records the end of a task of a job.
     pub(crate) fn observe_end(&mut self, id: &str) {
         if self.observer.partly_done.remove(id) {
             self.counts.coincidences.jobs_ending_across_failover += 1;
@@ -196,7 +202,7 @@
         }
     }
 
-    /// The state service has executed a transaction, which its sender numbered; true: applied.
+    /// Records a transaction that the state service executed. `answered`: its sender gets the response.
     pub(crate) fn observe_transaction(
         &mut self,
         node: usize,
@@ -208,77 +214,77 @@
         let newest = self.observer.newest_executed.entry(node).or_default();
         let overtaken = number < *newest;
         *newest = number.max(*newest);
-        let seen = &mut self.counts.coincidences;
-        seen.overtaken_transactions += u64::from(overtaken);
-        seen.overtaken_transactions_applied += u64::from(overtaken && applied);
-        seen.applied_transactions_without_response += u64::from(!answered && applied);
+        let counts = &mut self.counts.coincidences;
+        counts.overtaken_transactions += u64::from(overtaken);
+        counts.overtaken_transactions_applied += u64::from(overtaken && applied);
+        counts.applied_transactions_without_response += u64::from(!answered && applied);
         if !answered && applied {
             self.observer.keys_without_response.extend(keys.into_iter().map(|k| (k, self.now)));
         }
     }
 
-    /// A controller reads a key.
+    /// Records that a controller reads a key.
     pub(crate) fn observe_read(&mut self, key: &str) {
         let in_doubt = self.observer.keys_without_response.get(key).is_some_and(|t| self.now - t < COMMIT_LIMIT_S);
         self.counts.coincidences.reads_of_transactions_without_response += u64::from(in_doubt);
     }
 
-    /// A new leader reads all that is stored.
+    /// Records that a new leader loads the stored state.
     pub(crate) fn observe_load(&mut self) {
         let in_doubt = self.observer.keys_without_response.values().filter(|t| self.now - **t < COMMIT_LIMIT_S).count();
         self.counts.coincidences.reads_of_transactions_without_response += in_doubt as u64;
     }
 
-    /// Direct commands have come to a machine, some after their sender gave them up.
+    /// Records pushed commands that reached a machine. `late`: their sender no longer waits for the response.
     pub(crate) fn observe_commands(&mut self, machine: usize, push: &PushRequest, late: bool, executed: bool) {
-        let unreporting = self.now < self.machines[machine].heartbeats_lost_until;
-        let deposed = self.observer.cells.iter().all(|c| c.token != push.body.token);
+        let heartbeats_lost = self.now < self.machines[machine].heartbeats_lost_until;
+        let deposed = self.observer.shards.iter().all(|c| c.token != push.body.token);
         let cancelled = |id: &str| self.jobs.get(id).is_some_and(|j| j.cancellation_confirmed_at < self.now);
         let after_cancellation = push.body.commands.iter().any(|c| cancelled(job_of(&c.task)));
-        let seen = &mut self.counts.coincidences;
-        seen.commands_to_machines_without_heartbeats += u64::from(unreporting && executed);
-        seen.late_commands_executed += u64::from(late && executed);
-        seen.late_commands_refused += u64::from(late && !executed);
-        seen.late_commands_of_former_leader += u64::from(late && deposed);
-        seen.late_commands_after_cancellation += u64::from(late && after_cancellation);
+        let counts = &mut self.counts.coincidences;
+        counts.commands_to_machines_without_heartbeats += u64::from(heartbeats_lost && executed);
+        counts.late_commands_executed += u64::from(late && executed);
+        counts.late_commands_refused += u64::from(late && !executed);
+        counts.late_commands_of_former_leader += u64::from(late && deposed);
+        counts.late_commands_after_cancellation += u64::from(late && after_cancellation);
     }
 
-    /// A report, or a late copy of one, has come to a controller that leads the machine's shard.
+    /// Records a heartbeat, or a duplicate of one, that reached the leader of the machine's shard.
     pub(crate) fn observe_heartbeat(
         &mut self,
         node: usize,
-        cell: usize,
-        report: &Heartbeat,
+        shard_index: usize,
+        heartbeat: &Heartbeat,
         copy: bool,
         answered: bool,
     ) {
-        let age = (report.incarnation, report.sequence);
-        let newest = self.observer.newest_heartbeats.entry((node, report.machine.clone())).or_default();
-        let (overtaken, earlier_session) = (age < *newest, report.incarnation < newest.0);
+        let age = (heartbeat.incarnation, heartbeat.sequence);
+        let newest = self.observer.newest_heartbeats.entry((node, heartbeat.machine.clone())).or_default();
+        let (overtaken, earlier_incarnation) = (age < *newest, heartbeat.incarnation < newest.0);
         *newest = age.max(*newest);
-        let new_leader = self.observer.cells.get(cell).is_some_and(|c| {
+        let new_leader = self.observer.shards.get(shard_index).is_some_and(|c| {
             let leads = c.leader == Some((node, self.nodes[node].generation));
             leads && !c.former.is_empty() && self.now - c.began <= NEW_LEADER_S
         });
         let n = &self.nodes[node];
         let (no_state, cut_off) = (self.now < n.state_service_lost_until, self.now < n.zone_partitioned_until);
-        let seen = &mut self.counts.coincidences;
-        seen.duplicate_heartbeats_to_new_leader += u64::from(copy && new_leader);
-        seen.overtaken_heartbeats += u64::from(copy && overtaken);
-        seen.heartbeats_of_earlier_incarnation += u64::from(copy && earlier_session);
-        seen.heartbeats_answered_without_state_service += u64::from(answered && no_state);
-        seen.heartbeats_answered_inside_partitioned_zone += u64::from(answered && cut_off);
+        let counts = &mut self.counts.coincidences;
+        counts.duplicate_heartbeats_to_new_leader += u64::from(copy && new_leader);
+        counts.overtaken_heartbeats += u64::from(copy && overtaken);
+        counts.heartbeats_of_earlier_incarnation += u64::from(copy && earlier_incarnation);
+        counts.heartbeats_answered_without_state_service += u64::from(answered && no_state);
+        counts.heartbeats_answered_inside_partitioned_zone += u64::from(answered && cut_off);
     }
 
-    /// A task has begun to run on a machine.
+    /// Records the start of a task on a machine.
     pub(crate) fn observe_start(&mut self, machine: usize) {
         let (now, m) = (self.now, &self.machines[machine]);
         let fast = m.launched_at > 0.0 && m.up_at - m.launched_at <= FAST_BOOT_S && now - m.up_at <= NEW_MACHINE_S;
-        let lags = now < self.state_service_faults.writes_delayed_until || now < self.commits_unreliable_until;
-        self.counts.coincidences.starts_on_fast_boots_during_lag += u64::from(fast && lags);
+        let is_delayed = now < self.state_service_faults.writes_delayed_until || now < self.commits_unreliable_until;
+        self.counts.coincidences.starts_on_fast_boots_during_lag += u64::from(fast && is_delayed);
     }
 
-    /// A machine loses all its tasks.
+    /// Records that a machine loses all its tasks.
     pub(crate) fn observe_loss(&mut self, machine: usize) {
         let tasks = self.machines[machine].tasks.iter().filter(|(_, t)| matches!(t.phase, TaskPhase::Running(_)));
         let ids: BTreeSet<&str> = tasks.map(|(n, _)| job_of(n)).collect();
--- a/crates/model/src/odd_requests.rs
+++ b/crates/model/src/odd_requests.rs
@@ -1,5 +1,5 @@
-//! Requests that no careful user sends: jobs that cannot run or lack a field, cancellations of jobs that are
-//! done, questions about jobs that nobody submitted.
+//! Invalid requests: submissions that cannot run or lack a field, cancellations of jobs that are done, and polls of
+//! unknown jobs.
 
 use crate::stored::known_types;
 use crate::trouble::WrongDecision;
@@ -10,7 +10,7 @@
 use lupinspur_wire::{JobRequest, JobState, Mutation};
 use serde_json::{Value, json};
 
-/// One odd request comes every so many steps.
+/// Steps of the simulation between two invalid requests.
 const STEPS_BETWEEN_REQUESTS: u64 = 10;
 
 /// A submission that has to be refused.
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Makes a good submission odd. `limit` is the cpus that the job's team may use; 0: any number.
+    /// Makes a valid submission invalid. `limit` is the limit of the job's team in CPUs; 0: none.
     fn change(self, request: &mut Value, limit: f64) {
         let over = if limit > 0.0 { limit + 1.0 } else { 1e4 };
         let without = |request: &mut Value, field: &str| _ = request.as_object_mut().and_then(|o| o.remove(field));
@@ -73,14 +73,14 @@
         }
     }
 
-    /// Is this submission one that may be accepted all the same?
+    /// Returns whether the submission is valid after all, because the team has no limit.
     fn may_be_accepted(self, limit: f64) -> bool {
         matches!(self, InvalidSubmission::ServiceOverLimit) && limit == 0.0
     }
 }
 
 impl World {
-    /// Reads and judges a submission as every controller does; none: it is refused.
+    /// Parses a submission and checks its admission as every controller does; `None`: it is refused.
     pub(crate) fn admit(&self, request: &Value) -> Option<JobRequest> {
         let mut request = request.clone();
         if self.wrong_decision == Some(WrongDecision::FillsInMissingFields) {
@@ -112,22 +112,22 @@
         if !self.nodes[node].runs(self.now) || !self.reaches_state_service(node) {
             return;
         }
-        let odd = INVALID_SUBMISSIONS[self.fault_rng.usize(0..INVALID_SUBMISSIONS.len())];
-        let Some(good) = self.jobs.values().next().map(|j| j.spec.clone()) else { return };
-        let limit = self.scenario.teams.iter().find(|t| t.name == good.team).map_or(0.0, |t| t.cpus_max);
-        if odd.may_be_accepted(limit) {
+        let invalid = INVALID_SUBMISSIONS[self.fault_rng.usize(0..INVALID_SUBMISSIONS.len())];
+        let Some(valid) = self.jobs.values().next().map(|j| j.spec.clone()) else { return };
+        let limit = self.scenario.teams.iter().find(|t| t.name == valid.team).map_or(0.0, |t| t.cpus_max);
+        if invalid.may_be_accepted(limit) {
             return;
         }
         self.invalid_submissions += 1;
         let id = format!("req-9{:05}", self.invalid_submissions);
-        let mut request = serde_json::to_value(&good).expect("JSON");
+        let mut request = serde_json::to_value(&valid).expect("JSON");
         request["id"] = json!(id);
-        odd.change(&mut request, limit);
+        invalid.change(&mut request, limit);
         let answer = self.admit(&request).map_or(Some(Answer::REFUSED), |job| self.accept_invalid(&id, job));
-        self.record_answer(node, &id, Request::Submit { unfit: Some(odd.unfit()) }, answer);
+        self.record_answer(node, &id, Request::Submit { unfit: Some(invalid.unfit()) }, answer);
     }
 
-    /// The answer to a submission that was judged to be good, if it was stored.
+    /// Stores an invalid submission that passed the check; returns the answer, if it was stored.
     fn accept_invalid(&mut self, id: &str, job: JobRequest) -> Option<Answer> {
         let record = JobRecord::accepted(job, (self.now * 1000.0) as u64);
         let value = serde_json::to_value(&record).expect("a record");
@@ -135,7 +135,7 @@
         self.store.commit(&[(job_key(id), 0)], &[change], None).map(|_| Answer::ACCEPTED)
     }
 
-    /// A job that is done stays done.
+    /// Cancels a job that is done; it has to stay done.
     fn cancel_done(&mut self, node: usize) {
         let done: Vec<&String> =
             self.jobs.iter().filter(|(_, j)| j.last_state == Some(JobState::Done)).map(|(id, _)| id).collect();
@@ -146,7 +146,7 @@
         self.request(node, &id, Request::Cancel);
     }
 
-    /// A job that nobody submitted, or that was refused, has no state.
+    /// Polls a job that was refused or never submitted; it must not have a state.
     fn ask_unknown(&mut self, node: usize) {
         let id = format!("req-9{:05}", self.fault_rng.u32(0..self.invalid_submissions + 2));
         let answer = self.lookup(node, &id, false);
--- a/crates/model/src/rules.rs
+++ b/crates/model/src/rules.rs
@@ -1,40 +1,43 @@
-//! The rules, counted from the machines' and the users' side.
+//! Checks of the protocol's rules, from what machines and users observe.
 
 use crate::machines::TaskPhase;
 use crate::shard_exchange::LEDGER_KEY;
 use crate::world::{World, ZONES};
-use crate::{ANSWERED_WITHIN_S, BEGUN_WITHIN_S};
+use crate::{ANSWER_LIMIT_S, BEGIN_LIMIT_S};
 use lupinspur_scheduler::intern::DenseIndex;
 use lupinspur_scheduler::shard::Shard;
 use lupinspur_sharding::escrow::Ledger;
 use lupinspur_wire::JobState;
 
 impl World {
-    /// What starts to be on a machine must not be on another, nor where it may not be, nor over a limit.
-    pub(crate) fn check_starts(&mut self, i: usize) {
+    /// Checks tasks that have just started on a machine: no task may run on two machines, in a place that its job does
+    /// not allow, before the dependencies of its job are done, or over the limit of its team.
+    pub(crate) fn check_starts(&mut self, index: usize) {
         let now = self.now;
-        let begun: Vec<String> = self.machines[i]
+        let started: Vec<String> = self.machines[index]
             .tasks
             .iter()
             .filter(|(_, t)| matches!(t.phase, TaskPhase::Running(since) if since == now))
             .map(|(n, _)| n.clone())
             .collect();
-        self.counts.starts += begun.len() as u64;
-        for task in begun {
+        self.counts.starts += started.len() as u64;
+        for task in started {
             let id = task.split('/').next().unwrap_or("").to_owned();
-            let other = self.machines.iter().enumerate().find(|(o, m)| *o != i && m.runs_task(&task, now));
+            let other = self.machines.iter().enumerate().find(|(o, m)| *o != index && m.runs_task(&task, now));
             if let Some((_, other)) = other {
-                let what = format!("ran_twice: {task} on {} and {}", other.name, self.machines[i].name);
+                let what = format!("ran_twice: {task} on {} and {}", other.name, self.machines[index].name);
                 self.record_violation(what);
             }
             self.check_started_cancelled(&task);
-            self.observe_start(i);
+            self.observe_start(index);
             if self.jobs.get(&id).is_some_and(|job| !self.dependencies_are_done(job)) {
-                self.record_violation(format!("too_early: {task} started before all that its job needs was done"));
+                self.record_violation(format!(
+                    "too_early: {task} started before all dependencies of its job were done"
+                ));
             }
             let Some(job) = self.jobs.get_mut(&id) else { continue };
             job.begun.get_or_insert(now);
-            let (spec, m) = (job.spec.clone(), &self.machines[i]);
+            let (spec, m) = (job.spec.clone(), &self.machines[index]);
             if m.spot && !spec.spot {
                 self.record_violation(format!("wrong_place: {task} on a spot machine"));
             }
@@ -43,7 +46,7 @@
                 let of = |n: &String| n.split('/').next() == Some(&id);
                 there.map(|m| m.tasks.keys().filter(|n| of(n) && m.runs_task(n, now)).count()).sum::<usize>()
             };
-            let zone = self.machines[i].zone;
+            let zone = self.machines[index].zone;
             let (here, everywhere) = (on(Some(zone)), on(None));
             if spec.zone_anti_affinity && here > (spec.tasks as usize).div_ceil(2) {
                 self.record_violation(format!("wrong_place: {id} is not spread"));
@@ -71,27 +74,27 @@
         }
     }
 
-    /// What the leader makes of a job, for whoever reads a failure.
+    /// Describes a job as its leader sees it, for the message of a failed check.
     pub(crate) fn describe_leader_view(&self, id: &str) -> String {
-        let held = self.nodes.iter().flat_map(|n| &n.cells);
+        let held = self.nodes.iter().flat_map(|n| &n.slots);
         let mut shards = held.filter(|h| h.election.valid_token(self.now).is_some()).filter_map(|h| h.shard.as_ref());
         let Some(s) = shards.find(|s| s.jobs.find(id).is_some()) else {
-            return format!("no owner knows it; {:?}", self.store.job(id).map(|r| (r.shard, r.phase)));
+            return format!("no leader knows it; {:?}", self.store.job(id).map(|r| (r.shard, r.phase)));
         };
-        let Some(j) = s.jobs.find(id) else { return "the owner does not know it".into() };
+        let Some(j) = s.jobs.find(id) else { return "the leader does not know it".into() };
         let shares = self.store.read::<Ledger>(LEDGER_KEY).map(|l| l.0.teams);
         let job = &s.jobs[j];
-        let held: Vec<String> = s
+        let assignments: Vec<String> = s
             .machines
             .iter()
             .flat_map(|(_, m)| m.assignments.iter().filter(|(k, _)| k.job == j).map(move |(k, h)| (m, k, h)))
             .map(|(m, k, h)| {
-                format!("{}: {:?} of session {} (suspect {}) {h:?}", k.task, m.name, m.incarnation, m.suspected)
+                format!("{}: {:?} of incarnation {} (suspected {}) {h:?}", k.task, m.name, m.incarnation, m.suspected)
             })
             .collect();
         let team = &s.teams[job.team.as_usize()];
         format!(
-            "shares {shares:?}, {} of {} held, {} shadowed, not before {:.1}, failed on {}, team uses {} of {}, {} machines; {held:?}; {:?}",
+            "shares {shares:?}, {} of {} tasks assigned, {} unreconciled machines, not before {:.1}, failed on {} machines, team uses {} of {} cpus, {} machines; {assignments:?}; {:?}",
             job.assigned,
             job.spec.tasks,
             job.unreconciled_machines,
@@ -104,39 +107,42 @@
         )
     }
 
+    /// Checks the rules that hold at any time, and after the last fault those about progress.
     pub(crate) fn check(&mut self) {
         let now = self.now;
         self.record_ready_jobs();
-        let calm = now - self.faults_until;
-        let (mut wrong, mut longest) = (Vec::new(), self.counts.longest_unanswered_s);
+        let without_faults_s = now - self.faults_until;
+        let (mut violations, mut longest) = (Vec::new(), self.counts.longest_unanswered_s);
         for (id, j) in &self.jobs {
-            wrong.extend(self.cancelled_too_late(id, j.cancellation_confirmed_at));
-            let over = matches!(j.last_state, Some(JobState::Done | JobState::Cancelled));
-            if j.accepted.is_none() || over || calm < 0.0 {
+            violations.extend(self.cancelled_too_late(id, j.cancellation_confirmed_at));
+            let has_ended = matches!(j.last_state, Some(JobState::Done | JobState::Cancelled));
+            if j.accepted.is_none() || has_ended || without_faults_s < 0.0 {
                 continue;
             }
             let unanswered = now - j.answered.max(self.faults_until);
             longest = longest.max(unanswered);
-            if unanswered > ANSWERED_WITHIN_S {
-                wrong.push(format!("forgotten: {id} is not answered for {unanswered:.0} s"));
+            if unanswered > ANSWER_LIMIT_S {
+                violations.push(format!("forgotten: {id} was not answered for {unanswered:.0} s"));
             }
-            let free_s = j.ready_since.map_or(0.0, |free| now - free.max(self.faults_until));
-            if self.scenario.room && free_s > BEGUN_WITHIN_S && j.begun.is_none() && j.cancel_at.is_none() {
-                let thinks = self.describe_leader_view(id);
-                wrong.push(format!("forgotten: {id} has not begun after {free_s:.0} s of calm; {thinks}"));
+            let ready_s = j.ready_since.map_or(0.0, |ready_at| now - ready_at.max(self.faults_until));
+            if self.scenario.room && ready_s > BEGIN_LIMIT_S && j.begun.is_none() && j.cancel_at.is_none() {
+                let view = self.describe_leader_view(id);
+                violations.push(format!(
+                    "forgotten: {id} has not begun {ready_s:.0} s after the last fault and its dependencies; {view}"
+                ));
             }
         }
         self.counts.longest_unanswered_s = longest;
-        if calm >= 0.0 {
-            self.check_waiting(&mut wrong);
+        if without_faults_s >= 0.0 {
+            self.check_waiting(&mut violations);
         }
-        let held = self.nodes.iter().flat_map(|n| &n.cells);
-        let mended = held.filter_map(|h| h.shard.as_ref()).map(Shard::repairs).sum::<u64>();
-        if mended > 0 {
-            wrong.push(format!("{mended} differences between jobs and machines had to be mended"));
+        let held = self.nodes.iter().flat_map(|n| &n.slots);
+        let repairs = held.filter_map(|h| h.shard.as_ref()).map(Shard::repairs).sum::<u64>();
+        if repairs > 0 {
+            violations.push(format!("{repairs} differences between jobs and machines had to be repaired"));
         }
-        if let Some(w) = wrong.into_iter().next() {
-            self.record_violation(w);
+        if let Some(violation) = violations.into_iter().next() {
+            self.record_violation(violation);
         }
     }
 }
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What is played: the size of a deployment, its work, and its troubles.
+//! Scenario files: the size of a deployment, its work, and the faults injected into it.
 
 use crate::trouble::InjectedFault;
 use crate::work::Work;
@@ -99,32 +99,38 @@
 }
 
 impl Scenario {
-    /// Reads a scenario from TOML, or tells all that is wrong with it.
+    /// Parses a scenario from TOML, or returns all errors in it.
     pub fn parse(text: &str) -> Result<Scenario, Vec<Fault>> {
         let s: Scenario = lupinspur_files::read(text).map_err(|f| vec![f])?;
         let mut faults = out_of_bounds(&s, &[("teams[", "team["), ("faults[", "trouble["), ("].at", "].at_s")]);
         let mut fault = |path: String, what: String| faults.push(Fault { path, what });
         if s.most_machines < s.machines {
-            fault("most_machines".into(), format!("there are {} from the beginning", s.machines));
+            fault("most_machines".into(), format!("{} is less than machines = {}", s.most_machines, s.machines));
         }
         let mut seen = BTreeSet::new();
         for (i, t) in s.teams.iter().enumerate() {
             if !seen.insert(&t.name) {
-                fault(format!("team[{i}].name"), format!("{:?} is named twice", t.name));
+                fault(format!("team[{i}].name"), format!("team {:?} is defined twice", t.name));
             }
             if t.cpus_max > 0.0 && t.cpus > t.cpus_max {
-                fault(format!("team[{i}].cpus"), "more is guaranteed than the limit".into());
+                fault(
+                    format!("team[{i}].cpus"),
+                    format!("guaranteed {} cpus exceed cpus_max = {}", t.cpus, t.cpus_max),
+                );
             }
             if s.room && t.cpus_max > 0.0 && s.services_cpus >= t.cpus_max {
-                let what = "services alone may fill the limit: nothing else would have room";
-                fault(format!("team[{i}].cpus_max"), what.into());
+                let what = format!(
+                    "must be more than services_cpus = {} while room = true, or services alone fill the limit",
+                    s.services_cpus
+                );
+                fault(format!("team[{i}].cpus_max"), what);
             }
         }
         faults.sort();
         if faults.is_empty() { Ok(s) } else { Err(faults) }
     }
 
-    /// The JSON schema of the file.
+    /// Returns the JSON schema of the file.
     pub fn schema() -> schemars::Schema {
         schemars::schema_for!(Scenario)
     }
--- a/crates/model/src/shard_exchange.rs
+++ b/crates/model/src/shard_exchange.rs
@@ -1,4 +1,5 @@
-//! Several shards: what the node does around the decisions of crates/shards.
+//! Exchange between shards: load snapshots, quota shares, moved jobs, the rebalancing plan and machine transfers,
+//! around the decisions of crates/sharding.
 
 use crate::controllers::Node;
 use crate::messages::Message;
@@ -19,6 +20,7 @@
 use serde_json::Value;
 use std::collections::BTreeMap;
 
+/// The records that shards exchange, as a controller last read them, with their versions.
 #[derive(Default, Clone)]
 pub(crate) struct SharedState {
     pub(crate) ledger: Option<(Ledger, u64)>,
@@ -31,90 +33,102 @@
 pub(crate) const REBALANCE_PLAN_KEY: &str = "cells/orders";
 pub(crate) const LOAD_SNAPSHOT_PREFIX: &str = "cells/pic/";
 
+/// Of 256 transactions, those that a fault of the responses or of the writes affects.
+const AFFECTED_OF_256: u8 = 90;
+
+/// Returns a mutation that stores a value under a key, without a lease.
 pub(crate) fn put(key: &str, value: &impl Serialize) -> Mutation {
     Mutation::Put { key: key.to_owned(), value: serde_json::to_value(value).expect("JSON"), lease: None }
 }
 
-/// Does a record concern this shard?
-pub(crate) fn belongs_to_shard(c: usize, record: &JobRecord) -> bool {
-    record.phase != Phase::Open || record.shard.unwrap_or(0) as usize == c
+/// Returns whether a shard has to know a job record: it owns the job, or the job has ended.
+pub(crate) fn belongs_to_shard(shard_index: usize, record: &JobRecord) -> bool {
+    record.phase != Phase::Open || record.shard.unwrap_or(0) as usize == shard_index
 }
 
+/// Returns whether a key has the same name for all shards.
 pub(crate) fn is_shared_key(key: &str) -> bool {
     ["job/", "prog/", "part/"].iter().any(|p| key.starts_with(p))
 }
 
-/// A shard's own key as the store has it.
-pub(crate) fn stored_key(c: usize, key: &str) -> String {
-    if c == 0 || is_shared_key(key) { key.to_owned() } else { format!("c{c}/{key}") }
+/// Returns the name in the store of a shard's key: keys of one shard get a prefix, except for the first shard.
+pub(crate) fn stored_key(shard_index: usize, key: &str) -> String {
+    if shard_index == 0 || is_shared_key(key) { key.to_owned() } else { format!("c{shard_index}/{key}") }
 }
 
-pub(crate) fn stored_mutation(c: usize, change: &Mutation) -> Mutation {
+/// Returns a mutation with the name that its key has in the store.
+pub(crate) fn stored_mutation(shard_index: usize, change: &Mutation) -> Mutation {
     match change.clone() {
-        Mutation::Put { key, value, lease } => Mutation::Put { key: stored_key(c, &key), value, lease },
-        Mutation::Delete { key } => Mutation::Delete { key: stored_key(c, &key) },
+        Mutation::Put { key, value, lease } => Mutation::Put { key: stored_key(shard_index, &key), value, lease },
+        Mutation::Delete { key } => Mutation::Delete { key: stored_key(shard_index, &key) },
     }
 }
 
-/// What of the store is a shard's to read, by its own names.
-pub(crate) fn shard_keys(c: usize, keys: &Keys) -> Keys {
-    let mine = |(k, v): (&String, &(Value, u64))| {
-        let own = if c == 0 { Some(k.as_str()) } else { k.strip_prefix(&format!("c{c}/")) };
+/// Returns the keys that a shard may read, under the names that the shard uses.
+pub(crate) fn shard_keys(shard_index: usize, keys: &Keys) -> Keys {
+    let readable = |(k, v): (&String, &(Value, u64))| {
+        let own = if shard_index == 0 { Some(k.as_str()) } else { k.strip_prefix(&format!("c{shard_index}/")) };
         own.or(Some(k.as_str()).filter(|k| is_shared_key(k))).map(|k| (k.to_owned(), v.clone()))
     };
-    keys.iter().filter_map(mine).collect()
+    keys.iter().filter_map(readable).collect()
 }
 
 impl World {
-    /// The shard in which a controller looks for a job.
+    /// Returns the shard in which a controller looks for a job.
     pub(crate) fn shard_of_job(&mut self, node: usize, id: &str) -> Option<usize> {
-        let (now, cells) = (self.now, self.cells);
-        if cells == 1 {
+        let (now, shard_count) = (self.now, self.shard_count);
+        if shard_count == 1 {
             return Some(0);
         }
         let n = &mut self.nodes[node];
-        let here = (0..cells).find(|c| n.acting(*c, now).is_some_and(|s| s.jobs.find(id).is_some()));
-        if let Some(c) = here.or_else(|| n.shard_by_job.get(id).copied().filter(|_| self.rng.u8(..) > 20)) {
-            return Some(c);
+        let here =
+            (0..shard_count).find(|shard_index| n.acting(*shard_index, now).is_some_and(|s| s.jobs.find(id).is_some()));
+        if let Some(shard_index) = here.or_else(|| n.shard_by_job.get(id).copied().filter(|_| self.rng.u8(..) > 20)) {
+            return Some(shard_index);
         }
         if !self.reaches_state_service(node) {
             return None;
         }
-        let r = self.store.job(id)?;
-        let c = r.shard.unwrap_or(0) as usize;
-        self.nodes[node].shard_by_job.insert(id.to_owned(), c);
-        Some(c)
+        let record = self.store.job(id)?;
+        let shard_index = record.shard.unwrap_or(0) as usize;
+        self.nodes[node].shard_by_job.insert(id.to_owned(), shard_index);
+        Some(shard_index)
     }
 
+    /// Returns the shard that receives a machine, if a transfer of the machine is recorded.
     pub(crate) fn transfer_target(&self, node: usize, machine: &str) -> Option<usize> {
         let mut all = self.nodes[node].shared_state.machine_transfers.values().map(|h| &h.0);
         all.find(|h| h.machines.iter().any(|m| m.machine == machine)).map(|h| h.to.as_usize())
     }
 
-    /// The shard of a machine that reports to a controller; none before all leaders were asked.
+    /// Returns the shard of a machine that sends a heartbeat to a controller; `None` until the leaders of all shards
+    /// were asked.
     pub(crate) fn shard_of_machine(&mut self, node: usize, machine: &str, token: u64) -> Option<usize> {
-        let (now, cells) = (self.now, self.cells);
-        if cells == 1 {
+        let (now, shard_count) = (self.now, self.shard_count);
+        if shard_count == 1 {
             return Some(0);
         }
-        let knows = |n: &mut Node, c: usize| n.acting(c, now).is_some_and(|s| s.machines.find(machine).is_some());
+        let knows_machine = |n: &mut Node, shard_index: usize| {
+            n.acting(shard_index, now).is_some_and(|s| s.machines.find(machine).is_some())
+        };
         let n = &mut self.nodes[node];
-        let here = (0..cells).find(|c| knows(n, *c));
-        let noted = n.shard_by_machine.get(machine).copied();
-        if let Some(c) = self.transfer_target(node, machine).or(here).or(noted) {
-            return Some(c);
+        let here = (0..shard_count).find(|shard_index| knows_machine(n, *shard_index));
+        let known = n.shard_by_machine.get(machine).copied();
+        if let Some(shard_index) = self.transfer_target(node, machine).or(here).or(known) {
+            return Some(shard_index);
         }
-        let mut asked: Vec<bool> = (0..cells).map(|c| self.nodes[node].acting(c, now).is_some()).collect();
-        for o in (0..self.controllers).filter(|o| *o != node) {
-            if !self.peers_connected(node, o) {
+        let mut asked: Vec<bool> =
+            (0..shard_count).map(|shard_index| self.nodes[node].acting(shard_index, now).is_some()).collect();
+        for peer in (0..self.controllers).filter(|peer| *peer != node) {
+            if !self.peers_connected(node, peer) {
                 continue;
             }
-            let n = &mut self.nodes[o];
-            let there = (0..cells).find(|c| knows(n, *c));
-            (0..cells).for_each(|c| asked[c] |= n.acting(c, now).is_some());
-            if let Some(c) = self.transfer_target(o, machine).or(there) {
-                self.nodes[node].shard_by_machine.insert(machine.to_owned(), c);
-                return Some(c);
+            let n = &mut self.nodes[peer];
+            let there = (0..shard_count).find(|shard_index| knows_machine(n, *shard_index));
+            (0..shard_count).for_each(|shard_index| asked[shard_index] |= n.acting(shard_index, now).is_some());
+            if let Some(shard_index) = self.transfer_target(peer, machine).or(there) {
+                self.nodes[node].shard_by_machine.insert(machine.to_owned(), shard_index);
+                return Some(shard_index);
             }
         }
         if !asked.iter().all(|l| *l) {
@@ -122,18 +136,20 @@
         }
         let first = self.plan.shard_of_unknown(machine).as_usize();
         let n = &mut self.nodes[node];
-        let obeyed = |c: &usize| n.cells[*c].election.observed_version().is_some_and(|v| v >= token);
-        let c = Some(first).filter(&obeyed).or_else(|| (0..cells).find(&obeyed))?;
-        n.shard_by_machine.insert(machine.to_owned(), c);
-        Some(c)
+        let may_have_issued_token =
+            |shard_index: &usize| n.slots[*shard_index].election.observed_version().is_some_and(|v| v >= token);
+        let shard_index =
+            Some(first).filter(&may_have_issued_token).or_else(|| (0..shard_count).find(&may_have_issued_token))?;
+        n.shard_by_machine.insert(machine.to_owned(), shard_index);
+        Some(shard_index)
     }
 
-    /// What a controller's watch shows of what passes between shards.
-    pub(crate) fn refresh_shared_state(&mut self, i: usize) {
+    /// Reads the records that shards exchange, as a controller's watch does.
+    pub(crate) fn refresh_shared_state(&mut self, node: usize) {
         let keys = &self.store.keys;
         let load_snapshots = stored::readable::<LoadSnapshot>(keys, LOAD_SNAPSHOT_PREFIX);
         let machine_transfers = stored::readable::<MachineTransfer>(keys, machine_transfer::PREFIX);
-        let n = &mut self.nodes[i];
+        let n = &mut self.nodes[node];
         n.shared_state_read_at = self.now;
         n.shared_state = SharedState {
             ledger: self.store.read(LEDGER_KEY),
@@ -144,76 +160,87 @@
         for (h, _) in n.shared_state.machine_transfers.values() {
             h.machines.iter().for_each(|m| _ = n.shard_by_machine.insert(m.machine.clone(), h.to.as_usize()));
         }
-        self.apply_limit_shares(i);
+        self.apply_limit_shares(node);
     }
 
-    pub(crate) fn apply_limit_shares(&mut self, i: usize) {
+    /// Sets the shares of team limits of every shard that a controller leads.
+    pub(crate) fn apply_limit_shares(&mut self, node: usize) {
         if self.wrong_decision == Some(WrongDecision::IgnoresLimitShares) {
             return;
         }
-        let n = &mut self.nodes[i];
-        let Some((l, _)) = n.shared_state.ledger.clone() else { return };
-        for c in 0..self.cells {
-            if let Some(s) = n.acting(c, self.now) {
-                s.set_limit_shares(&self.params.teams, &l, ShardId(c as u32));
+        let n = &mut self.nodes[node];
+        let Some((ledger, _)) = n.shared_state.ledger.clone() else { return };
+        for shard_index in 0..self.shard_count {
+            if let Some(s) = n.acting(shard_index, self.now) {
+                s.set_limit_shares(&self.params.teams, &ledger, ShardId(shard_index as u32));
             }
         }
     }
 
-    /// A write until it is certain that it will not be applied later; in some troubles its answer is lost,
-    /// or a copy of it comes much later. None: it may be stored, which a reader tells.
+    /// Commits a transaction. While a fault is active, the response may be lost, in which case the transaction is sent
+    /// once more, and a duplicate of it may be executed much later. Returns whether it was applied; `None` if that is
+    /// unknown and has to be read from the store.
     pub(crate) fn commit_with_retry(&mut self, conditions: Vec<(String, u64)>, changes: Vec<Mutation>) -> Option<bool> {
-        let troubled = self.now < self.commits_unreliable_until;
-        let loses = troubled || self.now < self.state_service_faults.responses_lost_until;
-        let delays = troubled || self.now < self.state_service_faults.writes_delayed_until;
-        let lost = loses && self.rng.u8(..) < 90;
-        if delays && self.rng.u8(..) < 90 {
+        let unreliable = self.now < self.commits_unreliable_until;
+        let loses_responses = unreliable || self.now < self.state_service_faults.responses_lost_until;
+        let delays_duplicates = unreliable || self.now < self.state_service_faults.writes_delayed_until;
+        let response_lost = loses_responses && self.rng.u8(..) < AFFECTED_OF_256;
+        if delays_duplicates && self.rng.u8(..) < AFFECTED_OF_256 {
             let after = 1.0 + self.rng.f64() * 25.0;
             self.send(after, Message::DelayedWrite { conditions: conditions.clone(), changes: changes.clone() });
         }
         let applied = self.store.commit(&conditions, &changes, None).is_some();
-        if lost {
+        if response_lost {
             return self.store.commit(&conditions, &changes, None).is_some().then_some(true);
         }
         Some(applied)
     }
 
-    pub(crate) fn exchange_with_shards(&mut self, i: usize, c: usize) {
+    /// Publishes the load snapshot of a shard and runs its part of the exchange with the other shards.
+    pub(crate) fn exchange_with_shards(&mut self, node: usize, shard_index: usize) {
         let now = self.now;
-        if self.cells == 1 || now - self.nodes[i].cells[c].exchanged_at < 2.0 {
+        if self.shard_count == 1 || now - self.nodes[node].slots[shard_index].exchanged_at < 2.0 {
             return;
         }
-        self.nodes[i].cells[c].exchanged_at = now;
-        let cell = ShardId(c as u32);
-        let seen = self.nodes[i]
-            .acting(c, now)
-            .map(|s| (s.token, s.heartbeats_gathered(now).then(|| s.load_snapshot(cell, now))));
-        let Some((token, Some(mine))) = seen else { return };
-        let claim = (self.leadership_key(c), token);
-        self.store.commit(std::slice::from_ref(&claim), &[put(&format!("{LOAD_SNAPSHOT_PREFIX}{c}"), &mine)], None);
-        self.refresh_shared_state(i);
-        let fresh = |p: &&LoadSnapshot| p.shard != cell && p.is_fresh(mine.at_ms, self.plan.picture_s, 0.0);
+        self.nodes[node].slots[shard_index].exchanged_at = now;
+        let shard_id = ShardId(shard_index as u32);
+        let published = self.nodes[node]
+            .acting(shard_index, now)
+            .map(|s| (s.token, s.heartbeats_gathered(now).then(|| s.load_snapshot(shard_id, now))));
+        let Some((token, Some(mine))) = published else { return };
+        let leadership = (self.leadership_key(shard_index), token);
+        self.store.commit(
+            std::slice::from_ref(&leadership),
+            &[put(&format!("{LOAD_SNAPSHOT_PREFIX}{shard_index}"), &mine)],
+            None,
+        );
+        self.refresh_shared_state(node);
+        let fresh = |p: &&LoadSnapshot| p.shard != shard_id && p.is_fresh(mine.at_ms, self.plan.picture_s, 0.0);
         let others: Vec<LoadSnapshot> =
-            self.nodes[i].shared_state.load_snapshots.values().filter(fresh).cloned().collect();
-        if let Some((ledger, _)) = self.nodes[i].shared_state.ledger.clone() {
+            self.nodes[node].shared_state.load_snapshots.values().filter(fresh).cloned().collect();
+        if let Some((ledger, _)) = self.nodes[node].shared_state.ledger.clone() {
             let mut all = Vec::new();
             for team in ledger.teams.keys() {
-                let of = |x: usize| -> Option<QuotaUse> {
-                    let p = if x == c { &mine } else { others.iter().find(|p| p.shard.as_usize() == x)? };
-                    Some(p.teams.get(team).copied().unwrap_or_default())
+                let use_of = |shard: usize| -> Option<QuotaUse> {
+                    let snapshot = if shard == shard_index {
+                        &mine
+                    } else {
+                        others.iter().find(|p| p.shard.as_usize() == shard)?
+                    };
+                    Some(snapshot.teams.get(team).copied().unwrap_or_default())
                 };
-                let uses: Vec<Option<QuotaUse>> = (0..self.cells).map(of).collect();
-                let home = self.nodes[i].shared_state.rebalance_plan.0.home(&self.plan, team);
-                all.extend(quota_transfers(cell, team, &ledger, &uses, home));
+                let uses: Vec<Option<QuotaUse>> = (0..self.shard_count).map(use_of).collect();
+                let home = self.nodes[node].shared_state.rebalance_plan.0.home(&self.plan, team);
+                all.extend(quota_transfers(shard_id, team, &ledger, &uses, home));
             }
             if !all.is_empty() {
-                self.transfer_quota(i, c, token, &all, Vec::new(), Vec::new());
+                self.transfer_quota(node, shard_index, token, &all, Vec::new(), Vec::new());
             }
         }
-        let waiting = self.nodes[i].acting(c, now).map(|s| s.spillable_jobs(now)).unwrap_or_default();
+        let waiting = self.nodes[node].acting(shard_index, now).map(|s| s.spillable_jobs(now)).unwrap_or_default();
         for (j, to) in plan_spills(&self.plan, &mine, &others, &waiting, 20.0) {
-            let Some((ledger, _)) = self.nodes[i].shared_state.ledger.clone() else { return };
-            let Some(s) = self.nodes[i].acting(c, now) else { return };
+            let Some((ledger, _)) = self.nodes[node].shared_state.ledger.clone() else { return };
+            let Some(s) = self.nodes[node].acting(shard_index, now) else { return };
             let Some((record, version, team, takes)) = s.begin_move(j, to) else { continue };
             let team = s.team_name(team).to_owned();
             let spare = |own: Amount| {
@@ -221,59 +248,69 @@
                 let spare = own.minus(used);
                 Amount::new(takes.cpus.min(spare.cpus), takes.accelerators.min(spare.accelerators))
             };
-            let amount = ledger.share(&team, cell).map(spare);
-            let gift = |amount| QuotaTransfer { team: team.clone(), from: cell, to, amount };
-            let given: Vec<QuotaTransfer> = amount.map(gift).into_iter().collect();
+            let amount = ledger.share(&team, shard_id).map(spare);
+            let transfer = |amount| QuotaTransfer { team: team.clone(), from: shard_id, to, amount };
+            let transfers: Vec<QuotaTransfer> = amount.map(transfer).into_iter().collect();
             let id = record.job.id.clone();
             let key = job_key(&id);
-            self.transfer_quota(i, c, token, &given, vec![(key.clone(), version)], vec![put(&key, &record)]);
-            let theirs = self.store.job(&id).is_some_and(|r| !belongs_to_shard(c, &r));
-            self.nodes[i].shard_by_job.remove(&id);
-            let Some(s) = self.nodes[i].acting(c, now) else { return };
-            if theirs {
+            self.transfer_quota(
+                node,
+                shard_index,
+                token,
+                &transfers,
+                vec![(key.clone(), version)],
+                vec![put(&key, &record)],
+            );
+            let moved = self.store.job(&id).is_some_and(|r| !belongs_to_shard(shard_index, &r));
+            self.nodes[node].shard_by_job.remove(&id);
+            let Some(s) = self.nodes[node].acting(shard_index, now) else { return };
+            if moved {
                 s.on_job_moved(&id, now)
             } else {
                 s.cancel_move(&id)
             }
-            self.counts.jobs_moved += u64::from(theirs);
+            self.counts.jobs_moved += u64::from(moved);
         }
-        if c == 0 {
-            self.plan_rebalancing(i, token, &mine, &others);
+        if shard_index == 0 {
+            self.plan_rebalancing(node, token, &mine, &others);
         }
-        self.step_machine_transfers(i, c, token, mine.at_ms);
+        self.step_machine_transfers(node, shard_index, token, mine.at_ms);
     }
 
+    /// Records transfers of quota shares, together with other changes, if the shard uses no more than its remaining
+    /// shares.
     pub(crate) fn transfer_quota(
         &mut self,
-        i: usize,
-        c: usize,
+        node: usize,
+        shard_index: usize,
         token: u64,
-        given: &[QuotaTransfer],
+        transfers: &[QuotaTransfer],
         mut conditions: Vec<(String, u64)>,
         mut changes: Vec<Mutation>,
     ) {
-        let (now, cell, teams) = (self.now, ShardId(c as u32), self.params.teams.clone());
-        let Some((ledger, version)) = self.nodes[i].shared_state.ledger.clone() else { return };
-        let Some(next) = ledger.apply(given) else { return };
-        let Some(s) = self.nodes[i].acting(c, now) else { return };
-        if s.limit_usage().iter().all(|(t, u)| next.share(t, cell).is_none_or(|left| u.fits(left))) {
-            s.set_limit_shares(&teams, &next, cell);
-            conditions.extend([(self.leadership_key(c), token), (LEDGER_KEY.to_owned(), version)]);
+        let (now, shard_id, teams) = (self.now, ShardId(shard_index as u32), self.params.teams.clone());
+        let Some((ledger, version)) = self.nodes[node].shared_state.ledger.clone() else { return };
+        let Some(next) = ledger.apply(transfers) else { return };
+        let Some(s) = self.nodes[node].acting(shard_index, now) else { return };
+        if s.limit_usage().iter().all(|(team, used)| next.share(team, shard_id).is_none_or(|share| used.fits(share))) {
+            s.set_limit_shares(&teams, &next, shard_id);
+            conditions.extend([(self.leadership_key(shard_index), token), (LEDGER_KEY.to_owned(), version)]);
             changes.push(put(LEDGER_KEY, &next));
             self.commit_with_retry(conditions, changes);
         }
-        self.nodes[i].shared_state.ledger = self.store.read(LEDGER_KEY);
-        self.apply_limit_shares(i);
+        self.nodes[node].shared_state.ledger = self.store.read(LEDGER_KEY);
+        self.apply_limit_shares(node);
     }
 
-    pub(crate) fn plan_rebalancing(&mut self, i: usize, token: u64, mine: &LoadSnapshot, others: &[LoadSnapshot]) {
-        let (stored, version) = self.nodes[i].shared_state.rebalance_plan.clone();
+    /// Plans a round of rebalancing, as the leader of the first shard, and stores the plan if it changed.
+    pub(crate) fn plan_rebalancing(&mut self, node: usize, token: u64, mine: &LoadSnapshot, others: &[LoadSnapshot]) {
+        let (stored, version) = self.nodes[node].shared_state.rebalance_plan.clone();
         let all: Vec<LoadSnapshot> = others.iter().chain([mine]).cloned().collect();
-        let h = &mut self.nodes[i].cells[0];
-        if h.leader.0 != token {
-            h.leader = (token, Rebalancer::default());
+        let slot = &mut self.nodes[node].slots[0];
+        if slot.rebalancer.0 != token {
+            slot.rebalancer = (token, Rebalancer::default());
         }
-        let next = h.leader.1.plan_round(&self.plan, &all, &stored, mine.at_ms);
+        let next = slot.rebalancer.1.plan_round(&self.plan, &all, &stored, mine.at_ms);
         if next.must_be_stored(&stored, &self.plan) {
             self.counts.team_homes_moved += u64::from(next.homes != stored.homes);
             self.commit_with_retry(
@@ -283,76 +320,80 @@
         }
     }
 
-    pub(crate) fn step_machine_transfers(&mut self, i: usize, c: usize, token: u64, now_ms: u64) {
-        let (now, cell) = (self.now, ShardId(c as u32));
-        let seen = self.nodes[i].shared_state.clone();
+    /// Advances the transfers of machines from and to a shard.
+    pub(crate) fn step_machine_transfers(&mut self, node: usize, shard_index: usize, token: u64, now_ms: u64) {
+        let (now, shard_id) = (self.now, ShardId(shard_index as u32));
+        let seen = self.nodes[node].shared_state.clone();
         let fresh = seen.rebalance_plan.0.is_fresh(&self.plan, now_ms, 0.0);
         let moves = if fresh { seen.rebalance_plan.0.moves.clone() } else { Vec::new() };
-        let token_of = |c: ShardId| seen.load_snapshots.get(&c.as_usize()).map(|p| p.token);
-        if must_reacquire(cell, token, &moves, token_of) {
-            return self.reacquire(i, c, token);
+        let token_of = |shard: ShardId| seen.load_snapshots.get(&shard.as_usize()).map(|p| p.token);
+        if must_reacquire(shard_id, token, &moves, token_of) {
+            return self.reacquire(node, shard_index, token);
         }
         let in_flight: Vec<MachineTransfer> = seen.machine_transfers.values().map(|h| h.0.clone()).collect();
-        let order = next_receiver(cell, token, moves.iter(), &in_flight, token_of);
-        let Some(s) = self.nodes[i].acting(c, now) else { return };
+        let order = next_receiver(shard_id, token, moves.iter(), &in_flight, token_of);
+        let Some(s) = self.nodes[node].acting(shard_index, now) else { return };
         s.set_rebalance_order(order, 6.0);
-        let of = |from: bool| in_flight.iter().filter(move |h| (if from { h.from } else { h.to }) == cell);
-        s.on_transfers_published(of(true).flat_map(|h| &h.machines));
-        s.receive_machines(of(false).flat_map(|h| &h.machines), now);
+        let transfers = |from: bool| in_flight.iter().filter(move |h| (if from { h.from } else { h.to }) == shard_id);
+        s.on_transfers_published(transfers(true).flat_map(|h| &h.machines));
+        s.receive_machines(transfers(false).flat_map(|h| &h.machines), now);
         let mut chosen: BTreeMap<ShardId, Vec<TransferredMachine>> = BTreeMap::new();
         s.pending_transfers().into_iter().for_each(|(to, h)| chosen.entry(to).or_default().push(h));
         for (to, machines) in chosen {
-            let key = machine_transfer::key(cell, to);
+            let key = machine_transfer::key(shard_id, to);
             let version = match seen.machine_transfers.get(&key) {
                 Some((h, _)) if !h.is_complete() => continue,
                 Some((_, v)) => *v,
                 None => 0,
             };
             self.put_machine_transfer(
-                i,
-                c,
+                node,
+                shard_index,
                 token,
                 &key,
                 version,
-                MachineTransfer { from: cell, to, machines, released_by_sender: false },
+                MachineTransfer { from: shard_id, to, machines, released_by_sender: false },
             );
         }
         for (key, (h, version)) in seen.machine_transfers {
-            let Some(s) = self.nodes[i].acting(c, now) else { return };
+            let Some(s) = self.nodes[node].acting(shard_index, now) else { return };
             let next = match () {
-                () if h.from == cell => next_by_sender(&h, |m| s.may_be_named_in_records(m)),
-                () if h.to == cell => next_by_receiver(&h, |m| s.is_recorded_or_gone(m)),
+                () if h.from == shard_id => next_by_sender(&h, |m| s.may_be_named_in_records(m)),
+                () if h.to == shard_id => next_by_receiver(&h, |m| s.is_recorded_or_gone(m)),
                 () => None,
             };
             if let Some(next) = next {
-                self.put_machine_transfer(i, c, token, &key, version, next);
+                self.put_machine_transfer(node, shard_index, token, &key, version, next);
             }
         }
     }
 
+    /// Stores a machine transfer; machines that the stored record does not name stay with the sender.
     pub(crate) fn put_machine_transfer(
         &mut self,
-        i: usize,
-        c: usize,
+        node: usize,
+        shard_index: usize,
         token: u64,
         key: &str,
         version: u64,
-        h: MachineTransfer,
+        transfer: MachineTransfer,
     ) {
-        let conditions = vec![(self.leadership_key(c), token), (key.to_owned(), version)];
-        let stored = self.commit_with_retry(conditions, vec![put(key, &h)]);
-        let stands = self.store.read::<MachineTransfer>(key);
-        let begins = h.from.as_usize() == c && !h.released_by_sender;
-        self.counts.machines_transferred += if begins && stored == Some(true) { h.machines.len() as u64 } else { 0 };
+        let conditions = vec![(self.leadership_key(shard_index), token), (key.to_owned(), version)];
+        let stored = self.commit_with_retry(conditions, vec![put(key, &transfer)]);
+        let recorded = self.store.read::<MachineTransfer>(key);
+        let begins = transfer.from.as_usize() == shard_index && !transfer.released_by_sender;
+        self.counts.machines_transferred +=
+            if begins && stored == Some(true) { transfer.machines.len() as u64 } else { 0 };
         if begins && stored == Some(false) {
-            let stands = stands.as_ref().map(|s| s.0.machines.clone()).unwrap_or_default();
-            let stay: Vec<TransferredMachine> = h.machines.into_iter().filter(|m| !stands.contains(m)).collect();
-            if let Some(s) = self.nodes[i].acting(c, self.now) {
+            let recorded = recorded.as_ref().map(|s| s.0.machines.clone()).unwrap_or_default();
+            let stay: Vec<TransferredMachine> =
+                transfer.machines.into_iter().filter(|m| !recorded.contains(m)).collect();
+            if let Some(s) = self.nodes[node].acting(shard_index, self.now) {
                 s.on_transfer_outcome(stay.iter(), false);
             }
         }
-        if let Some(s) = stands {
-            self.nodes[i].shared_state.machine_transfers.insert(key.to_owned(), s);
+        if let Some(s) = recorded {
+            self.nodes[node].shared_state.machine_transfers.insert(key.to_owned(), s);
         }
     }
 }
--- a/crates/model/src/spells.rs
+++ b/crates/model/src/spells.rs
@@ -1,29 +1,29 @@
-//! Troubles of machines, reports and users: whom they strike, and those that last for a while.
+//! Injection of faults of machines, heartbeats and users, and the active faults among them.
 
 use crate::machines::TaskPhase;
 use crate::trouble::{FaultKind, InjectedFault};
 use crate::world::World;
 use std::collections::BTreeSet;
 
-/// Machines of cancelled jobs that hang, at most.
+/// Largest number of machines with tasks of cancelled jobs that hang.
 const MAX_HANGING: usize = 8;
-/// Users who cancel together do it within so many seconds.
-const CANCEL_WITHIN_S: f64 = 0.2;
-/// A job that ends is cancelled within so many seconds: before its leader hears of the end, while that is stored, and
-/// afterwards.
-const CANCEL_AFTER_END_S: f64 = 1.0;
-/// A machine that boots fast is up within so many seconds.
+/// The cancellations of one fault are spread over this time, in seconds.
+const CANCELLATION_SPREAD_S: f64 = 0.2;
+/// Jobs that end are cancelled within this time, in seconds: before the leader receives the heartbeat with the end,
+/// while the end is being stored, and afterwards.
+const CANCELLED_AFTER_END_S: f64 = 1.0;
+/// Longest boot of a machine that boots fast, in seconds.
 const FAST_BOOT_S: f64 = 2.0;
-/// The answer to its rental takes so many seconds at most.
-const LATE_RENTAL_S: f64 = 6.0;
-/// What a slow link adds to a message at most, and to the fetching of an image.
+/// Longest time until the response to the rental of machines that boot fast, in seconds.
+const RENTAL_RESPONSE_S: f64 = 6.0;
+/// Largest additional latency of a message and of an image pull while the network is slow, in seconds.
 const SLOW_MESSAGE_S: f64 = 1.9;
-const SLOW_FETCH_S: f64 = 20.0;
+const SLOW_PULL_S: f64 = 20.0;
 
-/// Changes after which a leader writes its checkpoint anew.
-const MANY_CHANGES: u64 = 2500;
+/// Changes of other keys after which a leader writes a new checkpoint.
+const CHANGES_BEFORE_CHECKPOINT: u64 = 2500;
 
-/// Troubles that concern everybody: until when each lasts.
+/// Active faults that affect the whole cluster: when each of them ends, in seconds of virtual time.
 #[derive(Default)]
 pub(crate) struct ActiveFaults {
     pub(crate) heartbeat_copies_until: f64,
@@ -35,27 +35,27 @@
 }
 
 impl World {
-    /// The kinds of [`crate::USER_AND_MACHINE_KINDS`]; `machine` is the one that is meant, if one is.
-    pub(crate) fn inject_user_or_machine_fault(&mut self, t: InjectedFault, machine: usize, until: f64) {
-        match t.kind {
+    /// Injects a fault of [`crate::USER_AND_MACHINE_FAULT_KINDS`]; `machine` is the affected one if it affects one.
+    pub(crate) fn inject_user_or_machine_fault(&mut self, fault: InjectedFault, machine: usize, until: f64) {
+        match fault.kind {
             FaultKind::HeartbeatsLost => self.machines[machine].heartbeats_lost_until = until,
             FaultKind::ZoneHeartbeatsLost => {
-                let zone = t.which % 3;
+                let zone = fault.which % 3;
                 self.machines.iter_mut().filter(|m| m.zone == zone).for_each(|m| m.heartbeats_lost_until = until);
             }
             FaultKind::HeartbeatCopiesForNextLeader => self.active_faults.heartbeat_copies_until = until,
-            FaultKind::CancelRunningJobs => self.cancel_running_jobs(t.which % 8 + 1, until),
+            FaultKind::CancelRunningJobs => self.cancel_running_jobs(fault.which % 8 + 1, until),
             FaultKind::CancelEndingJobs => self.active_faults.cancel_ending_jobs_until = until,
             FaultKind::PollAfterEvents => self.active_faults.poll_after_events_until = until,
             FaultKind::InvalidRequests => self.active_faults.invalid_requests_until = until,
             FaultKind::FastBoots => self.active_faults.fast_boots_until = until,
-            FaultKind::ManyStateChanges => self.store.revision += MANY_CHANGES,
+            FaultKind::ManyStateChanges => self.store.revision += CHANGES_BEFORE_CHECKPOINT,
             FaultKind::SlowNetwork => self.active_faults.slow_network_until = until,
             _ => {}
         }
     }
 
-    /// Users cancel so many of the jobs that run, and the machines that run them hang.
+    /// Lets users cancel this number of running jobs, and makes the machines of these jobs hang.
     fn cancel_running_jobs(&mut self, jobs: usize, hang_until: f64) {
         let now = self.now;
         let mut running: Vec<String> = self.running_jobs().into_iter().collect();
@@ -63,22 +63,22 @@
         self.fault_rng.shuffle(&mut running);
         running.truncate(jobs);
         for id in &running {
-            let at = now + self.fault_rng.f64() * CANCEL_WITHIN_S;
+            let at = now + self.fault_rng.f64() * CANCELLATION_SPREAD_S;
             self.schedule_cancellation(id, at);
         }
-        let of_them = |task: &String| task.split('/').next().is_some_and(|id| running.iter().any(|r| r == id));
-        let theirs = self.machines.iter_mut().filter(|m| m.tasks.keys().any(of_them));
-        theirs.take(MAX_HANGING).for_each(|m| m.hangs_until = hang_until);
+        let is_of_them = |task: &String| task.split('/').next().is_some_and(|id| running.iter().any(|r| r == id));
+        let affected = self.machines.iter_mut().filter(|m| m.tasks.keys().any(is_of_them));
+        affected.take(MAX_HANGING).for_each(|m| m.hangs_until = hang_until);
     }
 
-    /// Jobs of which a task runs somewhere.
+    /// Returns the jobs with a running task.
     fn running_jobs(&self) -> BTreeSet<String> {
         let tasks = self.machines.iter().filter(|m| m.is_up(self.now)).flat_map(|m| &m.tasks);
         let running = tasks.filter(|(_, t)| matches!(t.phase, TaskPhase::Running(_)));
         running.filter_map(|(name, _)| Some(name.split('/').next()?.to_owned())).collect()
     }
 
-    /// A user decides to cancel a job at a time.
+    /// Schedules a cancellation of a job by its user, unless another job depends on it.
     pub(crate) fn schedule_cancellation(&mut self, id: &str, at: f64) {
         if let Some(j) = self.jobs.get_mut(id).filter(|j| !j.has_dependents) {
             j.cancel_at = Some(j.cancel_at.map_or(at, |t| t.min(at)));
@@ -86,16 +86,16 @@
         }
     }
 
-    /// The last task of a job has ended on a machine.
+    /// Handles the end of the last task of a job.
     pub(crate) fn last_task_ended(&mut self, id: &str) {
         if self.now < self.active_faults.cancel_ending_jobs_until && self.fault_rng.bool() {
-            let at = self.now + self.fault_rng.f64() * CANCEL_AFTER_END_S;
+            let at = self.now + self.fault_rng.f64() * CANCELLED_AFTER_END_S;
             self.schedule_cancellation(id, at);
         }
         self.poll_after_event(id);
     }
 
-    /// When a machine is up that would be up at this time otherwise.
+    /// Returns when a machine is up that would otherwise be up at `up_at`.
     pub(crate) fn up_at_after_boot(&mut self, up_at: f64) -> f64 {
         if self.now < self.active_faults.fast_boots_until {
             self.now + self.fault_rng.f64() * FAST_BOOT_S
@@ -104,22 +104,22 @@
         }
     }
 
-    /// When a rental is answered that is asked for now.
+    /// Returns when a rental requested now gets its response.
     pub(crate) fn rental_answered_at(&mut self) -> f64 {
         if self.now < self.active_faults.fast_boots_until {
-            self.now + self.fault_rng.f64() * LATE_RENTAL_S
+            self.now + self.fault_rng.f64() * RENTAL_RESPONSE_S
         } else {
             self.now
         }
     }
 
-    /// What a slow link adds to a message's time.
+    /// Returns the additional latency of a message while the network is slow.
     pub(crate) fn extra_latency_s(&mut self) -> f64 {
         if self.now < self.active_faults.slow_network_until { self.fault_rng.f64() * SLOW_MESSAGE_S } else { 0.0 }
     }
 
-    /// What a slow link adds to an image's time.
+    /// Returns the additional time of an image pull while the network is slow.
     pub(crate) fn extra_pull_s(&mut self) -> f64 {
-        if self.now < self.active_faults.slow_network_until { self.fault_rng.f64() * SLOW_FETCH_S } else { 0.0 }
+        if self.now < self.active_faults.slow_network_until { self.fault_rng.f64() * SLOW_PULL_S } else { 0.0 }
     }
 }
--- a/crates/model/src/store.rs
+++ b/crates/model/src/store.rs
@@ -1,4 +1,4 @@
-//! The state service: keys, versions, leases; an outage.
+//! A stand-in for the state service: keys, versions, leases, and outages.
 
 use crate::stored::Keys;
 use lupinspur_scheduler::election::ObservedRecord;
@@ -7,13 +7,14 @@
 use serde::de::DeserializeOwned;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// The state service.
 #[derive(Default)]
 pub(crate) struct Store {
     pub(crate) keys: Keys,
-    /// Until when each lease lives, how long it is renewed for, and the keys tied to it.
+    /// For each lease its expiry, its duration in seconds, and the keys attached to it.
     pub(crate) leases: BTreeMap<u64, (f64, f64, BTreeSet<String>)>,
-    /// The revision of the last change of each key that is gone.
-    gone: BTreeMap<String, u64>,
+    /// The revision at which each deleted key was last deleted.
+    deleted: BTreeMap<String, u64>,
     pub(crate) next_lease: u64,
     pub(crate) revision: u64,
     pub(crate) down_until: f64,
@@ -21,10 +22,12 @@
 }
 
 impl Store {
+    /// Returns whether the service is up.
     pub(crate) fn up(&self, now: f64) -> bool {
         now >= self.down_until
     }
 
+    /// Deletes expired leases with their keys. After an outage all leases start anew.
     pub(crate) fn step(&mut self, now: f64) {
         if !self.up(now) {
             self.was_down = true;
@@ -33,37 +36,42 @@
         if std::mem::take(&mut self.was_down) {
             self.leases.values_mut().for_each(|l| l.0 = now + l.1);
         }
-        let over: Vec<u64> = self.leases.iter().filter(|(_, l)| now > l.0).map(|(i, _)| *i).collect();
-        for id in over {
+        let expired: Vec<u64> = self.leases.iter().filter(|(_, l)| now > l.0).map(|(i, _)| *i).collect();
+        for id in expired {
             let Some((_, _, keys)) = self.leases.remove(&id) else { continue };
             for k in keys {
                 self.revision += 1;
                 self.keys.remove(&k);
-                self.gone.insert(k, self.revision);
+                self.deleted.insert(k, self.revision);
             }
         }
     }
 
-    pub(crate) fn grant(&mut self, now: f64, life_s: f64) -> u64 {
+    /// Grants a lease and returns its number.
+    pub(crate) fn grant(&mut self, now: f64, duration_s: f64) -> u64 {
         self.next_lease += 1;
-        self.leases.insert(self.next_lease, (now + life_s, life_s, BTreeSet::new()));
+        self.leases.insert(self.next_lease, (now + duration_s, duration_s, BTreeSet::new()));
         self.next_lease
     }
 
+    /// Renews a lease; returns whether it exists.
     pub(crate) fn renew(&mut self, id: u64, now: f64) -> bool {
         self.leases.get_mut(&id).map(|l| l.0 = now + l.1).is_some()
     }
 
+    /// Returns the version of a key; 0: it is not stored.
     pub(crate) fn version(&self, key: &str) -> u64 {
         self.keys.get(key).map_or(0, |k| k.1)
     }
 
-    /// The revision of a key's last change, its end included; 0: it never was.
+    /// Returns the revision of a key's last change or deletion; 0: the key was never stored.
     pub(crate) fn changed(&self, key: &str) -> u64 {
-        let gone = self.gone.get(key).copied().unwrap_or(0);
+        let gone = self.deleted.get(key).copied().unwrap_or(0);
         self.version(key).max(gone)
     }
 
+    /// Executes a transaction if every condition, a key with its version, holds and the lease exists. Returns the new
+    /// revision, or `None` if the transaction was not applied.
     pub(crate) fn commit(
         &mut self,
         conditions: &[(String, u64)],
@@ -86,23 +94,29 @@
                 }
                 Mutation::Delete { key } => {
                     self.keys.remove(key);
-                    self.gone.insert(key.clone(), self.revision);
+                    self.deleted.insert(key.clone(), self.revision);
                 }
             }
         }
         Some(self.revision)
     }
 
+    /// Reads a leadership record.
     pub(crate) fn leadership_record(&self, key: &str) -> Option<ObservedRecord> {
         let (v, version) = self.keys.get(key)?;
-        Some(ObservedRecord { record: serde_json::from_value(v.clone()).expect("a claim"), version: *version })
+        Some(ObservedRecord {
+            record: serde_json::from_value(v.clone()).expect("a leadership record"),
+            version: *version,
+        })
     }
 
+    /// Reads and decodes a value with its version.
     pub(crate) fn read<T: DeserializeOwned>(&self, key: &str) -> Option<(T, u64)> {
         let (v, version) = self.keys.get(key)?;
         Some((serde_json::from_value(v.clone()).expect("a value"), *version))
     }
 
+    /// Reads the record of a job.
     pub(crate) fn job(&self, id: &str) -> Option<JobRecord> {
         Some(serde_json::from_value(self.keys.get(&job_key(id))?.0.clone()).expect("a record"))
     }
--- a/crates/model/src/transactions.rs
+++ b/crates/model/src/transactions.rs
@@ -1,5 +1,5 @@
-//! Requests to the state service on their way: how long they take, whose answers are lost, which are
-//! executed late, and what a leader does about a write whose outcome it does not know.
+//! Requests to the state service in flight: their latency, lost responses, late execution, and what a leader does
+//! about a write whose outcome it does not know.
 
 use crate::messages::Message;
 use crate::observer::SLOW_RESPONSE_S;
@@ -10,18 +10,19 @@
 use lupinspur_scheduler::shard::{PendingWrite, WritePurpose};
 use lupinspur_wire::Mutation;
 
-/// After these times the controllers give a request up, as the shell does.
+/// Seconds after which a controller stops waiting for the response to a request.
 pub(crate) const COMMIT_LIMIT_S: f64 = 2.5;
 pub(crate) const RENEWAL_LIMIT_S: f64 = 1.2;
 pub(crate) const GRANT_LIMIT_S: f64 = 2.0;
-/// A key whose value is in doubt is asked for again after this.
+/// Seconds after which a leader tries again to read the keys of a transaction with an unknown outcome.
 const RETRY_S: f64 = 0.2;
-/// Each way of a request takes up to so much longer where the state service is slow: some renewals succeed.
-const SLOW_S: f64 = 0.9;
-/// Of 256 requests, those that a trouble of the answers concerns.
-const LOST: u8 = 90;
+/// Largest additional latency of a request and of a response while the state service is slow, in seconds. With it
+/// some lease renewals still succeed.
+const MAX_SLOW_LATENCY_S: f64 = 0.9;
+/// Of 256 requests, those that an active fault of writes or responses affects.
+const AFFECTED_OF_256: u8 = 90;
 
-/// Until when the state service's requests and answers suffer, by the kind of the trouble.
+/// Ends of the active faults of the state service's requests and responses, in seconds of virtual time.
 #[derive(Debug, Default)]
 pub(crate) struct StateServiceFaults {
     pub(crate) writes_delayed_until: f64,
@@ -29,20 +30,21 @@
     pub(crate) slow_until: f64,
 }
 
-/// When a request is executed, in seconds after it was sent, and how long its answer then takes.
+/// When a request is executed, in seconds after it was sent, and how long its response then takes; `None`: the
+/// sender gets no response.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Delivery {
-    pub(crate) executed: f64,
-    pub(crate) answered: Option<f64>,
+    pub(crate) executed_after_s: f64,
+    pub(crate) response_after_s: Option<f64>,
 }
 
-/// What becomes of a submission.
+/// The outcome of a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Submitted {
-    /// Its answer is lost, whether it is stored or not.
+    /// The response is lost, whether the submission was stored or not.
     Unanswered,
     Stored,
-    /// An earlier one of the same job is stored.
+    /// An earlier submission of the same job is stored.
     Known,
 }
 
@@ -50,14 +52,14 @@
 pub(crate) struct LeaderCommit {
     pub(crate) node: usize,
     pub(crate) generation: u64,
-    pub(crate) cell: usize,
+    pub(crate) shard_index: usize,
     pub(crate) token: u64,
-    /// Counts up with each transaction of the controller.
+    /// Increases with each transaction.
     pub(crate) number: u64,
     pub(crate) writes: Vec<PendingWrite>,
 }
 
-/// What the state service made of a transaction.
+/// The outcome of a transaction.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum CommitOutcome {
     Applied(u64),
@@ -65,11 +67,11 @@
     Failed,
     /// The service was down.
     NotExecuted,
-    /// No answer came in time.
+    /// No response arrived in time.
     Unknown,
 }
 
-/// The same writes once more. Nobody is told their outcome, so that what they are for does not matter.
+/// Returns a copy of the writes. The purpose of the copies does not matter, because their outcome is not reported.
 fn copies(writes: &[PendingWrite]) -> Vec<PendingWrite> {
     let copy = |w: &PendingWrite| PendingWrite {
         key: w.key.clone(),
@@ -82,50 +84,51 @@
 }
 
 impl World {
-    /// What becomes of a request that its sender gives up after `limit_s`.
+    /// Draws the delivery of a request whose sender waits `limit_s` for the response.
     pub(crate) fn delivery(&mut self, limit_s: f64) -> Delivery {
         let now = self.now;
-        let mut executed = self.latency();
+        let mut executed_after_s = self.latency();
         let mut back = self.latency();
         if now < self.state_service_faults.slow_until {
-            executed += 0.1 + self.rng.f64() * SLOW_S;
-            back += 0.1 + self.rng.f64() * SLOW_S;
+            executed_after_s += 0.1 + self.rng.f64() * MAX_SLOW_LATENCY_S;
+            back += 0.1 + self.rng.f64() * MAX_SLOW_LATENCY_S;
         }
-        let answered = Some(back).filter(|back| executed + back < limit_s);
-        self.counts.coincidences.slow_responses += u64::from(answered.is_some() && executed + back > SLOW_RESPONSE_S);
-        let concerned = self.rng.u8(..) < LOST;
-        if concerned && now < self.state_service_faults.writes_delayed_until {
-            return Delivery { executed: 2.0 + self.rng.f64() * 10.0, answered: None };
+        let response_after_s = Some(back).filter(|back| executed_after_s + back < limit_s);
+        self.counts.coincidences.slow_responses +=
+            u64::from(response_after_s.is_some() && executed_after_s + back > SLOW_RESPONSE_S);
+        let affected = self.rng.u8(..) < AFFECTED_OF_256;
+        if affected && now < self.state_service_faults.writes_delayed_until {
+            return Delivery { executed_after_s: 2.0 + self.rng.f64() * 10.0, response_after_s: None };
         }
-        if concerned && now < self.state_service_faults.responses_lost_until {
-            return Delivery { executed, answered: None };
+        if affected && now < self.state_service_faults.responses_lost_until {
+            return Delivery { executed_after_s, response_after_s: None };
         }
-        if concerned && now < self.commits_unreliable_until {
+        if affected && now < self.commits_unreliable_until {
             let late = self.rng.bool();
-            let executed = if late { 1.0 + self.rng.f64() * 25.0 } else { executed };
-            return Delivery { executed, answered: None };
+            let executed_after_s = if late { 1.0 + self.rng.f64() * 25.0 } else { executed_after_s };
+            return Delivery { executed_after_s, response_after_s: None };
         }
-        Delivery { executed, answered }
+        Delivery { executed_after_s, response_after_s }
     }
 
-    /// Sends a leader's writes.
+    /// Sends a leader's transaction to the state service.
     pub(crate) fn send_commit(&mut self, commit: LeaderCommit) {
-        let Delivery { executed, answered } = self.delivery(COMMIT_LIMIT_S);
-        if answered.is_some() {
-            return self.send(executed, Message::Commit { commit, answered });
+        let Delivery { executed_after_s, response_after_s } = self.delivery(COMMIT_LIMIT_S);
+        if response_after_s.is_some() {
+            return self.send(executed_after_s, Message::Commit { commit, response_after_s });
         }
         let copy = LeaderCommit { writes: copies(&commit.writes), ..commit };
-        self.send(executed, Message::Commit { commit: copy, answered });
+        self.send(executed_after_s, Message::Commit { commit: copy, response_after_s });
         self.send(COMMIT_LIMIT_S, Message::CommitResponse { commit, outcome: CommitOutcome::Unknown });
     }
 
-    /// The state service executes a transaction.
-    pub(crate) fn execute(&mut self, commit: LeaderCommit, answered: Option<f64>) {
+    /// Executes a transaction at the state service.
+    pub(crate) fn execute(&mut self, commit: LeaderCommit, response_after_s: Option<f64>) {
         let outcome = self.outcome_of(&commit);
-        let keys = commit.writes.iter().map(|w| stored_key(commit.cell, &w.key)).collect();
+        let keys = commit.writes.iter().map(|w| stored_key(commit.shard_index, &w.key)).collect();
         let applied = matches!(outcome, CommitOutcome::Applied(_));
-        self.observe_transaction(commit.node, commit.number, keys, answered.is_some(), applied);
-        if let Some(after) = answered {
+        self.observe_transaction(commit.node, commit.number, keys, response_after_s.is_some(), applied);
+        if let Some(after) = response_after_s {
             self.send(after, Message::CommitResponse { commit, outcome });
         }
     }
@@ -134,23 +137,24 @@
         if !self.store.up(self.now) {
             return CommitOutcome::NotExecuted;
         }
-        let cell = commit.cell;
-        let mut conditions = vec![(self.leadership_key(cell), commit.token)];
-        conditions.extend(commit.writes.iter().map(|w| (stored_key(cell, &w.key), w.version)));
-        let changes: Vec<Mutation> = commit.writes.iter().map(|w| stored_mutation(cell, &w.mutation)).collect();
+        let shard_index = commit.shard_index;
+        let mut conditions = vec![(self.leadership_key(shard_index), commit.token)];
+        conditions.extend(commit.writes.iter().map(|w| (stored_key(shard_index, &w.key), w.version)));
+        let changes: Vec<Mutation> = commit.writes.iter().map(|w| stored_mutation(shard_index, &w.mutation)).collect();
         match self.store.commit(&conditions, &changes, None) {
             Some(revision) => {
-                self.counts.writes[cell] += changes.len() as u64;
+                self.counts.writes[shard_index] += changes.len() as u64;
                 CommitOutcome::Applied(revision)
             }
             None => CommitOutcome::Failed,
         }
     }
 
-    /// The leader learns what became of its transaction, or that it will not learn it.
+    /// Delivers the outcome of a transaction to its leader. If the outcome is unknown, the leader reads the versions of
+    /// the keys that it wrote.
     pub(crate) fn on_commit_response(&mut self, commit: LeaderCommit, outcome: CommitOutcome) {
         let now = self.now;
-        let LeaderCommit { node, generation, cell, token, .. } = commit;
+        let LeaderCommit { node, generation, shard_index, token, .. } = commit;
         let n = &self.nodes[node];
         if n.generation != generation {
             return;
@@ -159,43 +163,45 @@
             let after = n.paused_until - now;
             return self.send(after, Message::CommitResponse { commit, outcome });
         }
-        let owns = n.cells[cell].shard.as_ref().is_some_and(|s| s.token == token);
+        let leads = n.slots[shard_index].shard.as_ref().is_some_and(|s| s.token == token);
         let in_doubt = matches!(outcome, CommitOutcome::Failed | CommitOutcome::Unknown);
-        if owns && in_doubt && !self.reaches_state_service(node) {
+        if leads && in_doubt && !self.reaches_state_service(node) {
             return self.send(RETRY_S, Message::CommitResponse { commit, outcome });
         }
-        let never_looks_up = self.wrong_decision == Some(WrongDecision::NeverReadsInDoubtWrites);
-        let held = &mut self.nodes[node].cells[cell];
-        held.commits = held.commits.saturating_sub(1);
-        let Some(shard) = held.shard.as_mut().filter(|s| s.token == token) else { return };
+        let never_reads_in_doubt_writes = self.wrong_decision == Some(WrongDecision::NeverReadsInDoubtWrites);
+        let slot = &mut self.nodes[node].slots[shard_index];
+        slot.commits = slot.commits.saturating_sub(1);
+        let Some(shard) = slot.shard.as_mut().filter(|s| s.token == token) else { return };
         match outcome {
             CommitOutcome::Applied(revision) => shard.on_writes_applied(commit.writes, revision, now),
             CommitOutcome::NotExecuted => shard.on_writes_rejected(commit.writes),
-            CommitOutcome::Failed | CommitOutcome::Unknown if never_looks_up => shard.on_writes_rejected(commit.writes),
+            CommitOutcome::Failed | CommitOutcome::Unknown if never_reads_in_doubt_writes => {
+                shard.on_writes_rejected(commit.writes)
+            }
             CommitOutcome::Failed | CommitOutcome::Unknown => {
                 for write in &commit.writes {
-                    shard.on_version_known(&write.key, self.store.version(&stored_key(cell, &write.key)));
+                    shard.on_version_known(&write.key, self.store.version(&stored_key(shard_index, &write.key)));
                 }
                 shard.on_writes_rejected(commit.writes);
-                self.read_leadership_record(node, cell);
+                self.read_leadership_record(node, shard_index);
             }
         }
     }
 
-    /// A user's submission is committed, if there is no such job.
+    /// Commits a user's submission if the job is not stored yet.
     pub(crate) fn submit(&mut self, id: &str, change: Mutation) -> Submitted {
         let conditions = vec![(job_key(id), 0)];
-        let concerned = self.rng.u8(..) < LOST;
-        if concerned && self.now < self.state_service_faults.writes_delayed_until {
+        let affected = self.rng.u8(..) < AFFECTED_OF_256;
+        if affected && self.now < self.state_service_faults.writes_delayed_until {
             let after = 2.0 + self.rng.f64() * 10.0;
             self.send(after, Message::DelayedWrite { conditions, changes: vec![change] });
             return Submitted::Unanswered;
         }
         let stored = self.store.commit(&conditions, &[change], None).is_some();
-        let lost = concerned && self.now < self.state_service_faults.responses_lost_until;
-        let lost_at_random = self.now < self.commits_unreliable_until && self.rng.bool();
+        let response_lost = affected && self.now < self.state_service_faults.responses_lost_until;
+        let response_lost_at_random = self.now < self.commits_unreliable_until && self.rng.bool();
         match stored {
-            _ if lost || lost_at_random => Submitted::Unanswered,
+            _ if response_lost || response_lost_at_random => Submitted::Unanswered,
             true => Submitted::Stored,
             false => Submitted::Known,
         }
--- a/crates/model/src/trouble.rs
+++ b/crates/model/src/trouble.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, and decisions that are wrong on purpose.
+//! Kinds of injected faults, and deliberately wrong decisions that prove that the checks detect them.
 
 use fastrand::Rng;
 use garde::Validate;
@@ -121,6 +121,7 @@
     SlowNetwork,
 }
 
+/// Kinds of which random faults are drawn. The list and its order stay as they are, because a seed selects from it.
 pub const FAULT_KINDS: [FaultKind; 18] = [
     FaultKind::ControllerRestarts,
     FaultKind::ControllerPauses,
@@ -142,7 +143,7 @@
     FaultKind::TasksFail,
 ];
 
-/// Those of controllers and of what they send to the state service.
+/// Kinds of faults of controllers and of their requests to the state service.
 pub const CONTROLLER_FAULT_KINDS: [FaultKind; 9] = [
     FaultKind::StateServiceRefuses,
     FaultKind::WritesDelayed,
@@ -155,13 +156,13 @@
     FaultKind::CancelServices,
 ];
 
-/// As the number of a controller, `LEADER + cell`: whichever owns that cell when the trouble begins.
+/// Number for a fault's controller: `LEADER + shard` is the leader of that shard when the fault begins.
 pub const LEADER: usize = 1_000_000;
-/// As the number of a controller: the one that `LEADER` meant last.
+/// Number for a fault's controller: the one that `LEADER` last stood for.
 pub const SAME_LEADER: usize = 2_000_000;
 
-/// The kinds that concern machines, reports and users, which [`KINDS`] does not have: the storms that are played
-/// with a seed would otherwise be others.
+/// Kinds of faults of machines, heartbeats and users. They are not in [`FAULT_KINDS`], because longer lists would change
+/// the random faults of every seed.
 pub const USER_AND_MACHINE_FAULT_KINDS: [FaultKind; 9] = [
     FaultKind::HeartbeatsLost,
     FaultKind::ZoneHeartbeatsLost,
@@ -193,9 +194,9 @@
     pub for_s: f64,
 }
 
-/// So many troubles of any kind while jobs are submitted.
-pub(crate) fn random(seed: u64, n: usize, within_s: f64) -> Vec<InjectedFault> {
-    // Not the draws that the world makes with this seed.
+/// Draws `count` random faults of [`FAULT_KINDS`] that begin while jobs are submitted.
+pub(crate) fn random_faults(seed: u64, count: usize, within_s: f64) -> Vec<InjectedFault> {
+    // A different random sequence than that of the simulated cluster with this seed.
     let mut rng = Rng::with_seed(!seed);
     let mut one = || InjectedFault {
         at: rng.f64() * (within_s - 10.0).max(0.0),
@@ -203,76 +204,76 @@
         which: rng.usize(..),
         for_s: 0.2 + rng.f64() * 35.0,
     };
-    (0..n).map(|_| one()).collect()
+    (0..count).map(|_| one()).collect()
 }
 
-/// A deliberately wrong decision, by which the checks show that they see it.
+/// A deliberately wrong decision. Tests prove with it that the checks detect it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WrongDecision {
-    /// What earlier owners' machines may hold is thought to be known at once.
+    /// A new leader takes the machines for reconciled at once, whatever may run on them.
     SkipsReconciliation,
-    /// Limits are four times what they are.
+    /// The limits of teams are raised to four times their values.
     RaisesLimits,
-    /// Spot machines pass for others.
+    /// Spot machines are taken for on-demand machines.
     TreatsSpotAsOnDemand,
-    /// Nothing is ever told to stop.
+    /// Machines ignore all stop commands.
     IgnoresStops,
-    /// A job is called done before it is.
+    /// A running job is reported as done.
     ReportsDoneEarly,
-    /// A cancelled job is called what it was.
+    /// A cancelled job is reported as running afterwards.
     ReportsCancelledAsRunning,
-    /// Questions about one job are not answered.
+    /// Polls of jobs whose number ends in 3 are not answered.
     LeavesPollsUnanswered,
-    /// Each cell may use the whole of every limit.
+    /// Each shard uses the whole limit of every team.
     IgnoresLimitShares,
-    /// An owner acts for 30 s past its lease.
+    /// A leader acts for 30 s past its lease.
     ActsPastLease,
 
-    // What machines, reports and users see.
+    // Decisions detected by what machines and users observe.
     /// Jobs whose number ends in 7 are never placed.
     NeverPlacesSomeJobs,
-    /// A machine that has hung ignores commands to stop.
+    /// A machine that was hanging ignores stop commands.
     IgnoresStopsAfterHang,
-    /// An owner commands starts of jobs whose cancellation was confirmed.
+    /// A leader sends start commands for a job whose cancellation was confirmed.
     StartsCancelledJobs,
-    /// Submissions are not judged before they are accepted.
+    /// Submissions are accepted without the admission check.
     SkipsAdmissionCheck,
-    /// A field that a submission lacks is filled in.
+    /// Missing fields of a submission are filled in.
     FillsInMissingFields,
-    /// A repeated submission is always answered as if the job was new.
+    /// A repeated submission is always answered as if the job were new.
     AnswersResubmissionAsNew,
-    /// All machines pass for ones of the same zone.
+    /// All machines are taken for machines of the same zone.
     TreatsZonesAsOne,
-    /// A question about a job that nobody submitted is answered with a state.
+    /// A poll of a job that was never submitted is answered with a state.
     InventsUnknownJobs,
 
-    // Those that only one kind of fault reveals.
+    // Decisions detected only with one kind of fault.
     /// A cancellation is confirmed before it is stored.
     ConfirmsUnstoredCancellation,
-    /// Machines execute direct commands whatever their token.
+    /// Machines execute pushed commands with any fencing token.
     IgnoresFencingTokens,
-    /// An owner never gives a silent machine up.
+    /// A leader never declares a machine lost.
     NeverDeclaresMachinesLost,
-    /// A machine that has not reported for some seconds passes for one whose session is over.
+    /// The incarnation of a machine is taken to be over after some seconds without a heartbeat.
     TreatsSilenceAsIncarnationEnd,
-    /// Tasks whose user asked to cancel them pass for gone.
+    /// Tasks are taken for gone once a user has requested their cancellation.
     TreatsCancelledTasksAsGone,
-    /// A copy of a report passes for the newest one.
+    /// A duplicated heartbeat is taken for the newest one.
     AcceptsStaleHeartbeats,
-    /// A task that failed passes for one that is done.
+    /// A failed task is reported as done.
     ReportsErrorsAsDone,
-    /// A machine's new session passes for the one before, and what ran in that for what runs on.
+    /// A machine's new incarnation is taken for the previous one, with its tasks still running.
     MissesMachineRestarts,
-    /// A machine's lease is renewed by the sending of a report, whether an answer comes or not.
+    /// A machine renews its lease when it sends a heartbeat, whether it gets a reply or not.
     RenewsLeaseBySending,
-    /// A transaction without an answer passes for one that was not executed, and what it wrote is not read.
+    /// A transaction without a response is taken for not executed, and the keys that it wrote are not read.
     NeverReadsInDoubtWrites,
-    /// A late copy of a report to an earlier owner passes for a report to this one.
+    /// A duplicate of a heartbeat to an earlier leader is taken for a heartbeat to this one.
     AcceptsStaleTokens,
-    /// A machine passes for empty when the answer to its rental comes.
+    /// A machine is taken for empty when the response to its rental arrives.
     TreatsRentedAsEmpty,
-    /// A start without an answer passes for one that never arrives.
+    /// A start command without a response is taken for one that never arrives.
     TreatsUnansweredStartsAsLost,
-    /// A running task of a job whose needs were not read yet passes for gone.
+    /// Running tasks of a job are taken for gone while its dependencies have not been read.
     TreatsUnreadDependenciesAsOpen,
 }
--- a/crates/model/src/users.rs
+++ b/crates/model/src/users.rs
@@ -1,4 +1,4 @@
-//! Users: what they submit, ask and cancel, and what they are told.
+//! Users: their submissions, polls and cancellations, and the answers to them.
 
 use crate::transactions::Submitted;
 use crate::trouble::WrongDecision;
@@ -14,23 +14,27 @@
     pub(crate) spec: JobRequest,
     pub(crate) accepted: Option<f64>,
     pub(crate) cancel_at: Option<f64>,
-    /// Another job waits for it: its user does not cancel it.
+    /// Another job depends on it: its user does not cancel it.
     pub(crate) has_dependents: bool,
+    /// The last state reported to its user.
     pub(crate) last_state: Option<JobState>,
+    /// When its cancellation was first confirmed; `f64::MAX`: never.
     pub(crate) cancellation_confirmed_at: f64,
+    /// When its user last got an answer with a state.
     pub(crate) answered: f64,
     pub(crate) next_poll: f64,
+    /// Numbers of the tasks that are done.
     pub(crate) done: BTreeSet<u32>,
-    /// Since when all that it needs is done.
+    /// Since when all its dependencies are done.
     pub(crate) ready_since: Option<f64>,
-    /// When its first task ran.
+    /// When its first task began to run.
     pub(crate) begun: Option<f64>,
-    /// Since when it waits while a machine has room for it, after all troubles.
+    /// Since when, after the last fault, it waits while a machine has free capacity for it.
     pub(crate) waits_since: Option<f64>,
 }
 
 impl Job {
-    /// A job that is about to be submitted.
+    /// Returns a job that is about to be submitted.
     pub(crate) fn new(spec: JobRequest, cancel_at: Option<f64>, now: f64) -> Job {
         Job {
             spec,
@@ -48,17 +52,19 @@
         }
     }
 
+    /// Returns the CPUs of all its tasks together.
     pub(crate) fn cpus(&self) -> f64 {
         f64::from(self.spec.tasks) * self.spec.cpus
     }
 }
 
+/// Returns whether all tasks of a job are done.
 pub(crate) fn job_done(j: &Job) -> bool {
     j.done.len() == j.spec.tasks as usize
 }
 
 impl World {
-    /// What this controller's leader side says: None, it cannot say anything.
+    /// Returns the answer of a controller as the leader of a job's shard; `None` if it cannot answer.
     pub(crate) fn leader_status(&mut self, node: usize, c: usize, id: &str, cancel: bool) -> Option<Answer> {
         let now = self.now;
         let reaches_state_service = self.reaches_state_service(node);
@@ -71,17 +77,18 @@
         }
         match s.job_view(id) {
             Some(JobView::Visible(state, ..)) => {
-                let early = self.wrong_decision == Some(WrongDecision::ReportsDoneEarly) && state == JobState::Running;
-                Some(Answer::known(if early { JobState::Done } else { state }))
+                let reports_early =
+                    self.wrong_decision == Some(WrongDecision::ReportsDoneEarly) && state == JobState::Running;
+                Some(Answer::known(if reports_early { JobState::Done } else { state }))
             }
             Some(JobView::Committing) => None,
-            None if reaches_state_service => self.record_says(id, cancel),
+            None if reaches_state_service => self.answer_from_record(id, cancel),
             None => None,
         }
     }
 
-    /// What the job's record says: None, it allows no answer to a cancellation.
-    pub(crate) fn record_says(&mut self, id: &str, cancel: bool) -> Option<Answer> {
+    /// Returns the answer by the job's record; `None` if the record does not answer a cancellation.
+    pub(crate) fn answer_from_record(&mut self, id: &str, cancel: bool) -> Option<Answer> {
         self.observe_read(&job_key(id));
         let Some(record) = self.store.job(id) else { return Some(Answer::ABSENT) };
         match record.phase {
@@ -91,19 +98,19 @@
         }
     }
 
-    /// A user's request to one controller, and what comes of it. Returns the state that it is told, if any.
+    /// Sends a user's request to one controller and handles the answer. Returns the reported state, if any.
     pub(crate) fn request(&mut self, node: usize, id: &str, request: Request) -> Option<JobState> {
         let answer = match request {
             Request::Poll => self.lookup(node, id, false),
             Request::Cancel => self.lookup(node, id, true),
             Request::Submit { .. } => self.resubmit(node, id),
         };
-        let cancelled = self.wrong_decision == Some(WrongDecision::ReportsCancelledAsRunning)
+        let hides_cancellation = self.wrong_decision == Some(WrongDecision::ReportsCancelledAsRunning)
             && self.jobs[id].last_state == Some(JobState::Cancelled);
-        let answer = answer.map(|a| if cancelled { Answer::known(JobState::Running) } else { a });
+        let answer = answer.map(|a| if hides_cancellation { Answer::known(JobState::Running) } else { a });
         let is_open = matches!(answer.and_then(Answer::told), Some(JobState::Queued | JobState::Running));
         if request == Request::Cancel && is_open {
-            // A cancellation is answered once it is stored. Until then this is what a poll hears.
+            // A cancellation is answered once it is stored. Until then the answer counts as that of a poll.
             let _unanswered = self.history.sent(id, node, request);
             self.record_answer(node, id, Request::Poll, answer);
         } else {
@@ -114,7 +121,7 @@
         Some(state)
     }
 
-    /// Notes a request that is answered at once or never, and breaks a rule if the answer does.
+    /// Records a request that is answered at once or never, and a violation if the answer is one.
     pub(crate) fn record_answer(&mut self, node: usize, id: &str, request: Request, answer: Option<Answer>) {
         if self.jobs.get(id).is_some_and(job_done) {
             self.history.tasks_done(id);
@@ -126,7 +133,7 @@
         violation.into_iter().for_each(|v| self.record_violation(v));
     }
 
-    /// A user hears a job's state.
+    /// Records a job's state that was reported to its user.
     fn record_state(&mut self, id: &str, state: JobState) {
         let now = self.now;
         let Some(j) = self.jobs.get_mut(id) else { return };
@@ -143,7 +150,7 @@
         }
     }
 
-    /// What this controller answers to a poll or a cancellation, if anything.
+    /// Returns the answer of a controller to a poll or a cancellation, if any.
     pub(crate) fn lookup(&mut self, node: usize, id: &str, cancel: bool) -> Option<Answer> {
         let now = self.now;
         if cancel {
@@ -159,28 +166,30 @@
             return Some(Answer::known(JobState::Queued));
         }
         let Some(c) = self.shard_of_job(node, id) else {
-            // Without a record there is no shard: that is the answer, where the state service says so.
+            // A job without a record has no shard. If the state service confirms that there is none, the answer is 404.
             let absent = self.reaches_state_service(node) && self.store.job(id).is_none();
-            return if absent { self.record_says(id, cancel) } else { None };
+            return if absent { self.answer_from_record(id, cancel) } else { None };
         };
-        let owns = self.nodes[node].cells[c].valid_token(now).is_some();
-        if owns {
+        let leads = self.nodes[node].slots[c].valid_token(now).is_some();
+        if leads {
             return self.leader_status(node, c, id, cancel);
         }
         if let Some(o) = self.leader_known_to(node, c)
             && self.peers_connected(node, o)
-            && let Some(said) = self.leader_status(o, c, id, cancel)
+            && let Some(answer) = self.leader_status(o, c, id, cancel)
         {
-            return Some(said);
+            return Some(answer);
         }
-        if self.reaches_state_service(node) { self.record_says(id, cancel) } else { None }
+        if self.reaches_state_service(node) { self.answer_from_record(id, cancel) } else { None }
     }
 
-    pub(crate) fn peers_connected(&self, a: usize, b: usize) -> bool {
+    /// Returns whether a controller reaches another one that runs.
+    pub(crate) fn peers_connected(&self, from: usize, to: usize) -> bool {
         let now = self.now;
-        self.nodes[b].runs(now) && now >= self.nodes[a].peers_lost_until && now >= self.nodes[b].peers_lost_until
+        self.nodes[to].runs(now) && now >= self.nodes[from].peers_lost_until && now >= self.nodes[to].peers_lost_until
     }
 
+    /// Lets users send the submissions, cancellations and polls that are due.
     pub(crate) fn step_users(&mut self) {
         let now = self.now;
         let ids: Vec<String> = self.jobs.keys().cloned().collect();
@@ -193,7 +202,7 @@
                     continue;
                 }
                 let mut record = JobRecord::accepted(job.spec.clone(), (now * 1000.0) as u64);
-                if self.cells > 1 {
+                if self.shard_count > 1 {
                     record.shard = Some(n.shared_state.rebalance_plan.0.home(&self.plan, &job.spec.team).0);
                 }
                 let value = serde_json::to_value(&record).expect("a record");
@@ -202,26 +211,26 @@
                 continue;
             }
             let cancels = job.cancel_at.is_some_and(|t| now >= t) && job.cancellation_confirmed_at == f64::MAX;
-            let over = matches!(job.last_state, Some(JobState::Done | JobState::Cancelled));
-            if now < job.next_poll || over && self.rng.u8(..) > 20 {
+            let has_ended = matches!(job.last_state, Some(JobState::Done | JobState::Cancelled));
+            if now < job.next_poll || has_ended && self.rng.u8(..) > 20 {
                 continue;
             }
             if let Some(j) = self.jobs.get_mut(&id) {
                 j.next_poll = now + if cancels { 1.0 } else { 5.0 };
             }
-            self.request(node, &id, if cancels && !over { Request::Cancel } else { Request::Poll });
+            self.request(node, &id, if cancels && !has_ended { Request::Cancel } else { Request::Poll });
         }
     }
 
-    /// A submission of a job of which its user does not know yet that it is accepted. The answer may be lost;
-    /// the repetition finds it accepted.
+    /// Submits a job whose acceptance its user does not know yet. If the response is lost, the repeated submission
+    /// finds the job accepted.
     fn submit_first(&mut self, node: usize, id: &str, change: Mutation) {
         let now = self.now;
         let outcome = self.submit(id, change);
         let answer = match outcome {
             Submitted::Unanswered => None,
             Submitted::Stored => Some(Answer::ACCEPTED),
-            Submitted::Known => self.record_says(id, false),
+            Submitted::Known => self.answer_from_record(id, false),
         };
         self.record_answer(node, id, Request::SUBMIT, answer);
         let Some(j) = self.jobs.get_mut(id) else { return };
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -67,7 +67,7 @@
 /// The state of the simulated cluster.
 pub(crate) struct World {
     pub(crate) now: f64,
-    pub(crate) cells: usize,
+    pub(crate) shard_count: usize,
     pub(crate) plan: ShardingPlan,
     pub(crate) rng: Rng,
     pub(crate) controllers: usize,
@@ -117,9 +117,9 @@
 
 impl World {
     pub(crate) fn new(seed: u64, scenario: &Scenario, wrong_decision: Option<WrongDecision>) -> World {
-        let (cells, controllers) = (scenario.cells as usize, scenario.controllers);
+        let (shard_count, controllers) = (scenario.cells as usize, scenario.controllers);
         let mut plan = ShardingPlan::of(scenario.cells);
-        if cells > 1 {
+        if shard_count > 1 {
             let home =
                 |(i, t): (usize, &scenario::Team)| TeamHome { name: t.name.clone(), cell: i as u32 % scenario.cells };
             plan.teams = scenario.teams.iter().enumerate().map(home).collect();
@@ -127,7 +127,7 @@
         }
         let mut world = World {
             now: 0.0,
-            cells,
+            shard_count,
             controllers,
             plan,
             rng: Rng::with_seed(seed),
@@ -148,7 +148,7 @@
             faults_until: 0.0,
             wrong_decision,
             broken: None,
-            counts: Counts::of(cells, controllers),
+            counts: Counts::of(shard_count, controllers),
             fault_rng: Rng::with_seed(seed.rotate_left(32) ^ 0x5eed),
             pipeline_rng: Rng::with_seed(seed.rotate_left(16) ^ 0x9199),
             active_faults: ActiveFaults::default(),
@@ -174,17 +174,17 @@
                     0.0
                 },
                 generation: 0,
-                cells: Vec::new(),
+                slots: Vec::new(),
                 shared_state: SharedState::default(),
                 shared_state_read_at: -10.0,
                 shard_by_job: HashMap::new(),
                 shard_by_machine: HashMap::new(),
             });
-            world.nodes[i].begin(cells);
+            world.nodes[i].begin(shard_count);
         }
-        if cells > 1 {
+        if shard_count > 1 {
             // The state when the sharding plan takes effect, before any task runs.
-            let ledger = Ledger::new(&team_limits_by_name(&world.params.teams), cells as u32, ShardId(0));
+            let ledger = Ledger::new(&team_limits_by_name(&world.params.teams), shard_count as u32, ShardId(0));
             world.store.commit(&[], &[put(LEDGER_KEY, &ledger)], None);
         }
         for i in 0..scenario.machines {
@@ -293,7 +293,7 @@
             FaultKind::WritesDelayed => self.state_service_faults.writes_delayed_until = until,
             FaultKind::WriteResponsesLost => self.state_service_faults.responses_lost_until = until,
             FaultKind::SlowStateService => self.state_service_faults.slow_until = until,
-            FaultKind::LeaderStepsDown => (0..self.cells).for_each(|shard| self.step_down_if_leader(node, shard)),
+            FaultKind::LeaderStepsDown => (0..self.shard_count).for_each(|shard| self.step_down_if_leader(node, shard)),
             FaultKind::AllControllersRestart | FaultKind::AllControllersDown => {
                 let first_back = (fault.kind == FaultKind::AllControllersRestart).then_some(node);
                 for i in 0..self.controllers {
@@ -317,27 +317,31 @@
 
     /// Returns the controller that the number in a fault stands for.
     fn controller_of(&mut self, which: usize) -> usize {
-        let cell = which.wrapping_sub(LEADER);
-        if cell < self.cells {
-            let owns = |n: &Node| n.cells[cell].valid_token(self.now).is_some();
+        let shard_index = which.wrapping_sub(LEADER);
+        if shard_index < self.shard_count {
+            let owns = |n: &Node| n.slots[shard_index].valid_token(self.now).is_some();
             let leader = self.nodes.iter().position(owns).unwrap_or(self.last_faulted_leader);
             self.last_faulted_leader = leader;
         }
-        if cell < self.cells || which == SAME_LEADER { self.last_faulted_leader } else { which % self.controllers }
+        if shard_index < self.shard_count || which == SAME_LEADER {
+            self.last_faulted_leader
+        } else {
+            which % self.controllers
+        }
     }
 
     /// Ends a controller's process and starts a new one after `back_after_s`.
-    fn restart_controller(&mut self, n: usize, back_after_s: f64) {
-        let node = &mut self.nodes[n];
-        node.restarts_at = self.now + back_after_s;
-        node.generation += 1;
-        node.begin(self.cells);
+    fn restart_controller(&mut self, node: usize, back_after_s: f64) {
+        let controller = &mut self.nodes[node];
+        controller.restarts_at = self.now + back_after_s;
+        controller.generation += 1;
+        controller.begin(self.shard_count);
     }
 
     /// Makes a controller step down as the leader of a shard, if it leads it.
-    fn step_down_if_leader(&mut self, n: usize, cell: usize) {
-        if self.nodes[n].runs(self.now) && self.nodes[n].cells[cell].election.token().is_some() {
-            self.step_down(n, cell);
+    fn step_down_if_leader(&mut self, node: usize, shard_index: usize) {
+        if self.nodes[node].runs(self.now) && self.nodes[node].slots[shard_index].election.token().is_some() {
+            self.step_down(node, shard_index);
         }
     }
 
--- a/crates/model/src/wrong_decisions.rs
+++ b/crates/model/src/wrong_decisions.rs
@@ -68,7 +68,7 @@
                 heartbeat.tasks.retain(|t| asked(&t.task).is_none());
             }
             Some(WrongDecision::AcceptsStaleTokens) if copy => {
-                let tokens = self.nodes[node].cells.iter().filter_map(|held| Some(held.shard.as_ref()?.token));
+                let tokens = self.nodes[node].slots.iter().filter_map(|held| Some(held.shard.as_ref()?.token));
                 heartbeat.token = tokens.max().unwrap_or(heartbeat.token);
             }
             Some(WrongDecision::TreatsUnreadDependenciesAsOpen) => self.drop_waiting_tasks(node, &mut heartbeat),
@@ -80,14 +80,14 @@
 
     /// Removes running tasks of jobs that wait for dependencies in the view of the leader.
     fn drop_waiting_tasks(&self, node: usize, heartbeat: &mut Heartbeat) {
-        let shards = || self.nodes[node].cells.iter().filter_map(|held| held.shard.as_ref());
+        let shards = || self.nodes[node].slots.iter().filter_map(|held| held.shard.as_ref());
         let waits = |id: &str| shards().any(|s| s.jobs.find(id).is_some_and(|j| s.dependencies.is_waiting(j)));
         heartbeat.tasks.retain(|t| t.state == TaskState::Exited || !t.task.split('/').next().is_some_and(waits));
     }
 
     /// Replaces the incarnation by the one that the leader knows, and adds the tasks that ran in it.
     fn hide_restart(&self, node: usize, heartbeat: &mut Heartbeat) {
-        let shards = || self.nodes[node].cells.iter().filter_map(|held| held.shard.as_ref());
+        let shards = || self.nodes[node].slots.iter().filter_map(|held| held.shard.as_ref());
         let machine_in = |s: &'_ Shard| s.machines.find(&heartbeat.machine);
         let Some((shard, machine)) = shards().find_map(|s| Some((s, &s.machines[machine_in(s)?]))) else { return };
         if machine.incarnation == 0 {
@@ -151,12 +151,12 @@
     }
 
     /// Makes the leader take the incarnation of a machine for ended when its heartbeats stop.
-    pub(crate) fn apply_wrong_silence_decision(&mut self, node: usize, cell: usize) {
+    pub(crate) fn apply_wrong_silence_decision(&mut self, node: usize, shard_index: usize) {
         if self.wrong_decision != Some(WrongDecision::TreatsSilenceAsIncarnationEnd) {
             return;
         }
         let now = self.now;
-        let Some(shard) = &mut self.nodes[node].cells[cell].shard else { return };
+        let Some(shard) = &mut self.nodes[node].slots[shard_index].shard else { return };
         let present: Vec<_> = shard.machines.present.iter().copied().collect();
         for m in present {
             let known = &shard.machines[m];
--- a/crates/model/tests/wrong_decisions.rs
+++ b/crates/model/tests/wrong_decisions.rs
@@ -33,7 +33,7 @@
 fn a_cancelled_task_that_goes_on_after_its_machine_hung() {
     let faults: Vec<InjectedFault> =
         (0..4).map(|n| fault(15.0 + 6.0 * f64::from(n), FaultKind::CancelRunningJobs, 7, 4.0)).collect();
-    is_seen(WrongDecision::IgnoresStopsAfterHang, &Scenario::default(), &faults, "went on after it hung");
+    is_seen(WrongDecision::IgnoresStopsAfterHang, &Scenario::default(), &faults, "resumed after a hang");
 }
 
 #[test]
