--- a/crates/histories/src/job.rs
+++ b/crates/histories/src/job.rs
@@ -1,11 +1,11 @@
-//! What is known of one job, and whether an answer about it may follow.
+//! The history of one job, and the check whether an answer about it is allowed.
 
 use crate::operation::{Answer, Operation, Request};
 use crate::violation::Rule;
 use lupinspur_wire::JobState;
 use std::fmt;
 
-/// The most that any user was told of a job by a certain moment: what binds every later answer.
+/// The most that any user has learned about a job by a certain time. Every later answer has to agree with it.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Known {
     #[default]
@@ -16,15 +16,15 @@
 }
 
 impl Known {
-    fn told_by(answer: Answer) -> Known {
-        match answer.told() {
+    fn reported_by(answer: Answer) -> Known {
+        match answer.reported_state() {
             None => Known::Nothing,
             Some(end @ (JobState::Done | JobState::Cancelled)) => Known::Ended(end),
             Some(JobState::Queued | JobState::Running) => Known::Accepted,
         }
     }
 
-    /// With what else was told; of two ends the first stays.
+    /// Returns the combination of both; of two ends the first one stays.
     fn with(self, other: Known) -> Known {
         match (self, other) {
             (Known::Ended(_), _) | (_, Known::Nothing) => self,
@@ -47,23 +47,24 @@
 #[derive(Debug, Default)]
 pub(crate) struct JobHistory {
     pub(crate) operations: Vec<Operation>,
-    /// What is known now.
+    /// What users know now.
     pub(crate) known: Known,
-    /// What was known when each of the operations was sent.
+    /// What users knew when each of the operations was sent.
     pub(crate) known_when_sent: Vec<Known>,
-    /// Submissions that can run and were not refused so far.
-    hopeful_submissions: usize,
+    /// Number of valid submissions that were not refused so far.
+    acceptable_submissions: usize,
     cancel_sent: bool,
     /// All its tasks are done, as the machines see it.
     pub(crate) tasks_done: bool,
-    /// Jobs that have to be done before it starts.
+    /// Jobs that have to be done before this one starts.
     pub(crate) dependencies: Vec<String>,
 }
 
 impl JobHistory {
+    /// Records a request and returns its index.
     pub(crate) fn sent(&mut self, operation: Operation) -> usize {
         match operation.request {
-            Request::Submit { unfit: None } => self.hopeful_submissions += 1,
+            Request::Submit { unfit: None } => self.acceptable_submissions += 1,
             Request::Cancel => self.cancel_sent = true,
             Request::Submit { unfit: Some(_) } | Request::Poll => {}
         }
@@ -72,65 +73,73 @@
         self.operations.len() - 1
     }
 
-    /// Has its user asked to cancel it, to no avail or not yet too late?
+    /// Returns whether a cancellation was requested and the job is not known to be done.
     pub(crate) fn may_be_cancelled(&self) -> bool {
         self.cancel_sent && self.known != Known::Ended(JobState::Done)
     }
 
-    /// Notes an answer; returns the rule that it breaks. `cancelled_with_need`: a job that it needs may be
-    /// cancelled.
+    /// Records an answer and returns the rule that it violates, if any. `cancelled_with_dependency`: a dependency of
+    /// the job may have been cancelled.
     pub(crate) fn answered(
         &mut self,
         index: usize,
         answer: Answer,
         at: u64,
-        cancelled_with_need: bool,
+        cancelled_with_dependency: bool,
     ) -> Option<Rule> {
         let request = self.operations[index].request;
         self.operations[index].answered = Some((at, answer));
         if answer.is_refusal() && request == Request::SUBMIT {
-            self.hopeful_submissions -= 1;
+            self.acceptable_submissions -= 1;
         }
-        let broken = self.judge(request, answer, self.known_when_sent[index], cancelled_with_need);
-        self.known = self.known.with(Known::told_by(answer));
-        broken
+        let violated = self.violated_rule(request, answer, self.known_when_sent[index], cancelled_with_dependency);
+        self.known = self.known.with(Known::reported_by(answer));
+        violated
     }
 
-    fn judge(&self, request: Request, answer: Answer, before: Known, cancelled_with_need: bool) -> Option<Rule> {
+    fn violated_rule(
+        &self,
+        request: Request,
+        answer: Answer,
+        before: Known,
+        cancelled_with_dependency: bool,
+    ) -> Option<Rule> {
         match (request, answer.status, answer.state) {
             (_, 200 | 201, None) | (Request::Poll | Request::Cancel, 201, _) => Some(Rule::Malformed),
-            (_, 200 | 201, Some(state)) => self.judge_state(request, answer, state, before, cancelled_with_need),
+            (_, 200 | 201, Some(state)) => {
+                self.rule_violated_by_state(request, answer, state, before, cancelled_with_dependency)
+            }
             (Request::Submit { unfit: None }, 400 | 422, _) => {
                 Some(if before == Known::Nothing { Rule::Refused } else { Rule::Forgotten })
             }
             (Request::Submit { unfit: Some(_) }, 400 | 422, _) => None,
             (Request::Submit { .. }, 404, _) | (Request::Poll | Request::Cancel, 400 | 422, _) => Some(Rule::Malformed),
             (Request::Poll | Request::Cancel, 404, _) => (before != Known::Nothing).then_some(Rule::Forgotten),
-            // The controller cannot tell now, and the user asks again.
+            // The controller cannot answer now, and the user repeats the request.
             _ => None,
         }
     }
 
-    fn judge_state(
+    fn rule_violated_by_state(
         &self,
         request: Request,
         answer: Answer,
         state: JobState,
         before: Known,
-        cancelled_with_need: bool,
+        cancelled_with_dependency: bool,
     ) -> Option<Rule> {
-        if self.hopeful_submissions == 0 {
+        if self.acceptable_submissions == 0 {
             let unfit = matches!(request, Request::Submit { unfit: Some(_) });
             return Some(if unfit { Rule::AcceptedUnfit } else { Rule::Invented });
         }
-        // What is done or cancelled remains so: also requests that overlap cannot hear of two ends.
-        let other_end = matches!((self.known, Known::told_by(answer)),
+        // A job that is done or cancelled remains so: even overlapping requests must not be answered with different ends.
+        let other_end = matches!((self.known, Known::reported_by(answer)),
             (Known::Ended(a), Known::Ended(b)) if a != b);
         if other_end || matches!(before, Known::Ended(end) if end != state) {
             return Some(Rule::WentBack);
         }
         match state {
-            JobState::Cancelled if !self.cancel_sent && !cancelled_with_need => return Some(Rule::WentBack),
+            JobState::Cancelled if !self.cancel_sent && !cancelled_with_dependency => return Some(Rule::WentBack),
             JobState::Done if !self.tasks_done => return Some(Rule::NotDone),
             JobState::Queued | JobState::Running if request == Request::Cancel => return Some(Rule::NotCancelled),
             _ => {}
--- a/crates/histories/src/lib.rs
+++ b/crates/histories/src/lib.rs
@@ -1,18 +1,18 @@
-//! Histories of what users asked about their jobs and what they were answered, by any controller, and the check
-//! that no answer breaks a rule of the protocol. No I/O and no clock: the model and the tests over loopback
-//! record the same events and are judged alike.
+//! Histories of users' requests about their jobs and the answers of all controllers, and the check that no answer
+//! violates a rule of the protocol. No I/O and no clock: the simulation and the loopback tests record the same events
+//! and are checked by the same rules.
 //!
-//! Events are recorded in the order in which they happen. That order is the real time of a history: an answer
-//! that was *received* before another request was *sent* binds the answer to the latter. Requests that overlap
-//! may be answered in either order.
+//! Events are recorded in the order in which they happen, and this order stands for real time: the answer to a request
+//! has to agree with every answer that was *received* before the request was *sent*. Overlapping requests may be
+//! answered in either order.
 //!
-//! Only three things that a user was told bind later answers: that the job is accepted, done or cancelled.
-//! `running` and `queued` may follow one another, and counts of tasks are for display.
+//! Later answers have to agree with three facts only: that the job is accepted, done or cancelled. `running` and `queued`
+//! may follow one another, and counts of tasks are for display.
 //!
 //! - [`operation`]: requests and answers
-//! - [`history`]: the recorder, which judges each answer when it is received
-//! - `job`: what is known of one job, and the judgement
-//! - [`violation`]: the rules, and what broke one
+//! - [`history`]: the recorder, which checks each answer when it is received
+//! - `job`: the history of one job, and the check of its answers
+//! - [`violation`]: the rules, and answers that violate one
 
 pub mod history;
 mod job;
--- a/crates/histories/src/operation.rs
+++ b/crates/histories/src/operation.rs
@@ -3,7 +3,7 @@
 use lupinspur_wire::JobState;
 use std::fmt;
 
-/// Why no controller may accept a submission.
+/// Why every controller has to refuse a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unfit {
     LacksField,
@@ -19,10 +19,10 @@
     }
 }
 
-/// What a user asks of a controller.
+/// A request of a user to a controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Request {
-    /// The first submission of a job or a repetition; `unfit`: it has to be refused.
+    /// The first submission of a job or a repeated one; `unfit`: why it has to be refused.
     Submit {
         unfit: Option<Unfit>,
     },
@@ -46,7 +46,7 @@
     }
 }
 
-/// An answer: its status, and the job's state if it tells one.
+/// An answer: its HTTP status, and the job's state if the body has one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Answer {
     pub status: u16,
@@ -54,28 +54,30 @@
 }
 
 impl Answer {
-    /// The job is known, and this is its state.
+    /// Returns the answer that a job is known and has this state.
     pub fn known(state: JobState) -> Answer {
         Answer { status: 200, state: Some(state) }
     }
 
-    /// The job is accepted by this very submission.
+    /// The job is accepted by this submission.
     pub const ACCEPTED: Answer = Answer { status: 201, state: Some(JobState::Queued) };
     /// No such job was accepted.
     pub const ABSENT: Answer = Answer { status: 404, state: None };
     /// The submission can never run.
     pub const REFUSED: Answer = Answer { status: 422, state: None };
 
+    /// Returns whether the status is 200 or 201.
     pub fn is_success(self) -> bool {
         matches!(self.status, 200 | 201)
     }
 
+    /// Returns whether the status refuses a submission.
     pub fn is_refusal(self) -> bool {
         matches!(self.status, 400 | 422)
     }
 
-    /// The state that a successful answer tells.
-    pub fn told(self) -> Option<JobState> {
+    /// Returns the state in a successful answer.
+    pub fn reported_state(self) -> Option<JobState> {
         self.state.filter(|_| self.is_success())
     }
 }
@@ -95,6 +97,6 @@
     pub request: Request,
     pub node: usize,
     pub sent: u64,
-    /// When the answer was received, and what it was; none: there was no answer.
+    /// The number of the event in which the answer was received, and the answer; `None`: there was no answer.
     pub answered: Option<(u64, Answer)>,
 }
--- a/crates/histories/src/violation.rs
+++ b/crates/histories/src/violation.rs
@@ -1,33 +1,34 @@
-//! Rules about answers, and answers that break one.
+//! Rules about answers, and answers that violate one.
 
 use crate::operation::{Answer, Request};
 use std::fmt;
 
-/// A rule of the protocol about answers to users; the first four are named as the operators name them.
+/// A rule of the protocol about answers to users; the first four have the names that the operators use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// An accepted job gets 404, or a repeated submission of it is refused.
+    /// A request about an accepted job is answered with 404, or its repeated submission is refused.
     Forgotten,
-    /// A job that nobody submitted, or whose submissions were all refused, is known.
+    /// A job that was never submitted, or whose submissions were all refused, has a state.
     Invented,
-    /// A job is called done before every one of its tasks is.
+    /// A job is reported as done before all its tasks are done.
     NotDone,
-    /// A job that was called done or cancelled is then called something else, or is called cancelled though
-    /// nobody cancelled it or a job that it needs.
+    /// A job that was reported as done or cancelled gets another state, or a job is reported as cancelled although no
+    /// cancellation of it or of one of its dependencies was requested.
     WentBack,
     /// A submission that cannot run or lacks a field is accepted.
     AcceptedUnfit,
     /// A submission that can run is refused although the job was not accepted before.
     Refused,
-    /// A job that was accepted is accepted as new once more.
+    /// An accepted job is accepted as new again.
     AcceptedTwice,
     /// A cancellation is answered with a state that is neither done nor cancelled.
     NotCancelled,
-    /// The answer tells no state though its status says that it does, or its status does not belong to the request.
+    /// The answer lacks the state that its status promises, or has a status that does not belong to the request.
     Malformed,
 }
 
 impl Rule {
+    /// Returns the name of the rule in messages.
     pub fn as_str(self) -> &'static str {
         match self {
             Rule::Forgotten => "forgotten",
@@ -43,7 +44,7 @@
     }
 }
 
-/// An answer that breaks a rule.
+/// An answer that violates a rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
     pub rule: Rule,
@@ -51,10 +52,10 @@
     pub node: usize,
     pub request: Request,
     pub answer: Answer,
-    /// When the request was sent and its answer received, by the numbers of events.
+    /// Numbers of the events in which the request was sent and its answer received.
     pub sent: u64,
     pub received: u64,
-    /// What had been known when the request was sent.
+    /// What users knew about the job when the request was sent.
     pub known: String,
 }
 
--- a/crates/histories/tests/rules.rs
+++ b/crates/histories/tests/rules.rs
@@ -1,4 +1,4 @@
-//! Each violation is found, and each history that the protocol allows passes.
+//! Each kind of violation is found, and histories that the protocol allows pass.
 
 use lupinspur_histories::{Answer, History, Known, Pending, Request, Rule, Unfit};
 use lupinspur_wire::JobState::{self, Cancelled, Done, Queued, Running};
@@ -6,7 +6,7 @@
 const JOB: &str = "req-0001";
 const UNABLE: Answer = Answer { status: 503, state: None };
 
-/// Asks controller `node` and gets the answer before anything else happens.
+/// Sends a request to controller `node` and receives the answer before any other event.
 fn ask(h: &mut History, node: usize, request: Request, answer: Answer) -> Option<Rule> {
     let pending = h.sent(JOB, node, request);
     h.answered(pending, answer).map(|v| v.rule)
@@ -46,7 +46,7 @@
 #[test]
 fn a_whole_life_passes() {
     let mut h = History::default();
-    assert_eq!(ask(&mut h, 1, Request::Poll, Answer::ABSENT), None, "nobody submitted it yet");
+    assert_eq!(ask(&mut h, 1, Request::Poll, Answer::ABSENT), None, "it is not submitted yet");
     assert_eq!(submit(&mut h, UNABLE), None);
     assert_eq!(submit(&mut h, Answer::ACCEPTED), None);
     for state in [Queued, Running, Queued, Running] {
@@ -54,7 +54,7 @@
         assert_eq!(submit(&mut h, Answer::known(state)), None);
     }
     h.tasks_done(JOB);
-    assert_eq!(poll(&mut h, Running), None, "done may be told late");
+    assert_eq!(poll(&mut h, Running), None, "done may be reported late");
     assert_eq!(cancel(&mut h, Answer::known(Done)), None);
     assert_eq!(submit(&mut h, Answer::known(Done)), None);
     assert_eq!(cancel(&mut h, UNABLE), None);
@@ -119,14 +119,14 @@
         h.dependencies("req-0002", &["req-0003".to_owned()]);
         h
     };
-    assert_eq!(poll(&mut chain(), Cancelled), Some(Rule::WentBack), "nobody cancelled any of them");
+    assert_eq!(poll(&mut chain(), Cancelled), Some(Rule::WentBack), "none of them was cancelled");
     for dependency in ["req-0002", "req-0003"] {
         let mut h = chain();
         let _pending = h.sent(dependency, 0, Request::Cancel);
         assert_eq!(poll(&mut h, Cancelled), None, "with {dependency}");
         assert_eq!(poll(&mut h, Running), Some(Rule::WentBack));
     }
-    // A need that is done dooms nothing.
+    // A dependency that is done is not cancelled, and neither is the job that depends on it.
     let mut h = chain();
     let submission = h.sent("req-0002", 0, Request::SUBMIT);
     h.answered(submission, Answer::ACCEPTED);
@@ -163,7 +163,7 @@
         let mut h = History::default();
         assert_eq!(ask(&mut h, 0, unfit, Answer::ACCEPTED), Some(Rule::AcceptedUnfit));
         assert!(h.violations()[0].to_string().contains(&why.to_string()), "{}", h.violations()[0]);
-        // An unfit repetition of a job that was accepted may be refused, or answered as any other.
+        // An unfit repeated submission of an accepted job may be refused, or answered like any other.
         assert_eq!(ask(&mut accepted(), 0, unfit, Answer::REFUSED), None);
         assert_eq!(ask(&mut accepted(), 0, unfit, Answer::known(Queued)), None);
     }
@@ -197,7 +197,7 @@
     assert_eq!(submit(&mut accepted(), Answer::ABSENT), Some(Rule::Malformed));
 }
 
-/// Requests that overlap an answer may still hear what was before it.
+/// A request that was sent before an answer was received may still be answered with the earlier state.
 #[test]
 fn overlapping_requests_are_answered_in_either_order() {
     let mut h = History::default();
@@ -214,7 +214,7 @@
     assert!(h.answered(later, Answer::known(Running)).is_some_and(|v| v.rule == Rule::WentBack));
 }
 
-/// What ended stays so: two ends are told by nobody, in whatever order.
+/// A job has one end: even overlapping requests must not be answered with two different ends.
 #[test]
 fn overlapping_requests_hear_of_one_end_only() {
     let mut h = accepted();
--- a/crates/model/src/machines.rs
+++ b/crates/model/src/machines.rs
@@ -118,14 +118,14 @@
         if lease_expired {
             self.observe_loss(index);
         }
-        let m = &mut self.machines[index];
+        let machine = &mut self.machines[index];
         if lease_expired {
-            m.tasks.clear();
-            m.incarnation += 1;
-            (m.lease_renewed_at, m.pending_heartbeat) = (now, None);
+            machine.tasks.clear();
+            machine.incarnation += 1;
+            (machine.lease_renewed_at, machine.pending_heartbeat) = (now, None);
         }
         let mut changed = false;
-        for (name, t) in &mut m.tasks {
+        for (name, t) in &mut machine.tasks {
             let (job, n) = name.split_once('/').expect("a task");
             let is_stored = self.jobs.get(job).is_some_and(|j| j.done.contains(&n.parse().expect("a number")));
             let next = match t.phase {
@@ -137,7 +137,7 @@
                         TaskPhase::Running(now)
                     }
                 }
-                TaskPhase::Running(_) if now < m.tasks_fail_until => TaskPhase::Ended("error"),
+                TaskPhase::Running(_) if now < machine.tasks_fail_until => TaskPhase::Ended("error"),
                 TaskPhase::Flushing(until) if now >= until => TaskPhase::Ended("stopped"),
                 s => s,
             };
@@ -146,7 +146,7 @@
         }
         // Tasks of arrays complete; services run until they are stopped.
         let work = self.scenario.work;
-        let ended: Vec<String> = m
+        let ended: Vec<String> = machine
             .tasks
             .iter()
             .filter(
@@ -170,37 +170,41 @@
             changed = true;
         }
         self.check_starts(index);
-        let m = &mut self.machines[index];
+        let machine = &mut self.machines[index];
         if changed {
-            m.next_report = m.next_report.min(now + 0.5);
+            machine.next_report = machine.next_report.min(now + 0.5);
         }
-        if let Some((_, until)) = m.pending_heartbeat {
+        if let Some((_, until)) = machine.pending_heartbeat {
             if now < until {
                 return;
             }
-            m.pending_heartbeat = None;
-            m.controller = (m.controller + 1) % self.controllers;
-            m.next_report = now + 1.0;
+            machine.pending_heartbeat = None;
+            machine.controller = (machine.controller + 1) % self.controllers;
+            machine.next_report = now + 1.0;
         }
-        if now >= m.next_report {
-            m.next_report = now + HEARTBEAT_INTERVAL_S * (0.75 + self.rng.f64() * 0.5);
-            let heartbeat = m.next_heartbeat(self.wrong_decision);
-            m.pending_heartbeat = Some((now, now + 4.0));
+        if now >= machine.next_report {
+            machine.next_report = now + HEARTBEAT_INTERVAL_S * (0.75 + self.rng.f64() * 0.5);
+            let heartbeat = machine.next_heartbeat(self.wrong_decision);
+            machine.pending_heartbeat = Some((now, now + 4.0));
             if self.wrong_decision == Some(WrongDecision::RenewsLeaseBySending) {
-                m.lease_renewed_at = now;
+                machine.lease_renewed_at = now;
             }
-            let node = m.controller;
-            if now < m.heartbeats_lost_until || !self.can_communicate(node, index) {
+            let node = machine.controller;
+            if now < machine.heartbeats_lost_until || !self.can_communicate(node, index) {
                 return;
             }
             let after = self.latency();
             self.keep_heartbeat_copy(&heartbeat);
             if now < self.heartbeats_duplicated_until {
-                let late = 1.0 + self.rng.f64() * MACHINE_LEASE_S * 2.0;
-                let to = self.rng.usize(0..self.controllers);
-                let duplicate =
-                    Message::Heartbeat { node: to, heartbeat: heartbeat.clone(), machine: usize::MAX, sent: now };
-                self.send(late, duplicate);
+                let delay_s = 1.0 + self.rng.f64() * MACHINE_LEASE_S * 2.0;
+                let other_node = self.rng.usize(0..self.controllers);
+                let duplicate = Message::Heartbeat {
+                    node: other_node,
+                    heartbeat: heartbeat.clone(),
+                    machine: usize::MAX,
+                    sent: now,
+                };
+                self.send(delay_s, duplicate);
             }
             self.send(after, Message::Heartbeat { node, heartbeat, machine: index, sent: now });
         }
@@ -211,25 +215,27 @@
         let now = self.now;
         let wrong_decision = self.wrong_decision;
         let pull_s = 0.3 + self.rng.f64() + self.extra_pull_s();
-        let m = &mut self.machines[index];
-        for c in commands {
-            match c.kind {
+        let machine = &mut self.machines[index];
+        for command in commands {
+            match command.kind {
                 CommandKind::Start => {
-                    m.tasks
-                        .entry(c.task.clone())
-                        .or_insert(Task { attempt: c.attempt, phase: TaskPhase::Pulling(now + pull_s) });
+                    machine
+                        .tasks
+                        .entry(command.task.clone())
+                        .or_insert(Task { attempt: command.attempt, phase: TaskPhase::Pulling(now + pull_s) });
                 }
                 CommandKind::Stop if wrong_decision == Some(WrongDecision::IgnoresStops) => {}
                 CommandKind::Stop
-                    if wrong_decision == Some(WrongDecision::IgnoresStopsAfterHang) && m.hangs_until > 0.0 => {}
+                    if wrong_decision == Some(WrongDecision::IgnoresStopsAfterHang) && machine.hangs_until > 0.0 => {}
                 CommandKind::Stop => {
-                    let flush_s = self.jobs.get(c.task.split('/').next().unwrap_or("")).map_or(0.0, |j| j.spec.save_s);
-                    if let Some(t) = m.tasks.get_mut(&c.task).filter(|t| t.attempt == c.attempt) {
-                        let may_flush = flush_s > 0.0 && c.grace_s.is_some_and(|g| g >= flush_s);
+                    let flush_s =
+                        self.jobs.get(command.task.split('/').next().unwrap_or("")).map_or(0.0, |j| j.spec.save_s);
+                    if let Some(t) = machine.tasks.get_mut(&command.task).filter(|t| t.attempt == command.attempt) {
+                        let may_flush = flush_s > 0.0 && command.grace_s.is_some_and(|g| g >= flush_s);
                         t.phase = match t.phase {
                             TaskPhase::Ended(why) => TaskPhase::Ended(why),
                             TaskPhase::Running(_) if may_flush => TaskPhase::Flushing(now + flush_s),
-                            TaskPhase::Flushing(until) if c.grace_s.is_some_and(|g| g > 0.0) => {
+                            TaskPhase::Flushing(until) if command.grace_s.is_some_and(|g| g > 0.0) => {
                                 TaskPhase::Flushing(until)
                             }
                             _ => TaskPhase::Ended("stopped"),
@@ -237,15 +243,16 @@
                     }
                 }
                 CommandKind::Forget => {
-                    if m.tasks
-                        .get(&c.task)
-                        .is_some_and(|t| t.attempt == c.attempt && matches!(t.phase, TaskPhase::Ended(_)))
+                    if machine
+                        .tasks
+                        .get(&command.task)
+                        .is_some_and(|t| t.attempt == command.attempt && matches!(t.phase, TaskPhase::Ended(_)))
                     {
-                        m.tasks.remove(&c.task);
+                        machine.tasks.remove(&command.task);
                     }
                 }
             }
         }
-        m.next_report = m.next_report.min(now + 0.5);
+        machine.next_report = machine.next_report.min(now + 0.5);
     }
 }
--- a/crates/model/src/messages.rs
+++ b/crates/model/src/messages.rs
@@ -80,17 +80,17 @@
 }
 
 impl World {
-    pub(crate) fn deliver(&mut self, m: Message) {
+    pub(crate) fn deliver(&mut self, message: Message) {
         let (now, wrong) = (self.now, self.wrong_decision);
-        match m {
+        match message {
             Message::Heartbeat { node, heartbeat, machine, sent } => {
-                let n = &mut self.nodes[node];
-                if now < n.restarts_at || now < n.workers_lost_until {
+                let controller = &mut self.nodes[node];
+                if now < controller.restarts_at || now < controller.workers_lost_until {
                     return;
                 }
                 // A paused process reads it when it resumes.
-                if now < n.paused_until {
-                    let after = n.paused_until - now;
+                if now < controller.paused_until {
+                    let after = controller.paused_until - now;
                     return self.send(after, Message::Heartbeat { node, heartbeat, machine, sent });
                 }
                 let incarnation = heartbeat.incarnation;
@@ -118,36 +118,43 @@
             }
             Message::HeartbeatReply { machine, incarnation, sent, reply, redirect_to } => {
                 let can_communicate = self.can_communicate(self.machines[machine].controller, machine);
-                let m = &mut self.machines[machine];
-                let is_awaited = m.pending_heartbeat == Some((sent, sent + 4.0));
-                if !m.is_up(now) || now < m.hangs_until || !can_communicate || now < m.replies_lost_until || !is_awaited
+                let receiver = &mut self.machines[machine];
+                let is_awaited = receiver.pending_heartbeat == Some((sent, sent + 4.0));
+                if !receiver.is_up(now)
+                    || now < receiver.hangs_until
+                    || !can_communicate
+                    || now < receiver.replies_lost_until
+                    || !is_awaited
                 {
                     self.counts.coincidences.heartbeat_replies_lost += 1;
                     return;
                 }
-                m.pending_heartbeat = None;
+                receiver.pending_heartbeat = None;
                 match reply {
                     Some((token, commands)) => {
-                        if token >= m.token && m.incarnation == incarnation {
-                            m.token = token;
-                            m.lease_renewed_at = sent;
+                        if token >= receiver.token && receiver.incarnation == incarnation {
+                            receiver.token = token;
+                            receiver.lease_renewed_at = sent;
                             self.execute_commands(machine, &commands);
                         }
                     }
-                    None if redirect_to < self.controllers && redirect_to != m.controller => {
-                        (m.controller, m.next_report) = (redirect_to, now + 0.2);
+                    None if redirect_to < self.controllers && redirect_to != receiver.controller => {
+                        (receiver.controller, receiver.next_report) = (redirect_to, now + 0.2);
+                    }
+                    None => {
+                        (receiver.controller, receiver.next_report) =
+                            ((receiver.controller + 1) % self.controllers, now + 1.0)
                     }
-                    None => (m.controller, m.next_report) = ((m.controller + 1) % self.controllers, now + 1.0),
                 }
             }
             Message::Push { node, generation, to: index, push, reports_outcome } => {
                 if let Some(reason) = self.undelivered(node, index) {
                     return self.delay_push(reason, node, generation, index, push, reports_outcome);
                 }
-                let m = &self.machines[index];
+                let receiver = &self.machines[index];
                 let PushedCommands { token, incarnation, commands } = push.body.clone();
-                let token_is_current = token >= m.token || wrong == Some(WrongDecision::IgnoresFencingTokens);
-                let accepted = token_is_current && incarnation == m.incarnation;
+                let token_is_current = token >= receiver.token || wrong == Some(WrongDecision::IgnoresFencingTokens);
+                let accepted = token_is_current && incarnation == receiver.incarnation;
                 self.observe_commands(index, &push, !reports_outcome, accepted);
                 if accepted {
                     self.machines[index].token = token.max(self.machines[index].token);
@@ -161,12 +168,12 @@
                 }
             }
             Message::PushOutcome { node, generation, push, outcome } => {
-                let n = &mut self.nodes[node];
-                if n.generation != generation {
+                let controller = &mut self.nodes[node];
+                if controller.generation != generation {
                     return;
                 }
-                if now < n.paused_until {
-                    let after = n.paused_until - now;
+                if now < controller.paused_until {
+                    let after = controller.paused_until - now;
                     return self.send(after, Message::PushOutcome { node, generation, push, outcome });
                 }
                 let outcome = self.apply_wrong_push_decision(node, &push, outcome);
@@ -183,15 +190,15 @@
             Message::CommitResponse { commit, outcome } => self.on_commit_response(commit, outcome),
             Message::Election(message) => self.on_election_message(message),
             Message::MachinesDeleted { node, generation, token, machines, names } => {
-                for n in &names {
-                    if let Some(i) = self.machine_index_by_name.get(n) {
+                for name in &names {
+                    if let Some(i) = self.machine_index_by_name.get(name) {
                         self.machines[*i].gone = true;
                         self.machines[*i].tasks.clear();
                     }
                 }
-                let n = &mut self.nodes[node];
-                if n.generation == generation
-                    && let Some(s) = n.shard_of(token)
+                let controller = &mut self.nodes[node];
+                if controller.generation == generation
+                    && let Some(s) = controller.shard_of(token)
                 {
                     s.on_deleted(&machines);
                 }
@@ -201,12 +208,14 @@
 
     /// Returns why pushed commands do not reach a machine now; `None` if they do.
     fn undelivered(&self, node: usize, machine: usize) -> Option<Undelivered> {
-        let (now, n, m) = (self.now, &self.nodes[node], &self.machines[machine]);
+        let (now, controller, receiver) = (self.now, &self.nodes[node], &self.machines[machine]);
         let until = |until| Some(Undelivered::DelayedUntil(until));
         match () {
-            () if !m.is_up(now) || now < m.commands_lost_until => Some(Undelivered::Lost),
-            () if !self.can_communicate(node, machine) => until(m.partitioned_until.max(n.zone_partitioned_until)),
-            () if now < m.hangs_until => until(m.hangs_until),
+            () if !receiver.is_up(now) || now < receiver.commands_lost_until => Some(Undelivered::Lost),
+            () if !self.can_communicate(node, machine) => {
+                until(receiver.partitioned_until.max(controller.zone_partitioned_until))
+            }
+            () if now < receiver.hangs_until => until(receiver.hangs_until),
             () => None,
         }
     }
@@ -244,6 +253,6 @@
 
     pub(crate) fn leader_known_to(&self, node: usize, shard_index: usize) -> Option<usize> {
         let name = self.nodes[node].slots[shard_index].election.other_leader()?;
-        self.nodes.iter().position(|n| n.name == name)
+        self.nodes.iter().position(|controller| controller.name == name)
     }
 }
--- a/crates/model/src/observer.rs
+++ b/crates/model/src/observer.rs
@@ -266,8 +266,9 @@
             let leads = c.leader == Some((node, self.nodes[node].generation));
             leads && !c.former.is_empty() && self.now - c.began <= NEW_LEADER_S
         });
-        let n = &self.nodes[node];
-        let (no_state, cut_off) = (self.now < n.state_service_lost_until, self.now < n.zone_partitioned_until);
+        let controller = &self.nodes[node];
+        let (no_state, cut_off) =
+            (self.now < controller.state_service_lost_until, self.now < controller.zone_partitioned_until);
         let counts = &mut self.counts.coincidences;
         counts.duplicate_heartbeats_to_new_leader += u64::from(copy && new_leader);
         counts.overtaken_heartbeats += u64::from(copy && overtaken);
--- a/crates/model/src/shard_exchange.rs
+++ b/crates/model/src/shard_exchange.rs
@@ -80,10 +80,12 @@
         if shard_count == 1 {
             return Some(0);
         }
-        let n = &mut self.nodes[node];
-        let here =
-            (0..shard_count).find(|shard_index| n.acting(*shard_index, now).is_some_and(|s| s.jobs.find(id).is_some()));
-        if let Some(shard_index) = here.or_else(|| n.shard_by_job.get(id).copied().filter(|_| self.rng.u8(..) > 20)) {
+        let controller = &mut self.nodes[node];
+        let here = (0..shard_count)
+            .find(|shard_index| controller.acting(*shard_index, now).is_some_and(|s| s.jobs.find(id).is_some()));
+        if let Some(shard_index) =
+            here.or_else(|| controller.shard_by_job.get(id).copied().filter(|_| self.rng.u8(..) > 20))
+        {
             return Some(shard_index);
         }
         if !self.reaches_state_service(node) {
@@ -108,12 +110,12 @@
         if shard_count == 1 {
             return Some(0);
         }
-        let knows_machine = |n: &mut Node, shard_index: usize| {
-            n.acting(shard_index, now).is_some_and(|s| s.machines.find(machine).is_some())
+        let knows_machine = |controller: &mut Node, shard_index: usize| {
+            controller.acting(shard_index, now).is_some_and(|s| s.machines.find(machine).is_some())
         };
-        let n = &mut self.nodes[node];
-        let here = (0..shard_count).find(|shard_index| knows_machine(n, *shard_index));
-        let known = n.shard_by_machine.get(machine).copied();
+        let controller = &mut self.nodes[node];
+        let here = (0..shard_count).find(|shard_index| knows_machine(controller, *shard_index));
+        let known = controller.shard_by_machine.get(machine).copied();
         if let Some(shard_index) = self.transfer_target(node, machine).or(here).or(known) {
             return Some(shard_index);
         }
@@ -123,9 +125,10 @@
             if !self.peers_connected(node, peer) {
                 continue;
             }
-            let n = &mut self.nodes[peer];
-            let there = (0..shard_count).find(|shard_index| knows_machine(n, *shard_index));
-            (0..shard_count).for_each(|shard_index| asked[shard_index] |= n.acting(shard_index, now).is_some());
+            let controller = &mut self.nodes[peer];
+            let there = (0..shard_count).find(|shard_index| knows_machine(controller, *shard_index));
+            (0..shard_count)
+                .for_each(|shard_index| asked[shard_index] |= controller.acting(shard_index, now).is_some());
             if let Some(shard_index) = self.transfer_target(peer, machine).or(there) {
                 self.nodes[node].shard_by_machine.insert(machine.to_owned(), shard_index);
                 return Some(shard_index);
@@ -135,12 +138,13 @@
             return None;
         }
         let first = self.plan.shard_of_unknown(machine).as_usize();
-        let n = &mut self.nodes[node];
-        let may_have_issued_token =
-            |shard_index: &usize| n.slots[*shard_index].election.observed_version().is_some_and(|v| v >= token);
+        let controller = &mut self.nodes[node];
+        let may_have_issued_token = |shard_index: &usize| {
+            controller.slots[*shard_index].election.observed_version().is_some_and(|v| v >= token)
+        };
         let shard_index =
             Some(first).filter(&may_have_issued_token).or_else(|| (0..shard_count).find(&may_have_issued_token))?;
-        n.shard_by_machine.insert(machine.to_owned(), shard_index);
+        controller.shard_by_machine.insert(machine.to_owned(), shard_index);
         Some(shard_index)
     }
 
@@ -149,16 +153,16 @@
         let keys = &self.store.keys;
         let load_snapshots = stored::readable::<LoadSnapshot>(keys, LOAD_SNAPSHOT_PREFIX);
         let machine_transfers = stored::readable::<MachineTransfer>(keys, machine_transfer::PREFIX);
-        let n = &mut self.nodes[node];
-        n.shared_state_read_at = self.now;
-        n.shared_state = SharedState {
+        let controller = &mut self.nodes[node];
+        controller.shared_state_read_at = self.now;
+        controller.shared_state = SharedState {
             ledger: self.store.read(LEDGER_KEY),
             load_snapshots: load_snapshots.into_iter().map(|(_, p, _)| (p.shard.as_usize(), p)).collect(),
             rebalance_plan: self.store.read(REBALANCE_PLAN_KEY).unwrap_or_default(),
             machine_transfers: machine_transfers.into_iter().map(|(k, h, v)| (k, (h, v))).collect(),
         };
-        for (h, _) in n.shared_state.machine_transfers.values() {
-            h.machines.iter().for_each(|m| _ = n.shard_by_machine.insert(m.machine.clone(), h.to.as_usize()));
+        for (h, _) in controller.shared_state.machine_transfers.values() {
+            h.machines.iter().for_each(|m| _ = controller.shard_by_machine.insert(m.machine.clone(), h.to.as_usize()));
         }
         self.apply_limit_shares(node);
     }
@@ -168,10 +172,10 @@
         if self.wrong_decision == Some(WrongDecision::IgnoresLimitShares) {
             return;
         }
-        let n = &mut self.nodes[node];
-        let Some((ledger, _)) = n.shared_state.ledger.clone() else { return };
+        let controller = &mut self.nodes[node];
+        let Some((ledger, _)) = controller.shared_state.ledger.clone() else { return };
         for shard_index in 0..self.shard_count {
-            if let Some(s) = n.acting(shard_index, self.now) {
+            if let Some(s) = controller.acting(shard_index, self.now) {
                 s.set_limit_shares(&self.params.teams, &ledger, ShardId(shard_index as u32));
             }
         }
@@ -206,7 +210,7 @@
         let shard_id = ShardId(shard_index as u32);
         let published = self.nodes[node]
             .acting(shard_index, now)
-            .map(|s| (s.token, s.heartbeats_gathered(now).then(|| s.load_snapshot(shard_id, now))));
+            .map(|shard| (shard.token, shard.heartbeats_gathered(now).then(|| shard.load_snapshot(shard_id, now))));
         let Some((token, Some(mine))) = published else { return };
         let leadership = (self.leadership_key(shard_index), token);
         self.store.commit(
@@ -237,14 +241,15 @@
                 self.transfer_quota(node, shard_index, token, &all, Vec::new(), Vec::new());
             }
         }
-        let waiting = self.nodes[node].acting(shard_index, now).map(|s| s.spillable_jobs(now)).unwrap_or_default();
+        let waiting =
+            self.nodes[node].acting(shard_index, now).map(|shard| shard.spillable_jobs(now)).unwrap_or_default();
         for (j, to) in plan_spills(&self.plan, &mine, &others, &waiting, 20.0) {
             let Some((ledger, _)) = self.nodes[node].shared_state.ledger.clone() else { return };
-            let Some(s) = self.nodes[node].acting(shard_index, now) else { return };
-            let Some((record, version, team, takes)) = s.begin_move(j, to) else { continue };
-            let team = s.team_name(team).to_owned();
+            let Some(shard) = self.nodes[node].acting(shard_index, now) else { return };
+            let Some((record, version, team, takes)) = shard.begin_move(j, to) else { continue };
+            let team = shard.team_name(team).to_owned();
             let spare = |own: Amount| {
-                let used = s.limit_usage().into_iter().find(|u| u.0 == team).map_or(own, |u| u.1);
+                let used = shard.limit_usage().into_iter().find(|u| u.0 == team).map_or(own, |u| u.1);
                 let spare = own.minus(used);
                 Amount::new(takes.cpus.min(spare.cpus), takes.accelerators.min(spare.accelerators))
             };
@@ -263,11 +268,11 @@
             );
             let moved = self.store.job(&id).is_some_and(|r| !belongs_to_shard(shard_index, &r));
             self.nodes[node].shard_by_job.remove(&id);
-            let Some(s) = self.nodes[node].acting(shard_index, now) else { return };
+            let Some(shard) = self.nodes[node].acting(shard_index, now) else { return };
             if moved {
-                s.on_job_moved(&id, now)
+                shard.on_job_moved(&id, now)
             } else {
-                s.cancel_move(&id)
+                shard.cancel_move(&id)
             }
             self.counts.jobs_moved += u64::from(moved);
         }
@@ -291,9 +296,13 @@
         let (now, shard_id, teams) = (self.now, ShardId(shard_index as u32), self.params.teams.clone());
         let Some((ledger, version)) = self.nodes[node].shared_state.ledger.clone() else { return };
         let Some(next) = ledger.apply(transfers) else { return };
-        let Some(s) = self.nodes[node].acting(shard_index, now) else { return };
-        if s.limit_usage().iter().all(|(team, used)| next.share(team, shard_id).is_none_or(|share| used.fits(share))) {
-            s.set_limit_shares(&teams, &next, shard_id);
+        let Some(shard) = self.nodes[node].acting(shard_index, now) else { return };
+        if shard
+            .limit_usage()
+            .iter()
+            .all(|(team, used)| next.share(team, shard_id).is_none_or(|share| used.fits(share)))
+        {
+            shard.set_limit_shares(&teams, &next, shard_id);
             conditions.extend([(self.leadership_key(shard_index), token), (LEDGER_KEY.to_owned(), version)]);
             changes.push(put(LEDGER_KEY, &next));
             self.commit_with_retry(conditions, changes);
@@ -332,13 +341,13 @@
         }
         let in_flight: Vec<MachineTransfer> = seen.machine_transfers.values().map(|h| h.0.clone()).collect();
         let order = next_receiver(shard_id, token, moves.iter(), &in_flight, token_of);
-        let Some(s) = self.nodes[node].acting(shard_index, now) else { return };
-        s.set_rebalance_order(order, 6.0);
+        let Some(shard) = self.nodes[node].acting(shard_index, now) else { return };
+        shard.set_rebalance_order(order, 6.0);
         let transfers = |from: bool| in_flight.iter().filter(move |h| (if from { h.from } else { h.to }) == shard_id);
-        s.on_transfers_published(transfers(true).flat_map(|h| &h.machines));
-        s.receive_machines(transfers(false).flat_map(|h| &h.machines), now);
+        shard.on_transfers_published(transfers(true).flat_map(|h| &h.machines));
+        shard.receive_machines(transfers(false).flat_map(|h| &h.machines), now);
         let mut chosen: BTreeMap<ShardId, Vec<TransferredMachine>> = BTreeMap::new();
-        s.pending_transfers().into_iter().for_each(|(to, h)| chosen.entry(to).or_default().push(h));
+        shard.pending_transfers().into_iter().for_each(|(to, h)| chosen.entry(to).or_default().push(h));
         for (to, machines) in chosen {
             let key = machine_transfer::key(shard_id, to);
             let version = match seen.machine_transfers.get(&key) {
@@ -356,10 +365,10 @@
             );
         }
         for (key, (h, version)) in seen.machine_transfers {
-            let Some(s) = self.nodes[node].acting(shard_index, now) else { return };
+            let Some(shard) = self.nodes[node].acting(shard_index, now) else { return };
             let next = match () {
-                () if h.from == shard_id => next_by_sender(&h, |m| s.may_be_named_in_records(m)),
-                () if h.to == shard_id => next_by_receiver(&h, |m| s.is_recorded_or_gone(m)),
+                () if h.from == shard_id => next_by_sender(&h, |m| shard.may_be_named_in_records(m)),
+                () if h.to == shard_id => next_by_receiver(&h, |m| shard.is_recorded_or_gone(m)),
                 () => None,
             };
             if let Some(next) = next {
@@ -388,12 +397,12 @@
             let recorded = recorded.as_ref().map(|s| s.0.machines.clone()).unwrap_or_default();
             let stay: Vec<TransferredMachine> =
                 transfer.machines.into_iter().filter(|m| !recorded.contains(m)).collect();
-            if let Some(s) = self.nodes[node].acting(shard_index, self.now) {
-                s.on_transfer_outcome(stay.iter(), false);
+            if let Some(shard) = self.nodes[node].acting(shard_index, self.now) {
+                shard.on_transfer_outcome(stay.iter(), false);
             }
         }
-        if let Some(s) = recorded {
-            self.nodes[node].shared_state.machine_transfers.insert(key.to_owned(), s);
+        if let Some(recorded) = recorded {
+            self.nodes[node].shared_state.machine_transfers.insert(key.to_owned(), recorded);
         }
     }
 }
--- a/crates/model/src/transactions.rs
+++ b/crates/model/src/transactions.rs
@@ -155,15 +155,15 @@
     pub(crate) fn on_commit_response(&mut self, commit: LeaderCommit, outcome: CommitOutcome) {
         let now = self.now;
         let LeaderCommit { node, generation, shard_index, token, .. } = commit;
-        let n = &self.nodes[node];
-        if n.generation != generation {
+        let controller = &self.nodes[node];
+        if controller.generation != generation {
             return;
         }
-        if now < n.paused_until {
-            let after = n.paused_until - now;
+        if now < controller.paused_until {
+            let after = controller.paused_until - now;
             return self.send(after, Message::CommitResponse { commit, outcome });
         }
-        let leads = n.slots[shard_index].shard.as_ref().is_some_and(|s| s.token == token);
+        let leads = controller.slots[shard_index].shard.as_ref().is_some_and(|s| s.token == token);
         let in_doubt = matches!(outcome, CommitOutcome::Failed | CommitOutcome::Unknown);
         if leads && in_doubt && !self.reaches_state_service(node) {
             return self.send(RETRY_S, Message::CommitResponse { commit, outcome });
--- a/crates/model/src/users.rs
+++ b/crates/model/src/users.rs
@@ -65,17 +65,17 @@
 
 impl World {
     /// Returns the answer of a controller as the leader of a job's shard; `None` if it cannot answer.
-    pub(crate) fn leader_status(&mut self, node: usize, c: usize, id: &str, cancel: bool) -> Option<Answer> {
+    pub(crate) fn leader_status(&mut self, node: usize, shard_index: usize, id: &str, cancel: bool) -> Option<Answer> {
         let now = self.now;
         let reaches_state_service = self.reaches_state_service(node);
-        let s = self.nodes[node].acting(c, now)?;
+        let shard = self.nodes[node].acting(shard_index, now)?;
         if cancel {
-            s.cancel(id);
+            shard.cancel(id);
             if self.wrong_decision == Some(WrongDecision::ConfirmsUnstoredCancellation) {
                 return Some(Answer::known(JobState::Cancelled));
             }
         }
-        match s.job_view(id) {
+        match shard.job_view(id) {
             Some(JobView::Visible(state, ..)) => {
                 let reports_early =
                     self.wrong_decision == Some(WrongDecision::ReportsDoneEarly) && state == JobState::Running;
@@ -108,7 +108,7 @@
         let hides_cancellation = self.wrong_decision == Some(WrongDecision::ReportsCancelledAsRunning)
             && self.jobs[id].last_state == Some(JobState::Cancelled);
         let answer = answer.map(|a| if hides_cancellation { Answer::known(JobState::Running) } else { a });
-        let is_open = matches!(answer.and_then(Answer::told), Some(JobState::Queued | JobState::Running));
+        let is_open = matches!(answer.and_then(Answer::reported_state), Some(JobState::Queued | JobState::Running));
         if request == Request::Cancel && is_open {
             // A cancellation is answered once it is stored. Until then the answer counts as that of a poll.
             let _unanswered = self.history.sent(id, node, request);
@@ -116,7 +116,7 @@
         } else {
             self.record_answer(node, id, request, answer);
         }
-        let state = answer.and_then(Answer::told)?;
+        let state = answer.and_then(Answer::reported_state)?;
         self.record_state(id, state);
         Some(state)
     }
@@ -128,7 +128,7 @@
         }
         let pending = self.history.sent(id, node, request);
         let Some(answer) = answer else { return };
-        self.counts.answers[node] += u64::from(answer.told().is_some());
+        self.counts.answers[node] += u64::from(answer.reported_state().is_some());
         let violation = self.history.answered(pending, answer).map(ToString::to_string);
         violation.into_iter().for_each(|v| self.record_violation(v));
     }
@@ -136,11 +136,11 @@
     /// Records a job's state that was reported to its user.
     fn record_state(&mut self, id: &str, state: JobState) {
         let now = self.now;
-        let Some(j) = self.jobs.get_mut(id) else { return };
-        let before = j.last_state.replace(state);
-        j.answered = now;
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        let before = job.last_state.replace(state);
+        job.answered = now;
         if state == JobState::Cancelled {
-            j.cancellation_confirmed_at = j.cancellation_confirmed_at.min(now);
+            job.cancellation_confirmed_at = job.cancellation_confirmed_at.min(now);
         }
         if state == JobState::Cancelled && before != Some(state) {
             self.observe_cancellation(id);
@@ -165,18 +165,18 @@
         if self.wrong_decision == Some(WrongDecision::InventsUnknownJobs) && !self.jobs.contains_key(id) {
             return Some(Answer::known(JobState::Queued));
         }
-        let Some(c) = self.shard_of_job(node, id) else {
+        let Some(shard_index) = self.shard_of_job(node, id) else {
             // A job without a record has no shard. If the state service confirms that there is none, the answer is 404.
             let absent = self.reaches_state_service(node) && self.store.job(id).is_none();
             return if absent { self.answer_from_record(id, cancel) } else { None };
         };
-        let leads = self.nodes[node].slots[c].valid_token(now).is_some();
+        let leads = self.nodes[node].slots[shard_index].valid_token(now).is_some();
         if leads {
-            return self.leader_status(node, c, id, cancel);
+            return self.leader_status(node, shard_index, id, cancel);
         }
-        if let Some(o) = self.leader_known_to(node, c)
-            && self.peers_connected(node, o)
-            && let Some(answer) = self.leader_status(o, c, id, cancel)
+        if let Some(leader) = self.leader_known_to(node, shard_index)
+            && self.peers_connected(node, leader)
+            && let Some(answer) = self.leader_status(leader, shard_index, id, cancel)
         {
             return Some(answer);
         }
@@ -197,13 +197,17 @@
             let job = &self.jobs[&id];
             let node = self.rng.usize(0..self.controllers);
             if job.accepted.is_none() {
-                let n = &self.nodes[node];
-                if now < job.next_poll || !n.runs(now) || !self.store.up(now) || now < n.state_service_lost_until {
+                let controller = &self.nodes[node];
+                if now < job.next_poll
+                    || !controller.runs(now)
+                    || !self.store.up(now)
+                    || now < controller.state_service_lost_until
+                {
                     continue;
                 }
                 let mut record = JobRecord::accepted(job.spec.clone(), (now * 1000.0) as u64);
                 if self.shard_count > 1 {
-                    record.shard = Some(n.shared_state.rebalance_plan.0.home(&self.plan, &job.spec.team).0);
+                    record.shard = Some(controller.shared_state.rebalance_plan.0.home(&self.plan, &job.spec.team).0);
                 }
                 let value = serde_json::to_value(&record).expect("a record");
                 let change = Mutation::Put { key: job_key(&id), value, lease: None };
@@ -215,8 +219,8 @@
             if now < job.next_poll || has_ended && self.rng.u8(..) > 20 {
                 continue;
             }
-            if let Some(j) = self.jobs.get_mut(&id) {
-                j.next_poll = now + if cancels { 1.0 } else { 5.0 };
+            if let Some(job) = self.jobs.get_mut(&id) {
+                job.next_poll = now + if cancels { 1.0 } else { 5.0 };
             }
             self.request(node, &id, if cancels && !has_ended { Request::Cancel } else { Request::Poll });
         }
@@ -233,10 +237,10 @@
             Submitted::Known => self.answer_from_record(id, false),
         };
         self.record_answer(node, id, Request::SUBMIT, answer);
-        let Some(j) = self.jobs.get_mut(id) else { return };
-        j.next_poll = now + 1.0;
-        if let Some(state) = answer.and_then(Answer::told) {
-            (j.accepted, j.answered) = (Some(now), now);
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        job.next_poll = now + 1.0;
+        if let Some(state) = answer.and_then(Answer::reported_state) {
+            (job.accepted, job.answered) = (Some(now), now);
             self.on_accepted(id);
             if state != JobState::Queued {
                 self.record_state(id, state);
--- a/tests/loopback/answers.rs
+++ b/tests/loopback/answers.rs
@@ -91,13 +91,13 @@
             return None;
         }
         let answer = Answer { status, state: body["bloom"].as_str().and_then(JobState::parse) };
-        let tasks_done = answer.told() == Some(JobState::Done) && self.tasks_are_done(id);
+        let tasks_done = answer.reported_state() == Some(JobState::Done) && self.tasks_are_done(id);
         let mut history = lock(&self.history);
         if tasks_done {
             history.tasks_done(id);
         }
         history.answered(pending, answer);
-        answer.told()
+        answer.reported_state()
     }
 
     /// Are all of a job's tasks done, as the workers see it?
--- a/tests/loopback/answers_across_nodes.rs
+++ b/tests/loopback/answers_across_nodes.rs
@@ -40,15 +40,17 @@
 /// Submits a job that does not end by itself, and waits until this controller has called it running.
 fn run_long(traffic: &Traffic, number: usize, told_by: usize) {
     traffic.submit(&[0, 1, 2], &job(&long_id(number), "batch", 1));
-    let running =
-        |o: &Operation| o.node == told_by && o.answered.is_some_and(|(_, a)| a.told() == Some(JobState::Running));
+    let running = |o: &Operation| {
+        o.node == told_by && o.answered.is_some_and(|(_, a)| a.reported_state() == Some(JobState::Running))
+    };
     wait_until("a job does not run", WITHIN, || traffic.answers.operations(&long_id(number)).iter().any(running));
 }
 
 /// How often a controller called a job this in answer to requests sent after a moment.
 fn called(traffic: &Traffic, number: usize, node: usize, after: u64, state: JobState) -> usize {
-    let is_so =
-        |o: &&Operation| o.node == node && o.sent > after && o.answered.is_some_and(|(_, a)| a.told() == Some(state));
+    let is_so = |o: &&Operation| {
+        o.node == node && o.sent > after && o.answered.is_some_and(|(_, a)| a.reported_state() == Some(state))
+    };
     traffic.answers.operations(&long_id(number)).iter().filter(is_so).count()
 }
 
--- a/tests/loopback/jobs_between_cells.rs
+++ b/tests/loopback/jobs_between_cells.rs
@@ -84,7 +84,7 @@
 fn all_tell_cancelled(traffic: &Traffic, cancelled: &[String]) {
     let told = |id: &String, node: usize| {
         let is_so = |o: &Operation| {
-            o.node == node && o.answered.is_some_and(|(_, answer)| answer.told() == Some(JobState::Cancelled))
+            o.node == node && o.answered.is_some_and(|(_, answer)| answer.reported_state() == Some(JobState::Cancelled))
         };
         traffic.answers.operations(id).iter().any(is_so)
     };
--- a/tests/loopback/traffic.rs
+++ b/tests/loopback/traffic.rs
@@ -116,7 +116,9 @@
     /// How many jobs a controller called done in answer to requests sent after a moment.
     pub fn called_done_by(&self, node: usize, after: u64) -> usize {
         let done = |o: &Operation| {
-            o.node == node && o.sent > after && o.answered.is_some_and(|(_, a)| a.told() == Some(JobState::Done))
+            o.node == node
+                && o.sent > after
+                && o.answered.is_some_and(|(_, a)| a.reported_state() == Some(JobState::Done))
         };
         let submitted = self.submitted.lock().unwrap_or_else(|e| e.into_inner());
         submitted.iter().filter(|(id, _)| self.answers.operations(id).iter().any(done)).count()
