--- a/crates/model/tests/all_machines_die.rs
+++ b/crates/model/tests/all_machines_die.rs
@@ -1,31 +1,31 @@
-//! All machines die at once, and for a while no worker is there to be heard. A leader that took itself for the one
-//! that is cut off stepped down, and so did each after it: none stayed for long enough to rent others.
+//! All machines die at once, so that no worker sends heartbeats for a while. Guards against leaders that take themselves
+//! for partitioned and step down one after the other, so that none leads long enough to rent new machines.
 
 use lupinspur_model::{FaultKind, InjectedFault, LEADER, Run, Scenario, play};
 
-/// In one of four or five of them nothing else than the leader's own machines would tell that it is not cut off.
+/// In one of four or five of these seeds only the leader's own machines show that it is not partitioned.
 const SEEDS: u64 = 24;
 const SEEDS_OVER_CELLS: u64 = 4;
-/// Jobs go on coming in after the machines have died.
+/// Jobs are still submitted after the machines have died.
 const JOBS_FOR_S: f64 = 45.0;
 const DIE_AT_S: f64 = 20.0;
-/// A machine that is missed and another that is rented take at least so long.
+/// Least time to detect a lost machine and rent another, in seconds.
 const MIN_WAIT_S: f64 = 5.0;
 
-/// The machines that there are have room for all jobs: nothing is rented before they die.
+/// The machines have capacity for all jobs: none is rented before they die.
 fn few_jobs(cells: u32) -> Scenario {
     Scenario { cells, jobs_for_s: JOBS_FOR_S, job_every_s: 4.0, cancelled: 0.0, ..Scenario::default() }
 }
 
-fn runs(scenario: &Scenario, besides: &[InjectedFault]) -> Vec<Run> {
+fn runs(scenario: &Scenario, other_faults: &[InjectedFault]) -> Vec<Run> {
     let dies = |which| InjectedFault { at: DIE_AT_S, kind: FaultKind::MachineDies, which, for_s: 0.0 };
-    let faults: Vec<InjectedFault> = (0..scenario.machines).map(dies).chain(besides.iter().copied()).collect();
+    let faults: Vec<InjectedFault> = (0..scenario.machines).map(dies).chain(other_faults.iter().copied()).collect();
     let seeds = if scenario.cells > 1 { SEEDS_OVER_CELLS } else { SEEDS };
     (0..seeds).map(|seed| play(scenario, seed, &faults, None)).collect()
 }
 
-/// Every job that was accepted has begun, those too that came when no machine was left; in most runs some had to wait
-/// for a rented machine.
+/// Asserts that every accepted job began, also those submitted while there was no machine, and that in most runs some
+/// job had to wait for a rented machine.
 fn all_jobs_begin(runs: &[Run]) {
     for run in runs {
         assert_eq!((&run.broken, run.begun), (&None, run.jobs), "seed {}", run.seed);
--- a/crates/model/tests/evidence/mod.rs
+++ b/crates/model/tests/evidence/mod.rs
@@ -1,8 +1,8 @@
-//! That the fault combination which a test is about really happened in its runs.
+//! Evidence that the fault combination of a test really happened in its runs.
 
 use lupinspur_model::{Coincidences, Run};
 
-/// What a run shows if the combination happened in it.
+/// A property of a run in which the combination happened.
 pub struct Sign {
     pub name: &'static str,
     pub seen: fn(&Coincidences) -> bool,
@@ -37,7 +37,7 @@
         Evidence { sometimes, ..self }
     }
 
-    /// Fails unless the runs show the combination; `of` tells which runs these are.
+    /// Fails unless the runs show the combination; `of` names the runs in the message.
     pub fn assert_seen<'a>(self, runs: impl Iterator<Item = &'a Run>, of: &str) {
         let runs: Vec<&Coincidences> = runs.map(|r| &r.counts.coincidences).collect();
         let required = |s: &'static [Sign], least: usize| s.iter().map(move |s| (s, least));
--- a/crates/model/tests/fault_combinations.rs
+++ b/crates/model/tests/fault_combinations.rs
@@ -1,5 +1,5 @@
-//! Fault combinations around a change of leader, by name, their faults placed at exact times, over several seeds, with
-//! one shard and with three. Each test asserts that its runs show the combination. `MEETING_SEEDS` plays more seeds.
+//! Named combinations of faults at exact times around a change of leader, with several seeds, with one shard and with
+//! three. Each test asserts that its runs show the combination. `MEETING_SEEDS` sets the number of seeds.
 
 mod evidence;
 mod takeover;
@@ -11,7 +11,7 @@
 /// Longer than a machine's lease.
 const PAST_A_LEASE_S: f64 = 25.0;
 
-/// Transactions are carried out after newer ones of the same controller, and the leader changes meanwhile.
+/// Transactions are executed after newer ones of the same controller, and the leader changes meanwhile.
 #[test]
 fn late_transactions_across_a_change_of_leader() {
     let late = at(18.0, FaultKind::WritesDelayed, 0, 30.0);
@@ -22,7 +22,7 @@
     no_rule_is_broken(&with(vec![late, cancels], ends), evidence);
 }
 
-/// Only answers are lost, while users ask every controller and so others read what was written.
+/// Only responses are lost, while users poll every controller and other controllers therefore read the written keys.
 #[test]
 fn lost_answers_while_others_read_across_a_change_of_leader() {
     let lost = at(18.0, FaultKind::WriteResponsesLost, 0, 30.0);
@@ -72,7 +72,7 @@
     no_rule_is_broken(&with(ten_changes(), [at(48.0, FaultKind::CancelServices, 0, 10.0), outage]), evidence);
 }
 
-/// The work goes to another controller and comes back, while jobs are cancelled.
+/// Leadership passes to another controller and returns, while jobs are cancelled.
 #[test]
 fn work_changes_hands_and_comes_back_while_jobs_are_cancelled() {
     let hands = [20.0, 26.0, 32.0, 38.0].map(|t| at(t, FaultKind::LeaderStepsDown, LEADER, 1.0));
@@ -98,7 +98,7 @@
     no_rule_is_broken(&[cancels, late, at(30.0, FaultKind::AllControllersRestart, LEADER, PAST_A_LEASE_S)], evidence);
 }
 
-/// All controllers end while machines that run long tasks hear no answer of the next leader.
+/// All controllers end while replies of the next leader to machines with long tasks are lost.
 #[test]
 fn all_controllers_end_while_machines_hear_no_answers() {
     let deaf = machines(28.0, FaultKind::HeartbeatRepliesLost, 12.0);
@@ -106,7 +106,7 @@
     no_rule_is_broken(&with(vec![at(30.0, FaultKind::AllControllersRestart, LEADER, 10.0)], deaf), evidence);
 }
 
-/// A zone with its workers and the leader is cut off for longer than a lease; jobs are cancelled meanwhile.
+/// A zone with its workers and the leader is partitioned for longer than a lease; jobs are cancelled meanwhile.
 #[test]
 fn zone_cut_off_with_the_leader_for_longer_than_a_lease() {
     let cut = at(25.0, FaultKind::ZoneAndControllerPartitioned, LEADER, PAST_A_LEASE_S + 10.0);
@@ -128,8 +128,8 @@
     no_rule_is_broken(&faults, evidence);
 }
 
-/// The leader loses the state service and the other controllers while workers and users still reach it, and
-/// jobs are cancelled through the next one.
+/// The leader loses the state service and the other controllers while workers and users still reach it, and jobs are
+/// cancelled through the next leader.
 #[test]
 fn leader_without_state_and_peers_while_jobs_are_cancelled() {
     let alone = at(30.0, FaultKind::ControllerLosesStateAndPeers, LEADER, PAST_A_LEASE_S + 15.0);
@@ -152,7 +152,7 @@
     no_rule_is_broken(&faults, evidence);
 }
 
-/// Reports of before reach every controller while a new leader begins.
+/// Delayed heartbeats reach every controller while a new leader begins.
 #[test]
 fn late_heartbeats_reach_a_new_leader() {
     let copies = at(5.0, FaultKind::HeartbeatsDuplicated, 0, 40.0);
@@ -163,8 +163,9 @@
     no_rule_is_broken(&faults, evidence);
 }
 
-/// Reports of before reach a new leader, and the machines that sent them are cut off. What began there since is not in
-/// them. So many machines are cut off that the leader takes none of them for gone before their leases end.
+/// Delayed heartbeats reach a new leader while the machines that sent them are partitioned. Tasks that began there since
+/// are not in these heartbeats. Two of three zones are partitioned, so that the leader declares none of the machines lost
+/// before its lease ends.
 #[test]
 fn late_heartbeats_of_machines_that_are_cut_off() {
     let copies = at(1.0, FaultKind::HeartbeatCopiesForNextLeader, 0, 8.0);
@@ -179,7 +180,7 @@
     }
 }
 
-/// New machines get work at once while writes lag, and the leader ends.
+/// New machines get tasks at once while writes are delayed, and the leader ends.
 #[test]
 fn new_machines_beside_lagging_writes_and_the_leader_ends() {
     let late = at(3.0, FaultKind::WritesDelayed, 0, 40.0);
@@ -193,7 +194,7 @@
     }
 }
 
-/// Work is handed over and back, then all controllers end, and one returns within a second.
+/// Leadership passes on and returns, then all controllers end, and one is back within a second.
 #[test]
 fn hands_over_and_back_then_all_end_and_one_returns() {
     let hands = |times: &[f64]| times.iter().map(|t| at(*t, FaultKind::LeaderStepsDown, LEADER, 1.0)).collect();
@@ -209,7 +210,7 @@
     no_rule_is_broken(&with(hands(&[20.0, 26.0]), all_end(29.0)), on_its_way);
 }
 
-/// A leader ends while a zone's machines with long tasks cannot be reached.
+/// The leader ends while a zone with tasks cannot be reached.
 #[test]
 fn leader_ends_while_a_zone_cannot_be_reached() {
     let cut = at(28.0, FaultKind::ZonePartitioned, 0, 15.0);
@@ -220,8 +221,8 @@
     );
 }
 
-/// Every team is at its limit while jobs are cancelled whose machines hang, just before the leader ends and while
-/// there is none.
+/// Every team is at its limit and machines hang while their jobs are cancelled, just before the leader ends and while
+/// there is no leader.
 #[test]
 fn teams_at_their_limits_while_machines_hang_and_the_leader_changes() {
     let hangs = (0..4).map(|m| at(28.0, FaultKind::MachineHangs, m, 15.0));
@@ -242,8 +243,8 @@
     }
 }
 
-/// The leader stands still with a renewal under way, and the state service refuses it from then on: the
-/// renewal counts from when it was sent, so that the leader may not act when it reads the answer.
+/// The leader pauses with a lease renewal in flight, and the state service refuses it from then on. The renewal counts
+/// from the time at which it was sent, so that the leader must not act when it reads the response.
 #[test]
 fn leader_pauses_with_a_renewal_under_way_while_the_next_confirms_cancellations() {
     let faults = [
@@ -256,8 +257,8 @@
     no_rule_is_broken(&faults, evidence);
 }
 
-/// Transactions of the leader come after newer ones of its own; then it ends while a zone is cut off, so that
-/// its successor knows only from what is stored what may run there.
+/// The leader's transactions are executed after newer ones of its own. Then it ends while a zone is partitioned, so that
+/// its successor knows the tasks there only from the stored records.
 #[test]
 fn late_transactions_then_the_leader_ends_while_a_zone_is_cut_off() {
     let late = at(5.0, FaultKind::WritesDelayed, 0, 50.0);
@@ -269,8 +270,8 @@
     no_rule_is_broken(&with(faults, [late]), evidence);
 }
 
-/// A controller alone stands still with its claim under way, for longer than its lease: the claim's answer
-/// comes after that of a renewal that tells the lease is gone. It has to claim anew.
+/// The only controller pauses with its campaign in flight, for longer than its lease. The response to the campaign
+/// arrives after that to a renewal which reports that the lease is gone. The controller has to campaign again.
 #[test]
 fn a_controller_alone_pauses_with_its_claim_under_way() {
     let scenario = Scenario { controllers: 1, ..deployment(1) };
--- a/crates/model/tests/fault_combinations_machines.rs
+++ b/crates/model/tests/fault_combinations_machines.rs
@@ -1,5 +1,6 @@
-//! Two troubles at once, where machines, their reports and users take part: each with several seeds, with one shard
-//! and with three. Each test asserts that its runs show the combination. `MEETING_SEEDS=200 cargo test -p lupinspur-model --test fault_combinations_machines` plays more of each.
+//! Fault combinations that involve machines, their heartbeats and users, with several seeds, with one shard and with
+//! three. Each test asserts that its runs show the combination.
+//! `MEETING_SEEDS=200 cargo test -p lupinspur-model --test fault_combinations_machines` runs more seeds of each.
 
 mod evidence;
 
@@ -10,9 +11,9 @@
 use std::ops::Range;
 
 const SEEDS: u64 = 12;
-/// Runs that are played at the same time.
+/// Runs at the same time.
 const THREADS: u64 = 2;
-/// Troubles begin this long after jobs do.
+/// Time of the first faults, in seconds.
 const BEGINS_S: f64 = 20.0;
 
 fn seeds() -> u64 {
@@ -23,8 +24,8 @@
     InjectedFault { at, kind, which, for_s }
 }
 
-/// The leaders change: all controllers end at once, or one after the other ends or loses the state service.
-/// It begins within so many seconds of `from`.
+/// Draws a change of leader: all controllers end at once, or one after the other ends or loses the state service.
+/// It begins within `within_s` after `from`.
 fn change_of_leader(rng: &mut Rng, from: f64, within_s: f64) -> Vec<InjectedFault> {
     let at = from + rng.f64() * within_s;
     match rng.u8(0..3) {
@@ -34,7 +35,7 @@
     }
 }
 
-/// The kind strikes so many different machines within a second, for between the least and the most time.
+/// Draws faults of a kind for `count` different machines that begin within a second, and one duration for all of them.
 fn machines(rng: &mut Rng, kind: FaultKind, count: usize, at: f64, for_s: Range<f64>) -> Vec<InjectedFault> {
     let for_s = for_s.start + rng.f64() * (for_s.end - for_s.start);
     let first = rng.usize(0..9);
@@ -53,13 +54,17 @@
     Scenario { teams, job_every_s: 0.8, services_cpus: 16.0, room: false, work: Work::Long, ..small(cells) }
 }
 
-/// Plays the meeting with one shard and with three, and tells what happened in all runs.
-fn meets(scenario: fn(u32) -> Scenario, evidence: Evidence, faults: fn(&mut Rng) -> Vec<InjectedFault>) -> Vec<Run> {
-    meets_over(&[1, 3], scenario, evidence, faults)
+/// Runs the combination with one shard and with three, and returns all runs.
+fn run_combination(
+    scenario: fn(u32) -> Scenario,
+    evidence: Evidence,
+    faults: fn(&mut Rng) -> Vec<InjectedFault>,
+) -> Vec<Run> {
+    run_combination_with(&[1, 3], scenario, evidence, faults)
 }
 
-/// Plays the meeting with each of these numbers of shards.
-fn meets_over(
+/// Runs the combination with each of these numbers of shards.
+fn run_combination_with(
     cells: &[u32],
     scenario: fn(u32) -> Scenario,
     evidence: Evidence,
@@ -81,7 +86,7 @@
             Some(format!("{cells} cells, seed {}: {}\n  {faults:?}", r.seed, r.broken.as_ref()?))
         })
         .collect();
-    assert!(broken.is_empty(), "{} of {} runs broke a rule:\n{}", broken.len(), runs.len(), broken.join("\n"));
+    assert!(broken.is_empty(), "{} of {} runs violated a rule:\n{}", broken.len(), runs.len(), broken.join("\n"));
     for c in cells {
         let of_these = runs.iter().filter(|(cells, ..)| cells == c).map(|r| &r.2);
         evidence.assert_seen(of_these, &format!("over {c} cells"));
@@ -89,7 +94,7 @@
     runs.into_iter().map(|r| r.2).collect()
 }
 
-/// Machines reach no controller, while direct commands reach them; jobs are cancelled, and the leader changes.
+/// Heartbeats of machines are lost while pushed commands arrive; jobs are cancelled, and the leader changes.
 #[test]
 fn mute_machines_and_a_change_of_leader() {
     let evidence = mostly(signs![
@@ -97,7 +102,7 @@
         commands_to_machines_without_heartbeats >= 3,
         unreachable_machines_at_failover >= 1
     ]);
-    let runs = meets(small, evidence, |rng| {
+    let runs = run_combination(small, evidence, |rng| {
         let mut faults = machines(rng, FaultKind::HeartbeatsLost, 5, BEGINS_S, 4.0..44.0);
         faults.extend(change_of_leader(rng, BEGINS_S, 10.0));
         faults.push(fault(BEGINS_S + rng.f64() * 10.0, FaultKind::CancelRunningJobs, rng.usize(0..8), 0.0));
@@ -107,7 +112,7 @@
     assert!(claims > 2 * runs.len() as u64, "leaders change");
 }
 
-/// A whole zone reaches no controller, and its machines hold what others must not be given meanwhile.
+/// Heartbeats of a whole zone are lost, and its machines run tasks that must not start elsewhere meanwhile.
 #[test]
 fn a_mute_zone_and_a_change_of_leader() {
     let evidence = mostly(signs![
@@ -115,7 +120,7 @@
         commands_to_machines_without_heartbeats >= 3,
         unreachable_machines_at_failover >= 1
     ]);
-    meets(small, evidence, |rng| {
+    run_combination(small, evidence, |rng| {
         let zone = rng.usize(0..3);
         let mut faults = vec![fault(BEGINS_S, FaultKind::ZoneHeartbeatsLost, zone, 10.0 + rng.f64() * 30.0)];
         faults.extend(change_of_leader(rng, BEGINS_S, 15.0));
@@ -123,7 +128,8 @@
     });
 }
 
-/// Copies of reports reach every controller just as a new leader begins, also from an earlier incarnation or attempt.
+/// Duplicated heartbeats reach every controller just as a new leader begins, some of them of an earlier incarnation or
+/// attempt.
 #[test]
 fn copies_of_heartbeats_for_the_next_leader() {
     let evidence = mostly(signs![
@@ -132,7 +138,7 @@
         overtaken_heartbeats >= 5,
         heartbeats_of_earlier_incarnation >= 1
     ]);
-    meets(small, evidence, |rng| {
+    run_combination(small, evidence, |rng| {
         let mut faults = vec![fault(BEGINS_S - 10.0, FaultKind::HeartbeatCopiesForNextLeader, 0, 40.0)];
         let at = BEGINS_S + rng.f64() * 5.0;
         faults.extend(machines(rng, FaultKind::MachineRestarts, 4, at, 0.0..0.0));
@@ -143,12 +149,12 @@
     });
 }
 
-/// Old reports, of an earlier incarnation or attempt, come seconds to more than a lease late; machines are lost and
+/// Old heartbeats, of an earlier incarnation or attempt, arrive seconds to more than a lease late; machines are lost and
 /// return in the meantime.
 #[test]
 fn old_heartbeats_after_newer_ones() {
     let evidence = mostly(signs![failovers >= 1, overtaken_heartbeats >= 5, heartbeats_of_earlier_incarnation >= 1]);
-    meets(small, evidence, |rng| {
+    run_combination(small, evidence, |rng| {
         let mut faults = vec![fault(BEGINS_S - 10.0, FaultKind::HeartbeatsDuplicated, 0, 50.0)];
         faults.extend(machines(rng, FaultKind::MachineRestarts, 5, BEGINS_S, 0.0..0.0));
         faults.extend(machines(rng, FaultKind::RepliesAndCommandsLost, 3, BEGINS_S, 30.0..30.0));
@@ -158,7 +164,7 @@
     });
 }
 
-/// Jobs are cancelled at the end of their last task, with no other trouble but users who ask everywhere.
+/// Jobs are cancelled at the end of their last task, while users poll every controller, without other faults.
 #[test]
 fn cancellations_at_the_end_of_the_last_task() {
     let evidence = mostly(signs![
@@ -166,19 +172,19 @@
         polls_answered_after_events >= 100,
         resubmissions_answered_after_events >= 100
     ]);
-    let runs = meets(small, evidence, |_| {
+    let runs = run_combination(small, evidence, |_| {
         vec![fault(0.0, FaultKind::CancelEndingJobs, 0, 60.0), fault(0.0, FaultKind::PollAfterEvents, 0, 60.0)]
     });
     assert!(runs.iter().any(|r| r.done > 0) && runs.iter().any(|r| r.cancelled > 0));
 }
 
-/// The same while answers to commits are lost and the leader changes.
+/// The same while responses to commits are lost and the leader changes.
 #[test]
 fn cancellations_at_the_end_and_lost_answers() {
     let evidence =
         mostly(signs![failovers >= 1, cancellations_at_last_end >= 1, applied_transactions_without_response >= 1])
             .sometimes(signs![reads_of_transactions_without_response >= 1]);
-    meets(small, evidence, |rng| {
+    run_combination(small, evidence, |rng| {
         let mut faults = vec![
             fault(0.0, FaultKind::CancelEndingJobs, 0, 70.0),
             fault(0.0, FaultKind::PollAfterEvents, 0, 70.0),
@@ -189,13 +195,13 @@
     });
 }
 
-/// Jobs are cancelled in the second of a change of leader; their machines hang and go on within their leases.
+/// Jobs are cancelled within a second of a change of leader; their machines hang and resume within their leases.
 #[test]
 fn cancellations_in_the_second_of_a_change_of_leader_with_hanging_machines() {
     let evidence =
         mostly(signs![failovers >= 1, cancellations_with_hanging_machine >= 1, unreachable_machines_at_failover >= 1])
             .sometimes(signs![cancellations_at_failover >= 1, late_commands_after_cancellation >= 1]);
-    let runs = meets(small, evidence, |rng| {
+    let runs = run_combination(small, evidence, |rng| {
         let at = BEGINS_S + rng.f64() * 10.0;
         let mut faults = change_of_leader(rng, at, 0.0);
         for _ in 0..3 {
@@ -207,7 +213,7 @@
     assert!(runs.iter().any(|r| r.cancelled > 10));
 }
 
-/// Users ask every controller at once, repeat the submission and cancel, while leaders change and answers are lost.
+/// Users poll every controller at once, repeat the submission and cancel, while leaders change and responses are lost.
 #[test]
 fn users_ask_every_controller_while_leaders_change() {
     let evidence = mostly(signs![
@@ -217,7 +223,7 @@
         applied_transactions_without_response >= 1
     ])
     .sometimes(signs![reads_of_transactions_without_response >= 1]);
-    meets(small, evidence, |rng| {
+    run_combination(small, evidence, |rng| {
         let mut faults = vec![fault(0.0, FaultKind::PollAfterEvents, 0, 70.0)];
         faults.extend(change_of_leader(rng, BEGINS_S, 5.0));
         faults.extend(change_of_leader(rng, BEGINS_S + 15.0, 5.0));
@@ -226,11 +232,11 @@
     });
 }
 
-/// Odd requests: jobs that cannot run or lack a field, repeated submissions, cancellations of jobs that are done.
+/// Invalid requests: jobs that cannot run or lack a field, repeated submissions, cancellations of jobs that are done.
 #[test]
 fn odd_requests_while_leaders_change() {
     let evidence = mostly(signs![failovers >= 1, invalid_requests >= 50]);
-    meets(small, evidence, |rng| {
+    run_combination(small, evidence, |rng| {
         let mut faults =
             vec![fault(0.0, FaultKind::InvalidRequests, 0, 70.0), fault(0.0, FaultKind::PollAfterEvents, 0, 70.0)];
         faults.extend(change_of_leader(rng, BEGINS_S, 20.0));
@@ -239,13 +245,13 @@
     });
 }
 
-/// New machines are up within two seconds and get work at once while writes lag, and the leader ends.
+/// New machines are up within two seconds and get tasks at once while writes are delayed, and the leader ends.
 #[test]
 fn fast_boots_beside_lagging_writes() {
     let scenario = |cells| Scenario { machines: 3, job_every_s: 0.8, ..small(cells) };
     let evidence =
         mostly(signs![failovers >= 1, starts_on_fast_boots_during_lag >= 1, overtaken_transactions_applied >= 1]);
-    meets(scenario, evidence, |rng| {
+    run_combination(scenario, evidence, |rng| {
         let mut faults = vec![
             fault(0.0, FaultKind::FastBoots, 0, 60.0),
             fault(2.0, FaultKind::UnreliableCommits, 0, 40.0),
@@ -257,12 +263,12 @@
     });
 }
 
-/// Jobs bound to one zone, services and arrays, lose machines.
+/// Jobs restricted to one zone, services and arrays, lose machines.
 #[test]
 fn one_zone_jobs_lose_machines() {
     let scenario = |cells| Scenario { work: Work::OneZone, ..small(cells) };
     let evidence = mostly(signs![failovers >= 1, one_zone_jobs_losing_machine >= 1]);
-    meets(scenario, evidence, |rng| {
+    run_combination(scenario, evidence, |rng| {
         let mut faults = machines(rng, FaultKind::MachineDies, 3, BEGINS_S, 0.0..0.0);
         faults.extend(machines(rng, FaultKind::MachineRestarts, 3, BEGINS_S + 3.0, 0.0..0.0));
         faults.push(fault(
@@ -276,7 +282,7 @@
     });
 }
 
-/// There is more work than room, over slow links, and the leader changes.
+/// There is more work than capacity, the network is slow, and the leader changes.
 fn more_work_than_room(cells: u32) {
     let scenario = |cells| {
         let teams = vec![
@@ -286,7 +292,7 @@
         Scenario { machines: 6, most_machines: 6, job_every_s: 0.4, room: false, teams, ..small(cells) }
     };
     let evidence = mostly(signs![failovers >= 1, waiting_jobs_at_failover >= 5]);
-    meets_over(&[cells], scenario, evidence, |rng| {
+    run_combination_with(&[cells], scenario, evidence, |rng| {
         let mut faults = vec![fault(0.0, FaultKind::SlowNetwork, 0, 60.0)];
         faults.extend(change_of_leader(rng, BEGINS_S, 10.0));
         faults.push(fault(BEGINS_S + rng.f64() * 20.0, FaultKind::CancelRunningJobs, 7, 10.0));
@@ -309,7 +315,7 @@
 fn few_tasks_end_far_apart_across_changes_of_leader() {
     let scenario = |cells| Scenario { work: Work::FewTasks, ..small(cells) };
     let evidence = mostly(signs![failovers >= 2, jobs_ending_across_failover >= 3]);
-    let runs = meets(scenario, evidence, |rng| {
+    let runs = run_combination(scenario, evidence, |rng| {
         let mut faults = vec![fault(0.0, FaultKind::PollAfterEvents, 0, 80.0)];
         faults.extend(change_of_leader(rng, BEGINS_S, 0.0));
         faults.extend(change_of_leader(rng, BEGINS_S + 25.0, 5.0));
@@ -320,7 +326,7 @@
     assert!(runs.iter().any(|r| r.done > 10));
 }
 
-/// Jobs of one task come four a second, and a quarter of them is cancelled.
+/// Four jobs of one task are submitted per second, and a quarter of them is cancelled.
 #[test]
 fn one_task_jobs_four_a_second() {
     let scenario = |cells| {
@@ -329,7 +335,7 @@
     };
     let evidence =
         mostly(signs![failovers >= 1, cancellations_at_last_end >= 1, applied_transactions_without_response >= 1]);
-    let runs = meets(scenario, evidence, |rng| {
+    let runs = run_combination(scenario, evidence, |rng| {
         let mut faults =
             vec![fault(0.0, FaultKind::CancelEndingJobs, 0, 20.0), fault(0.0, FaultKind::PollAfterEvents, 0, 30.0)];
         faults.push(fault(5.0, FaultKind::UnreliableCommits, 0, 20.0));
@@ -339,7 +345,7 @@
     assert!(runs.iter().all(|r| r.jobs > 100), "four a second");
 }
 
-/// Every team is at its limit while jobs are cancelled whose machines are cut off or hang, and the leader changes.
+/// Every team is at its limit while jobs on partitioned or hanging machines are cancelled, and the leader changes.
 #[test]
 fn every_team_at_its_limit_while_machines_are_cut_off_and_the_leader_changes() {
     let evidence = mostly(signs![
@@ -348,7 +354,7 @@
         cancellations_with_hanging_machine >= 1,
         unreachable_machines_at_failover >= 1
     ]);
-    let runs = meets(at_limits, evidence, |rng| {
+    let runs = run_combination(at_limits, evidence, |rng| {
         let at = BEGINS_S + rng.f64() * 10.0;
         let mut faults = change_of_leader(rng, at, 0.0);
         faults.push(fault(at - 1.0, FaultKind::CancelRunningJobs, 7, 5.0 + rng.f64() * 14.0));
@@ -359,7 +365,7 @@
     assert!(runs.iter().any(|r| r.cancelled > 5));
 }
 
-/// Direct commands are held up for seconds and executed late, also those of a leader that was deposed since.
+/// Pushed commands are delayed for seconds and executed late, also those of a leader that has been replaced since.
 #[test]
 fn late_commands_of_a_deposed_leader() {
     let evidence = mostly(signs![
@@ -368,7 +374,7 @@
         late_commands_executed >= 1,
         late_commands_after_cancellation >= 1
     ]);
-    let runs = meets(small, evidence, |rng| {
+    let runs = run_combination(small, evidence, |rng| {
         let mut faults = vec![fault(BEGINS_S - 10.0, FaultKind::CommandsDelayed, 0, 45.0)];
         faults.extend(machines(rng, FaultKind::HeartbeatRepliesLost, 4, BEGINS_S, 15.0..15.0));
         faults.extend(change_of_leader(rng, BEGINS_S, 10.0));
@@ -378,11 +384,11 @@
     assert!(runs.iter().any(|r| r.cancelled > 5));
 }
 
-/// Machines with long tasks cannot be reached, or do not hear the new leader's answer, when the leader ends.
+/// Machines with long tasks cannot be reached, or do not get the new leader's replies, when the leader ends.
 #[test]
 fn long_tasks_on_machines_that_the_new_leader_does_not_reach() {
-    // With one shard there is room for all jobs at once. Parted among three, twelve machines have none for so many tasks
-    // of a minute: jobs may have to wait for others, and none is to wait beside room.
+    // With one shard there is capacity for all jobs at once. Twelve machines split among three shards have too little for
+    // that many tasks of a minute: jobs may have to wait for others, but not while a machine has free capacity.
     let scenario = |cells| {
         let teams = vec![
             Team { name: "red".into(), cpus: 16.0, cpus_max: if cells > 1 { 64.0 } else { 320.0 } },
@@ -391,7 +397,7 @@
         Scenario { work: Work::Long, jobs_for_s: 25.0, room: cells == 1, teams, ..small(cells) }
     };
     let evidence = mostly(signs![unreachable_machines_at_failover >= 2, heartbeat_replies_lost >= 3]);
-    meets(scenario, evidence, |rng| {
+    run_combination(scenario, evidence, |rng| {
         let at = BEGINS_S + rng.f64() * 5.0;
         let mut faults = change_of_leader(rng, at, 0.0);
         faults.extend(machines(rng, FaultKind::HeartbeatRepliesLost, 3, at - 1.0, 10.0..35.0));
@@ -401,11 +407,11 @@
     });
 }
 
-/// Two to five troubles of any kind within seconds of a change of leader.
+/// Two to five faults of any kind within seconds of a change of leader.
 #[test]
 fn random_meetings_around_a_change_of_leader() {
     let evidence = mostly(signs![failovers >= 1]);
-    meets(small, evidence, |rng| {
+    run_combination(small, evidence, |rng| {
         let at = BEGINS_S + rng.f64() * 10.0;
         let mut faults = change_of_leader(rng, at, 0.0);
         for _ in 0..rng.usize(2..6) {
--- a/crates/model/tests/kinds.rs
+++ b/crates/model/tests/kinds.rs
@@ -1,5 +1,5 @@
-//! Each kind of fault is strong enough to reveal a decision that is wrong on purpose: without the fault the wrong
-//! decision passes, with it it is seen, and with the right decision nothing is.
+//! Each kind of fault reveals a deliberately wrong decision: without the fault the wrong decision passes, with the fault
+//! it is detected, and with the correct decision no rule is violated.
 
 use lupinspur_model::scenario::Team;
 use lupinspur_model::{
@@ -8,21 +8,21 @@
 };
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Cases that are played at the same time.
+/// Cases that run at the same time.
 const THREADS: usize = 3;
-/// Seeds that are played without the fault.
+/// Number of seeds without the fault.
 const SEEDS: u64 = 4;
-/// Seeds that are played with it, until the wrong decision is seen.
+/// Largest number of seeds with the fault until the wrong decision is detected.
 const MAX_SEEDS: u64 = 12;
 
-/// A wrong decision that is seen only where a kind of fault strikes.
+/// A wrong decision that is detected only with one kind of fault.
 struct Case {
     wrong: WrongDecision,
-    /// How a run with the wrong decision ends.
+    /// The rule that a run with the wrong decision violates.
     rule: &'static str,
-    /// The kind that reveals it.
+    /// Faults of the kind that reveals it.
     faults: Vec<InjectedFault>,
-    /// What happens besides, with the fault and without it.
+    /// Other faults, injected in both cases.
     context: Vec<InjectedFault>,
     scenario: Scenario,
 }
@@ -35,17 +35,17 @@
     (0..Scenario::default().machines).map(|m| at(begins, kind, m, for_s)).collect()
 }
 
-/// Nobody cancels unless the fault is that somebody does.
-fn nobody_cancels() -> Scenario {
+/// Users cancel jobs only because of an injected fault.
+fn no_cancellations() -> Scenario {
     Scenario { cancelled: 0.0, ..Scenario::default() }
 }
 
-/// Tasks run for a minute, and there are more than machines have room for.
+/// Tasks run for a minute, and there are more than machines have capacity for.
 fn long_tasks() -> Scenario {
-    Scenario { work: Work::Long, jobs_for_s: 25.0, job_every_s: 0.5, room: false, ..nobody_cancels() }
+    Scenario { work: Work::Long, jobs_for_s: 25.0, job_every_s: 0.5, room: false, ..no_cancellations() }
 }
 
-/// Many services, and nothing to move them to.
+/// Many services, and no machines to rent for them.
 fn no_other_machines(machines: usize, job_every_s: f64) -> Scenario {
     let most_machines = machines;
     Scenario {
@@ -55,18 +55,18 @@
         jobs_for_s: 30.0,
         services_cpus: 60.0,
         room: false,
-        ..nobody_cancels()
+        ..no_cancellations()
     }
 }
 
 fn teams_at_limit() -> Scenario {
     let team = |name: &str, cpus| Team { name: name.into(), cpus, cpus_max: 2.0 * cpus };
     let teams = vec![team("red", 12.0), team("blue", 16.0)];
-    Scenario { teams, job_every_s: 0.6, services_cpus: 16.0, room: false, work: Work::Long, ..nobody_cancels() }
+    Scenario { teams, job_every_s: 0.6, services_cpus: 16.0, room: false, work: Work::Long, ..no_cancellations() }
 }
 
-/// One cut zone: whoever becomes the leader meanwhile does not know what runs there.
-fn cut_zone() -> Vec<InjectedFault> {
+/// One partitioned zone: a leader that begins meanwhile does not know which tasks run there.
+fn partitioned_zone() -> Vec<InjectedFault> {
     vec![at(19.0, FaultKind::ZonePartitioned, 0, 15.0)]
 }
 
@@ -74,8 +74,8 @@
     (0..3).map(|n| at(20.0, FaultKind::ControllerRestarts, n, 60.0)).collect()
 }
 
-/// A new leader takes for free what it cannot ask.
-fn unresolved(faults: Vec<InjectedFault>, context: Vec<InjectedFault>) -> Case {
+/// A new leader takes machines that it cannot reach for free.
+fn unreconciled(faults: Vec<InjectedFault>, context: Vec<InjectedFault>) -> Case {
     Case {
         wrong: WrongDecision::SkipsReconciliation,
         rule: "ran_twice",
@@ -86,8 +86,8 @@
 }
 
 fn cases() -> Vec<Case> {
-    let leader = |kind, for_s| unresolved(vec![at(20.0, kind, LEADER, for_s)], cut_zone());
-    let case = |wrong, rule, faults| Case { wrong, rule, faults, context: vec![], scenario: nobody_cancels() };
+    let leader = |kind, for_s| unreconciled(vec![at(20.0, kind, LEADER, for_s)], partitioned_zone());
+    let case = |wrong, rule, faults| Case { wrong, rule, faults, context: vec![], scenario: no_cancellations() };
     let flood = || Scenario { work: Work::OneTask, job_every_s: 0.25, cancelled: 0.0, ..Scenario::default() };
     let services = |begins: f64| at(begins, FaultKind::CancelServices, 0, 1.0);
     let zones = |begins, kind, for_s| (0..3).map(|z| at(begins, kind, z, for_s)).collect::<Vec<_>>();
@@ -103,7 +103,7 @@
         rule: "",
         faults: vec![at(begins, kind, 0, for_s)],
         context: vec![services(20.0), at(ends_at, FaultKind::ControllerRestarts, LEADER, 40.0)],
-        scenario: nobody_cancels(),
+        scenario: no_cancellations(),
     };
     let cancelled =
         |kind, which, for_s| case(WrongDecision::IgnoresStops, "ran_cancelled", vec![at(20.0, kind, which, for_s)]);
@@ -120,8 +120,8 @@
         leader(FaultKind::AllControllersDown, 6.0),
         leader(FaultKind::ZoneAndControllerPartitioned, 15.0),
         // Machines.
-        unresolved(cut_zone(), all_controllers_end()),
-        unresolved(machines(19.0, FaultKind::MachineHangs, 14.0), all_controllers_end()),
+        unreconciled(partitioned_zone(), all_controllers_end()),
+        unreconciled(machines(19.0, FaultKind::MachineHangs, 14.0), all_controllers_end()),
         silent(machines(15.0, FaultKind::HeartbeatsLost, 15.0)),
         silent(zones(15.0, FaultKind::ZoneHeartbeatsLost, 15.0)),
         silent(machines(15.0, FaultKind::HeartbeatRepliesLost, 15.0)),
@@ -184,7 +184,7 @@
                 zones(19.8, FaultKind::ZoneRepliesAndCommandsLost, 80.0),
             )
         },
-        // Two zones are cut off: so many silent machines are not given up, and their leases are waited out.
+        // Two zones are partitioned: so many machines without heartbeats are not declared lost before their leases end.
         Case {
             context: vec![
                 at(19.0, FaultKind::ZonePartitioned, 0, 18.0),
@@ -224,20 +224,20 @@
     ]
 }
 
-/// The first seed with which the wrong decision breaks the rule.
-fn first_seen(case: &Case, seeds: u64, faults: &[InjectedFault]) -> Option<u64> {
+/// Returns the first seed with which the wrong decision violates the rule.
+fn first_detected(case: &Case, seeds: u64, faults: &[InjectedFault]) -> Option<u64> {
     let broken = |seed: &u64| play(&case.scenario, *seed, faults, Some(case.wrong)).broken;
     (0..seeds).find(|seed| broken(seed).is_some_and(|b| b.contains(case.rule)))
 }
 
-/// Fails unless the wrong decision is seen with the kind of fault, and only with it.
+/// Fails unless the wrong decision is detected with the kind of fault, and only with it.
 fn assert_revealed(case: &Case) {
     let (kind, wrong, rule) = (case.faults[0].kind, case.wrong, case.rule);
-    let without = first_seen(case, SEEDS, &case.context);
-    assert_eq!(without, None, "{wrong:?} is seen as {rule:?} without {kind:?}");
+    let without = first_detected(case, SEEDS, &case.context);
+    assert_eq!(without, None, "{wrong:?} is detected as {rule:?} without {kind:?}");
     let all = [case.context.as_slice(), &case.faults].concat();
-    let Some(seed) = first_seen(case, MAX_SEEDS, &all) else {
-        panic!("{wrong:?} is not seen as {rule:?} with {kind:?}")
+    let Some(seed) = first_detected(case, MAX_SEEDS, &all) else {
+        panic!("{wrong:?} is not detected as {rule:?} with {kind:?}")
     };
     let right = play(&case.scenario, seed, &all, None).broken;
     assert_eq!(right, None, "{kind:?} breaks a rule without {wrong:?}, seed {seed}");
@@ -255,7 +255,7 @@
     std::thread::scope(|s| (0..THREADS).for_each(|_| _ = s.spawn(assert_some)));
 }
 
-/// No kind is left out unnoticed.
+/// Every kind of the three lists has a case.
 #[test]
 fn each_kind_has_a_case() {
     let cases = cases();
--- a/crates/model/tests/machine_transfers.rs
+++ b/crates/model/tests/machine_transfers.rs
@@ -1,4 +1,4 @@
-//! One shard's shard alone: which of its machines it sets aside for another shard.
+//! Machine transfers of a single shard's leader: which of its machines it sets aside for another shard.
 
 use lupinspur_model::stored::types;
 use lupinspur_scheduler::params::{Params, Team, Tuning};
@@ -9,11 +9,11 @@
 use std::collections::HashMap;
 
 const TOKEN: u64 = 7;
-const REPORT_S: f64 = 3.0;
+const HEARTBEAT_INTERVAL_S: f64 = 3.0;
 const MACHINES: usize = 6;
 const STEP_S: f64 = 0.1;
-/// Long enough that machines that nobody needs have been paid for their first minute.
-const PLAYED_S: f64 = 120.0;
+/// Seconds simulated: long enough that unused machines are past their first minute, which is paid in any case.
+const SIMULATED_S: f64 = 120.0;
 
 fn params() -> Params {
     let team = Team { name: "red".into(), cpus: 0.0, cpus_max: 0.0, accelerators: 0.0, accelerators_max: 0.0 };
@@ -21,7 +21,7 @@
         teams: vec![team],
         zones: vec!["a".into(), "b".into(), "c".into()],
         terms: HashMap::new(),
-        report_s: REPORT_S,
+        report_s: HEARTBEAT_INTERVAL_S,
         lease_s: 20.0,
         cancel_s: 45.0,
         list_lag_s: 5.0,
@@ -39,7 +39,7 @@
     ["a", "b", "c"][machine % 3]
 }
 
-fn report(machine: usize, seq: u64) -> Heartbeat {
+fn heartbeat(machine: usize, seq: u64) -> Heartbeat {
     Heartbeat {
         machine: name(machine),
         addr: "127.0.0.1:9".into(),
@@ -60,19 +60,19 @@
     .expect("a machine")
 }
 
-/// Plays a shard of idle machines to which the leader has ordered so many cpus for another shard; how many
-/// machines it has set aside by then.
+/// Simulates a shard with idle machines and an order to transfer this many CPUs to another shard. Returns the number of
+/// machines that it has set aside at the end.
 fn set_aside(ordered_cpus: f64) -> usize {
     let tuning = Tuning { leader_lease_s: 4.0, ..Tuning::default() };
     let mut shard = Shard::new(&params(), tuning, TOKEN, types(), LoadedState::default(), 0.0);
     let other_shard = ShardId(1);
     let mut revision = 100;
-    let reports_every = (REPORT_S / STEP_S) as u64;
-    for step in 0..(PLAYED_S / STEP_S) as u64 {
+    let steps_between_heartbeats = (HEARTBEAT_INTERVAL_S / STEP_S) as u64;
+    for step in 0..(SIMULATED_S / STEP_S) as u64 {
         let now = step as f64 * STEP_S;
         shard.state_service_writable = true;
-        if step % reports_every == 0 {
-            (0..MACHINES).for_each(|m| _ = shard.on_heartbeat(&report(m, step + 1), now));
+        if step % steps_between_heartbeats == 0 {
+            (0..MACHINES).for_each(|m| _ = shard.on_heartbeat(&heartbeat(m, step + 1), now));
             let list: Vec<ListedMachine> = (0..MACHINES).map(|m| listed(m, now)).collect();
             shard.on_list(&list, false, now);
         }
@@ -88,7 +88,7 @@
     shard.pending_transfers().len()
 }
 
-/// A shard that was short by less than a machine got none, and its job waited for ever.
+/// Guards against a shard that gets no machine because it lacks less than a whole one, so that its job waits for ever.
 #[test]
 fn a_whole_machine_is_set_aside_for_a_part_of_one() {
     assert_eq!(set_aside(3.0), 1);
--- a/crates/model/tests/pipelines.rs
+++ b/crates/model/tests/pipelines.rs
@@ -1,5 +1,5 @@
-//! Pipelines across changes of leader in series: jobs whose needs ended before the checkpoint run on while a new leader
-//! has not read these, and what it says is lost. `MEETING_SEEDS` plays more seeds.
+//! Pipelines across several changes of leader: jobs whose dependencies ended before the checkpoint run on while the new
+//! leader has not read these dependencies, and its commands are lost. `MEETING_SEEDS` sets the number of seeds.
 
 mod evidence;
 #[allow(dead_code)]
@@ -9,10 +9,10 @@
 use lupinspur_model::{FaultKind, InjectedFault, LEADER, Scenario, Work, WrongDecision, play};
 use takeover::{at, broken, machines, no_rule_is_broken_in, runs, with};
 
-/// Seeds in which a wrong decision is looked for.
+/// Seeds within which the wrong decision has to be detected.
 const SEEDS: u64 = 8;
 
-/// Arrays of two or three tasks that end far apart; half of them wait for an earlier one.
+/// Arrays of two or three tasks that end far apart; half of them depend on an earlier one.
 fn deployment(cells: u32) -> Scenario {
     Scenario {
         work: Work::FewTasks,
@@ -24,7 +24,7 @@
     }
 }
 
-/// The leader ends again and again, each time soon after it has written its checkpoint anew.
+/// The leader ends four times, each time soon after it has written a new checkpoint.
 fn leaders_in_series() -> Vec<InjectedFault> {
     let change = |n: u32| {
         let begins = 38.0 + 13.0 * f64::from(n);
@@ -33,10 +33,10 @@
     (0..4).flat_map(change).collect()
 }
 
-/// Commands are held back, and machines hear nothing from a moment after each change of leader on.
+/// Commands are delayed, and replies and commands are lost for four seconds shortly after each change of leader.
 fn lost_stops() -> Vec<InjectedFault> {
-    let deaf = (0..4).flat_map(|n| machines(49.3 + 13.0 * f64::from(n), FaultKind::RepliesAndCommandsLost, 4.0));
-    with(vec![at(40.0, FaultKind::CommandsDelayed, 0, 60.0)], deaf)
+    let lost = (0..4).flat_map(|n| machines(49.3 + 13.0 * f64::from(n), FaultKind::RepliesAndCommandsLost, 4.0));
+    with(vec![at(40.0, FaultKind::CommandsDelayed, 0, 60.0)], lost)
 }
 
 #[test]
@@ -60,7 +60,7 @@
     }
 }
 
-/// The wrong decision of the incident: a running task whose need was not read yet passes for one that is gone.
+/// The wrong decision of a past incident: a running task is taken for gone while its dependency has not been read.
 #[test]
 fn a_running_task_that_passes_for_gone_until_its_need_is_read_is_seen() {
     let seen = |seed: &u64| {
@@ -69,11 +69,11 @@
         run.broken.is_some_and(|what| what.contains("ran_twice"))
     };
     let seen = (0..SEEDS).filter(seen).count();
-    println!("seen in {seen} of {SEEDS} seeds");
+    println!("detected with {seen} of {SEEDS} seeds");
     assert!(seen >= 1);
 }
 
-/// Without changes of leader nothing tells it from the right one.
+/// Without a change of leader the wrong decision has no effect.
 #[test]
 fn the_same_passes_where_the_leader_stays() {
     let broken = broken(&runs(&deployment(1), &[], Some(WrongDecision::TreatsUnreadDependenciesAsOpen)));
--- a/crates/model/tests/random_fault_combinations.rs
+++ b/crates/model/tests/random_fault_combinations.rs
@@ -1,7 +1,7 @@
-//! Random fault combinations: two to four faults of any kind within seconds of one another and of one change of leader
-//! or two, for each kind of work, with one shard and with several, by seeds.
-//! `MEETINGS=2000 cargo test --release -p lupinspur-model --test random_fault_combinations` plays so many of each deployment, from
-//! `MEETING_SEED` on, over `MEETING_CELLS` shards, `MEETING_THREADS` runs at a time.
+//! Random fault combinations: two to four faults of any kind within seconds of each other and of one or two changes of
+//! leader, for each kind of work, with one shard and with several.
+//! `MEETINGS=2000 cargo test --release -p lupinspur-model --test random_fault_combinations` runs 2000 combinations of each
+//! deployment, from the seed `MEETING_SEED` on, with `MEETING_CELLS` shards, on `MEETING_THREADS` threads.
 
 use fastrand::Rng;
 use lupinspur_model::scenario::Team;
@@ -11,23 +11,23 @@
 };
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Combinations of each deployment that are played unless more are asked for.
+/// Combinations of each deployment unless `MEETINGS` sets another number.
 const COMBINATIONS: u64 = 6;
-/// Runs that are played at the same time unless `MEETING_THREADS` says otherwise.
+/// Runs at the same time unless `MEETING_THREADS` sets another number.
 const THREADS: u64 = 3;
-/// The faults of a combination begin within this.
+/// Time within which the faults of a combination begin, in seconds.
 const WITHIN_S: f64 = 6.0;
 const FIRST_AT_S: f64 = 15.0;
 const LAST_AT_S: f64 = 40.0;
 const LONGEST_S: f64 = 55.0;
-/// A second change of leader begins within this after the first.
+/// Time after the first change of leader within which the second one begins, in seconds.
 const SECOND_CHANGE_WITHIN_S: f64 = 12.0;
-/// A leader writes its checkpoint anew so long before it may change.
+/// Time from a new checkpoint to the change of leader, in seconds.
 const CHECKPOINT_BEFORE_S: f64 = 6.0;
-/// Cancellations of services are spread over this at most.
+/// Longest time over which cancellations are spread, in seconds.
 const CANCEL_WITHIN_S: f64 = 5.0;
 
-/// By which a leader changes.
+/// Kinds of faults by which the leader changes.
 const CHANGES: [FaultKind; 8] = [
     FaultKind::ControllerRestarts,
     FaultKind::LeaderStepsDown,
@@ -39,10 +39,10 @@
     FaultKind::ZoneAndControllerPartitioned,
 ];
 
-/// What is played: sizes, limits and work.
+/// A deployment: sizes, limits and work.
 #[derive(Debug, Clone, Copy)]
 enum Deployment {
-    /// Services and arrays, with room for all.
+    /// Services and arrays, with capacity for all of them.
     Mixed,
     /// Every team reaches its limit.
     TeamsAtLimit,
@@ -52,7 +52,7 @@
     FewTasks,
     /// Jobs whose tasks have to be in one zone.
     OneZone,
-    /// Jobs of few tasks of which half wait for another, and a checkpoint just before each change of leader.
+    /// Jobs of few tasks of which half depend on another, and a checkpoint just before each change of leader.
     Pipelines,
 }
 
@@ -77,7 +77,7 @@
         }
     }
 
-    /// By which users cancel jobs that run.
+    /// Returns the kind of fault by which users cancel running jobs.
     fn cancellation(self) -> FaultKind {
         match self {
             Deployment::OneTaskFlood | Deployment::FewTasks | Deployment::Pipelines => FaultKind::CancelRunningJobs,
@@ -90,8 +90,8 @@
     std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(otherwise)
 }
 
-/// Short ones are as likely as long ones.
-fn lasts(rng: &mut Rng) -> f64 {
+/// Draws the duration of a fault in seconds: half of them are shorter than a quarter of the longest.
+fn duration_s(rng: &mut Rng) -> f64 {
     0.2 + rng.f64().powi(2) * LONGEST_S
 }
 
@@ -102,10 +102,10 @@
 }
 
 fn change_of_leader(rng: &mut Rng, at: f64, which: usize) -> InjectedFault {
-    InjectedFault { at, kind: CHANGES[rng.usize(0..CHANGES.len())], which, for_s: lasts(rng) }
+    InjectedFault { at, kind: CHANGES[rng.usize(0..CHANGES.len())], which, for_s: duration_s(rng) }
 }
 
-/// One change of leader or two, cancellations, and one to three other faults of any kind, all within seconds.
+/// Draws one or two changes of leader, cancellations, and one to three other faults of any kind, all within seconds.
 fn combination(deployment: Deployment, seed: u64, cells: u32) -> Vec<InjectedFault> {
     let mut rng = Rng::with_seed(seed);
     let begins = FIRST_AT_S + rng.f64() * (LAST_AT_S - FIRST_AT_S);
@@ -131,16 +131,16 @@
             _ => rng.usize(0..64),
         };
         let kind = any_kind(&mut rng);
-        faults.push(InjectedFault { at: at(&mut rng), kind, which, for_s: lasts(&mut rng) });
+        faults.push(InjectedFault { at: at(&mut rng), kind, which, for_s: duration_s(&mut rng) });
     }
     faults
 }
 
-/// What was broken in these combinations, with their faults.
+/// Returns the violations in these combinations, with their faults.
 fn broken(deployment: Deployment, cells: u32, first: u64, combinations: u64) -> Vec<String> {
     let scenario = deployment.scenario(cells);
     let next = AtomicU64::new(first);
-    let play_some = || {
+    let run_some = || {
         let mut broken = Vec::new();
         loop {
             let seed = next.fetch_add(1, Ordering::Relaxed);
@@ -155,8 +155,8 @@
     };
     let threads = from_env("MEETING_THREADS", THREADS);
     std::thread::scope(|s| {
-        let all: Vec<_> = (0..threads).map(|_| s.spawn(play_some)).collect();
-        all.into_iter().flat_map(|t| t.join().expect("played")).collect()
+        let all: Vec<_> = (0..threads).map(|_| s.spawn(run_some)).collect();
+        all.into_iter().flat_map(|t| t.join().expect("a run")).collect()
     })
 }
 
--- a/crates/model/tests/refused_leader.rs
+++ b/crates/model/tests/refused_leader.rs
@@ -1,5 +1,5 @@
-//! The state service refuses the leader alone, and then everybody for longer than a cancellation may take, while jobs
-//! are cancelled. Each test asserts that its runs show the combination. `MEETING_SEEDS` plays more seeds.
+//! The state service refuses only the leader, and then is down for all for longer than a cancellation may take, while jobs
+//! are cancelled. Each test asserts that its runs show the combination. `MEETING_SEEDS` sets the number of seeds.
 
 mod evidence;
 mod takeover;
@@ -11,8 +11,8 @@
 /// Longer than a cancellation may take.
 const LONG_OUTAGE_S: f64 = 55.0;
 
-/// The state service refuses the leader alone; the next leader confirms cancellations; then the state
-/// service is down for all, for longer than a cancellation may take.
+/// The state service refuses only the leader; the next leader confirms cancellations; then the state service is down for
+/// all, for longer than a cancellation may take.
 fn refused_then_down() -> Vec<InjectedFault> {
     vec![
         at(30.0, FaultKind::StateServiceRefuses, LEADER, 14.0 + LONG_OUTAGE_S),
@@ -76,8 +76,8 @@
     no_rule_is_broken(&with(refused_then_down(), only_commands), evidence);
 }
 
-/// A leader that acts past its lease keeps the tasks of cancelled jobs in its zone alive, and tells users
-/// who reach it that they run; over one shard as over three.
+/// A leader that acts past its lease keeps the tasks of cancelled jobs in its zone running, and reports them as running
+/// to users who reach it. Checked with one shard and with three.
 #[test]
 fn a_leader_that_acts_past_its_lease_is_seen() {
     let cut = at(30.0, FaultKind::ZoneAndControllerPartitioned, SAME_LEADER, LONG_OUTAGE_S);
@@ -92,7 +92,7 @@
     }
 }
 
-/// The state service answers slowly, then refuses the leader alone, then everybody, while users cancel.
+/// The state service is slow, then refuses only the leader, then is down for all, while users cancel jobs.
 #[test]
 fn slow_state_then_leader_refused_then_outage() {
     let slow = at(15.0, FaultKind::SlowStateService, 0, 30.0);
@@ -105,7 +105,7 @@
     no_rule_is_broken(&with(refused_then_down(), [slow]), evidence);
 }
 
-/// Jobs are cancelled at the moment at which the state service refuses the leader, a second before it is down.
+/// Jobs are cancelled when the state service begins to refuse the leader, a second before the outage.
 #[test]
 fn cancelled_as_the_leader_is_refused_a_second_before_the_outage() {
     let refused = at(30.0, FaultKind::StateServiceRefuses, LEADER, 14.0);
@@ -122,7 +122,7 @@
     no_rule_is_broken(&faults, evidence);
 }
 
-/// The same while answers of the state service are lost, so that the leader doesn't know what it stored.
+/// The same while responses of the state service are lost, so that the leader does not know which writes were applied.
 #[test]
 fn cancelled_with_lost_answers_as_the_leader_is_refused_before_the_outage() {
     let lost = at(28.0, FaultKind::WriteResponsesLost, 0, 4.0);
--- a/crates/model/tests/same_seed_same_run.rs
+++ b/crates/model/tests/same_seed_same_run.rs
@@ -1,17 +1,18 @@
-//! The same scenario and seed play the same: whatever a run decides by an order that is not definite, such as that of
-//! a hash map, which is another one for each map, shows as two reports that differ. The scenarios are those that
-//! `scripts/compare-models` plays with two builds.
+//! The same scenario and seed give the same run. A decision that depends on an undefined order, such as the iteration
+//! order of a hash map, makes two reports differ. The scenarios are those that `scripts/compare-models` runs with two
+//! builds.
 
 use lupinspur_model::{Scenario, simulate};
 use serde_json::{Map, Value};
 use std::path::{Path, PathBuf};
 
-/// Seeds of each scenario; `SAME_RUN_SEEDS` plays more.
+/// Seeds of each scenario; `SAME_RUN_SEEDS` sets another number.
 const SEEDS: u64 = 4;
-/// Of leaders in series: where needs were read in the order of a hash, some four seeds in ten played two ways.
+/// Seeds of the scenario with several changes of leader. When dependencies were read in the order of a hash map, the
+/// runs of about four seeds in ten differed.
 const SEEDS_OF_LEADERS: u64 = 12;
 const FIRST_SEED: u64 = 1;
-/// The real seconds that the decisions took: the only field that two runs may have different.
+/// The real seconds spent on decisions: the only field that may differ between two runs.
 const PROCESSOR_TIME: &str = "processor";
 
 fn seeds(usual: u64) -> u64 {
@@ -25,7 +26,7 @@
     Scenario::parse(&text).expect("a scenario")
 }
 
-/// The reports of all seeds, without processor time.
+/// Returns the reports of all seeds, without processor time.
 fn reports(scenario: &Scenario, seeds: u64) -> Vec<Map<String, Value>> {
     let report = |run| match serde_json::to_value(run).expect("JSON") {
         Value::Object(mut report) => {
@@ -38,12 +39,12 @@
     simulate(scenario, FIRST_SEED, seeds, threads).into_iter().map(report).collect()
 }
 
-/// The fields that differ between two reports, with both values.
+/// Returns the fields that differ between two reports, with both values.
 fn differences(first: &Map<String, Value>, second: &Map<String, Value>) -> Vec<String> {
     let differs = |name: &&String| first.get(*name) != second.get(*name);
-    let told = |name: &String| format!("{name}: {:?}, then {:?}", first.get(name), second.get(name));
+    let describe = |name: &String| format!("{name}: {:?}, then {:?}", first.get(name), second.get(name));
     let only_second = second.keys().filter(|name| !first.contains_key(*name));
-    first.keys().chain(only_second).filter(differs).map(told).collect()
+    first.keys().chain(only_second).filter(differs).map(describe).collect()
 }
 
 fn plays_the_same(name: &str, usual_seeds: u64) {
@@ -52,9 +53,14 @@
     assert_eq!(first.len(), second.len());
     let pairs = first.iter().zip(&second).filter(|(first, second)| first != second);
     let differ: Vec<_> = pairs.map(|(first, second)| (&first["seed"], differences(first, second))).collect();
-    assert!(differ.is_empty(), "{name}: {} of {} seeds play two ways: {differ:#?}", differ.len(), first.len());
+    assert!(
+        differ.is_empty(),
+        "{name}: {} of {} seeds give two different runs: {differ:#?}",
+        differ.len(),
+        first.len()
+    );
     let ran = first.iter().filter(|report| report["starts"].as_u64() > Some(0)).count();
-    assert_eq!(ran, first.len(), "{name}: tasks run with every seed");
+    assert_eq!(ran, first.len(), "{name}: no tasks ran with some seed");
 }
 
 #[test]
@@ -82,7 +88,7 @@
     plays_the_same("zone-bound", SEEDS);
 }
 
-/// `scripts/compare-models` plays every file of the folder; a test above plays each of them.
+/// `scripts/compare-models` runs every file of the folder; each of them has a test above.
 #[test]
 fn each_scenario_file_is_played_here() {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scripts/scenarios");
--- a/crates/model/tests/scenario.rs
+++ b/crates/model/tests/scenario.rs
@@ -1,5 +1,5 @@
-//! The scenario file: the published schema and the example are what the program reads, and every fault of
-//! a file is told by its path, all at once.
+//! The scenario file: the published schema and the example match what the program reads, and all errors of a file are
+//! reported at once, each with its path.
 
 use lupinspur_model::{Scenario, simulate};
 use std::path::PathBuf;
@@ -8,7 +8,7 @@
     [env!("CARGO_MANIFEST_DIR"), "..", "..", "deploy", name].iter().collect()
 }
 
-/// `UPDATE_SCHEMA=1 cargo test -p lupinspur-model` writes it anew.
+/// `UPDATE_SCHEMA=1 cargo test -p lupinspur-model` writes the schema file.
 #[test]
 fn the_published_schema_is_that_of_the_program() {
     let schema = serde_json::to_string_pretty(&Scenario::schema()).expect("JSON") + "\n";
@@ -23,7 +23,7 @@
     let text = std::fs::read_to_string(deploy("scenario.toml")).expect("an example");
     let scenario = Scenario::parse(&text).expect("a scenario");
     for r in simulate(&scenario, 1, 2, 2) {
-        assert_eq!((r.broken, r.begun > 0, r.counts.elections > 1), (None, true, true), "an owner ends in it");
+        assert_eq!((r.broken, r.begun > 0, r.counts.elections > 1), (None, true, true), "a leader restarts in it");
     }
 }
 
--- a/crates/model/tests/shares_of_limits.rs
+++ b/crates/model/tests/shares_of_limits.rs
@@ -1,15 +1,15 @@
-//! Teams' limits that are shared out among shards.
+//! Team limits that are split into shares of several shards.
 
 use lupinspur_model::scenario::Team;
 use lupinspur_model::{Scenario, play};
 
-/// Each of these left a job waiting before a job took its wait along from shard to shard, and a shard told of room
-/// that none of its own work may use.
+/// With each of these seeds a job was left waiting when a move to another shard reset the wait of a job, and when a
+/// shard did not report free capacity that its own jobs cannot use.
 const SEEDS: [u64; 5] = [6, 13, 15, 19, 21];
 
-/// More work comes than the teams' limits let run, and nothing goes wrong. What is left of a limit may stand in
-/// the shares of several shards, in none of them enough for a task: no job may wait for that while its team is
-/// below its limit and a machine has room.
+/// More jobs are submitted than the limits of the teams allow, without any fault. The remainder of a limit may be spread
+/// over the shares of several shards, with none of them enough for a task. Even then no job may be left waiting while its
+/// team is below its limit and a machine has free capacity.
 #[test]
 fn a_limit_in_shares_leaves_no_job_waiting() {
     let team = |name: &str| Team { name: name.into(), cpus: 12.0, cpus_max: 24.0 };
--- a/crates/model/tests/storms.rs
+++ b/crates/model/tests/storms.rs
@@ -1,6 +1,6 @@
-//! Random troubles over the decisions as they are. A storm is a list of troubles and a seed; proptest
-//! shortens the list of one that breaks a rule. `STORMS=200 cargo test -p lupinspur-model --test storms`
-//! plays more of them, `STORM_MACHINES=300` larger ones, `STORM_CELLS=5` over more shards.
+//! Random faults. A storm is a list of faults and a seed; proptest shortens the list of a storm that violates a rule.
+//! `STORMS=200 cargo test -p lupinspur-model --test storms` runs more of them, `STORM_MACHINES=300` with more machines,
+//! `STORM_CELLS=5` with more shards.
 
 use lupinspur_model::{Counts, FAULT_KINDS, FaultKind, InjectedFault, Run, Scenario, WrongDecision, play};
 use proptest::prelude::*;
@@ -10,21 +10,21 @@
     std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(otherwise)
 }
 
-fn faults(most: usize) -> impl Strategy<Value = Vec<InjectedFault>> {
+fn random_faults(max_count: usize) -> impl Strategy<Value = Vec<InjectedFault>> {
     let one = (0.0..50.0, 0..FAULT_KINDS.len(), 0..64usize, 0.2..35.0f64)
         .prop_map(|(at, kind, which, for_s)| InjectedFault { at, kind: FAULT_KINDS[kind], which, for_s });
-    proptest::collection::vec(one, 0..most)
+    proptest::collection::vec(one, 0..max_count)
 }
 
-/// No rule is broken whatever happens together, and once it is over every job is answered and has begun
-/// within the stated times.
+/// No rule is violated by any combination of faults, and after the last fault every job is answered and begins within
+/// the stated times.
 #[test]
 fn no_storm_breaks_a_rule_or_loses_a_job() {
     storms(1, from_env("STORMS", 24));
 }
 
-/// The same with three shards, between which jobs, shares, machines and homes move: they are short of
-/// machines.
+/// The same with three shards and few machines, so that jobs, quota shares, machines and home shards of teams move
+/// between the shards.
 #[test]
 fn no_storm_over_cells_breaks_a_rule_or_loses_a_job() {
     storms(from_env("STORM_CELLS", 3), from_env("STORMS", 24));
@@ -42,7 +42,7 @@
         max_shrink_iters: 400,
         ..Config::default()
     };
-    let result = TestRunner::new(config).run(&(any::<u64>(), faults(14)), |(seed, faults)| {
+    let result = TestRunner::new(config).run(&(any::<u64>(), random_faults(14)), |(seed, faults)| {
         play(&scenario, seed, &faults, None).broken.map_or(Ok(()), |what| Err(TestCaseError::fail(what)))
     });
     if let Err(e) = result {
@@ -50,7 +50,7 @@
     }
 }
 
-/// Each check sees a decision that is deliberately wrong.
+/// Each check detects a deliberately wrong decision.
 #[test]
 fn wrong_decisions_are_seen() {
     let ends = |which| InjectedFault { at: 20.0, kind: FaultKind::ControllerRestarts, which, for_s: 60.0 };
@@ -70,11 +70,11 @@
         let most_machines = if cells > 1 { 9 } else { 80 };
         let scenario = Scenario { cells, most_machines, ..Scenario::default() };
         let sees = |seed| play(&scenario, seed, &faults, Some(wrong)).broken.is_some_and(|s| s.contains(rule));
-        assert!((0..40).any(sees), "{wrong:?} is not seen as {rule}");
+        assert!((0..40).any(sees), "{wrong:?} is not detected as {rule}");
     }
 }
 
-/// Whoever plays a scenario again sees the same: only how long it took differs.
+/// Two runs of a scenario with the same seed are equal, but for the real time that decisions took.
 #[test]
 fn the_same_seed_plays_the_same() {
     let scenario = Scenario { cells: 3, most_machines: 9, random_troubles: 6, ..Scenario::default() };
@@ -89,8 +89,8 @@
     assert!(first.iter().all(|r| r.begun > 10 && r.waits.is_some()), "{first:?}");
 }
 
-/// A shard was short by a part of a machine, and another had one idle: it was never handed over, since it is
-/// larger than what was ordered, and the job waited for ever.
+/// Guards against a job that waits for ever because its shard lacks part of a machine while another shard has an idle
+/// one: the idle machine was never transferred, because it is larger than the order.
 #[test]
 fn a_cell_that_is_short_by_a_part_of_a_machine_gets_one() {
     let scenario = Scenario { cells: 3, machines: 6, most_machines: 8, random_troubles: 10, ..Scenario::default() };
--- a/crates/model/tests/takeover/mod.rs
+++ b/crates/model/tests/takeover/mod.rs
@@ -1,9 +1,9 @@
-//! Fault combinations around a change of leader: the deployment, its faults, and how they are played.
+//! Fault combinations around a change of leader: the deployment, its faults, and the runs.
 
 use crate::evidence::Evidence;
 use lupinspur_model::{FaultKind, InjectedFault, Run, Scenario, WrongDecision, play};
 
-/// Seeds of each combination over one shard and over several; `MEETING_SEEDS` plays more.
+/// Seeds of each combination with one shard and with several; `MEETING_SEEDS` sets another number.
 pub const SEEDS: u64 = 4;
 pub const SEEDS_OVER_CELLS: u64 = 2;
 
@@ -12,17 +12,17 @@
     std::env::var("MEETING_SEEDS").ok().and_then(|v| v.parse().ok()).unwrap_or(usual)
 }
 
-/// Nine machines, with more of them to be had where the shards part them.
+/// Nine machines; with several shards fewer can be rented.
 pub fn deployment(cells: u32) -> Scenario {
     Scenario { cells, most_machines: if cells > 1 { 24 } else { 80 }, ..Scenario::default() }
 }
 
-/// A fault of a controller or of everything.
+/// Returns a fault.
 pub fn at(at: f64, kind: FaultKind, which: usize, for_s: f64) -> InjectedFault {
     InjectedFault { at, kind, which, for_s }
 }
 
-/// The same fault for each of the machines that there are from the beginning.
+/// Returns the same fault for each of the initial machines.
 pub fn machines(begins: f64, kind: FaultKind, for_s: f64) -> Vec<InjectedFault> {
     (0..deployment(1).machines).map(|m| at(begins, kind, m, for_s)).collect()
 }
@@ -31,12 +31,12 @@
     (0..seeds(scenario.cells)).map(|seed| play(scenario, seed, faults, wrong)).collect()
 }
 
-/// What was broken, seed by seed.
+/// Returns the violations, by seed.
 pub fn broken(runs: &[Run]) -> Vec<String> {
     runs.iter().filter_map(|r| Some(format!("seed {}: {}", r.seed, r.broken.as_ref()?))).collect()
 }
 
-/// No rule is broken, and the runs show that the combination happened.
+/// Asserts that no rule is violated and that the runs show the combination.
 pub fn no_rule_is_broken_in(scenario: &Scenario, faults: &[InjectedFault], evidence: Evidence) {
     let runs = runs(scenario, faults, None);
     let broken = broken(&runs);
--- a/crates/model/tests/wrong_decisions.rs
+++ b/crates/model/tests/wrong_decisions.rs
@@ -1,11 +1,11 @@
-//! Each count of what machines, reports and users see is met by a decision that is wrong on purpose, with one shard
-//! and with three.
+//! The checks on what machines and users observe each detect a deliberately wrong decision, with one shard and with
+//! three.
 
 use lupinspur_model::{FaultKind, InjectedFault, Scenario, Work, WrongDecision, play};
 
 const SEEDS: u64 = 20;
 
-fn is_seen(wrong: WrongDecision, scenario: &Scenario, faults: &[InjectedFault], rule: &str) {
+fn is_detected(wrong: WrongDecision, scenario: &Scenario, faults: &[InjectedFault], rule: &str) {
     for cells in [1, 3] {
         let most_machines = if cells > 1 { 12 } else { 80 };
         let scenario = Scenario { cells, most_machines, ..scenario.clone() };
@@ -16,7 +16,7 @@
             others.extend(broken.filter(|_| !seen));
             seen
         };
-        assert!((0..SEEDS).any(sees), "{wrong:?} is not seen as {rule:?} over {cells} cells, but as {others:?}");
+        assert!((0..SEEDS).any(sees), "{wrong:?} is not detected as {rule:?} over {cells} cells, but as {others:?}");
     }
 }
 
@@ -26,47 +26,52 @@
 
 #[test]
 fn a_job_that_is_left_waiting() {
-    is_seen(WrongDecision::NeverPlacesSomeJobs, &Scenario { room: false, ..Scenario::default() }, &[], "left_waiting");
+    is_detected(
+        WrongDecision::NeverPlacesSomeJobs,
+        &Scenario { room: false, ..Scenario::default() },
+        &[],
+        "left_waiting",
+    );
 }
 
 #[test]
 fn a_cancelled_task_that_goes_on_after_its_machine_hung() {
     let faults: Vec<InjectedFault> =
         (0..4).map(|n| fault(15.0 + 6.0 * f64::from(n), FaultKind::CancelRunningJobs, 7, 4.0)).collect();
-    is_seen(WrongDecision::IgnoresStopsAfterHang, &Scenario::default(), &faults, "resumed after a hang");
+    is_detected(WrongDecision::IgnoresStopsAfterHang, &Scenario::default(), &faults, "resumed after a hang");
 }
 
 #[test]
 fn a_start_that_is_commanded_after_a_confirmed_cancellation() {
-    is_seen(WrongDecision::StartsCancelledJobs, &Scenario::default(), &[], "is commanded to start after");
+    is_detected(WrongDecision::StartsCancelledJobs, &Scenario::default(), &[], "is commanded to start after");
 }
 
 #[test]
 fn a_job_that_is_accepted_though_it_can_never_run() {
-    let odd = [fault(5.0, FaultKind::InvalidRequests, 0, 60.0)];
-    is_seen(WrongDecision::SkipsAdmissionCheck, &Scenario::default(), &odd, "can never run");
+    let invalid = [fault(5.0, FaultKind::InvalidRequests, 0, 60.0)];
+    is_detected(WrongDecision::SkipsAdmissionCheck, &Scenario::default(), &invalid, "can never run");
 }
 
 #[test]
 fn a_job_that_is_accepted_though_it_lacks_a_field() {
-    let odd = [fault(5.0, FaultKind::InvalidRequests, 0, 60.0)];
-    is_seen(WrongDecision::FillsInMissingFields, &Scenario::default(), &odd, "lacks a field");
+    let invalid = [fault(5.0, FaultKind::InvalidRequests, 0, 60.0)];
+    is_detected(WrongDecision::FillsInMissingFields, &Scenario::default(), &invalid, "lacks a field");
 }
 
 #[test]
 fn a_job_that_nobody_submitted_gets_a_state() {
-    let odd = [fault(5.0, FaultKind::InvalidRequests, 0, 60.0)];
-    is_seen(WrongDecision::InventsUnknownJobs, &Scenario::default(), &odd, "invented");
+    let invalid = [fault(5.0, FaultKind::InvalidRequests, 0, 60.0)];
+    is_detected(WrongDecision::InventsUnknownJobs, &Scenario::default(), &invalid, "invented");
 }
 
 #[test]
 fn a_repeated_submission_that_hears_an_older_state() {
-    let looks = [fault(0.0, FaultKind::PollAfterEvents, 0, 70.0)];
-    is_seen(WrongDecision::AnswersResubmissionAsNew, &Scenario::default(), &looks, "went_back");
+    let polls = [fault(0.0, FaultKind::PollAfterEvents, 0, 70.0)];
+    is_detected(WrongDecision::AnswersResubmissionAsNew, &Scenario::default(), &polls, "went_back");
 }
 
 #[test]
 fn one_zone_jobs_in_two_zones() {
     let scenario = Scenario { work: Work::OneZone, ..Scenario::default() };
-    is_seen(WrongDecision::TreatsZonesAsOne, &scenario, &[], "wrong_place");
+    is_detected(WrongDecision::TreatsZonesAsOne, &scenario, &[], "wrong_place");
 }
