--- a/crates/model/src/elections.rs
+++ b/crates/model/src/elections.rs
@@ -363,9 +363,9 @@
         let lease = slot.election.step_down(now);
         slot.shard = None;
         if let Some(l) = lease.filter(|_| reaches_state_service)
-            && let Some((until, ..)) = self.store.leases.get_mut(&l)
+            && let Some(lease) = self.store.leases.get_mut(&l)
         {
-            *until = now;
+            lease.expires_at = now;
         }
     }
 }
--- a/crates/model/src/machines.rs
+++ b/crates/model/src/machines.rs
@@ -55,7 +55,7 @@
     pub(crate) tasks_fail_until: f64,
     /// Number of the controller that it sends heartbeats to.
     pub(crate) controller: usize,
-    pub(crate) next_report: f64,
+    pub(crate) next_heartbeat_at: f64,
     /// The heartbeat without a reply so far: when it was sent, and until when the machine waits for the reply.
     pub(crate) pending_heartbeat: Option<(f64, f64)>,
 }
@@ -172,7 +172,7 @@
         self.check_starts(index);
         let machine = &mut self.machines[index];
         if changed {
-            machine.next_report = machine.next_report.min(now + 0.5);
+            machine.next_heartbeat_at = machine.next_heartbeat_at.min(now + 0.5);
         }
         if let Some((_, until)) = machine.pending_heartbeat {
             if now < until {
@@ -180,10 +180,10 @@
             }
             machine.pending_heartbeat = None;
             machine.controller = (machine.controller + 1) % self.controllers;
-            machine.next_report = now + 1.0;
+            machine.next_heartbeat_at = now + 1.0;
         }
-        if now >= machine.next_report {
-            machine.next_report = now + HEARTBEAT_INTERVAL_S * (0.75 + self.rng.f64() * 0.5);
+        if now >= machine.next_heartbeat_at {
+            machine.next_heartbeat_at = now + HEARTBEAT_INTERVAL_S * (0.75 + self.rng.f64() * 0.5);
             let heartbeat = machine.next_heartbeat(self.wrong_decision);
             machine.pending_heartbeat = Some((now, now + 4.0));
             if self.wrong_decision == Some(WrongDecision::RenewsLeaseBySending) {
@@ -253,6 +253,6 @@
                 }
             }
         }
-        machine.next_report = machine.next_report.min(now + 0.5);
+        machine.next_heartbeat_at = machine.next_heartbeat_at.min(now + 0.5);
     }
 }
--- a/crates/model/src/messages.rs
+++ b/crates/model/src/messages.rs
@@ -19,6 +19,7 @@
     DelayedUntil(f64),
 }
 
+/// A message in flight.
 pub(crate) enum Message {
     /// A heartbeat on its way to a controller. `machine` is `usize::MAX` in a duplicate, which gets no reply.
     Heartbeat {
@@ -80,8 +81,9 @@
 }
 
 impl World {
+    /// Delivers a message at the current time.
     pub(crate) fn deliver(&mut self, message: Message) {
-        let (now, wrong) = (self.now, self.wrong_decision);
+        let (now, wrong_decision) = (self.now, self.wrong_decision);
         match message {
             Message::Heartbeat { node, heartbeat, machine, sent } => {
                 let controller = &mut self.nodes[node];
@@ -97,19 +99,19 @@
                 let heartbeat = self.apply_wrong_heartbeat_decision(node, heartbeat, machine == usize::MAX);
                 let shard_index = self.shard_of_machine(node, &heartbeat.machine, heartbeat.token);
                 let began = Instant::now();
-                let outcome =
-                    shard_index.and_then(|c| Some(self.nodes[node].acting(c, now)?.on_heartbeat(&heartbeat, now)));
-                if let Some(c) = shard_index {
-                    self.counts.decision_seconds[c] += began.elapsed().as_secs_f64();
+                let outcome = shard_index
+                    .and_then(|shard| Some(self.nodes[node].acting(shard, now)?.on_heartbeat(&heartbeat, now)));
+                if let Some(shard) = shard_index {
+                    self.counts.decision_seconds[shard] += began.elapsed().as_secs_f64();
                 }
-                if let Some(c) = shard_index.filter(|_| outcome.is_some()) {
+                if let Some(shard) = shard_index.filter(|_| outcome.is_some()) {
                     let answered = matches!(outcome, Some(HeartbeatOutcome::Reply(_)));
-                    self.observe_heartbeat(node, c, &heartbeat, machine == usize::MAX, answered);
+                    self.observe_heartbeat(node, shard, &heartbeat, machine == usize::MAX, answered);
                 }
                 let (reply, redirect_to) = match (outcome, shard_index) {
                     (Some(HeartbeatOutcome::Reply(r)), _) => (Some((r.token, r.commands)), node),
                     (Some(HeartbeatOutcome::Stale), _) | (_, None) => (None, usize::MAX),
-                    (_, Some(c)) => (None, self.leader_known_to(node, c).unwrap_or(usize::MAX)),
+                    (_, Some(shard)) => (None, self.leader_known_to(node, shard).unwrap_or(usize::MAX)),
                 };
                 if machine != usize::MAX {
                     let after = self.latency();
@@ -139,10 +141,10 @@
                         }
                     }
                     None if redirect_to < self.controllers && redirect_to != receiver.controller => {
-                        (receiver.controller, receiver.next_report) = (redirect_to, now + 0.2);
+                        (receiver.controller, receiver.next_heartbeat_at) = (redirect_to, now + 0.2);
                     }
                     None => {
-                        (receiver.controller, receiver.next_report) =
+                        (receiver.controller, receiver.next_heartbeat_at) =
                             ((receiver.controller + 1) % self.controllers, now + 1.0)
                     }
                 }
@@ -153,7 +155,8 @@
                 }
                 let receiver = &self.machines[index];
                 let PushedCommands { token, incarnation, commands } = push.body.clone();
-                let token_is_current = token >= receiver.token || wrong == Some(WrongDecision::IgnoresFencingTokens);
+                let token_is_current =
+                    token >= receiver.token || wrong_decision == Some(WrongDecision::IgnoresFencingTokens);
                 let accepted = token_is_current && incarnation == receiver.incarnation;
                 self.observe_commands(index, &push, !reports_outcome, accepted);
                 if accepted {
@@ -247,10 +250,12 @@
         }
     }
 
+    /// Returns the key of the leadership record of a shard.
     pub(crate) fn leadership_key(&self, shard_index: usize) -> String {
         if self.shard_count == 1 { LEADERSHIP_KEY.to_owned() } else { shard_leadership_key(shard_index as u32) }
     }
 
+    /// Returns the other controller that a controller knows as the leader of a shard.
     pub(crate) fn leader_known_to(&self, node: usize, shard_index: usize) -> Option<usize> {
         let name = self.nodes[node].slots[shard_index].election.other_leader()?;
         self.nodes.iter().position(|controller| controller.name == name)
--- a/crates/model/src/shard_exchange.rs
+++ b/crates/model/src/shard_exchange.rs
@@ -53,7 +53,7 @@
 
 /// Returns the name in the store of a shard's key: keys of one shard get a prefix, except for the first shard.
 pub(crate) fn stored_key(shard_index: usize, key: &str) -> String {
-    if shard_index == 0 || is_shared_key(key) { key.to_owned() } else { format!("c{shard_index}/{key}") }
+    if shard_index == 0 || is_shared_key(key) { key.to_owned() } else { format!("c{c}/{key}", c = shard_index) }
 }
 
 /// Returns a mutation with the name that its key has in the store.
@@ -67,7 +67,7 @@
 /// Returns the keys that a shard may read, under the names that the shard uses.
 pub(crate) fn shard_keys(shard_index: usize, keys: &Keys) -> Keys {
     let readable = |(k, v): (&String, &(Value, u64))| {
-        let own = if shard_index == 0 { Some(k.as_str()) } else { k.strip_prefix(&format!("c{shard_index}/")) };
+        let own = if shard_index == 0 { Some(k.as_str()) } else { k.strip_prefix(&format!("c{c}/", c = shard_index)) };
         own.or(Some(k.as_str()).filter(|k| is_shared_key(k))).map(|k| (k.to_owned(), v.clone()))
     };
     keys.iter().filter_map(readable).collect()
--- a/crates/model/src/store.rs
+++ b/crates/model/src/store.rs
@@ -7,12 +7,20 @@
 use serde::de::DeserializeOwned;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// A lease of the state service.
+pub(crate) struct Lease {
+    pub(crate) expires_at: f64,
+    pub(crate) duration_s: f64,
+    /// Keys that are deleted when the lease expires.
+    pub(crate) keys: BTreeSet<String>,
+}
+
 /// The state service.
 #[derive(Default)]
 pub(crate) struct Store {
     pub(crate) keys: Keys,
-    /// For each lease its expiry, its duration in seconds, and the keys attached to it.
-    pub(crate) leases: BTreeMap<u64, (f64, f64, BTreeSet<String>)>,
+    /// Leases by their numbers.
+    pub(crate) leases: BTreeMap<u64, Lease>,
     /// The revision at which each deleted key was last deleted.
     deleted: BTreeMap<String, u64>,
     pub(crate) next_lease: u64,
@@ -34,15 +42,16 @@
             return;
         }
         if std::mem::take(&mut self.was_down) {
-            self.leases.values_mut().for_each(|l| l.0 = now + l.1);
+            self.leases.values_mut().for_each(|lease| lease.expires_at = now + lease.duration_s);
         }
-        let expired: Vec<u64> = self.leases.iter().filter(|(_, l)| now > l.0).map(|(i, _)| *i).collect();
+        let expired: Vec<u64> =
+            self.leases.iter().filter(|(_, lease)| now > lease.expires_at).map(|(i, _)| *i).collect();
         for id in expired {
-            let Some((_, _, keys)) = self.leases.remove(&id) else { continue };
-            for k in keys {
+            let Some(lease) = self.leases.remove(&id) else { continue };
+            for key in lease.keys {
                 self.revision += 1;
-                self.keys.remove(&k);
-                self.deleted.insert(k, self.revision);
+                self.keys.remove(&key);
+                self.deleted.insert(key, self.revision);
             }
         }
     }
@@ -50,13 +59,14 @@
     /// Grants a lease and returns its number.
     pub(crate) fn grant(&mut self, now: f64, duration_s: f64) -> u64 {
         self.next_lease += 1;
-        self.leases.insert(self.next_lease, (now + duration_s, duration_s, BTreeSet::new()));
+        let lease = Lease { expires_at: now + duration_s, duration_s, keys: BTreeSet::new() };
+        self.leases.insert(self.next_lease, lease);
         self.next_lease
     }
 
     /// Renews a lease; returns whether it exists.
     pub(crate) fn renew(&mut self, id: u64, now: f64) -> bool {
-        self.leases.get_mut(&id).map(|l| l.0 = now + l.1).is_some()
+        self.leases.get_mut(&id).map(|lease| lease.expires_at = now + lease.duration_s).is_some()
     }
 
     /// Returns the version of a key; 0: it is not stored.
@@ -86,9 +96,9 @@
         for c in changes {
             match c {
                 Mutation::Put { key, value, .. } => {
-                    self.leases.values_mut().for_each(|l| _ = l.2.remove(key));
+                    self.leases.values_mut().for_each(|l| _ = l.keys.remove(key));
                     if let Some(l) = lease.and_then(|l| self.leases.get_mut(&l)) {
-                        l.2.insert(key.clone());
+                        l.keys.insert(key.clone());
                     }
                     self.keys.insert(key.clone(), (value.clone(), self.revision));
                 }
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -218,7 +218,7 @@
             heartbeats_lost_until: 0.0,
             tasks_fail_until: 0.0,
             controller,
-            next_report: up_at + self.rng.f64() * HEARTBEAT_INTERVAL_S,
+            next_heartbeat_at: up_at + self.rng.f64() * HEARTBEAT_INTERVAL_S,
             pending_heartbeat: None,
         });
         name
