--- a/crates/model/src/work.rs
+++ b/crates/model/src/work.rs
@@ -1,4 +1,4 @@
-//! What the jobs of a scenario are like.
+//! The kinds of jobs of a scenario.
 
 use crate::scenario::Scenario;
 use crate::world::ZONES;
@@ -8,10 +8,11 @@
 use serde::Deserialize;
 use serde_json::json;
 
-/// How long a task of an array runs, in seconds.
+/// Run time of a task of an array, in seconds.
 const TASK_RUNS_S: f64 = 5.0;
-/// Of jobs with few tasks each task runs so much longer than the one before.
+/// Additional run time of each task over the previous one in jobs of few tasks, in seconds.
 const NEXT_TASK_RUNS_LONGER_S: f64 = 15.0;
+/// Run time of a task of an array with long tasks, in seconds.
 const LONG_TASK_RUNS_S: f64 = 60.0;
 
 /// What the jobs are like.
@@ -32,7 +33,7 @@
 }
 
 impl Work {
-    /// How long a task of an array runs.
+    /// Returns the run time of a task of an array, in seconds.
     pub(crate) fn task_runs_s(self, task: u32) -> f64 {
         match self {
             Work::FewTasks => TASK_RUNS_S + NEXT_TASK_RUNS_LONGER_S * f64::from(task),
@@ -46,7 +47,7 @@
     }
 }
 
-/// The next job that a user submits.
+/// Draws the next job that a user submits.
 pub(crate) fn spec(id: usize, scenario: &Scenario, rng: &mut Rng) -> JobRequest {
     let (work, teams) = (scenario.work, &scenario.teams);
     let service = rng.u8(..) < 80 && work.has_services();
