--- a/crates/model/tests/fault_combinations.rs
+++ b/crates/model/tests/fault_combinations.rs
@@ -100,10 +100,10 @@
 
 /// All controllers end while replies of the next leader to machines with long tasks are lost.
 #[test]
-fn all_controllers_end_while_machines_hear_no_answers() {
-    let deaf = machines(28.0, FaultKind::HeartbeatRepliesLost, 12.0);
+fn all_controllers_end_while_replies_to_machines_are_lost() {
+    let replies_lost = machines(28.0, FaultKind::HeartbeatRepliesLost, 12.0);
     let evidence = mostly(signs![unreachable_machines_at_failover >= 2, heartbeat_replies_lost >= 5]);
-    no_rule_is_broken(&with(vec![at(30.0, FaultKind::AllControllersRestart, LEADER, 10.0)], deaf), evidence);
+    no_rule_is_broken(&with(vec![at(30.0, FaultKind::AllControllersRestart, LEADER, 10.0)], replies_lost), evidence);
 }
 
 /// A zone with its workers and the leader is partitioned for longer than a lease; jobs are cancelled meanwhile.
--- a/crates/model/tests/fault_combinations_machines.rs
+++ b/crates/model/tests/fault_combinations_machines.rs
@@ -96,7 +96,7 @@
 
 /// Heartbeats of machines are lost while pushed commands arrive; jobs are cancelled, and the leader changes.
 #[test]
-fn mute_machines_and_a_change_of_leader() {
+fn lost_heartbeats_and_a_change_of_leader() {
     let evidence = mostly(signs![
         failovers >= 1,
         commands_to_machines_without_heartbeats >= 3,
@@ -114,7 +114,7 @@
 
 /// Heartbeats of a whole zone are lost, and its machines run tasks that must not start elsewhere meanwhile.
 #[test]
-fn a_mute_zone_and_a_change_of_leader() {
+fn lost_heartbeats_of_a_zone_and_a_change_of_leader() {
     let evidence = mostly(signs![
         failovers >= 1,
         commands_to_machines_without_heartbeats >= 3,
@@ -234,7 +234,7 @@
 
 /// Invalid requests: jobs that cannot run or lack a field, repeated submissions, cancellations of jobs that are done.
 #[test]
-fn odd_requests_while_leaders_change() {
+fn invalid_requests_while_leaders_change() {
     let evidence = mostly(signs![failovers >= 1, invalid_requests >= 50]);
     run_combination(small, evidence, |rng| {
         let mut faults =
@@ -409,7 +409,7 @@
 
 /// Two to five faults of any kind within seconds of a change of leader.
 #[test]
-fn random_meetings_around_a_change_of_leader() {
+fn random_faults_around_a_change_of_leader() {
     let evidence = mostly(signs![failovers >= 1]);
     run_combination(small, evidence, |rng| {
         let at = BEGINS_S + rng.f64() * 10.0;
--- a/crates/model/tests/refused_leader.rs
+++ b/crates/model/tests/refused_leader.rs
@@ -62,14 +62,14 @@
 }
 
 #[test]
-fn leader_refused_then_outage_while_machines_hear_only_answers() {
+fn leader_refused_then_outage_while_pushed_commands_are_lost() {
     let only_answers = machines(30.0, FaultKind::CommandsLost, LONG_OUTAGE_S + 10.0);
     let evidence = REFUSED_THEN_DOWN.sometimes(signs![unreachable_machines_at_failover >= 2]);
     no_rule_is_broken(&with(refused_then_down(), only_answers), evidence);
 }
 
 #[test]
-fn leader_refused_then_outage_while_machines_hear_only_commands() {
+fn leader_refused_then_outage_while_heartbeat_replies_are_lost() {
     let only_commands = machines(30.0, FaultKind::HeartbeatRepliesLost, LONG_OUTAGE_S + 10.0);
     let evidence =
         REFUSED_THEN_DOWN.sometimes(signs![unreachable_machines_at_failover >= 2, heartbeat_replies_lost >= 50]);
--- a/crates/model/tests/scenario.rs
+++ b/crates/model/tests/scenario.rs
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn what_makes_no_sense_is_told_by_its_path() {
+fn errors_are_reported_with_their_paths() {
     let text = r#"
         cells = 0
         machines = 20
@@ -48,8 +48,8 @@
     let paths: Vec<&str> = faults.iter().map(|f| f.path.as_str()).collect();
     let wanted = ["cells", "most_machines", "team[0].cpus", "team[0].cpus_max", "team[1].name", "trouble[0].at_s"];
     assert_eq!(paths, wanted, "{faults:?}");
-    for (text, told) in [("cels = 2", "line 1: unknown field"), ("\ncells = \"two\"", "line 2: invalid type")] {
+    for (text, message) in [("cels = 2", "line 1: unknown field"), ("\ncells = \"two\"", "line 2: invalid type")] {
         let fault = Scenario::parse(text).expect_err("a fault").remove(0).to_string();
-        assert!(fault.starts_with(told), "{fault}");
+        assert!(fault.starts_with(message), "{fault}");
     }
 }
--- a/crates/model/tests/wrong_decisions.rs
+++ b/crates/model/tests/wrong_decisions.rs
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn a_repeated_submission_that_hears_an_older_state() {
+fn a_repeated_submission_answered_with_an_older_state() {
     let polls = [fault(0.0, FaultKind::PollAfterEvents, 0, 70.0)];
     is_detected(WrongDecision::AnswersResubmissionAsNew, &Scenario::default(), &polls, "went_back");
 }
