--- a/crates/model/tests/random_fault_combinations.rs
+++ b/crates/model/tests/random_fault_combinations.rs
@@ -1,47 +1,48 @@
-//! Random fault combinations: two to four faults of any kind within seconds of one another and of one change of leader
-//! or two, for each kind of work, with one shard and with several, by seeds.
-//! `MEETINGS=2000 cargo test --release -p lupinspur-model --test random_fault_combinations` plays so many of each deployment, from
-//! `MEETING_SEED` on, over `MEETING_CELLS` shards, `MEETING_THREADS` runs at a time.
+//! Random fault combinations: two to four faults of any kind within seconds of each other and of one or two changes of
+//! leader, for each kind of work, with one shard and with several.
+//! `MEETINGS=2000 cargo test --release -p lupinspur-model --test random_fault_combinations` runs 2000 combinations of each
+//! deployment, from the seed `MEETING_SEED` on, with `MEETING_CELLS` shards, on `MEETING_THREADS` threads.
 
 use fastrand::Rng;
 use lupinspur_model::scenario::Team;
 use lupinspur_model::{
-    CONTROLLER_KINDS, KINDS, Kind, LEADER, SAME_LEADER, Scenario, Trouble, USER_AND_MACHINE_KINDS, Work, play,
+    CONTROLLER_FAULT_KINDS, FAULT_KINDS, FaultKind, InjectedFault, LEADER, SAME_LEADER, Scenario,
+    USER_AND_MACHINE_FAULT_KINDS, Work, play,
 };
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Combinations of each deployment that are played unless more are asked for.
+/// Combinations of each deployment unless `MEETINGS` sets another number.
 const COMBINATIONS: u64 = 6;
-/// Runs that are played at the same time unless `MEETING_THREADS` says otherwise.
+/// Runs at the same time unless `MEETING_THREADS` sets another number.
 const THREADS: u64 = 3;
-/// The faults of a combination begin within this.
+/// Time within which the faults of a combination begin, in seconds.
 const WITHIN_S: f64 = 6.0;
 const FIRST_AT_S: f64 = 15.0;
 const LAST_AT_S: f64 = 40.0;
 const LONGEST_S: f64 = 55.0;
-/// A second change of leader begins within this after the first.
+/// Time after the first change of leader within which the second one begins, in seconds.
 const SECOND_CHANGE_WITHIN_S: f64 = 12.0;
-/// A leader writes its checkpoint anew so long before it may change.
+/// Time from a new checkpoint to the change of leader, in seconds.
 const CHECKPOINT_BEFORE_S: f64 = 6.0;
-/// Cancellations of services are spread over this at most.
+/// Longest time over which cancellations are spread, in seconds.
 const CANCEL_WITHIN_S: f64 = 5.0;
 
-/// By which a leader changes.
-const CHANGES: [Kind; 8] = [
-    Kind::Ends,
-    Kind::StepsDown,
-    Kind::RefusedByState,
-    Kind::Alone,
-    Kind::StandsStill,
-    Kind::AllEnd,
-    Kind::AllAway,
-    Kind::CutZoneWithController,
+/// Kinds of faults by which the leader changes.
+const CHANGES: [FaultKind; 8] = [
+    FaultKind::ControllerRestarts,
+    FaultKind::LeaderStepsDown,
+    FaultKind::StateServiceRefuses,
+    FaultKind::ControllerLosesStateAndPeers,
+    FaultKind::ControllerPauses,
+    FaultKind::AllControllersRestart,
+    FaultKind::AllControllersDown,
+    FaultKind::ZoneAndControllerPartitioned,
 ];
 
-/// What is played: sizes, limits and work.
+/// A deployment: sizes, limits and work.
 #[derive(Debug, Clone, Copy)]
 enum Deployment {
-    /// Services and arrays, with room for all.
+    /// Services and arrays, with capacity for all of them.
     Mixed,
     /// Every team reaches its limit.
     TeamsAtLimit,
@@ -51,7 +52,7 @@
     FewTasks,
     /// Jobs whose tasks have to be in one zone.
     OneZone,
-    /// Jobs of few tasks of which half wait for another, and a checkpoint just before each change of leader.
+    /// Jobs of few tasks of which half depend on another, and a checkpoint just before each change of leader.
     Pipelines,
 }
 
@@ -76,11 +77,11 @@
         }
     }
 
-    /// By which users cancel jobs that run.
-    fn cancellation(self) -> Kind {
+    /// Returns the kind of fault by which users cancel running jobs.
+    fn cancellation(self) -> FaultKind {
         match self {
-            Deployment::OneTaskFlood | Deployment::FewTasks | Deployment::Pipelines => Kind::CancelNow,
-            Deployment::Mixed | Deployment::TeamsAtLimit | Deployment::OneZone => Kind::CancelServices,
+            Deployment::OneTaskFlood | Deployment::FewTasks | Deployment::Pipelines => FaultKind::CancelRunningJobs,
+            Deployment::Mixed | Deployment::TeamsAtLimit | Deployment::OneZone => FaultKind::CancelServices,
         }
     }
 }
@@ -89,38 +90,39 @@
     std::env::var(name).ok().and_then(|v| v.parse().ok()).unwrap_or(otherwise)
 }
 
-/// Short ones are as likely as long ones.
-fn lasts(rng: &mut Rng) -> f64 {
+/// Draws the duration of a fault in seconds: half of them are shorter than a quarter of the longest.
+fn duration_s(rng: &mut Rng) -> f64 {
     0.2 + rng.f64().powi(2) * LONGEST_S
 }
 
-fn any_kind(rng: &mut Rng) -> Kind {
-    let kinds: Vec<Kind> = KINDS.into_iter().chain(CONTROLLER_KINDS).chain(USER_AND_MACHINE_KINDS).collect();
+fn any_kind(rng: &mut Rng) -> FaultKind {
+    let kinds: Vec<FaultKind> =
+        FAULT_KINDS.into_iter().chain(CONTROLLER_FAULT_KINDS).chain(USER_AND_MACHINE_FAULT_KINDS).collect();
     kinds[rng.usize(0..kinds.len())]
 }
 
-fn change_of_leader(rng: &mut Rng, at: f64, which: usize) -> Trouble {
-    Trouble { at, kind: CHANGES[rng.usize(0..CHANGES.len())], which, for_s: lasts(rng) }
+fn change_of_leader(rng: &mut Rng, at: f64, which: usize) -> InjectedFault {
+    InjectedFault { at, kind: CHANGES[rng.usize(0..CHANGES.len())], which, for_s: duration_s(rng) }
 }
 
-/// One change of leader or two, cancellations, and one to three other faults of any kind, all within seconds.
-fn combination(deployment: Deployment, seed: u64, cells: u32) -> Vec<Trouble> {
+/// Draws one or two changes of leader, cancellations, and one to three other faults of any kind, all within seconds.
+fn combination(deployment: Deployment, seed: u64, cells: u32) -> Vec<InjectedFault> {
     let mut rng = Rng::with_seed(seed);
     let begins = FIRST_AT_S + rng.f64() * (LAST_AT_S - FIRST_AT_S);
     let at = |rng: &mut Rng| begins + rng.f64() * WITHIN_S;
     let leader = LEADER + rng.usize(0..cells as usize);
     let changes_at = at(&mut rng);
-    let mut troubles = vec![change_of_leader(&mut rng, changes_at, leader)];
+    let mut faults = vec![change_of_leader(&mut rng, changes_at, leader)];
     if rng.bool() {
         let again = changes_at + rng.f64() * SECOND_CHANGE_WITHIN_S;
-        troubles.push(change_of_leader(&mut rng, again, leader));
+        faults.push(change_of_leader(&mut rng, again, leader));
     }
     let kind = deployment.cancellation();
     let for_s = rng.f64() * CANCEL_WITHIN_S;
-    troubles.push(Trouble { at: at(&mut rng), kind, which: rng.usize(0..8), for_s });
+    faults.push(InjectedFault { at: at(&mut rng), kind, which: rng.usize(0..8), for_s });
     if matches!(deployment, Deployment::Pipelines) {
         let written_by = (changes_at - CHECKPOINT_BEFORE_S).max(0.0);
-        troubles.push(Trouble { at: written_by, kind: Kind::ManyChanges, which: 0, for_s: 0.1 });
+        faults.push(InjectedFault { at: written_by, kind: FaultKind::ManyStateChanges, which: 0, for_s: 0.1 });
     }
     for _ in 0..rng.usize(1..4) {
         let which = match rng.u8(0..4) {
@@ -129,32 +131,32 @@
             _ => rng.usize(0..64),
         };
         let kind = any_kind(&mut rng);
-        troubles.push(Trouble { at: at(&mut rng), kind, which, for_s: lasts(&mut rng) });
+        faults.push(InjectedFault { at: at(&mut rng), kind, which, for_s: duration_s(&mut rng) });
     }
-    troubles
+    faults
 }
 
-/// What was broken in these combinations, with their faults.
+/// Returns the violations in these combinations, with their faults.
 fn broken(deployment: Deployment, cells: u32, first: u64, combinations: u64) -> Vec<String> {
     let scenario = deployment.scenario(cells);
     let next = AtomicU64::new(first);
-    let play_some = || {
+    let run_some = || {
         let mut broken = Vec::new();
         loop {
             let seed = next.fetch_add(1, Ordering::Relaxed);
             if seed >= first + combinations {
                 return broken;
             }
-            let troubles = combination(deployment, seed, cells);
-            if let Some(what) = play(&scenario, seed, &troubles, None).broken {
-                broken.push(format!("{deployment:?}, {cells} cells, seed {seed}: {what}; {troubles:?}"));
+            let faults = combination(deployment, seed, cells);
+            if let Some(what) = play(&scenario, seed, &faults, None).broken {
+                broken.push(format!("{deployment:?}, {cells} cells, seed {seed}: {what}; {faults:?}"));
             }
         }
     };
     let threads = from_env("MEETING_THREADS", THREADS);
     std::thread::scope(|s| {
-        let all: Vec<_> = (0..threads).map(|_| s.spawn(play_some)).collect();
-        all.into_iter().flat_map(|t| t.join().expect("played")).collect()
+        let all: Vec<_> = (0..threads).map(|_| s.spawn(run_some)).collect();
+        all.into_iter().flat_map(|t| t.join().expect("a run")).collect()
     })
 }
 
