--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,9 +1,10 @@
-//! Randomized faults on real controllers over loopback, by seed: several at once, around changes of leader, while
-//! users submit, cancel, ask and repeat at all controllers. Judged from outside alone: by what workers executed and
-//! by what users were told.
+//! Injects randomized faults, generated from a seed, into real controllers over loopback. Several faults overlap,
+//! many of them around changes of leader, while users submit jobs, cancel them, poll them and repeat submissions at
+//! all controllers. The checks use only external observations: the commands that workers executed and the responses
+//! that users received.
 //!
-//! Short in CI; `scripts/soak` plays many seeds. Settings, by variables: `SOAK_SEED`, `SOAK_SEEDS`, `SOAK_WORKERS`,
-//! `SOAK_SECONDS`, and `SOAK_KEEP`, a folder for the logs of runs that failed.
+//! CI runs a short version; `scripts/soak` runs many seeds. Environment variables: `SOAK_SEED`, `SOAK_SEEDS`,
+//! `SOAK_WORKERS`, `SOAK_SECONDS`, and `SOAK_KEEP`, a folder for the logs of failed runs.
 
 #[allow(dead_code)]
 #[path = "../loopback/answers.rs"]
@@ -51,10 +52,10 @@
 
 use options::Options;
 
-/// Plays each seed, and fails with all that broke in any of them.
+/// Runs each seed and fails with the list of seeds in which a rule was violated.
 #[test]
 fn no_rule_breaks_under_random_faults() {
-    let options = Options::from_environment().unwrap_or_else(|why| panic!("the soak's settings: {why}"));
+    let options = Options::from_environment().unwrap_or_else(|error| panic!("invalid soak settings: {error}"));
     let (mut failed, mut counted) = (Vec::new(), 0);
     for seed in options.seeds() {
         let outcome = play::play(seed, &options);
@@ -64,18 +65,18 @@
             failed.push(seed);
         }
     }
-    let all = options.seeds().count();
-    println!("{counted} of {all} seeds count, {} failed: {failed:?}", failed.len());
-    assert!(failed.is_empty(), "{} of {all} seeds failed: {failed:?}", failed.len());
-    assert!(counted > 0, "in no run did a leader change, a command wait and a cancellation fall in between");
+    let total = options.seeds().count();
+    println!("{counted} of {total} seeds count, {} failed: {failed:?}", failed.len());
+    assert!(failed.is_empty(), "{} of {total} seeds failed: {failed:?}", failed.len());
+    assert!(counted > 0, "no run had a change of leader, a delayed command and a confirmed cancellation");
 }
 
 #[test]
 fn settings_that_make_no_sense_are_refused_with_the_reason() {
-    let of = |name: &str, value: &str| Options::read(|n| (n == name).then(|| value.to_owned()));
+    let read = |name: &str, value: &str| Options::read(|variable| (variable == name).then(|| value.to_owned()));
     for (name, value) in [("SOAK_SEEDS", "0"), ("SOAK_SEED", "-1"), ("SOAK_WORKERS", "many"), ("SOAK_SECONDS", "5")] {
-        let why = of(name, value).expect_err("it is refused");
-        assert!(why.contains(name) && why.contains(value), "{why}");
+        let error = read(name, value).expect_err("the value is rejected");
+        assert!(error.contains(name) && error.contains(value), "{error}");
     }
-    assert!(of("SOAK_WORKERS", "300").is_ok());
+    assert!(read("SOAK_WORKERS", "300").is_ok());
 }
--- a/tests/soak/options.rs
+++ b/tests/soak/options.rs
@@ -1,4 +1,4 @@
-//! What is played: seeds, sizes, times. By environment variables.
+//! Options of the soak test (seeds, cluster size, duration), read from environment variables.
 
 use std::ops::RangeInclusive;
 use std::path::PathBuf;
@@ -12,9 +12,9 @@
     first_seed: u64,
     seeds: u64,
     pub workers: usize,
-    /// How long the faults last.
+    /// How long faults are injected.
     pub seconds: u64,
-    /// Where the logs of runs that failed are kept.
+    /// The folder in which the logs of failed runs are kept.
     pub keep: Option<PathBuf>,
 }
 
@@ -24,7 +24,7 @@
     if range.contains(&number) {
         Ok(number)
     } else {
-        Err(format!("{name}={text} is not from {} to {}", range.start(), range.end()))
+        Err(format!("{name}={text} is not in the range {} to {}", range.start(), range.end()))
     }
 }
 
@@ -46,7 +46,7 @@
     pub fn seeds(&self) -> impl Iterator<Item = u64> + use<> {
         (0..self.seeds).map({
             let first = self.first_seed;
-            move |i| first.wrapping_add(i)
+            move |offset| first.wrapping_add(offset)
         })
     }
 }
--- a/tests/soak/play.rs
+++ b/tests/soak/play.rs
@@ -1,4 +1,4 @@
-//! One seed: its faults are brought about, ended, and everything is judged.
+//! Runs one seed: injects its faults, ends them and checks the result.
 
 use crate::answers::Answers;
 use crate::cluster::Cluster;
@@ -22,37 +22,37 @@
 const CANCEL: Duration = Duration::from_secs(13);
 const CLAIM: Duration = Duration::from_millis(1500);
 const SUBMITTERS: u64 = 6;
-/// Once all troubles are over, nothing waits for longer beside room, and everything is known.
+/// Once all faults have ended, every job ends within this time and every controller reports its end.
 const ENDS_WITHIN: Duration = Duration::from_secs(75);
-/// Revisions after which a leader writes its checkpoint anew.
-const MANY_CHANGES: u64 = 2500;
-/// Machines that may be rented, for each that is there.
-const RENTED_EACH: usize = 4;
+/// Number of revisions after which a leader writes a new checkpoint.
+const CHECKPOINT_REVISIONS: u64 = 2500;
+/// Number of machines that may be rented per initial machine.
+const RENTALS_PER_WORKER: usize = 4;
 
-/// What came of a seed.
+/// The result of a seed.
 pub struct Outcome {
     seed: u64,
     faults: Vec<Fault>,
     submitted: usize,
     confirmed: usize,
-    takeovers: usize,
-    /// Messages with commands that were held up, or whose answers were lost.
+    failovers: usize,
+    /// Number of messages with commands that were delayed or whose responses were lost.
     held_up: usize,
-    /// Tasks that were started once more after an end that no leader came to know.
+    /// Number of tasks that were started again after an end that no leader learned of.
     repeated: usize,
     took: Duration,
     problems: Vec<String>,
-    /// What did not come about, so that the run shows nothing.
+    /// Events that the run needs to be conclusive and that didn't occur.
     missing: Vec<&'static str>,
 }
 
 impl Outcome {
-    /// Nothing broke.
+    /// Returns whether no rule was violated.
     pub fn is_good(&self) -> bool {
         self.problems.is_empty()
     }
 
-    /// Did what it is about come to pass?
+    /// Returns whether the run is conclusive: all events that it should test occurred.
     pub fn counts(&self) -> bool {
         self.missing.is_empty()
     }
@@ -67,12 +67,12 @@
         };
         write!(
             f,
-            "seed {}: {verdict}, {:.0} s, {} faults, {} takeovers, {} commands held up or unanswered, {} jobs, \
+            "seed {}: {verdict}, {:.0} s, {} faults, {} failovers, {} commands delayed or unanswered, {} jobs, \
              {} cancellations, {} tasks repeated",
             self.seed,
             self.took.as_secs_f64(),
             self.faults.len(),
-            self.takeovers,
+            self.failovers,
             self.held_up,
             self.submitted,
             self.confirmed,
@@ -86,49 +86,50 @@
     }
 }
 
-/// How a fault that lasts is ended.
+/// The action that ends an active fault.
 enum Undo {
-    Begin(Vec<usize>),
-    Continue(Vec<usize>),
-    Serve(usize),
-    Rejoin(usize),
+    Start(Vec<usize>),
+    Resume(Vec<usize>),
+    Accept(usize),
+    Reconnect(usize),
     EndOutage,
     EndSlowRequests,
     EndLateTransactions,
-    EndLostAnswers,
-    ReadJobs,
+    EndLostResponses,
+    ReleaseJobReads,
     Restore(MachineFault, Vec<usize>),
 }
 
-/// The faults of one cluster: those to come, and those that last.
-struct Faults<'a> {
+/// Injects faults into a cluster and ends them when they are due.
+struct FaultInjector<'a> {
     cluster: &'a mut Cluster,
     rng: Rng,
-    lasting: Vec<(Instant, Undo)>,
-    /// Messages with starts that were held up and arrived at last.
+    /// Active faults, by the time at which they end.
+    active: Vec<(Instant, Undo)>,
+    /// Number of delayed start commands that were delivered.
     delivered: usize,
 }
 
-impl Faults<'_> {
+impl FaultInjector<'_> {
     fn run(&mut self, faults: &[Fault]) {
         let began = Instant::now();
         for fault in faults {
-            self.end_those_due_until(began + fault.at);
-            if let Some(undo) = self.bring_about(fault.kind) {
-                self.lasting.push((Instant::now() + fault.lasts, undo));
+            self.end_due_faults_until(began + fault.at);
+            if let Some(undo) = self.inject(fault.kind) {
+                self.active.push((Instant::now() + fault.lasts, undo));
             }
         }
-        let last = self.lasting.iter().map(|l| l.0).max().unwrap_or(began);
-        self.end_those_due_until(last);
+        let last = self.active.iter().map(|(ends, _)| *ends).max().unwrap_or(began);
+        self.end_due_faults_until(last);
     }
 
-    fn end_those_due_until(&mut self, until: Instant) {
+    fn end_due_faults_until(&mut self, until: Instant) {
         loop {
-            let next = (0..self.lasting.len()).min_by_key(|i| self.lasting[*i].0);
-            let due = next.filter(|i| self.lasting[*i].0 <= until);
-            let wait = |t: Instant| std::thread::sleep(t.saturating_duration_since(Instant::now()));
-            let Some(i) = due else { return wait(until) };
-            let (ends, undo) = self.lasting.swap_remove(i);
+            let next = (0..self.active.len()).min_by_key(|i| self.active[*i].0);
+            let due = next.filter(|i| self.active[*i].0 <= until);
+            let wait = |time: Instant| std::thread::sleep(time.saturating_duration_since(Instant::now()));
+            let Some(index) = due else { return wait(until) };
+            let (ends, undo) = self.active.swap_remove(index);
             wait(ends);
             self.end(undo);
         }
@@ -144,33 +145,33 @@
 
     fn kill(&mut self, nodes: Vec<usize>) -> Option<Undo> {
         nodes.iter().for_each(|i| self.cluster.kill(*i));
-        (!nodes.is_empty()).then_some(Undo::Begin(nodes))
+        (!nodes.is_empty()).then_some(Undo::Start(nodes))
     }
 
-    fn stand_still(&mut self, nodes: Vec<usize>) -> Option<Undo> {
+    fn suspend(&mut self, nodes: Vec<usize>) -> Option<Undo> {
         nodes.iter().for_each(|i| self.cluster.signal(*i, "-STOP"));
-        (!nodes.is_empty()).then_some(Undo::Continue(nodes))
+        (!nodes.is_empty()).then_some(Undo::Resume(nodes))
     }
 
-    fn bring_about(&mut self, kind: Kind) -> Option<Undo> {
+    fn inject(&mut self, kind: Kind) -> Option<Undo> {
         let leader = self.leader();
         let store = self.cluster.store.clone();
         match kind {
-            Kind::LeaderEnds => self.kill(leader.into_iter().collect()),
-            Kind::AnotherEnds => {
+            Kind::LeaderKilled => self.kill(leader.into_iter().collect()),
+            Kind::FollowerKilled => {
                 let others: Vec<usize> = self.alive().into_iter().filter(|i| Some(*i) != leader).collect();
                 self.kill(others.into_iter().take(1).collect())
             }
-            Kind::AllEnd => self.kill(self.alive()),
-            Kind::LeaderStandsStill => self.stand_still(leader.into_iter().collect()),
-            Kind::AllStandStill => self.stand_still(self.alive()),
+            Kind::AllKilled => self.kill(self.alive()),
+            Kind::LeaderSuspended => self.suspend(leader.into_iter().collect()),
+            Kind::AllSuspended => self.suspend(self.alive()),
             Kind::LeaderRefused => leader.map(|i| {
                 lock(&store).faults.refused.insert(i);
-                Undo::Serve(i)
+                Undo::Accept(i)
             }),
             Kind::LeaderCutFromPeers => leader.map(|i| {
                 self.cluster.links.isolate(i, true);
-                Undo::Rejoin(i)
+                Undo::Reconnect(i)
             }),
             Kind::Outage => {
                 lock(&store).set_outage(true);
@@ -185,22 +186,22 @@
                 (faults.delay_one_in, faults.late_by) = (one_in, by);
                 Some(Undo::EndLateTransactions)
             }
-            Kind::LostAnswers { one_in } => {
+            Kind::LostResponses { one_in } => {
                 lock(&store).faults.lose_one_answer_in = one_in;
-                Some(Undo::EndLostAnswers)
+                Some(Undo::EndLostResponses)
             }
             Kind::ManyChanges => {
-                lock(&store).revision += MANY_CHANGES;
+                lock(&store).revision += CHECKPOINT_REVISIONS;
                 None
             }
             Kind::JobReadsHeld => {
                 lock(&store).faults.job_reads_held = true;
-                Some(Undo::ReadJobs)
+                Some(Undo::ReleaseJobReads)
             }
             Kind::Machines { fault, share } => {
                 let mut workers = lock(&self.cluster.workers);
                 let chosen: Vec<usize> = (0..workers.len()).filter(|_| self.rng.f64() < share).collect();
-                chosen.iter().for_each(|w| set(&mut workers[*w], fault, leader, true));
+                chosen.iter().for_each(|worker| set_fault(&mut workers[*worker], fault, leader, true));
                 Some(Undo::Restore(fault, chosen))
             }
         }
@@ -209,26 +210,26 @@
     fn end(&mut self, undo: Undo) {
         let store = self.cluster.store.clone();
         match undo {
-            Undo::Begin(nodes) => nodes.into_iter().for_each(|i| self.cluster.begin(i)),
-            Undo::Continue(nodes) => {
+            Undo::Start(nodes) => nodes.into_iter().for_each(|i| self.cluster.begin(i)),
+            Undo::Resume(nodes) => {
                 let alive = self.alive();
                 nodes.iter().filter(|i| alive.contains(i)).for_each(|i| self.cluster.signal(*i, "-CONT"));
             }
-            Undo::Serve(i) => _ = lock(&store).faults.refused.remove(&i),
-            Undo::Rejoin(i) => self.cluster.links.isolate(i, false),
+            Undo::Accept(i) => _ = lock(&store).faults.refused.remove(&i),
+            Undo::Reconnect(i) => self.cluster.links.isolate(i, false),
             Undo::EndOutage => lock(&store).set_outage(false),
             Undo::EndSlowRequests => lock(&store).faults.slow_requests = Duration::ZERO,
             Undo::EndLateTransactions => lock(&store).faults.delay_one_in = 0,
-            Undo::ReadJobs => lock(&store).faults.job_reads_held = false,
-            Undo::EndLostAnswers => lock(&store).faults.lose_one_answer_in = 0,
+            Undo::ReleaseJobReads => lock(&store).faults.job_reads_held = false,
+            Undo::EndLostResponses => lock(&store).faults.lose_one_answer_in = 0,
             Undo::Restore(fault, chosen) => {
                 {
                     let mut workers = lock(&self.cluster.workers);
-                    chosen.iter().for_each(|w| set(&mut workers[*w], fault, None, false));
+                    chosen.iter().for_each(|worker| set_fault(&mut workers[*worker], fault, None, false));
                 }
-                if fault == MachineFault::StartsHeldUp {
-                    for w in chosen {
-                        let delivered = self.cluster.deliver_held_starts(w);
+                if fault == MachineFault::StartsDelayed {
+                    for worker in chosen {
+                        let delivered = self.cluster.deliver_held_starts(worker);
                         self.delivered += delivered.executed.len() + delivered.refused.len();
                     }
                 }
@@ -237,21 +238,22 @@
     }
 }
 
-fn set(worker: &mut Worker, fault: MachineFault, leader: Option<usize>, on: bool) {
+/// Switches a fault of a worker on or off.
+fn set_fault(worker: &mut Worker, fault: MachineFault, leader: Option<usize>, on: bool) {
     match fault {
         MachineFault::Hangs => worker.hangs = on,
-        MachineFault::Deaf => worker.deaf = on,
-        MachineFault::DeafToCommands => worker.deaf_to_commands = on,
-        MachineFault::Mute => worker.mute = on,
-        MachineFault::AnswersBreak => worker.answers_break = on,
+        MachineFault::RepliesAndCommandsLost => worker.deaf = on,
+        MachineFault::CommandsLost => worker.deaf_to_commands = on,
+        MachineFault::HeartbeatsLost => worker.mute = on,
+        MachineFault::RepliesCutShort => worker.answers_break = on,
         MachineFault::CutFromLeader => worker.cut_from = leader.into_iter().collect(),
         MachineFault::LateCommands(by) => worker.command_delay = if on { by } else { Duration::ZERO },
-        MachineFault::StartsHeldUp => worker.starts = if on { Starts::HeldUp } else { Starts::Arrive },
+        MachineFault::StartsDelayed => worker.starts = if on { Starts::HeldUp } else { Starts::Arrive },
         MachineFault::StartsUnanswered => worker.starts = if on { Starts::Unanswered } else { Starts::Arrive },
     }
 }
 
-/// Plays the faults of this seed, and judges what users and workers saw.
+/// Runs the faults of a seed, then checks the responses to users and the commands that workers executed.
 pub fn play(seed: u64, options: &Options) -> Outcome {
     let began = Instant::now();
     lock(&EXECUTED).clear();
@@ -264,7 +266,7 @@
         ..Size::of(NODES, options.workers, LEASE_S)
     };
     let mut cluster = Cluster::start(&format!("soak-{seed}"), size);
-    cluster.rentals.capacity.store(options.workers * RENTED_EACH, Ordering::Relaxed);
+    cluster.rentals.capacity.store(options.workers * RENTALS_PER_WORKER, Ordering::Relaxed);
     cluster.until_led();
     let answers = Answers::of(&cluster);
     let watch = RuleWatch::start(&cluster, CANCEL, &[(LIMITED, LIMIT)]);
@@ -273,19 +275,21 @@
     let delivered = std::thread::scope(|scope| {
         let users = &users;
         (0..SUBMITTERS).for_each(|i| _ = scope.spawn(move || users.submit_jobs(seed * 1000 + i)));
-        for (i, node) in (0..).zip(users.askers()) {
-            scope.spawn(move || users.keep_asking(node, seed * 1000 + 100 + i));
+        for (i, node) in (0..).zip(users.pollers()) {
+            scope.spawn(move || users.keep_polling(node, seed * 1000 + 100 + i));
         }
-        let mut playing =
-            Faults { cluster: &mut cluster, rng: Rng::with_seed(seed), lasting: Vec::new(), delivered: 0 };
-        playing.run(&faults);
+        let mut injector =
+            FaultInjector { cluster: &mut cluster, rng: Rng::with_seed(seed), active: Vec::new(), delivered: 0 };
+        injector.run(&faults);
         users.over.store(true, Ordering::Relaxed);
-        playing.delivered
+        injector.delivered
     });
-    let left = users.until_all_ended(ENDS_WITHIN);
-    let mut outcome = judge(seed, faults, delivered, &cluster, &users, &watch);
-    if !left.is_empty() {
-        outcome.problems.push(format!("not told to have ended after {ENDS_WITHIN:?} by every controller: {left:?}"));
+    let unfinished = users.until_all_ended(ENDS_WITHIN);
+    let mut outcome = check(seed, faults, delivered, &cluster, &users, &watch);
+    if !unfinished.is_empty() {
+        outcome
+            .problems
+            .push(format!("not every controller reports these jobs as ended after {ENDS_WITHIN:?}: {unfinished:?}"));
     }
     outcome.took = began.elapsed();
     drop(cluster);
@@ -293,7 +297,7 @@
     outcome
 }
 
-fn judge(
+fn check(
     seed: u64,
     faults: Vec<Fault>,
     delivered: usize,
@@ -302,7 +306,7 @@
     watch: &RuleWatch,
 ) -> Outcome {
     let (repeated, mut problems): (Vec<String>, Vec<String>) =
-        watch.broken().into_iter().partition(|b| b.ends_with("was started again after its end"));
+        watch.broken().into_iter().partition(|violation| violation.ends_with("was started again after its end"));
     problems.extend(users.answers.violations());
     let twice: BTreeSet<String> = lock(&cluster.twice).iter().cloned().collect();
     for task in &twice {
@@ -311,20 +315,20 @@
     }
     let unfenced = lock(&cluster.store).unfenced.clone();
     if !unfenced.is_empty() {
-        problems.push(format!("changed without a claim: {unfenced:?}"));
+        problems.push(format!("changed without the condition on the leadership record: {unfenced:?}"));
     }
     let at_workers: usize = lock(&cluster.workers).iter().map(|w| w.commands_held_up + w.starts_unanswered.len()).sum();
     let held_up = at_workers + delivered;
     let confirmed = users.confirmed.load(Ordering::Relaxed);
-    let takeovers = cluster.claims().iter().sum::<usize>().saturating_sub(1);
-    let counts = [(takeovers, "change of leader"), (held_up, "command held up"), (confirmed, "cancellation")];
+    let failovers = cluster.claims().iter().sum::<usize>().saturating_sub(1);
+    let counts = [(failovers, "change of leader"), (held_up, "delayed command"), (confirmed, "cancellation")];
     let missing = counts.iter().filter(|(count, _)| *count == 0).map(|(_, what)| *what).collect();
     Outcome {
         seed,
         faults,
         submitted: users.submitted().len(),
         confirmed,
-        takeovers,
+        failovers,
         held_up,
         repeated: repeated.len(),
         took: Duration::ZERO,
@@ -333,7 +337,7 @@
     }
 }
 
-/// Logs of runs that passed go; those of the others stay.
+/// Removes the logs of a run that passed, and keeps those of a failed run.
 fn keep_logs(seed: u64, keep: Option<&Path>, is_good: bool) {
     let Some(folder) = keep.filter(|_| is_good) else { return };
     let of_seed = format!("lupinspur-soak-{seed}-");
--- a/tests/soak/users.rs
+++ b/tests/soak/users.rs
@@ -1,4 +1,4 @@
-//! Users that submit, cancel, ask and repeat at all controllers while faults last.
+//! Users that submit jobs, cancel them, poll them and repeat submissions at all controllers while faults are injected.
 
 use crate::answers::{Answers, Known, Request};
 use crate::http::lock;
@@ -21,17 +21,18 @@
 const SUBMISSION_INTERVAL_MS: (u64, u64) = (50, 300);
 const CANCELLED_AFTER_MS: (u64, u64) = (0, 4000);
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Of all jobs, those that nobody cancels so that others may wait for them, and those that wait for one.
-const NEEDED_SHARE: f64 = 0.4;
-const WAITING_SHARE: f64 = 0.6;
-/// A job waits for one of so many.
-const LATEST_NEEDED: usize = 8;
-/// Jobs that are asked about all the while.
-const LATEST: usize = 10;
-/// Users that ask one controller.
-const ASKERS_PER_NODE: usize = 2;
-
-/// A job that some user submitted.
+/// Share of the jobs that are never cancelled, so that other jobs may depend on them.
+const PREREQUISITE_SHARE: f64 = 0.4;
+/// Share of the jobs that depend on another job.
+const DEPENDENT_SHARE: f64 = 0.6;
+/// A dependent job depends on one of this many latest prerequisites.
+const LATEST_PREREQUISITES: usize = 8;
+/// Number of latest jobs that are polled continuously.
+const LATEST_POLLED: usize = 10;
+/// Number of users that poll each controller.
+const POLLERS_PER_NODE: usize = 2;
+
+/// A job that a user submitted.
 #[derive(Clone)]
 pub struct Submitted {
     pub id: String,
@@ -39,7 +40,7 @@
 }
 
 impl Submitted {
-    /// The names of its tasks.
+    /// Returns the names of the job's tasks.
     fn tasks(&self) -> Vec<String> {
         let count = self.submission["seeds"].as_u64().unwrap_or(0);
         (0..count).map(|task| format!("{}/{task}", self.id)).collect()
@@ -50,8 +51,8 @@
     pub answers: &'a Answers,
     watch: &'a RuleWatch,
     submitted: Mutex<Vec<Submitted>>,
-    /// Accepted jobs that nobody cancels, for which others wait.
-    needed: Mutex<Vec<Submitted>>,
+    /// Accepted jobs that are never cancelled, on which other jobs may depend.
+    prerequisites: Mutex<Vec<Submitted>>,
     next: AtomicUsize,
     pub confirmed: AtomicUsize,
     pub over: AtomicBool,
@@ -67,7 +68,7 @@
             answers,
             watch,
             submitted: Mutex::default(),
-            needed: Mutex::default(),
+            prerequisites: Mutex::default(),
             next: AtomicUsize::new(0),
             confirmed: AtomicUsize::new(0),
             over: AtomicBool::new(false),
@@ -89,7 +90,7 @@
         }
     }
 
-    /// Submits one job after the other, some of which it cancels.
+    /// Submits one job after another, and cancels some of them.
     pub fn submit_jobs(&self, seed: u64) {
         let (mut rng, user) = (Rng::with_seed(seed), user());
         while !self.is_over() {
@@ -105,8 +106,8 @@
                 submission["awaits"] = json!([dependency.id]);
                 self.watch.dependencies(&id, &dependency.tasks());
             }
-            let needed = rng.f64() < NEEDED_SHARE;
-            let cancelled = !needed && rng.f64() < 0.35;
+            let prerequisite = rng.f64() < PREREQUISITE_SHARE;
+            let cancelled = !prerequisite && rng.f64() < 0.35;
             lock(&self.submitted).push(Submitted { id: id.clone(), submission: submission.clone() });
             let nodes = self.answers.nodes();
             let mut node = rng.usize(0..nodes);
@@ -114,8 +115,8 @@
                 node = (node + 1) % nodes;
                 std::thread::sleep(PAUSE);
             }
-            if needed && !self.is_over() {
-                lock(&self.needed).push(Submitted { id: id.clone(), submission: submission.clone() });
+            if prerequisite && !self.is_over() {
+                lock(&self.prerequisites).push(Submitted { id: id.clone(), submission: submission.clone() });
             }
             if cancelled {
                 self.pause_ms(&mut rng, CANCELLED_AFTER_MS);
@@ -126,55 +127,56 @@
         }
     }
 
-    /// One of the latest jobs that others may wait for, for some jobs.
+    /// Returns one of the latest prerequisites for some jobs, and `None` for the others.
     fn dependency(&self, rng: &mut Rng) -> Option<Submitted> {
-        let needed = lock(&self.needed);
-        let latest = &needed[needed.len().saturating_sub(LATEST_NEEDED)..];
-        let waits = !latest.is_empty() && rng.f64() < WAITING_SHARE;
-        waits.then(|| latest[rng.usize(0..latest.len())].clone())
+        let prerequisites = lock(&self.prerequisites);
+        let latest = &prerequisites[prerequisites.len().saturating_sub(LATEST_PREREQUISITES)..];
+        let depends = !latest.is_empty() && rng.f64() < DEPENDENT_SHARE;
+        depends.then(|| latest[rng.usize(0..latest.len())].clone())
     }
 
     fn cancel(&self, user: &User, first: usize, id: &str) {
         let nodes = self.answers.nodes();
-        for node in (first..).map(|n| n % nodes) {
+        for node in (first..).map(|number| number % nodes) {
             if self.is_over() {
                 return;
             }
             match self.answers.ask(user, node, id, Request::Cancel) {
-                Some(JobState::Cancelled) => return self.note_confirmed(id),
+                Some(JobState::Cancelled) => return self.record_confirmed(id),
                 Some(JobState::Done) => return,
                 _ => std::thread::sleep(PAUSE),
             }
         }
     }
 
-    fn note_confirmed(&self, id: &str) {
+    fn record_confirmed(&self, id: &str) {
         self.watch.confirmed(id);
         self.confirmed.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Asks one controller about the latest jobs, and repeats submissions.
-    pub fn keep_asking(&self, node: usize, seed: u64) {
+    /// Polls the latest jobs at one controller, and repeats some submissions.
+    pub fn keep_polling(&self, node: usize, seed: u64) {
         let (mut rng, user) = (Rng::with_seed(seed), user());
         while !self.is_over() {
             let latest = {
                 let all = lock(&self.submitted);
-                all[all.len().saturating_sub(LATEST)..].to_vec()
+                all[all.len().saturating_sub(LATEST_POLLED)..].to_vec()
             };
-            for s in &latest {
-                let request = if rng.f64() < 0.1 { Request::Submit(&s.submission) } else { Request::Poll };
-                self.answers.ask(&user, node, &s.id, request);
+            for job in &latest {
+                let request = if rng.f64() < 0.1 { Request::Submit(&job.submission) } else { Request::Poll };
+                self.answers.ask(&user, node, &job.id, request);
             }
             std::thread::sleep(PAUSE);
         }
     }
 
-    pub fn askers(&self) -> impl Iterator<Item = usize> + use<> {
+    pub fn pollers(&self) -> impl Iterator<Item = usize> + use<> {
         let nodes = self.answers.nodes();
-        (0..nodes * ASKERS_PER_NODE).map(move |i| i % nodes)
+        (0..nodes * POLLERS_PER_NODE).map(move |index| index % nodes)
     }
 
-    /// Asks all controllers until each job that was accepted is known to have ended. Returns what is not by then.
+    /// Polls all controllers until each of them reports every accepted job as ended. Returns the jobs for which that
+    /// doesn't happen in time.
     pub fn until_all_ended(&self, within: Duration) -> Vec<String> {
         let (user, began) = (user(), Instant::now());
         let mut open: VecDeque<Submitted> = self.submitted().into();
@@ -188,17 +190,17 @@
                 std::thread::sleep(POLL_INTERVAL);
             }
         }
-        open.into_iter().map(|s| s.id).collect()
+        open.into_iter().map(|job| job.id).collect()
     }
 
-    fn has_ended(&self, user: &User, s: &Submitted) -> bool {
-        // One that nobody accepted is submitted no more.
-        if self.answers.known(&s.id) == Known::Nothing {
+    fn has_ended(&self, user: &User, job: &Submitted) -> bool {
+        // A job that no controller accepted won't be submitted again.
+        if self.answers.known(&job.id) == Known::Nothing {
             return true;
         }
         (0..self.answers.nodes()).all(|node| {
-            let state = self.answers.ask(user, node, &s.id, Request::Poll);
-            state.is_some_and(|s| matches!(s, JobState::Done | JobState::Cancelled))
+            let state = self.answers.ask(user, node, &job.id, Request::Poll);
+            state.is_some_and(|state| matches!(state, JobState::Done | JobState::Cancelled))
         })
     }
 }
