--- a/tests/traces/events/jobs.rs
+++ b/tests/traces/events/jobs.rs
@@ -1,11 +1,11 @@
-//! Jobs that come, end and are asked about.
+//! Events of jobs: submission, cancellation and polls.
 
 use crate::world::World;
 use lupinspur::jobs::job_key;
 use lupinspur::shard::JobView;
 
 impl World {
-    /// Whether it is an event of this kind.
+    /// Executes the event if it is of this kind; returns whether it is.
     pub(super) fn jobs_event(&mut self, now: f64, what: &str, args: &[&str]) -> bool {
         let first = args.first().copied().unwrap_or("");
         match what {
@@ -20,13 +20,15 @@
                 let text = match answer {
                     None => "unknown".to_owned(),
                     Some(JobView::Committing) => "being stored, nothing can be told".to_owned(),
-                    Some(JobView::Visible(s, d, r)) => format!("{}, {d} done, {r} running", s.as_str()),
+                    Some(JobView::Visible(state, done, running)) => {
+                        format!("{}, {done} done, {running} running", state.as_str())
+                    }
                 };
-                self.say(&format!("{first}: {text}"));
+                self.print(&format!("{first}: {text}"));
             }
-            // Another node accepts a job; the leader does not hear of it yet.
+            // Another controller accepts a job; the leader doesn't know of it yet.
             "accepted" => _ = self.accept(first, args, now),
-            // The watch brings it.
+            // The watch delivers the record of an accepted job.
             "heard-of" => {
                 let (value, version) = self.store[&job_key(first)].clone();
                 let record = serde_json::from_value(value).expect("a record");
@@ -34,22 +36,24 @@
                 self.shard().tick(now);
             }
             "waiting" => {
-                let n = self.shard().dependencies.waiting_count();
+                let waiting = self.shard().dependencies.waiting_count();
                 let live = self.shard().jobs.live.len();
-                self.say(&format!("{n} jobs wait for others, {live} have something to do"));
+                self.print(&format!("{waiting} jobs wait for others, {live} have something to do"));
             }
-            // Jobs in the order in which they get machines.
+            // Prints the live jobs by priority, effective deadline and index.
             "order" => {
-                let s = self.shard();
-                let mut jobs: Vec<_> = s.jobs.live.iter().map(|j| &s.jobs[*j]).collect();
-                jobs.sort_by_key(|j| (j.priority, j.effective_deadline_ms((now * 1000.0) as u64, 1.0), j.index));
-                let ids: Vec<String> = jobs.iter().map(|j| j.id.to_string()).collect();
-                self.say(&format!("order: {}", ids.join(", ")));
+                let shard = self.shard();
+                let mut jobs: Vec<_> = shard.jobs.live.iter().map(|job| &shard.jobs[*job]).collect();
+                jobs.sort_by_key(|job| {
+                    (job.priority, job.effective_deadline_ms((now * 1000.0) as u64, 1.0), job.index)
+                });
+                let ids: Vec<String> = jobs.iter().map(|job| job.id.to_string()).collect();
+                self.print(&format!("order: {}", ids.join(", ")));
             }
-            // How the jobs that wait stand: what goes first, by id.
+            // Prints the ids of the queued jobs in placement order.
             "turns" => {
                 let ids = self.shard().placement_order(now);
-                self.say(&format!("turns: {}", ids.join(", ")));
+                self.print(&format!("turns: {}", ids.join(", ")));
             }
             _ => return false,
         }
--- a/tests/traces/events/leader.rs
+++ b/tests/traces/events/leader.rs
@@ -1,4 +1,4 @@
-//! Events of the leader itself: failovers, its time, and whether the state service answers.
+//! Events of the leader: failovers, the passage of time, and outages of the state service.
 
 use crate::words::{argument, number};
 use crate::world::World;
@@ -7,7 +7,7 @@
 use lupinspur_model::stored::{self, types};
 
 impl World {
-    /// Whether it is an event of this kind.
+    /// Executes the event if it is of this kind; returns whether it is.
     pub(super) fn leader_event(&mut self, now: f64, what: &str, args: &[&str]) -> bool {
         let first = args.first().copied().unwrap_or("");
         match what {
@@ -17,16 +17,16 @@
                 let parts = self.readable(lupinspur_quota::stored::PREFIX);
                 let quotas = self.quotas.clone().map(|file| LoadedQuotas {
                     file,
-                    head: self.readable("quota/head").pop().map(|(_, h, v)| (h, v)),
+                    head: self.readable("quota/head").pop().map(|(_, head, version)| (head, version)),
                     parts,
                 });
-                let (mut loaded, what) = stored::loaded(&self.store, self.revision);
-                if let Some(what) = what {
-                    self.say(&what);
+                let (mut loaded, message) = stored::loaded(&self.store, self.revision);
+                if let Some(message) = message {
+                    self.print(&message);
                 }
-                // One that has become another shard's since the checkpoint.
+                // A job that moved to another shard after the checkpoint was written.
                 if let Some(id) = argument(args, "gone") {
-                    loaded.jobs.retain(|(r, _)| r.job.id != id);
+                    loaded.jobs.retain(|(record, _)| record.job.id != id);
                     loaded.checkpoint.gone.push(id.into());
                 }
                 (loaded.quotas, loaded.elastic) = (quotas, self.elastic.clone());
@@ -38,26 +38,26 @@
             }
             "tick" => {
                 let until = number(args, "until", now);
-                let mut t = now;
-                while t <= until + 1e-9 {
-                    self.shard().tick(t);
-                    t += 0.5;
+                let mut time = now;
+                while time <= until + 1e-9 {
+                    self.shard().tick(time);
+                    time += 0.5;
                 }
             }
-            // What changed outside is looked at again now and then.
+            // Requests a placement pass, as the periodic check for external changes does.
             "look" => self.shard().request_placement(),
-            // The watch has brought all there is.
+            // The watch has delivered all changes.
             "watched" => {
                 let revision = self.revision;
                 self.shard().watched(revision);
             }
             "lookups" => {
                 let ids = self.shard().dependencies_to_look_up();
-                self.say(&format!("to be looked up: {}", ids.join(", ")));
+                self.print(&format!("to be looked up: {}", ids.join(", ")));
             }
             "memory" => {
                 let [jobs, machines, ..] = self.shard().memory_footprint();
-                self.say(&format!("{jobs} jobs and {machines} machines in memory"));
+                self.print(&format!("{jobs} jobs and {machines} machines in memory"));
             }
             "outage" => self.shard().state_service_writable = false,
             "answers" => self.shard().state_service_writable = true,
--- a/tests/traces/events/mod.rs
+++ b/tests/traces/events/mod.rs
@@ -1,4 +1,4 @@
-//! What happens at a line of a trace, by subject.
+//! Executes the events of a trace, grouped by subject.
 
 mod cloud;
 mod jobs;
@@ -12,6 +12,7 @@
 use crate::world::World;
 
 impl World {
+    /// Executes an event; panics if it is unknown.
     pub fn event(&mut self, now: f64, what: &str, args: &[&str]) {
         let known = self.leader_event(now, what, args)
             || self.writes_event(now, what, args)
--- a/tests/traces/events/questions.rs
+++ b/tests/traces/events/questions.rs
@@ -1,62 +1,64 @@
-//! What operators ask: quotas, service and elastic jobs.
+//! Queries of operators: quotas, service levels and elastic jobs.
 
 use crate::words::argument;
 use crate::world::World;
 
 impl World {
-    /// Whether it is an event of this kind.
+    /// Executes the event if it is of this kind; returns whether it is.
     pub(super) fn questions_event(&mut self, now: f64, what: &str, args: &[&str]) -> bool {
         let first = args.first().copied().unwrap_or("");
         match what {
-            // What each level uses, of what it has, and why a job waits.
+            // Prints the usage and guarantee of each quota level, and why a job is queued.
             "levels" => {
                 let Some(report) = self.shard().quota_report(argument(args, "job").unwrap_or("")) else {
-                    self.say("no quotas");
+                    self.print("no quotas");
                     return true;
                 };
-                for l in report.levels.iter().filter(|l| l.used_cpus + l.waits_cpus > 0.0) {
-                    let limit = if l.limit_cpus > 0.0 { format!(", limit {}", l.limit_cpus) } else { String::new() };
-                    self.say(&format!(
+                for level in report.levels.iter().filter(|level| level.used_cpus + level.waits_cpus > 0.0) {
+                    let limit =
+                        if level.limit_cpus > 0.0 { format!(", limit {}", level.limit_cpus) } else { String::new() };
+                    self.print(&format!(
                         "{}: uses {} of {}{limit}, waits for {}",
-                        l.level, l.used_cpus, l.guarantee_cpus, l.waits_cpus
+                        level.level, level.used_cpus, level.guarantee_cpus, level.waits_cpus
                     ));
                 }
-                if let Some(why) = report.job {
-                    self.say(&format!("the job: {why}"));
+                if let Some(reason) = report.job {
+                    self.print(&format!("the job: {reason}"));
                 }
             }
-            // What each class and team asked for and was served, those with enough of it.
+            // Prints the service level of each class and team that has enough measurements, and the alerts.
             "service" => {
-                for r in self.shard().service_level_report(now).rows {
-                    let part = |s: Option<f64>| s.map_or("nothing known".to_owned(), |s| format!("{s:.2}"));
-                    let unknown = if r.unknown > 0 { format!(", {} unknown", r.unknown) } else { String::new() };
-                    if first.is_empty() || first == r.name {
-                        self.say(&format!(
+                for row in self.shard().service_level_report(now).rows {
+                    let share_text =
+                        |share: Option<f64>| share.map_or("nothing known".to_owned(), |share| format!("{share:.2}"));
+                    let unknown = if row.unknown > 0 { format!(", {} unknown", row.unknown) } else { String::new() };
+                    if first.is_empty() || first == row.name {
+                        self.print(&format!(
                             "{} {} {}: {}{unknown}",
-                            r.subject.name(),
-                            r.name,
-                            r.reading.name(),
-                            part(r.share)
+                            row.subject.name(),
+                            row.name,
+                            row.reading.name(),
+                            share_text(row.share)
                         ));
                     }
                 }
-                let alarms = self.shard().service_level_alerts(now);
-                alarms.iter().for_each(|a| self.say(&format!("warned: {a}")));
+                let alerts = self.shard().service_level_alerts(now);
+                alerts.iter().for_each(|alert| self.print(&format!("warned: {alert}")));
             }
-            // Each elastic job: what it may have, wants and holds; and the shrinks.
+            // Prints the size limits, the wanted and the current size of each elastic job, and the shrinks.
             "sizes" => {
                 let Some(report) = self.shard().elastic_report() else {
-                    self.say("no job is elastic");
+                    self.print("no job is elastic");
                     return true;
                 };
-                for r in &report.jobs {
-                    self.say(&format!(
+                for job in &report.jobs {
+                    self.print(&format!(
                         "{}: {} to {}, wants {}, holds {}, {} shrinks under way",
-                        r.job, r.smallest, r.largest, r.wanted, r.held, r.shrinks
+                        job.job, job.smallest, job.largest, job.wanted, job.held, job.shrinks
                     ));
                 }
                 if report.times.shrinks > 0 {
-                    self.say(&format!(
+                    self.print(&format!(
                         "{} shrinks over, the longest {:.1} s",
                         report.times.shrinks, report.times.longest_s
                     ));
--- a/tests/traces/events/writes.rs
+++ b/tests/traces/events/writes.rs
@@ -1,30 +1,30 @@
-//! Writes to the state service, and what becomes of their answers.
+//! Events of writes to the state service and their responses.
 
 use crate::world::World;
 use lupinspur::shard::ACCOUNTS_PREFIX;
 
 impl World {
-    /// Whether it is an event of this kind.
+    /// Executes the event if it is of this kind; returns whether it is.
     pub(super) fn writes_event(&mut self, now: f64, what: &str, args: &[&str]) -> bool {
         let first = args.first().copied().unwrap_or("");
         match what {
             "write" => self.write(first, now),
-            // Sent and applied; the answer is still on its way.
+            // The writes are sent and applied; the response is still in flight.
             "write-slowly" => {
                 let writes = self.shard().next_writes(8, 50_000, 8, now);
-                for w in writes.iter().filter(|w| !w.key.starts_with(ACCOUNTS_PREFIX)) {
-                    self.say(&format!("write {} is under way", w.key));
+                for write in writes.iter().filter(|write| !write.key.starts_with(ACCOUNTS_PREFIX)) {
+                    self.print(&format!("write {} is under way", write.key));
                 }
-                self.under_way = Some((self.apply(&writes), writes));
+                self.in_flight = Some((self.apply(&writes), writes));
             }
             "write-answered" => {
-                let (revision, writes) = self.under_way.take().expect("a write under way");
+                let (revision, writes) = self.in_flight.take().expect("a write under way");
                 self.shard().on_writes_applied(writes, revision, now);
             }
             "write-one" => {
                 let writes = self.shard().next_writes(1, 50_000, 1, now);
-                let keys: Vec<&str> = writes.iter().map(|w| w.key.as_str()).collect();
-                self.say(&format!("write {}", if keys.is_empty() { "nothing".into() } else { keys.join(", ") }));
+                let keys: Vec<&str> = writes.iter().map(|write| write.key.as_str()).collect();
+                self.print(&format!("write {}", if keys.is_empty() { "nothing".into() } else { keys.join(", ") }));
                 let revision = self.apply(&writes);
                 self.shard().on_writes_applied(writes, revision, now);
             }
--- a/tests/traces/golden.rs
+++ b/tests/traces/golden.rs
@@ -1,24 +1,25 @@
-//! The traces themselves.
+//! Replays the trace files and compares their output.
 
 use crate::world::world;
 use std::fmt::Write as _;
 use std::path::Path;
 
-fn play(text: &str) -> String {
-    let mut w = world();
+/// Replays the events of a trace and returns the trace with the actual output lines.
+fn replay(text: &str) -> String {
+    let mut world = world();
     for line in text.lines().filter(|l| !l.starts_with('=')) {
-        let _ = writeln!(w.out, "{line}");
+        let _ = writeln!(world.out, "{line}");
         let words: Vec<&str> = line.split_whitespace().collect();
         if let Some(now) = words.first().and_then(|t| t.parse::<f64>().ok()) {
-            w.event(now, words[1], &words[2..]);
+            world.event(now, words[1], &words[2..]);
         }
     }
-    w.out
+    world.out
 }
 
-/// The directory holds the code of these tests, too: everything else in it is a trace.
+/// Returns whether a file in the directory of traces is a part of the test code; all other files are traces.
 fn is_code(file: &Path) -> bool {
-    file.is_dir() || file.extension().is_some_and(|e| e == "rs")
+    file.is_dir() || file.extension().is_some_and(|extension| extension == "rs")
 }
 
 #[test]
@@ -26,27 +27,33 @@
     let update = std::env::var_os("UPDATE_TRACES").is_some();
     let mut files: Vec<_> = std::fs::read_dir("tests/traces")
         .expect("traces")
-        .map(|f| f.expect("a file").path())
-        .filter(|f| !is_code(f))
+        .map(|entry| entry.expect("a directory entry").path())
+        .filter(|file| !is_code(file))
         .collect();
     files.sort();
-    assert!(files.len() >= 10, "the traces are missing");
-    let mut wrong = String::new();
-    for f in files {
-        let was = std::fs::read_to_string(&f).expect("a trace");
-        let is = play(&was);
+    assert!(files.len() >= 10, "at least 10 traces should exist, found {}", files.len());
+    let mut differences = String::new();
+    for file in files {
+        let expected = std::fs::read_to_string(&file).expect("a trace");
+        let actual = replay(&expected);
         if update {
-            std::fs::write(&f, is).expect("writing a trace");
-        } else if is != was {
-            let at = was
+            std::fs::write(&file, actual).expect("writing a trace");
+        } else if actual != expected {
+            let at = expected
                 .lines()
-                .zip(is.lines())
-                .position(|(a, b)| a != b)
-                .unwrap_or(was.lines().count().min(is.lines().count()));
-            let line = |t: &str| t.lines().nth(at).unwrap_or("(end)").to_owned();
-            let _ =
-                writeln!(wrong, "{} line {}:\n  judged {}\n  is     {}", f.display(), at + 1, line(&was), line(&is));
+                .zip(actual.lines())
+                .position(|(expected_line, actual_line)| expected_line != actual_line)
+                .unwrap_or(expected.lines().count().min(actual.lines().count()));
+            let line = |text: &str| text.lines().nth(at).unwrap_or("(end)").to_owned();
+            let _ = writeln!(
+                differences,
+                "{} line {}:\n  expected {}\n  actual   {}",
+                file.display(),
+                at + 1,
+                line(&expected),
+                line(&actual)
+            );
         }
     }
-    assert!(wrong.is_empty(), "\n{wrong}");
+    assert!(differences.is_empty(), "\n{differences}");
 }
--- a/tests/traces/main.rs
+++ b/tests/traces/main.rs
@@ -1,12 +1,12 @@
-//! Golden traces: stories of events, and what one shard wanted after each.
+//! Golden traces: sequences of events for one shard, and its expected output after each event.
 //!
-//! A trace file is read by people first. Lines that begin with `#` tell the story,
-//! lines that begin with a time are events, and lines that begin with `=` are what
-//! the shard answered, which this test compares. `UPDATE_TRACES=1 cargo test --test
-//! traces` writes the answers anew; the difference is then to be read and judged.
+//! In a trace file, lines that begin with `#` are comments, lines that begin with a time
+//! are events, and lines that begin with `=` are the shard's output, which this test
+//! compares. `UPDATE_TRACES=1 cargo test --test traces` rewrites the output lines; review
+//! the difference before committing it.
 //!
 //! The state service is a stand-in: a map with versions. Attempts are shown as
-//! `token.number`.
+//! `token.number`, with the fencing token of the leader that created them.
 
 mod cells;
 mod events;
--- a/tests/traces/world.rs
+++ b/tests/traces/world.rs
@@ -1,7 +1,7 @@
-//! One shard with its state service, a map with versions, and what was sent to workers.
+//! The world of a trace: one shard, its state service (a map with versions) and the commands sent to workers.
 
 use super::settings;
-use super::words::{argument, command_text, has_flag, number, parse_attempt, rack_text};
+use super::words::{argument, command_text, has_flag, machine_group_text, number, parse_attempt};
 use lupinspur::intern::MachineIndex;
 use lupinspur::jobs::{JobRecord, job_key};
 use lupinspur::settings::Settings;
@@ -43,55 +43,63 @@
 within_s = 1.0
 "#;
 
+/// One shard with the state around it, and the output of the trace.
 pub struct World {
     pub settings: Settings,
     pub shard: Option<Shard>,
+    /// The values of the state service with their versions.
     pub store: BTreeMap<String, (Value, u64)>,
     pub revision: u64,
+    /// The last unanswered direct message to each machine.
     pub sent: HashMap<String, PushRequest>,
-    pub under_way: Option<(u64, Vec<PendingWrite>)>,
+    /// Writes that are applied and not yet answered, with their revision.
+    pub in_flight: Option<(u64, Vec<PendingWrite>)>,
     pub out: String,
     pub quotas: Option<Plan>,
     pub elastic: Option<lupinspur_elastic::Plan>,
 }
 
 impl World {
-    pub fn say(&mut self, s: &str) {
-        let _ = writeln!(self.out, "= {s}");
+    /// Appends an output line to the trace.
+    pub fn print(&mut self, line: &str) {
+        let _ = writeln!(self.out, "= {line}");
     }
 
-    pub fn commands(&mut self, what: &str, commands: &[Command]) {
+    /// Prints commands to a worker.
+    pub fn print_commands(&mut self, what: &str, commands: &[Command]) {
         let mut all: Vec<String> = commands.iter().map(command_text).collect();
-        // The order matters only within a task.
-        all.sort_by_key(|c| c.split(' ').nth(1).map(str::to_owned));
+        // Only the order of commands to the same task matters.
+        all.sort_by_key(|text| text.split(' ').nth(1).map(str::to_owned));
         let list = if all.is_empty() { "nothing".to_owned() } else { all.join(", ") };
-        self.say(&format!("{what}: {list}"));
+        self.print(&format!("{what}: {list}"));
     }
 
     pub fn shard(&mut self) -> &mut Shard {
-        self.shard.as_mut().expect("an owner")
+        self.shard.as_mut().expect("a leader")
     }
 
+    /// Returns the readable values under a prefix, with their keys and versions.
     pub fn readable<T: DeserializeOwned>(&self, prefix: &str) -> Vec<(String, T, u64)> {
         stored::readable(&self.store, prefix)
     }
 
-    pub fn report(&self, name: &str, args: &[&str]) -> Heartbeat {
-        let state = |s: &str| match s {
+    /// Parses a worker's heartbeat.
+    pub fn heartbeat(&self, name: &str, args: &[&str]) -> Heartbeat {
+        let state = |text: &str| match text {
             "fetching" => json!({"bloom":"pulling"}),
             "running" => json!({"bloom":"running"}),
-            why => json!({"bloom":"ended","wilt":why}),
+            outcome => json!({"bloom":"ended","wilt":outcome}),
         };
         let tasks: Vec<TaskReport> = args
             .iter()
-            .filter(|a| a.contains('@'))
-            .map(|a| {
-                let (task, rest) = a.split_once('@').expect("task@attempt:state");
-                let (attempt, st) = rest.split_once(':').expect("attempt:state");
-                let mut v = state(st);
-                v["seed"] = json!(task);
-                v["sowing"] = json!(parse_attempt(attempt));
-                serde_json::from_value(v).expect("a task report")
+            .filter(|word| word.contains('@'))
+            .map(|word| {
+                let (task, rest) = word.split_once('@').expect("task@attempt:state");
+                let (attempt, state_text) = rest.split_once(':').expect("attempt:state");
+                let mut report = state(state_text);
+                report["seed"] = json!(task);
+                report["sowing"] = json!(parse_attempt(attempt));
+                serde_json::from_value(report).expect("a task report")
             })
             .collect();
         Heartbeat {
@@ -103,15 +111,16 @@
             incarnation: number(args, "session", 1.0) as u64,
             sequence: number(args, "seq", 1.0) as u64,
             token: number(args, "token", 0.0) as u64,
-            notice_s: argument(args, "notice").map(|n| n.parse().expect("seconds")),
+            notice_s: argument(args, "notice").map(|seconds| seconds.parse().expect("seconds")),
             tasks,
         }
     }
 
+    /// Applies writes to the state service and returns the new revision.
     pub fn apply(&mut self, writes: &[PendingWrite]) -> u64 {
         self.revision += 1;
-        for w in writes {
-            match &w.mutation {
+        for write in writes {
+            match &write.mutation {
                 Mutation::Put { key, value, .. } => _ = self.store.insert(key.clone(), (value.clone(), self.revision)),
                 Mutation::Delete { key } => _ = self.store.remove(key),
             }
@@ -119,39 +128,44 @@
         self.revision
     }
 
-    fn say_writes(&mut self, writes: &[PendingWrite]) {
-        // The accounts go with everything and say nothing of what is decided here.
-        for w in writes.iter().filter(|w| !w.key.starts_with(ACCOUNTS_PREFIX)) {
-            self.say(&format!("write {}", write_text(w)));
+    fn print_writes(&mut self, writes: &[PendingWrite]) {
+        // Service-level measurements are written along with other values and don't depend on the decisions under test.
+        for write in writes.iter().filter(|write| !write.key.starts_with(ACCOUNTS_PREFIX)) {
+            self.print(&format!("write {}", write_text(write)));
         }
     }
 
+    /// Sends the shard's writes until there are none; `mode` says whether the write or its response is lost.
     pub fn write(&mut self, mode: &str, now: f64) {
         for _ in 0..10 {
             let writes = self.shard().next_writes(8, 50_000, 8, now);
             if writes.is_empty() {
                 return;
             }
-            self.say_writes(&writes);
+            self.print_writes(&writes);
             match mode {
                 "lost" => {
-                    self.say("the write was lost");
+                    self.print("the write was lost");
                     self.shard().on_writes_rejected(writes);
                     return;
                 }
                 "unanswered" => {
-                    self.say("the write was applied, its answer was lost");
+                    self.print("the write was applied, its answer was lost");
                     let revision = self.apply(&writes);
-                    for w in &writes {
-                        self.shard().on_version_known(&w.key, revision);
+                    for write in &writes {
+                        self.shard().on_version_known(&write.key, revision);
                     }
                     self.shard().on_writes_rejected(writes);
                     return;
                 }
                 _ => {
-                    for w in &writes {
-                        let there = self.store.get(&w.key).map_or(0, |v| v.1);
-                        assert_eq!(there, w.version, "{} is written over a version that is not there", w.key);
+                    for write in &writes {
+                        let stored = self.store.get(&write.key).map_or(0, |(_, version)| *version);
+                        assert_eq!(
+                            stored, write.version,
+                            "the write of {} should expect the stored version",
+                            write.key
+                        );
                     }
                     let revision = self.apply(&writes);
                     self.shard().on_writes_applied(writes, revision, now);
@@ -160,11 +174,12 @@
         }
     }
 
+    /// Returns the index of a machine.
     pub fn machine(&mut self, name: &str) -> MachineIndex {
         self.shard().machines.find(name).expect("a known machine")
     }
 
-    /// Some node stores the record of a job.
+    /// Stores the record of a job, as any controller that accepts it would.
     pub fn accept(&mut self, id: &str, args: &[&str], now: f64) -> (JobRecord, u64) {
         let service = has_flag(args, "service");
         let job: JobRequest = serde_json::from_value(json!({
@@ -176,12 +191,13 @@
             "field": argument(args, "zone"),
             "fallow": !has_flag(args, "nospot"), "bulb": argument(args, "image"), "pull_gb": 1.0,
             "expected_s": if service { 0.0 } else { number(args, "estimate", 20.0) },
-            "harvest_s": argument(args, "deadline").map(|d| d.parse::<f64>().expect("seconds")),
-            "elastic": argument(args, "elastic").map(|e| {
-                let (s, l) = e.split_once('-').expect("smallest-largest");
-                json!({"smallest": s.parse::<u32>().expect("a number"), "largest": l.parse::<u32>().expect("a number")})
+            "harvest_s": argument(args, "deadline").map(|seconds| seconds.parse::<f64>().expect("seconds")),
+            "elastic": argument(args, "elastic").map(|range| {
+                let (smallest, largest) = range.split_once('-').expect("smallest-largest");
+                json!({"smallest": smallest.parse::<u32>().expect("a number"),
+                    "largest": largest.parse::<u32>().expect("a number")})
             }),
-            "awaits": argument(args, "needs").map(|n| n.split(',').collect::<Vec<_>>()),
+            "awaits": argument(args, "needs").map(|ids| ids.split(',').collect::<Vec<_>>()),
             "pressing_s": number(args, "saves", 0.0), "pressing_cost_s": number(args, "saves", 0.0)}))
         .expect("a job");
         let record = JobRecord::accepted(job, (now * 1000.0) as u64);
@@ -192,20 +208,22 @@
     }
 }
 
-fn write_text(w: &PendingWrite) -> String {
-    let Mutation::Put { value, .. } = &w.mutation else { return format!("{}: deleted", w.key) };
-    let brief = match (value.get("phase"), value.get("machines"), value.get("done")) {
-        (Some(p), _, _) => format!("phase {}", p.as_str().unwrap_or("?")),
-        (_, Some(_), _) => rack_text(value),
-        (_, _, Some(d)) => format!("done {d}"),
-        _ if w.key.starts_with(lupinspur_quota::stored::PREFIX) => "quotas".into(),
-        _ if w.key == lupinspur_recovery::HEAD => format!("{} open", value["open"]),
-        _ if w.key.starts_with(lupinspur_recovery::PREFIX) => "of the checkpoint".into(),
+/// Formats a write with a summary of its value.
+fn write_text(write: &PendingWrite) -> String {
+    let Mutation::Put { value, .. } = &write.mutation else { return format!("{}: deleted", write.key) };
+    let summary = match (value.get("phase"), value.get("machines"), value.get("done")) {
+        (Some(phase), _, _) => format!("phase {}", phase.as_str().unwrap_or("?")),
+        (_, Some(_), _) => machine_group_text(value),
+        (_, _, Some(done)) => format!("done {done}"),
+        _ if write.key.starts_with(lupinspur_quota::stored::PREFIX) => "quotas".into(),
+        _ if write.key == lupinspur_recovery::HEAD => format!("{} open", value["open"]),
+        _ if write.key.starts_with(lupinspur_recovery::PREFIX) => "of the checkpoint".into(),
         _ => "counts and lists".into(),
     };
-    format!("{}: {brief}", w.key)
+    format!("{}: {summary}", write.key)
 }
 
+/// Returns a world without a shard; the event `takeover` creates it.
 pub fn world() -> World {
     World {
         settings: Settings::parse(&settings::settings(TEAMS)).expect("settings"),
@@ -213,7 +231,7 @@
         store: BTreeMap::new(),
         revision: 0,
         sent: HashMap::new(),
-        under_way: None,
+        in_flight: None,
         out: String::new(),
         quotas: None,
         elastic: None,
