--- a/examples/history.rs
+++ b/examples/history.rs
@@ -1,11 +1,11 @@
-//! What a long history costs: a successor that reads, and a leader that lives through it.
+//! Measures the cost of a long job history: for a new leader that loads it, and for a leader that runs through it.
 //!
 //!     cargo run --release --example history
 //!
-//! For each length a process of its own, so that its peak of memory is its own: `records` takes
-//! every record in, as leaders did before there were checkpoints; `checkpoint` takes in what is
-//! open; `leader` sees that many jobs come and go. Requests and bytes are counted, times are of
-//! this machine: their ratios count.
+//! Each case runs in a process of its own, so that peak memory is measured separately. `records` loads every job
+//! record, as leaders did before checkpoints existed; `pages` reads all records but keeps only the open ones;
+//! `checkpoint` loads the open jobs from a checkpoint; `owner` is a leader that sees that many jobs come and go.
+//! Requests and bytes are exact; times depend on the machine, so only their ratios are meaningful.
 
 use lupinspur::jobs::{JobRecord, Phase, job_key};
 use lupinspur::settings::Settings;
@@ -17,9 +17,10 @@
 use std::process::Command;
 use std::time::Instant;
 
-const OPEN: u64 = 1000;
-/// Values of a page, as the protocol has it: a thousand, and 512 KiB.
-const PAGE: u64 = 1000;
+/// Number of open jobs.
+const OPEN_JOBS: u64 = 1000;
+/// Limits of a page in the protocol of the state service: 1000 values and 512 KiB.
+const PAGE_VALUES: u64 = 1000;
 const PAGE_BYTES: usize = 512 * 1024;
 
 const SETTINGS: &str = r#"
@@ -47,6 +48,7 @@
 rps = 5.0
 "#;
 
+/// Returns the submission of job `i`.
 fn request(i: u64) -> JobRequest {
     serde_json::from_value(json!({"id": format!("req-{i:07}"), "breed": "match", "herd": "red", "habit": "batch",
         "precedence": "standard", "seeds": 1 + i % 100, "cpus": 2.0, "cards": 0.0, "memory_gb": 2.0, "strains": null,
@@ -55,129 +57,140 @@
     .expect("a job")
 }
 
-/// The record of job `i`: the first are open, the others ended.
+/// Returns the record of job `i`; the first `OPEN_JOBS` jobs are open, the others have ended.
 fn record(i: u64) -> Value {
     let open = JobRecord::accepted(request(i), 1_700_000_000_000 + i);
-    let r = if i < OPEN {
+    let record = if i < OPEN_JOBS {
         open
     } else {
         JobRecord::ended(&open.job, open.accepted_at_ms, Phase::Done, open.accepted_at_ms, 16_000)
     };
-    serde_json::to_value(r).expect("a value")
+    serde_json::to_value(record).expect("a value")
 }
 
+/// Returns the peak resident memory of this process in MB.
 fn peak_mb() -> f64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let kb =
-        status.lines().find_map(|l| l.strip_prefix("VmHWM:")).and_then(|l| l.split_whitespace().next()?.parse().ok());
+    let kb = status
+        .lines()
+        .find_map(|line| line.strip_prefix("VmHWM:"))
+        .and_then(|value| value.split_whitespace().next()?.parse().ok());
     kb.unwrap_or(0.0) / 1024.0
 }
 
+/// Returns a leader's shard with this loaded state.
 fn leader(loaded: LoadedState) -> Shard {
     let settings = Settings::parse(SETTINGS).expect("settings");
     Shard::new(&settings.params(), Tuning::default(), 10, Vec::new(), loaded, 0.0)
 }
 
-/// Requests, bytes, seconds of reading and taking in, and what is held then.
-fn records(ended: u64, keep: bool) -> (u64, usize, f64, usize) {
-    let (mut requests, mut bytes, mut taken, mut jobs) = (0, 0, 0.0, Vec::new());
+/// Loads all job records page by page, and keeps the ended ones if `keep_ended` is set. Returns the requests, the bytes,
+/// the seconds of parsing and loading, and the number of jobs in memory.
+fn records(ended: u64, keep_ended: bool) -> (u64, usize, f64, usize) {
+    let (mut requests, mut bytes, mut seconds, mut jobs) = (0, 0, 0.0, Vec::new());
     let mut i = 0;
-    while i < OPEN + ended {
+    while i < OPEN_JOBS + ended {
         let (mut page, mut size) = (Vec::new(), 0);
-        while i < OPEN + ended && (page.len() as u64) < PAGE && size < PAGE_BYTES {
-            let v = record(i);
-            let text = json!({"path": job_key(&format!("req-{i:07}")), "v": v, "stamp": i + 1}).to_string();
+        while i < OPEN_JOBS + ended && (page.len() as u64) < PAGE_VALUES && size < PAGE_BYTES {
+            let value = record(i);
+            let text = json!({"path": job_key(&format!("req-{i:07}")), "v": value, "stamp": i + 1}).to_string();
             size += text.len();
             page.push(text);
             i += 1;
         }
         (requests, bytes) = (requests + 1, bytes + size);
         let began = Instant::now();
-        let items = page.iter().filter_map(|t| serde_json::from_str::<Value>(t).ok());
-        let read =
-            items.filter_map(|v| Some((parse_job_record(v["path"].as_str()?, &v["v"]).ok()?, v["stamp"].as_u64()?)));
-        jobs.extend(read.filter(|(r, _)| keep || r.phase == Phase::Open));
-        taken += began.elapsed().as_secs_f64();
+        let items = page.iter().filter_map(|text| serde_json::from_str::<Value>(text).ok());
+        let read = items.filter_map(|item| {
+            Some((parse_job_record(item["path"].as_str()?, &item["v"]).ok()?, item["stamp"].as_u64()?))
+        });
+        jobs.extend(read.filter(|(record, _)| keep_ended || record.phase == Phase::Open));
+        seconds += began.elapsed().as_secs_f64();
     }
     let began = Instant::now();
     let shard = leader(LoadedState { jobs, ..LoadedState::default() });
-    (requests, bytes, taken + began.elapsed().as_secs_f64(), shard.memory_footprint()[0])
+    (requests, bytes, seconds + began.elapsed().as_secs_f64(), shard.memory_footprint()[0])
 }
 
+/// Loads the open jobs from a checkpoint. Returns the same figures as [`records`].
 fn checkpoint() -> (u64, usize, f64, usize) {
-    let mut w = Writer::new(15_900, 0.0);
-    (0..OPEN).for_each(|i| w.on_opened(&format!("req-{i:07}")));
+    let mut writer = Writer::new(15_900, 0.0);
+    (0..OPEN_JOBS).for_each(|i| writer.on_opened(&format!("req-{i:07}")));
     let mut values = Vec::new();
     let number = |id: &str| id.trim_start_matches("req-").parse().unwrap_or(0);
-    while w.is_due(5, 5, 100.0) {
-        let Some(p) = w.next_value(5, 100.0, |id| Some((number(id) + 1, record(number(id))))) else { break };
-        w.on_applied(&p.key);
-        values.push((p.key.clone(), p.value.to_string()));
+    while writer.is_due(5, 5, 100.0) {
+        let Some(pending) = writer.next_value(5, 100.0, |id| Some((number(id) + 1, record(number(id))))) else { break };
+        writer.on_applied(&pending.key);
+        values.push((pending.key.clone(), pending.value.to_string()));
     }
-    let bytes: usize = values.iter().map(|(k, v)| k.len() + v.len() + 40).sum();
+    let bytes: usize = values.iter().map(|(key, value)| key.len() + value.len() + 40).sum();
     let began = Instant::now();
     let parsed: Vec<(String, Value)> =
-        values.iter().filter_map(|(k, t)| Some((k.clone(), serde_json::from_str(t).ok()?))).collect();
-    let mut read = lupinspur_recovery::read(parsed.iter().map(|(k, v)| (k.as_str(), v))).expect("a checkpoint");
+        values.iter().filter_map(|(key, text)| Some((key.clone(), serde_json::from_str(text).ok()?))).collect();
+    let mut read =
+        lupinspur_recovery::read(parsed.iter().map(|(key, value)| (key.as_str(), value))).expect("a checkpoint");
     let open = std::mem::take(&mut read.open);
-    let jobs =
-        open.iter().filter_map(|o| Some((parse_job_record(&job_key(&o.id), &o.value).ok()?, o.version))).collect();
+    let jobs = open
+        .iter()
+        .filter_map(|job| Some((parse_job_record(&job_key(&job.id), &job.value).ok()?, job.version)))
+        .collect();
     let checkpoint = LoadedCheckpoint { read: Some(read), ..LoadedCheckpoint::default() };
     let shard = leader(LoadedState { jobs, checkpoint, ..LoadedState::default() });
-    // And one request for the changes since.
+    // One additional request reads the changes since the checkpoint.
     let pages = bytes.div_ceil(PAGE_BYTES) as u64 + 1;
     (pages, bytes, began.elapsed().as_secs_f64(), shard.memory_footprint()[0])
 }
 
-/// A leader that sees so many jobs come, wait for half a minute, and be cancelled.
-fn life(jobs: u64) -> (u64, usize, f64, usize) {
-    let mut s = leader(LoadedState::default());
+/// Runs a leader through this many jobs, each of which is submitted, queued for half a minute and cancelled. Returns the
+/// writes, the bytes, the seconds and the number of jobs in memory.
+fn run_leader(jobs: u64) -> (u64, usize, f64, usize) {
+    let mut shard = leader(LoadedState::default());
     let (mut revision, mut puts, mut bytes) = (10, 0, 0);
     let began = Instant::now();
     for i in 0..jobs {
         let now = 0.4 * i as f64;
         revision += 1;
-        s.add_job(JobRecord::accepted(request(i), (now * 1000.0) as u64), revision, now);
-        s.watched(revision);
+        shard.add_job(JobRecord::accepted(request(i), (now * 1000.0) as u64), revision, now);
+        shard.watched(revision);
         if i >= 75 {
-            s.cancel(&format!("req-{:07}", i - 75));
+            shard.cancel(&format!("req-{:07}", i - 75));
         }
         loop {
-            let writes = s.next_writes(16, 50_000, 16, now);
+            let writes = shard.next_writes(16, 50_000, 16, now);
             if writes.is_empty() {
                 break;
             }
             revision += 1;
             puts += writes.len() as u64;
-            bytes += writes.iter().map(|w| w.bytes).sum::<usize>();
-            s.on_writes_applied(writes, revision, now);
+            bytes += writes.iter().map(|write| write.bytes).sum::<usize>();
+            shard.on_writes_applied(writes, revision, now);
         }
-        s.tick(now);
+        shard.tick(now);
     }
-    (puts, bytes, began.elapsed().as_secs_f64(), s.memory_footprint()[0])
+    (puts, bytes, began.elapsed().as_secs_f64(), shard.memory_footprint()[0])
 }
 
 fn main() {
     let args: Vec<String> = std::env::args().skip(1).collect();
-    if let [what, n] = &args[..] {
-        let n: u64 = n.parse().expect("a number");
-        let (requests, bytes, seconds, held) = match what.as_str() {
-            "records" => records(n, true),
-            "pages" => records(n, false),
+    if let [case, count] = &args[..] {
+        let count: u64 = count.parse().expect("a number");
+        let (requests, bytes, seconds, held) = match case.as_str() {
+            "records" => records(count, true),
+            "pages" => records(count, false),
             "checkpoint" => checkpoint(),
-            _ => life(n),
+            _ => run_leader(count),
         };
-        println!("{what:>12} {n:>9} {requests:>10} {bytes:>13} {seconds:>9.3} {:>9.1} {held:>9}", peak_mb());
+        println!("{case:>12} {count:>9} {requests:>10} {bytes:>13} {seconds:>9.3} {:>9.1} {held:>9}", peak_mb());
         return;
     }
-    let me = std::env::current_exe().expect("this program");
+    let program = std::env::current_exe().expect("the path of this program");
     println!(
         "{:>12} {:>9} {:>10} {:>13} {:>9} {:>9} {:>9}",
         "what", "ended", "requests", "bytes", "seconds", "peak MB", "held"
     );
-    for what in ["records", "pages", "checkpoint", "owner"] {
-        for n in ["1000", "10000", "100000", "1000000"] {
-            let out = Command::new(&me).args([what, n]).output().expect("it runs");
+    for case in ["records", "pages", "checkpoint", "owner"] {
+        for count in ["1000", "10000", "100000", "1000000"] {
+            let out = Command::new(&program).args([case, count]).output().expect("the case runs");
             print!("{}", String::from_utf8_lossy(&out.stdout));
         }
     }
