--- a/tests/common/http.rs
+++ b/tests/common/http.rs
@@ -13,7 +13,7 @@
 static RUNS: Once = Once::new();
 
 /// The executor that runs all stand-ins of a test process.
-pub static EX: Executor<'static> = Executor::new();
+pub static EXECUTOR: Executor<'static> = Executor::new();
 
 /// Limits of the stand-ins' servers.
 pub const SERVER_LIMITS: Bounds = Bounds { connections: 2000, body_bytes: 16 << 20 };
@@ -21,7 +21,7 @@
 /// Starts the thread that runs all stand-ins, once per process.
 fn run_executor() {
     RUNS.call_once(|| {
-        std::thread::spawn(|| async_io::block_on(EX.run(std::future::pending::<()>())));
+        std::thread::spawn(|| async_io::block_on(EXECUTOR.run(std::future::pending::<()>())));
     });
 }
 
@@ -49,7 +49,7 @@
     run_executor();
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
     let addr = listener.get_ref().local_addr().expect("its address");
-    EX.spawn(serve(&EX, listener, SERVER_LIMITS, Arc::new(handler))).detach();
+    EXECUTOR.spawn(serve(&EXECUTOR, listener, SERVER_LIMITS, Arc::new(handler))).detach();
     addr
 }
 
@@ -79,14 +79,15 @@
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
     let addr = listener.get_ref().local_addr().expect("its address");
     let handler = Arc::new(handler);
-    EX.spawn(async move {
-        while let Ok((stream, _)) = listener.accept().await {
-            let _ = stream.get_ref().set_nodelay(true);
-            let (conn, handler) = (Conn::new(stream), handler.clone());
-            EX.spawn(async move { _ = serve_until_lost(conn, &*handler).await }).detach();
-        }
-    })
-    .detach();
+    EXECUTOR
+        .spawn(async move {
+            while let Ok((stream, _)) = listener.accept().await {
+                let _ = stream.get_ref().set_nodelay(true);
+                let (conn, handler) = (Conn::new(stream), handler.clone());
+                EXECUTOR.spawn(async move { _ = serve_until_lost(conn, &*handler).await }).detach();
+            }
+        })
+        .detach();
     addr
 }
 
--- a/tests/loopback/direct.rs
+++ b/tests/loopback/direct.rs
@@ -1,6 +1,6 @@
 //! The direct interface of the stand-in workers, and what is held up on its way to them.
 
-use crate::http::{EX, body, lock};
+use crate::http::{EXECUTOR, body, lock};
 use crate::workers::{Workers, obey};
 use async_io::Timer;
 use http_types::Method;
@@ -109,16 +109,17 @@
 ) -> Outgoing {
     let has_commands = commands["tidings"].as_array().is_some_and(|c| !c.is_empty());
     lock(&all)[w].commands_held_up += usize::from(has_commands);
-    EX.spawn(async move {
-        Timer::after(delay).await;
-        let matches = {
-            let worker = &lock(&all)[w];
-            !worker.deleted && commands["season"].as_u64() == Some(worker.incarnation)
-        };
-        if matches {
-            obey(&all, w, &commands, &twice);
-        }
-    })
-    .detach();
+    EXECUTOR
+        .spawn(async move {
+            Timer::after(delay).await;
+            let matches = {
+                let worker = &lock(&all)[w];
+                !worker.deleted && commands["season"].as_u64() == Some(worker.incarnation)
+            };
+            if matches {
+                obey(&all, w, &commands, &twice);
+            }
+        })
+        .detach();
     std::future::pending().await
 }
--- a/tests/loopback/links.rs
+++ b/tests/loopback/links.rs
@@ -1,6 +1,6 @@
 //! The ways between controllers: forwarded connections that can be cut.
 
-use crate::http::EX;
+use crate::http::EXECUTOR;
 use async_io::{Async, Timer};
 use futures_lite::{FutureExt, io};
 use std::collections::BTreeMap;
@@ -25,7 +25,7 @@
         let address = listener.get_ref().local_addr().expect("its address");
         let cut = Arc::new(AtomicBool::new(false));
         self.cut.insert((from, to), cut.clone());
-        EX.spawn(accept(listener, target, cut)).detach();
+        EXECUTOR.spawn(accept(listener, target, cut)).detach();
         address
     }
 
@@ -41,7 +41,7 @@
         if cut.load(Ordering::Relaxed) {
             continue;
         }
-        EX.spawn(forward(stream, target, cut.clone())).detach();
+        EXECUTOR.spawn(forward(stream, target, cut.clone())).detach();
     }
 }
 
--- a/tests/loopback/machines.rs
+++ b/tests/loopback/machines.rs
@@ -1,7 +1,7 @@
 //! Machines: each has a stand-in worker with its direct interface.
 
 use crate::direct::answer;
-use crate::http::{EX, lock, server};
+use crate::http::{EXECUTOR, lock, server};
 use crate::workers::{Worker, Workers, work};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -26,7 +26,7 @@
         let addr = server(move |request| answer(all.clone(), w, request, twice.clone()));
         let name = format!("host-{w}");
         workers.push(Worker::new(name.clone(), addr, zone, self.lease));
-        EX.spawn(work(self.workers.clone(), w, self.controllers.clone(), self.twice.clone())).detach();
+        EXECUTOR.spawn(work(self.workers.clone(), w, self.controllers.clone(), self.twice.clone())).detach();
         name
     }
 }
--- a/tests/loopback/malformed.rs
+++ b/tests/loopback/malformed.rs
@@ -1,7 +1,7 @@
 //! Reports and messages between controllers that are no such thing: they are refused, and change nothing.
 
 use crate::cluster::Cluster;
-use crate::http::{EX, lock};
+use crate::http::{EXECUTOR, lock};
 use crate::requests::{SERVICES, User, job};
 use crate::settings::Size;
 use http_types::Method;
@@ -143,13 +143,13 @@
     let preface_and_junk = [b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n".as_slice(), &[0xff; 64]].concat();
     for at in &cluster.peer {
         [b"junk".as_slice(), http1, &preface_and_junk].iter().for_each(|bytes| send_raw(*at, bytes));
-        let answer = async_io::block_on(query_quotas(&EX, *at, "no job"));
+        let answer = async_io::block_on(query_quotas(&EXECUTOR, *at, "no job"));
         assert_eq!(answer.map_err(|error| error.to_string()).err().as_deref(), Some("job id is malformed"));
     }
     let settings = |i: usize| Settings::load(&cluster.dir.join(format!("n{i}.toml"))).expect("settings");
     let (all, leader) = (settings(0), format!("n{}", cluster.until_led()));
     // From wherever the leader is one of the others.
-    let peers = if leader == "n0" { Peers::new(&EX, &settings(1)) } else { Peers::new(&EX, &all) };
+    let peers = if leader == "n0" { Peers::new(&EXECUTOR, &settings(1)) } else { Peers::new(&EXECUTOR, &all) };
     let ask = |verb, job: &str, cell| async_io::block_on(peers.ask(&leader, verb, (job, cell), None));
     for job in ["", "no job", "req-", "../own/0", &"9".repeat(9000)] {
         for verb in [Verb::Show, Verb::Cancel] {
--- a/tests/loopback/state_service.rs
+++ b/tests/loopback/state_service.rs
@@ -1,7 +1,7 @@
 //! The stand-in state service.
 
 use crate::faults::{Fate, Faults, MACHINE_RECORD};
-use crate::http::{EX, body, lock, param};
+use crate::http::{EXECUTOR, body, lock, param};
 use crate::requests::job;
 use async_io::Timer;
 use http_types::Method;
@@ -227,7 +227,7 @@
             std::future::pending().await
         }
         Fate::Late(delay) => {
-            EX.spawn(apply_late(store, req, delay)).detach();
+            EXECUTOR.spawn(apply_late(store, req, delay)).detach();
             None
         }
     }
