--- a/tests/soak/play.rs
+++ b/tests/soak/play.rs
@@ -20,7 +20,7 @@
 const NODES: usize = 3;
 const LEASE_S: u64 = 5;
 const CANCEL: Duration = Duration::from_secs(13);
-const CLAIM: Duration = Duration::from_millis(1500);
+const LEADERSHIP_TTL: Duration = Duration::from_millis(1500);
 const SUBMITTERS: u64 = 6;
 /// Once all faults have ended, every job ends within this time and every controller reports its end.
 const ENDS_WITHIN: Duration = Duration::from_secs(75);
@@ -210,7 +210,7 @@
     fn end(&mut self, undo: Undo) {
         let store = self.cluster.store.clone();
         match undo {
-            Undo::Start(nodes) => nodes.into_iter().for_each(|i| self.cluster.begin(i)),
+            Undo::Start(nodes) => nodes.into_iter().for_each(|i| self.cluster.start_controller(i)),
             Undo::Resume(nodes) => {
                 let alive = self.alive();
                 nodes.iter().filter(|i| alive.contains(i)).for_each(|i| self.cluster.signal(*i, "-CONT"));
@@ -242,10 +242,10 @@
 fn set_fault(worker: &mut Worker, fault: MachineFault, leader: Option<usize>, on: bool) {
     match fault {
         MachineFault::Hangs => worker.hangs = on,
-        MachineFault::RepliesAndCommandsLost => worker.deaf = on,
-        MachineFault::CommandsLost => worker.deaf_to_commands = on,
-        MachineFault::HeartbeatsLost => worker.mute = on,
-        MachineFault::RepliesCutShort => worker.answers_break = on,
+        MachineFault::RepliesAndCommandsLost => worker.drops_replies = on,
+        MachineFault::CommandsLost => worker.drops_commands = on,
+        MachineFault::HeartbeatsLost => worker.sends_no_heartbeats = on,
+        MachineFault::RepliesCutShort => worker.reply_connections_break = on,
         MachineFault::CutFromLeader => worker.cut_from = leader.into_iter().collect(),
         MachineFault::LateCommands(by) => worker.command_delay = if on { by } else { Duration::ZERO },
         MachineFault::StartsDelayed => worker.starts = if on { Starts::HeldUp } else { Starts::Arrive },
@@ -260,14 +260,14 @@
     let faults = plan(seed, options.seconds);
     let size = Size {
         cancel: CANCEL,
-        claim: CLAIM,
+        leadership_ttl: LEADERSHIP_TTL,
         cuttable: true,
         teams: vec![(LIMITED, LIMIT as f64)],
         ..Size::of(NODES, options.workers, LEASE_S)
     };
     let mut cluster = Cluster::start(&format!("soak-{seed}"), size);
     cluster.rentals.capacity.store(options.workers * RENTALS_PER_WORKER, Ordering::Relaxed);
-    cluster.until_led();
+    cluster.wait_for_leader();
     let answers = Answers::of(&cluster);
     let watch = RuleWatch::start(&cluster, CANCEL, &[(LIMITED, LIMIT)]);
     watch.allow_late_starts();
@@ -306,10 +306,10 @@
     watch: &RuleWatch,
 ) -> Outcome {
     let (repeated, mut problems): (Vec<String>, Vec<String>) =
-        watch.broken().into_iter().partition(|violation| violation.ends_with("was started again after its end"));
+        watch.violations().into_iter().partition(|violation| violation.ends_with("was started again after its end"));
     problems.extend(users.answers.violations());
-    let twice: BTreeSet<String> = lock(&cluster.twice).iter().cloned().collect();
-    for task in &twice {
+    let duplicate_starts: BTreeSet<String> = lock(&cluster.duplicate_starts).iter().cloned().collect();
+    for task in &duplicate_starts {
         problems.push(format!("ran_twice: {task} was started while it was on another machine"));
         problems.extend(commands_of(task));
     }
@@ -320,7 +320,7 @@
     let at_workers: usize = lock(&cluster.workers).iter().map(|w| w.commands_held_up + w.starts_unanswered.len()).sum();
     let held_up = at_workers + delivered;
     let confirmed = users.confirmed.load(Ordering::Relaxed);
-    let failovers = cluster.claims().iter().sum::<usize>().saturating_sub(1);
+    let failovers = cluster.elections_won().iter().sum::<usize>().saturating_sub(1);
     let counts = [(failovers, "change of leader"), (held_up, "delayed command"), (confirmed, "cancellation")];
     let missing = counts.iter().filter(|(count, _)| *count == 0).map(|(_, what)| *what).collect();
     Outcome {
--- a/tests/soak/users.rs
+++ b/tests/soak/users.rs
@@ -99,7 +99,7 @@
             let mut submission = job(&id, "batch", rng.u32(1..=5));
             if rng.f64() < 0.4 {
                 submission["herd"] = json!(LIMITED);
-                self.watch.belongs(&id, LIMITED);
+                self.watch.assign_to_team(&id, LIMITED);
             }
             let dependency = self.dependency(&mut rng);
             if let Some(dependency) = &dependency {
@@ -150,7 +150,7 @@
     }
 
     fn record_confirmed(&self, id: &str) {
-        self.watch.confirmed(id);
+        self.watch.record_cancellation(id);
         self.confirmed.fetch_add(1, Ordering::Relaxed);
     }
 
