--- a/crates/recovery/src/chunk.rs
+++ b/crates/recovery/src/chunk.rs
@@ -35,7 +35,7 @@
 }
 
 /// Returns the change that turns `old` into `new`: fields with changed values, nested changes of objects, and null for
-/// removed fields. It loses nulls in the record; see [`is_lossless`].
+/// removed fields. It can't express that a field becomes null, since null removes the field; see [`is_lossless`].
 fn difference(old: &Map<String, Value>, new: &Map<String, Value>) -> Map<String, Value> {
     let mut change = Map::new();
     for (field, value) in new {
@@ -64,7 +64,8 @@
     }
 }
 
-/// Returns true if the change turns the pattern into exactly this record. A change can't express nulls in the record.
+/// Returns true if the change turns the pattern into exactly this record. It doesn't if the record has a null that the
+/// pattern doesn't have in the same place.
 fn is_lossless(pattern: &Map<String, Value>, record: &Map<String, Value>, change: &Map<String, Value>) -> bool {
     let mut restored = pattern.clone();
     apply(&mut restored, change);
--- a/crates/recovery/src/safe_revision.rs
+++ b/crates/recovery/src/safe_revision.rs
@@ -4,10 +4,10 @@
 
 use std::collections::HashMap;
 
-/// Tracks the revision that a checkpoint may state. A leader learns of jobs accepted by other nodes from a watch, and of
-/// the job ends that it writes from the responses. An end in flight may be stored at a revision that the watch has
-/// already passed. Until its outcome is known, the checkpoint may not state a revision after the one watched when
-/// the end was sent. Otherwise a new leader would not receive that end as a change, and would treat the job as open.
+/// Tracks the revision that a checkpoint may state. A leader learns of jobs accepted by other nodes from a watch, and
+/// of the job ends that it writes from the responses. An end in flight may be stored at a revision that the watch has
+/// already passed. Until its outcome is known, the checkpoint may not state a revision after the one watched when the
+/// end was sent. Otherwise a new leader would not receive that end as a change, and would treat the job as open.
 #[derive(Debug, Default)]
 pub struct SafeRevision {
     /// Revision up to which all changes from the watch have been applied.
--- a/crates/recovery/src/writer.rs
+++ b/crates/recovery/src/writer.rs
@@ -165,8 +165,8 @@
         self.head.map_or(u64::MAX, |head| revision.saturating_sub(head.revision))
     }
 
-    /// Returns true if a value should be written now: a round is in progress, or one has to begin. `known` is a revision
-    /// up to which every change is known; `revision` is the newest revision seen.
+    /// Returns true if a value should be written now: a round is in progress, or one has to begin. `known` is a
+    /// revision up to which every change is known; `revision` is the newest revision seen.
     pub fn is_due(&self, known: u64, revision: u64, now: f64) -> bool {
         let elapsed_s = now - self.round_began_at;
         let wanted = self.changes_behind(revision) >= CHANGES_PER_ROUND || elapsed_s >= ROUND_INTERVAL_S;
--- a/crates/recovery/tests/histories.rs
+++ b/crates/recovery/tests/histories.rs
@@ -1,5 +1,5 @@
-//! Random histories of jobs and leaders. A checkpoint and the changes since its revision must give exactly the same open
-//! jobs as reading every record, between whichever two writes the leader crashed.
+//! Random histories of jobs and leaders. A checkpoint and the changes since its revision must give exactly the same
+//! open jobs as reading every record, between whichever two writes the leader crashed.
 
 use lupinspur_recovery::writer::Writer;
 use lupinspur_recovery::{Checkpoint, CheckpointError, SafeRevision, read};
--- a/crates/scheduler/src/shard/checkpointing.rs
+++ b/crates/scheduler/src/shard/checkpointing.rs
@@ -81,9 +81,9 @@
             swept_at: now,
             ..Checkpointer::default()
         };
-        // A writer that continues a checkpoint must be told of every job that is no longer open. Otherwise a job that
-        // moved to another shard stays in the checkpoint forever, and the leader after the next one starts it here
-        // again long after it was done in the other shard.
+        // A writer that continues a checkpoint has to drop every job that is no longer open. Otherwise a job that moved
+        // to another shard stays in the checkpoint forever, and the leader after the next one starts it here again long
+        // after it was done in the other shard.
         found.gone.iter().for_each(|id| checkpointer.writer.on_ended(id));
         checkpointer.known.on_watched(found.revision);
         checkpointer
--- a/crates/scheduler/src/shard/commands.rs
+++ b/crates/scheduler/src/shard/commands.rs
@@ -335,9 +335,7 @@
             settle_starts(machine, &sent.starts);
         }
         match outcome {
-            PushOutcome::Responded { executed, heartbeat: report } => {
-                self.on_push_answered(sent, executed, report, now)
-            }
+            PushOutcome::Responded { executed, heartbeat } => self.on_push_answered(sent, executed, heartbeat, now),
             PushOutcome::Withheld => self.requeue_withheld(sent),
             PushOutcome::NotSent | PushOutcome::Unknown => self.on_push_unanswered(sent.machine, now),
         }
@@ -345,12 +343,12 @@
 
     /// Handles a worker's response to a push. It proves that messages pass in both directions, even if the heartbeat
     /// in the response is outdated by now.
-    fn on_push_answered(&mut self, sent: &PushRequest, executed: bool, report: Option<Heartbeat>, now: f64) {
+    fn on_push_answered(&mut self, sent: &PushRequest, executed: bool, heartbeat: Option<Heartbeat>, now: f64) {
         let machine = &mut self.machines[sent.machine];
         machine.missed_acknowledgements = 0;
         (machine.suspected, machine.unanswered_pushes) = (false, 0);
         let probing = !machine.reported_token;
-        if let Some(heartbeat) = report.filter(|report| *report.machine == *machine.name) {
+        if let Some(heartbeat) = heartbeat.filter(|heartbeat| *heartbeat.machine == *machine.name) {
             // The response to a push does not renew the machine's lease.
             let source = HeartbeatSource::PushReply { sent_at: sent.built_at };
             let _ = self.reconcile_heartbeat(&heartbeat, source, now);
--- a/crates/scheduler/src/shard/dependencies.rs
+++ b/crates/scheduler/src/shard/dependencies.rs
@@ -42,8 +42,8 @@
         }
     }
 
-    /// Stops the running tasks of those of the jobs that wait for an open dependency. The record of that dependency may
-    /// have been unread until now.
+    /// Stops the running tasks of those of `jobs` that wait for an open dependency. Such tasks may run because the
+    /// dependency's record had not been read until now.
     pub(super) fn stop_waiting_jobs(&mut self, jobs: Vec<JobIndex>) {
         for job_index in jobs {
             let job = &self.jobs[job_index];
--- a/crates/scheduler/src/shard/failover.rs
+++ b/crates/scheduler/src/shard/failover.rs
@@ -485,14 +485,14 @@
         }
     }
 
-    /// Returns whether all recorded machines have sent heartbeats or were waited for long enough: every machine is
-    /// reconciled after one and a half heartbeat intervals (half an interval if no machine was ever recorded, since
-    /// first heartbeats come within that time), or three intervals have passed.
+    /// Returns whether this leader has waited long enough for heartbeats: one and a half heartbeat intervals have passed
+    /// and every machine is reconciled, or three intervals have passed. If no machine was recorded, half an interval
+    /// replaces one and a half, since first heartbeats come within that time.
     pub fn heartbeats_gathered(&self, now: f64) -> bool {
         let waited = now - self.began_at;
-        let rounds = if self.is_first_leader { 0.5 } else { 1.5 };
+        let intervals = if self.is_first_leader { 0.5 } else { 1.5 };
         waited > self.report_s * 3.0
-            || (waited > self.report_s * rounds && self.machines.iter().all(|(_, m)| m.is_reconciled()))
+            || (waited > self.report_s * intervals && self.machines.iter().all(|(_, m)| m.is_reconciled()))
     }
 
     /// Logs once how long each stage of the failover took.
--- a/crates/scheduler/src/shard/heartbeats.rs
+++ b/crates/scheduler/src/shard/heartbeats.rs
@@ -14,7 +14,7 @@
 /// How a heartbeat came to this leader, which limits how old its contents may be.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum HeartbeatSource {
-    /// The worker sent it unasked: it has carried out or dropped the reply to its previous heartbeat before.
+    /// The worker sent it on its own schedule, after it had carried out or dropped the reply to its previous heartbeat.
     Heartbeat,
     /// It came in the reply to commands that were sent at this time, and was built at that time or later. The reply to
     /// the worker's last heartbeat may still be on its way.
@@ -43,7 +43,8 @@
     lost_acknowledgements: bool,
 }
 
-/// Workers drop a reply that comes 4 s after they sent their heartbeat.
+/// A heartbeat built more than this many seconds after a reply shows the reply's effect: the worker has carried out the
+/// reply or, 4 s after it sent the heartbeat that the reply answers, dropped it. The other 2 s are a margin.
 const REPLY_DROPPED_AFTER_S: f64 = 6.0;
 
 /// How to answer a heartbeat.
--- a/crates/scheduler/src/shard/machine_monitor.rs
+++ b/crates/scheduler/src/shard/machine_monitor.rs
@@ -230,8 +230,8 @@
     /// A machine that leaves probes unanswered is terminated before its second heartbeat is overdue: the downtime of a
     /// machine that hangs or is partitioned counts from its beginning, and waiting for the second heartbeat delayed the
     /// replacement to 11 to 18 s. This includes machines that have never sent this leader a heartbeat. They are probed
-    /// at the failover, and their jobs wait for them on all machines: those that failed together with the previous
-    /// leader would otherwise delay their jobs by a whole lease.
+    /// at the failover, and no task of their jobs starts on any machine until they are reconciled: a machine that
+    /// failed together with the previous leader would otherwise delay its jobs by a whole lease.
     fn is_unresponsive(&self, machine: &Machine, responses: &FleetResponsiveness, now: f64) -> bool {
         let age_s = self.heartbeat_age(machine, now);
         let (probe_after_s, required_probes) = self.required_probes(machine, now);
--- a/crates/scheduler/src/shard/rebalancing.rs
+++ b/crates/scheduler/src/shard/rebalancing.rs
@@ -176,7 +176,10 @@
         let Some(job_index) = self.jobs.find(id) else { return };
         let job = &self.jobs[job_index];
         if job.phase != Phase::Open || job.assigned > 0 || self.is_listed_by_any_machine(job_index) {
-            log::error!("moved job ended here or still has tasks here job={id} assigned_tasks={}", job.assigned);
+            log::error!(
+                "moved job ended here or still has assigned or orphaned attempts here job={id} assigned_tasks={}",
+                job.assigned
+            );
             return;
         }
         let key = job_key(id);
--- a/crates/scheduler/src/shard/responsiveness.rs
+++ b/crates/scheduler/src/shard/responsiveness.rs
@@ -71,8 +71,8 @@
         self.up >= MIN_WITNESSES && self.commands_lost * 2 <= self.up
     }
 
-    /// Returns whether so many machines of a zone are unresponsive that all others there have to be probed at once: so
-    /// a partition of the zone is detected before more tasks are started there.
+    /// Returns whether so many machines of a zone are unresponsive that all others there have to be probed at once.
+    /// This detects a partition of the zone before more tasks are started there.
     pub(super) fn suspects_whole_zone(&self) -> bool {
         self.unresponsive >= MIN_UNRESPONSIVE && self.unresponsive * UNRESPONSIVE_ONE_IN >= self.up
     }
@@ -94,17 +94,17 @@
     }
 
     /// Returns whether enough other machines send heartbeats that a silent machine in this zone is itself at fault.
-    /// Without this check, a leader partitioned from the workers deletes those that it misses first; in one case, these
-    /// were a third of them. Heartbeats from other zones are enough: if a zone is partitioned while spot machines are
-    /// reclaimed, too few machines send heartbeats in all, and all tasks in the zone would have to wait for their
-    /// leases to end.
+    /// Without this check, a leader partitioned from the workers deletes the machines whose heartbeats it misses first;
+    /// in one case, these were a third of all machines. Heartbeats from other zones are enough: if a zone is
+    /// partitioned while spot machines are reclaimed, too few machines send heartbeats in all, and all tasks in the
+    /// zone would have to wait for their leases to end.
     pub(super) fn rules_out_partition(&self, zone: ZoneIndex) -> bool {
         let (whole, others) = (&self.whole, self.outside_zone(zone));
         whole.heartbeat_in_interval * 5 >= (whole.up - 1.min(whole.up)) * 3
             || others.up >= MIN_WITNESSES && others.heartbeat_in_interval * 5 >= others.up * 4
     }
 
-    /// Returns whether a missing reply of a machine in this zone can be trusted to be the machine's own fault.
+    /// Returns whether a missing reply of a machine in this zone can be attributed to the machine itself.
     pub(super) fn trusts_missing_replies(&self, zone: ZoneIndex) -> bool {
         self.ticks_on_time
             && (self.whole.has_enough_recent_heartbeats() || self.outside_zone(zone).has_enough_recent_heartbeats())
--- a/crates/scheduler/src/shard/starts.rs
+++ b/crates/scheduler/src/shard/starts.rs
@@ -132,7 +132,7 @@
         );
     }
 
-    /// Logs why a task may be started whose job an earlier leader had started.
+    /// Logs why a task may be started although an earlier leader recorded its job on machines.
     fn log_repeated_start(&mut self, machine_index: MachineIndex, key: TaskKey, attempt: u64) {
         if !self.jobs[key.job].recorded_before_failover {
             return;
--- a/crates/scheduler/src/shard/task_failures.rs
+++ b/crates/scheduler/src/shard/task_failures.rs
@@ -17,7 +17,8 @@
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 /// Time for which a failure counts against its machine.
 const FAILURE_WINDOW_S: f64 = 60.0;
-/// Number of failures of one job that succeeds elsewhere that is enough to quarantine a machine.
+/// Number of failures after which a machine is quarantined even if all are of one job, provided that the job has
+/// succeeded in some task.
 const SINGLE_JOB_FAILURES_LIMIT: usize = 3;
 /// Time after which a quarantined machine is returned to the cloud. Until then, the jobs that failed on it may turn out
 /// to be at fault.
@@ -126,8 +127,8 @@
         }
     }
 
-    /// Returns true if the machine is at fault by the failures of jobs that are not at fault, leaving out the job
-    /// `except`.
+    /// Returns true if the machine is at fault: several jobs failed on it, or one failed repeatedly. Jobs that are at
+    /// fault themselves don't count, nor does the job `except`.
     fn is_failing(&self, machine_index: MachineIndex, except: Option<JobIndex>) -> bool {
         let failures = &self.machines[machine_index].recent_failures;
         let counts = |job_index: JobIndex| {
--- a/crates/scheduler/src/shard/task_reconciliation.rs
+++ b/crates/scheduler/src/shard/task_reconciliation.rs
@@ -101,7 +101,7 @@
     ) {
         let listed = self.listed_attempts(heartbeat);
         self.record_unrecognized_attempts(machine_index, heartbeat);
-        // Before all others: attempts that are not listed any more occupy no task.
+        // First, since attempts that are not listed any more occupy no task.
         self.drop_unassigned(machine_index, |key, attempt| listed.contains_key(&(*key, attempt)));
         self.reconcile_assignments(machine_index, &listed, source, now);
         self.drop_abandoned_fetches(machine_index);
--- a/crates/scheduler/src/shard/writes/queue.rs
+++ b/crates/scheduler/src/shard/writes/queue.rs
@@ -28,9 +28,9 @@
     /// Time at which a throttled cancellation caused by a cancelled dependency was last written.
     cascade_throttled_at: f64,
     /// Machine groups whose value is due to be written: before planned starts may be sent, or because the value names
-    /// machines that are gone, on which a new leader would have to expect running tasks. They are not written in the
-    /// order of their index: the later ones then waited for a quarter of a minute while the first ones were written
-    /// again and again. See [`crate::fleet::machine_groups::MachineGroup::write_priority`].
+    /// machines that are gone, on which a new leader would have to expect running tasks. Writing them in the
+    /// order of their index made the later ones wait for a quarter of a minute while the first ones were written again
+    /// and again. See [`crate::fleet::machine_groups::MachineGroup::write_priority`].
     dirty_groups: BTreeSet<MachineGroupIndex>,
     /// Jobs with completed tasks that are not stored as done.
     progress_due: BTreeSet<JobIndex>,
--- a/src/api/lookup.rs
+++ b/src/api/lookup.rs
@@ -109,8 +109,8 @@
 }
 
 impl ShardRuntime {
-    /// Shows or cancels a job as the leader of its shard. Waits up to `SHOW_TIMEOUT_S` or `CANCEL_TIMEOUT_S` for a final
-    /// state or a cancellation to be stored.
+    /// Shows or cancels a job as the leader of its shard. Waits up to `SHOW_TIMEOUT_S` or `CANCEL_TIMEOUT_S` for a
+    /// final state or a cancellation to be stored.
     pub async fn look_up_as_leader(&self, verb: Verb, id: &str) -> Lookup {
         let started_at = clock::now();
         let mut has_read_record = false;
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Reads the record of a job that is not in the shard's memory, as final jobs need not be. Returns `None` for an open
-    /// record, after adding the job to the shard if it belongs there.
+    /// Reads the record of a job that is not in the shard's memory, as final jobs need not be. Returns `None` for an
+    /// open record, after adding the job to the shard if it belongs there.
     async fn read_unknown_job(&self, verb: Verb, id: &str, token: u64) -> Option<Lookup> {
         match self.stored_job(verb, id).await {
             StoredJob::Final(status) => Some(Lookup::Known(status)),
--- a/src/api/mod.rs
+++ b/src/api/mod.rs
@@ -90,8 +90,8 @@
         self.record_response(&class, &team, Reading::Cancelled, served, received_at);
     }
 
-    /// Returns the end of this controller's lease on the job's shard, in seconds of the monotonic clock, if it leads that
-    /// shard.
+    /// Returns the end of this controller's lease on the job's shard, in seconds of the monotonic clock, if it leads
+    /// that shard.
     fn leader_lease_valid_until(&self, id: &str) -> Option<f64> {
         self.shard_knowing_job(id, clock::now()).and_then(|shard| shard.lease_valid_until())
     }
--- a/src/api/submission.rs
+++ b/src/api/submission.rs
@@ -200,8 +200,8 @@
         }
     }
 
-    /// Checks whether a submission may name this job as a dependency. Only a response of the state service shows whether
-    /// the job was accepted; a failed read leaves it undecided.
+    /// Checks whether a submission may name this job as a dependency. Only a response of the state service shows
+    /// whether the job was accepted; a failed read leaves it undecided.
     async fn dependency(&self, dependency: &str, submitted_id: &str) -> Dependency {
         if dependency == submitted_id {
             return Dependency::Invalid("a job cannot wait for itself");
--- a/src/audit.rs
+++ b/src/audit.rs
@@ -1,7 +1,7 @@
 //! `lupinspur state check`: reads all stored records and reports malformed and contradictory ones. Writes nothing.
 //!
-//! [`Audit`] checks the records in key order and remembers only open jobs; [`run`] reads the pages at a limited rate, so
-//! that the controllers keep most of the state service's capacity.
+//! [`Audit`] checks the records in key order and remembers only open jobs; [`run`] reads the pages at a limited rate,
+//! so that the controllers keep most of the state service's capacity.
 
 mod kind;
 mod reader;
--- a/src/cloud.rs
+++ b/src/cloud.rs
@@ -62,8 +62,8 @@
         client
     }
 
-    /// Sets this controller's share of the rate limit. Leaders make nearly all calls, and each gets a share in proportion
-    /// to the shards it leads (`led` of `shards`). Followers only read the machine types.
+    /// Sets this controller's share of the rate limit. Leaders make nearly all calls, and each gets a share in
+    /// proportion to the shards it leads (`led` of `shards`). Followers only read the machine types.
     pub fn set_rate_share(&self, settings: &Settings, led: usize, shards: usize) {
         let is_leader = led > 0;
         let rate = if is_leader {
--- a/src/health.rs
+++ b/src/health.rs
@@ -2,9 +2,10 @@
 //! neither the clock nor any state.
 //!
 //! The load balancer removes a node after two failed checks, and waits before it adds the node again. The wait doubles
-//! with each removal within two minutes, up to a minute. A node that repeatedly lost the state service for a few seconds
-//! would therefore stay removed for up to a minute after the service had recovered; if all nodes lost the service at the
-//! same time, no node would be left to serve requests. The grace period below limits how often a node is removed.
+//! with each removal within two minutes, up to a minute. A node that repeatedly lost the state service for a few
+//! seconds would therefore stay removed for up to a minute after the service had recovered; if all nodes lost the
+//! service at the same time, no node would be left to serve requests. The grace period below limits how often a node is
+//! removed.
 
 use std::collections::VecDeque;
 
--- a/src/health/tests.rs
+++ b/src/health/tests.rs
@@ -1,7 +1,7 @@
 use super::{Health, MAX_GRACE_S};
 
-/// Guards against a node that the load balancer keeps removed for a minute after many short outages of the state service:
-/// within any two minutes the node becomes unhealthy so few times that the load balancer's wait stays short.
+/// Guards against a node that the load balancer keeps removed for a minute after many short outages of the state
+/// service: within any two minutes the node becomes unhealthy so few times that the load balancer's wait stays short.
 #[test]
 fn many_short_outages_remove_a_node_only_a_few_times() {
     let mut health = Health::default();
--- a/src/http/admission.rs
+++ b/src/http/admission.rs
@@ -102,8 +102,8 @@
     }
 }
 
-/// How few connections are free, and which requests are refused then, in the order of the variants. Heartbeats are never
-/// refused: a machine whose heartbeats do not arrive is considered lost, with all its tasks.
+/// How few connections are free, and which requests are refused then, in the order of the variants. Heartbeats are
+/// never refused: a machine whose heartbeats do not arrive is considered lost, with all its tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Shortage {
     None,
@@ -111,8 +111,9 @@
     CloseAfterResponse,
     /// Polls are refused.
     NoPolls,
-    /// All requests of users are refused, and workers' connections are closed after each response. Otherwise the workers
-    /// that connected first would keep their connections forever, and heartbeats of the others would never arrive.
+    /// All requests of users are refused, and workers' connections are closed after each response. Otherwise the
+    /// workers that connected first would keep their connections forever, and heartbeats of the others would never
+    /// arrive.
     NoUsers,
 }
 
--- a/src/http/client.rs
+++ b/src/http/client.rs
@@ -46,7 +46,8 @@
 }
 
 impl Client {
-    /// Creates a client that keeps at most `per_addr` idle connections to one address and `max_idle_connections` in total.
+    /// Creates a client that keeps at most `per_addr` idle connections to one address and `max_idle_connections` in
+    /// total.
     pub fn new(per_addr: usize, max_idle_connections: usize) -> Client {
         Client { idle: Mutex::default(), per_addr, max_idle_connections }
     }
@@ -97,8 +98,8 @@
         self.call_if(|| true, addr, method, path, body, limit).await
     }
 
-    /// Like `call`, but sends the request only if `may_be_sent` returns true once the connection is open, because opening
-    /// it takes time.
+    /// Like `call`, but sends the request only if `may_be_sent` returns true once the connection is open, because
+    /// opening it takes time.
     pub async fn call_if(
         &self,
         may_be_sent: impl FnOnce() -> bool,
--- a/src/http/message.rs
+++ b/src/http/message.rs
@@ -15,8 +15,8 @@
     pub status: u16,
     pub body: Vec<u8>,
     pub retry_after_s: Option<u32>,
-    /// The time until which the response may be sent, in seconds of the monotonic clock. The process may be paused between
-    /// building a response and sending it.
+    /// The time until which the response may be sent, in seconds of the monotonic clock. The process may be paused
+    /// between building a response and sending it.
     pub valid_until: Option<f64>,
 }
 
--- a/src/http/tests.rs
+++ b/src/http/tests.rs
@@ -82,8 +82,8 @@
     }));
 }
 
-/// Guards against outdated responses after a pause of the process: a response that is no longer valid is replaced by 503,
-/// and a client that has stopped waiting gets no response.
+/// Guards against outdated responses after a pause of the process: a response that is no longer valid is replaced by
+/// 503, and a client that has stopped waiting gets no response.
 #[test]
 fn outdated_responses_are_not_sent_after_a_pause() {
     let listener = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).expect("a port");
@@ -121,8 +121,8 @@
     }));
 }
 
-/// Bodies that are sent slowly, or by many clients at once, take no more than the memory limit: a further request with a
-/// body gets 503 at once, and a request without a body is served.
+/// Bodies that are sent slowly, or by many clients at once, take no more than the memory limit: a further request with
+/// a body gets 503 at once, and a request without a body is served.
 #[test]
 fn bodies_take_no_more_than_their_part() {
     let addr = listening(Bounds { connections: 64, body_bytes: 2 * MAX_BODY });
--- a/src/node/failover/job_watch.rs
+++ b/src/node/failover/job_watch.rs
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Reads every record again, and skips those of jobs that are over: an unknown one of these changes nothing.
-    /// Returns the revision of the list.
+    /// Reads every record again and applies those of open jobs, and those that cannot be parsed. Returns the revision
+    /// of the list.
     async fn reread_jobs(&self, token: u64) -> Result<u64, StateError> {
         let apply = |item: KeyValue| {
             if parse_job_record(&item.key, &item.value).map_or(true, |record| record.phase == Phase::Open) {
--- a/src/node/loops/cloud.rs
+++ b/src/node/loops/cloud.rs
@@ -1,5 +1,6 @@
 //! Calls to the cloud, which rent, delete and list machines and read the machine types. A rent or delete call is sent
-//! only while the token under which it was created is valid, and its outcome is passed only to the shard with that token.
+//! only while the token under which it was created is valid, and its outcome is passed only to the shard with that
+//! token.
 
 use crate::clock;
 use crate::cloud::CloudError;
--- a/src/node/shard_exchange/machine_transfers.rs
+++ b/src/node/shard_exchange/machine_transfers.rs
@@ -16,8 +16,8 @@
 use std::sync::Arc;
 
 impl Node {
-    /// Remembers a stored transfer and the destination of its machines, so that this controller directs their
-    /// heartbeats to the new shard.
+    /// Remembers a stored transfer and the destination of its machines. Every controller does, so that none directs
+    /// their heartbeats back to the previous shard.
     pub(super) fn observe_transfer(&self, key: &str, transfer: MachineTransfer, version: u64) {
         {
             let mut shard_by_machine = lock(&self.shard_by_machine);
--- a/src/peer.rs
+++ b/src/peer.rs
@@ -208,8 +208,8 @@
         self.call(node, async |mut client| client.expects(question).await).await
     }
 
-    /// Asks the leader about a job. Returns `None` if it cannot be reached or cannot act. A connection to a process that
-    /// has ended fails at once; the request is then retried once on a new connection.
+    /// Asks the leader about a job. Returns `None` if it cannot be reached or cannot act. A connection to a process
+    /// that has ended fails at once; the request is then retried once on a new connection.
     pub async fn ask(
         &self,
         node: &str,
--- a/src/rate_limiter.rs
+++ b/src/rate_limiter.rs
@@ -1,5 +1,5 @@
-//! Token buckets that keep this controller within its share of a service's rate limits. Callers pass the time, in seconds
-//! of the monotonic clock.
+//! Token buckets that keep this controller within its share of a service's rate limits. Callers pass the time, in
+//! seconds of the monotonic clock.
 
 /// A new process starts with the burst divided by this; urgent requests may borrow the same amount.
 const BURST_DIVISOR: f64 = 4.0;
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Takes units for a request that cannot wait, as debt if necessary. The debt is limited to one burst, because other
-    /// requests would otherwise wait ever longer.
+    /// Takes units for a request that cannot wait, as debt if necessary. The debt is limited to one burst, because
+    /// other requests would otherwise wait ever longer.
     pub fn acquire_with_debt(&mut self, now: f64, units: usize) {
         self.refill(now);
         self.available_units = (self.available_units - units as f64).max(-self.burst);
@@ -76,8 +76,8 @@
         is_spare
     }
 
-    /// Takes units ahead of other requests, with up to a quarter of a burst as debt. Other requests then wait until it is
-    /// paid back.
+    /// Takes units ahead of other requests, with up to a quarter of a burst as debt. Other requests then wait until it
+    /// is paid back.
     pub fn try_acquire_urgent(&mut self, now: f64, units: usize) -> bool {
         self.refill(now);
         let is_available = self.available_units + self.burst / BURST_DIVISOR >= (units as f64).min(self.burst);
@@ -87,7 +87,8 @@
         is_available
     }
 
-    /// Empties the bucket after the service reported that its limit is reached, because another client spent this share.
+    /// Empties the bucket after the service reported that its limit is reached, because another client spent this
+    /// share.
     pub fn drain(&mut self, now: f64) {
         self.refill(now);
         self.available_units = self.available_units.min(0.0);
--- a/src/rate_limiter/tests.rs
+++ b/src/rate_limiter/tests.rs
@@ -22,8 +22,8 @@
     assert!((0..8).map(|_| spent(&mut RateLimiter::new(40.0, 40.0), 0.25)).sum::<usize>() > 300);
 }
 
-/// Guards against a controller that can accept no submission for minutes after a fault during which its leases and watches
-/// took more than its share.
+/// Guards against a controller that can accept no submission for minutes after a fault during which its leases and
+/// watches took more than its share.
 #[test]
 fn debt_is_limited_to_one_burst() {
     let mut limiter = RateLimiter::new(10.0, 10.0);
--- a/src/responses.rs
+++ b/src/responses.rs
@@ -21,8 +21,8 @@
     Outgoing::json(status, &body)
 }
 
-/// Returns the response for a known job. A state that may still change is sent only until `lease_valid_until`, the end of
-/// this controller's lease if it leads the job's shard; final states never change.
+/// Returns the response for a known job. A state that may still change is sent only until `lease_valid_until`, the end
+/// of this controller's lease if it leads the job's shard; final states never change.
 fn known_answer(id: &str, job: JobStatus, counts: bool, lease_valid_until: Option<f64>) -> Outgoing {
     let response = job_response(200, id, job, counts);
     if job.is_final() { response } else { response.valid_until(lease_valid_until) }
@@ -64,8 +64,8 @@
     }
 }
 
-/// Returns the status that the leader reports for a job in its shard, or `None` if it must still wait. A cancellation is
-/// answered only once it is stored.
+/// Returns the status that the leader reports for a job in its shard, or `None` if it must still wait. A cancellation
+/// is answered only once it is stored.
 pub fn status_from_leader(verb: Verb, view: JobView) -> Option<JobStatus> {
     match view {
         JobView::Visible(state, done, running) => {
--- a/src/run.rs
+++ b/src/run.rs
@@ -10,8 +10,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// How long binding an address is retried while a previous process that is still shutting down holds it, in seconds since
-/// the start of this process.
+/// How long binding an address is retried while a previous process that is still shutting down holds it, in seconds
+/// since the start of this process.
 const BIND_TIMEOUT_S: f64 = 20.0;
 const BIND_RETRY_DELAY: Duration = Duration::from_millis(20);
 
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -82,8 +82,8 @@
 /// Minimum number of bodies of the maximum size for which there is memory at the same time.
 const MIN_LARGEST_BODIES: usize = 4;
 
-/// The fraction 1/`VALUE_SLACK_DIVISOR` of the limit on a value stays unused, because the service may count bytes that this
-/// process does not see.
+/// The fraction 1/`VALUE_SLACK_DIVISOR` of the limit on a value stays unused, because the service may count bytes that
+/// this process does not see.
 const VALUE_SLACK_DIVISOR: usize = 32;
 
 impl Settings {
--- a/src/worker.rs
+++ b/src/worker.rs
@@ -19,8 +19,8 @@
 }
 
 impl WorkerClient {
-    /// Creates a client whose idle connections take only a part of the sockets, because workers' heartbeats and users need
-    /// the rest.
+    /// Creates a client whose idle connections take only a part of the sockets, because workers' heartbeats and users
+    /// need the rest.
     pub fn new(settings: &Settings) -> WorkerClient {
         WorkerClient { http: Client::new(1, settings.sockets / 8) }
     }
