--- a/crates/scheduler/src/shard/admission.rs
+++ b/crates/scheduler/src/shard/admission.rs
@@ -44,9 +44,9 @@
 }
 
 /// Returns whether a task of this job fits on an empty machine of this type, and the job allows the type.
-pub fn type_fits(request: &JobRequest, t: &MachineType) -> bool {
-    request.types.as_ref().is_none_or(|l| l.contains(&t.name))
-        && request.cpus <= t.cpus + EPSILON
-        && request.accelerators <= t.accelerators + EPSILON
-        && request.memory_gb <= t.memory_gb + EPSILON
+pub fn type_fits(request: &JobRequest, machine_type: &MachineType) -> bool {
+    request.types.as_ref().is_none_or(|l| l.contains(&machine_type.name))
+        && request.cpus <= machine_type.cpus + EPSILON
+        && request.accelerators <= machine_type.accelerators + EPSILON
+        && request.memory_gb <= machine_type.memory_gb + EPSILON
 }
--- a/crates/scheduler/src/shard/elastic.rs
+++ b/crates/scheduler/src/shard/elastic.rs
@@ -107,9 +107,9 @@
     /// Returns for each elastic job how many of its tasks are surplus, which may be preempted first.
     pub(crate) fn surpluses(&self) -> HashMap<JobIndex, u32> {
         let Some(pool) = &self.elastic else { return HashMap::new() };
-        let surplus_of = |(j, _): (JobIndex, Sizes)| {
-            let job = self.jobs.get(j).filter(|job| job.assigned > 0)?;
-            Some((j, pool.surplus(j, self.elastic_usage(job)))).filter(|(_, surplus)| *surplus > 0)
+        let surplus_of = |(job_index, _): (JobIndex, Sizes)| {
+            let job = self.jobs.get(job_index).filter(|job| job.assigned > 0)?;
+            Some((job_index, pool.surplus(job_index, self.elastic_usage(job)))).filter(|(_, surplus)| *surplus > 0)
         };
         pool.jobs().filter_map(surplus_of).collect()
     }
@@ -172,34 +172,34 @@
         let free: Vec<(crate::intern::TypeIndex, bool, f64, f64, f64)> = self
             .machines
             .iter()
-            .filter(|(_, m)| m.is_usable(now, heartbeat_timeout_s))
-            .map(|(_, m)| {
-                let t = self.types.get(m.type_index);
+            .filter(|(_, machine)| machine.is_usable(now, heartbeat_timeout_s))
+            .map(|(_, machine)| {
+                let machine_type = self.types.get(machine.type_index);
                 (
-                    m.type_index,
-                    m.spot,
-                    t.cpus - m.cpus_used,
-                    t.memory_gb - m.memory_used,
-                    t.accelerators - m.accelerators_used,
+                    machine.type_index,
+                    machine.spot,
+                    machine_type.cpus - machine.cpus_used,
+                    machine_type.memory_gb - machine.memory_used,
+                    machine_type.accelerators - machine.accelerators_used,
                 )
             })
             .filter(|f| f.2 > super::EPSILON)
             .collect();
-        let idle_for = |(j, _): (JobIndex, Sizes)| {
-            let job = self.jobs.get(j).filter(|job| job.is_open() && job.unreconciled_machines == 0)?;
+        let idle_for = |(job_index, _): (JobIndex, Sizes)| {
+            let job = self.jobs.get(job_index).filter(|job| job.is_open() && job.unreconciled_machines == 0)?;
             let spec = &job.spec;
             let tasks_in = |free: f64, requested: f64| {
                 if requested > 0.0 { (free + super::EPSILON) / requested } else { f64::from(u32::MAX) }
             };
             let tasks: f64 = free
                 .iter()
-                .filter(|(ty, spot, ..)| (spec.spot || !spot) && type_fits(spec, self.types.get(*ty)))
+                .filter(|(type_index, spot, ..)| (spec.spot || !spot) && type_fits(spec, self.types.get(*type_index)))
                 .map(|&(_, _, cpus, memory_gb, accelerators)| {
                     let tasks = tasks_in(cpus, spec.cpus).min(tasks_in(memory_gb, spec.memory_gb));
                     tasks.min(tasks_in(accelerators, spec.accelerators)).max(0.0).floor()
                 })
                 .sum();
-            Some((j, tasks.min(f64::from(u32::MAX)) as u32, self.elastic_usage(job)))
+            Some((job_index, tasks.min(f64::from(u32::MAX)) as u32, self.elastic_usage(job)))
         };
         pool.jobs().filter_map(idle_for).collect()
     }
@@ -213,15 +213,15 @@
     /// Returns the report of elastic jobs and shrinks; `None` without a pool.
     pub fn elastic_report(&self) -> Option<ElasticReport> {
         let pool = self.elastic.as_ref()?;
-        let row = |(j, sizes): (JobIndex, Sizes)| {
-            let job = self.jobs.get(j)?;
+        let row = |(job_index, sizes): (JobIndex, Sizes)| {
+            let job = self.jobs.get(job_index)?;
             Some(Row {
                 job: job.id.to_string(),
                 smallest: sizes.smallest,
                 largest: sizes.largest,
-                wanted: pool.wanted(j).unwrap_or(0),
+                wanted: pool.wanted(job_index).unwrap_or(0),
                 held: job.assigned,
-                shrinks: pool.under_way(j),
+                shrinks: pool.under_way(job_index),
             })
         };
         let bound = timing(self.report_s, self.lease_s, self.tuning.leader_lease_s, pool.plan()).bound();
@@ -240,12 +240,12 @@
     pub(super) fn elastic_summary(&self) -> String {
         let Some(pool) = &self.elastic else { return String::new() };
         let (mut held, mut smallest, mut wanted, mut jobs) = (0, 0, 0, 0);
-        for (j, sizes) in pool.jobs() {
-            let Some(job) = self.jobs.get(j) else { continue };
+        for (job_index, sizes) in pool.jobs() {
+            let Some(job) = self.jobs.get(job_index) else { continue };
             jobs += 1;
             held += job.assigned;
             smallest += sizes.smallest.min(job.unfinished());
-            wanted += pool.wanted(j).unwrap_or(0).min(job.unfinished());
+            wanted += pool.wanted(job_index).unwrap_or(0).min(job.unfinished());
         }
         let times = pool.times();
         format!(
--- a/crates/scheduler/src/shard/large_jobs.rs
+++ b/crates/scheduler/src/shard/large_jobs.rs
@@ -158,11 +158,11 @@
 
     /// Reports each of the largest jobs to the service-level tracker once, with whether it began within
     /// [`START_OBJECTIVE_S`].
-    pub(super) fn report_large_jobs(&mut self, now: f64, t: f64) {
+    pub(super) fn report_large_jobs(&mut self, now: f64, day_now_s: f64) {
         let now_ms = self.wall_clock_ms(now);
         let mut reports = Vec::new();
-        for &j in &self.jobs.live {
-            let job = &self.jobs[j];
+        for &job_index in &self.jobs.live {
+            let job = &self.jobs[job_index];
             if job.large_job_reported || !job.is_open() || job.is_failing_everywhere() {
                 continue;
             }
@@ -175,17 +175,17 @@
             let reported_earlier = job.known_since <= self.began_at
                 && (waited_s.saturating_sub((now - self.began_at) as u64) > START_OBJECTIVE_S || begun);
             let is_counted = self.large_jobs.initial_wait_s(&job.spec).is_some() && !reported_earlier;
-            reports.push((j, is_counted.then_some(begun && waited_s <= START_OBJECTIVE_S)));
+            reports.push((job_index, is_counted.then_some(begun && waited_s <= START_OBJECTIVE_S)));
         }
-        for (j, served) in reports {
-            let job = &mut self.jobs[j];
+        for (job_index, served) in reports {
+            let job = &mut self.jobs[job_index];
             job.large_job_reported = true;
             if let Some(served) = served {
                 if !served {
                     log::warn!("large job did not begin in time job={} class={}", job.id, job.spec.class);
                 }
                 let (class, team) = (job.spec.class.clone(), job.spec.team.clone());
-                self.service_level_tracker.record_request(&class, &team, Reading::Largest, served, t);
+                self.service_level_tracker.record_request(&class, &team, Reading::Largest, served, day_now_s);
             }
         }
     }
@@ -312,9 +312,12 @@
             self.large_jobs.reserved.clear();
         }
         let (jobs, machines) = (&self.jobs, &self.machines);
-        self.large_jobs.reserved.retain(|m, (j, since)| {
-            let waits = jobs.get(*j).is_some_and(|job| job.is_open() && job.unfinished() > job.assigned);
-            let is_up = machines.list.get(*m).is_some_and(|m| m.phase == MachinePhase::Up && !m.cordoned);
+        self.large_jobs.reserved.retain(|machine_index, (job_index, since)| {
+            let waits = jobs.get(*job_index).is_some_and(|job| job.is_open() && job.unfinished() > job.assigned);
+            let is_up = machines
+                .list
+                .get(*machine_index)
+                .is_some_and(|machine| machine.phase == MachinePhase::Up && !machine.cordoned);
             waits && is_up && now - *since < RESERVATION_TIMEOUT_S
         });
         if !self.large_jobs.reserved.is_empty() {
--- a/crates/scheduler/src/shard/placement/bin_packing.rs
+++ b/crates/scheduler/src/shard/placement/bin_packing.rs
@@ -95,11 +95,11 @@
 /// Returns whether a task fits on the machine's free capacity and satisfies its job's constraints, given the
 /// number of the job's tasks that have a machine.
 pub(super) fn fits_beside(shard: &Shard, job: &Job, machine: &Machine, assigned: u32, assigned_in_zone: u32) -> bool {
-    let t = shard.types.get(machine.type_index);
+    let machine_type = shard.types.get(machine.type_index);
     let spec = &job.spec;
-    let has_capacity = machine.cpus_used + spec.cpus <= t.cpus + EPSILON
-        && machine.accelerators_used + spec.accelerators <= t.accelerators + EPSILON
-        && machine.memory_used + spec.memory_gb <= t.memory_gb + EPSILON;
+    let has_capacity = machine.cpus_used + spec.cpus <= machine_type.cpus + EPSILON
+        && machine.accelerators_used + spec.accelerators <= machine_type.accelerators + EPSILON
+        && machine.memory_used + spec.memory_gb <= machine_type.memory_gb + EPSILON;
     has_capacity && satisfies_constraints(shard, job, machine, assigned, assigned_in_zone)
 }
 
@@ -127,10 +127,11 @@
 
 /// Returns the score of a machine for a task of this job, roughly in seconds lost; lower is better.
 pub(super) fn cost(shard: &Shard, job: &Job, machine: &Machine) -> f64 {
-    let t = shard.types.get(machine.type_index);
-    let fetch_s =
-        job.image.map_or(0.0, |i| machine.remaining_fetch_gb(i, job.spec.image_gb) / t.fetch_gb_per_s.max(0.01));
-    let used_share = machine.cpus_used / t.cpus.max(EPSILON);
+    let machine_type = shard.types.get(machine.type_index);
+    let fetch_s = job
+        .image
+        .map_or(0.0, |i| machine.remaining_fetch_gb(i, job.spec.image_gb) / machine_type.fetch_gb_per_s.max(0.01));
+    let used_share = machine.cpus_used / machine_type.cpus.max(EPSILON);
     // In an array that other jobs depend on, one task lost with its spot machine delays the whole pipeline: such
     // jobs prefer on-demand machines that exist already.
     let on_demand_s = match job.spec.spot && !machine.spot {
--- a/crates/scheduler/src/shard/placement/limits.rs
+++ b/crates/scheduler/src/shard/placement/limits.rs
@@ -27,24 +27,25 @@
         return false;
     }
     let team = &shard.teams[job.team.as_usize()];
-    let ok = |max: f64, used: f64, requested: f64, unreconciled: f64| {
+    let stays_within = |max: f64, used: f64, requested: f64, unreconciled: f64| {
         max <= 0.0 || requested <= 0.0 || used + requested + unreconciled <= max + EPSILON
     };
-    ok(team.spec.cpus_max, team.cpus_used, job.spec.cpus, unreconciled.0)
-        && ok(team.spec.accelerators_max, team.accelerators_used, job.spec.accelerators, unreconciled.1)
+    stays_within(team.spec.cpus_max, team.cpus_used, job.spec.cpus, unreconciled.0)
+        && stays_within(team.spec.accelerators_max, team.accelerators_used, job.spec.accelerators, unreconciled.1)
 }
 
-/// Returns whether `n` tasks of this job fit on the machines of `options` together, within its team's limit and quotas.
+/// Returns whether `task_count` tasks of this job fit on the machines of `options` together, within its team's limit
+/// and quotas.
 pub(super) fn fits_at_once(
     shard: &Shard,
     job: &Job,
     options: &[(f64, MachineIndex)],
-    n: u32,
+    task_count: u32,
     unreconciled: (f64, f64),
 ) -> bool {
     let spec = &job.spec;
     let tasks_in = |free: f64, requested: f64| {
-        if requested > 0.0 { (free + EPSILON) / requested } else { f64::from(n) }
+        if requested > 0.0 { (free + EPSILON) / requested } else { f64::from(task_count) }
     };
     let team = &shard.teams[job.team.as_usize()];
     let left = |max: f64, used: f64, unreconciled: f64| {
@@ -53,13 +54,14 @@
     let within = tasks_in(left(team.spec.cpus_max, team.cpus_used, unreconciled.0), spec.cpus)
         .min(tasks_in(left(team.spec.accelerators_max, team.accelerators_used, unreconciled.1), spec.accelerators))
         .min(shard.tasks_within_quota(job));
-    if within.floor() < f64::from(n) {
+    if within.floor() < f64::from(task_count) {
         return false;
     }
     let tasks_on = |&(_, i): &(f64, MachineIndex)| {
-        let (m, t) = (&shard.machines[i], shard.types.get(shard.machines[i].type_index));
-        let most = tasks_in(t.cpus - m.cpus_used, spec.cpus).min(tasks_in(t.memory_gb - m.memory_used, spec.memory_gb));
-        most.min(tasks_in(t.accelerators - m.accelerators_used, spec.accelerators)).max(0.0).floor()
+        let (machine, machine_type) = (&shard.machines[i], shard.types.get(shard.machines[i].type_index));
+        let most = tasks_in(machine_type.cpus - machine.cpus_used, spec.cpus)
+            .min(tasks_in(machine_type.memory_gb - machine.memory_used, spec.memory_gb));
+        most.min(tasks_in(machine_type.accelerators - machine.accelerators_used, spec.accelerators)).max(0.0).floor()
     };
-    options.iter().map(tasks_on).sum::<f64>() >= f64::from(n)
+    options.iter().map(tasks_on).sum::<f64>() >= f64::from(task_count)
 }
--- a/crates/scheduler/src/shard/placement/preemption.rs
+++ b/crates/scheduler/src/shard/placement/preemption.rs
@@ -62,8 +62,8 @@
             continue;
         }
         // On a machine that the job may not use, the service would wait forever for the capacity that it frees.
-        let t = shard.types.get(m.type_index);
-        if !type_fits(&job.spec, t)
+        let machine_type = shard.types.get(m.type_index);
+        if !type_fits(&job.spec, machine_type)
             || !satisfies_constraints(shard, job, m, job.assigned, job.assigned_in_zone(m.zone))
             || avoids(shard, job, i, now)
             || next_task.is_some_and(|key| has_unacknowledged_start(m, &key))
@@ -92,10 +92,10 @@
         .filter(|(k, h)| machine.is_stopping(k, h))
         .map(|(k, _)| shard.jobs[k.job].spec.cpus)
         .sum();
-    let t = shard.types.get(machine.type_index);
-    let mut free = t.cpus - machine.cpus_used + stopping_cpus;
-    let mut memory = t.memory_gb - machine.memory_used;
-    let mut accelerators = t.accelerators - machine.accelerators_used;
+    let machine_type = shard.types.get(machine.type_index);
+    let mut free = machine_type.cpus - machine.cpus_used + stopping_cpus;
+    let mut memory = machine_type.memory_gb - machine.memory_used;
+    let mut accelerators = machine_type.accelerators - machine.accelerators_used;
     let mut victims = Vec::new();
     let mut preemption_cost_s = 0.0;
     for (is_surplus, key) in preemptible_tasks(shard, job, machine, surpluses) {
--- a/crates/scheduler/src/shard/placement/queue_order.rs
+++ b/crates/scheduler/src/shard/placement/queue_order.rs
@@ -84,14 +84,14 @@
     open.sort_unstable();
     let mut by_turn = Guarantees::new(shard);
     let mut turns = Vec::new();
-    for (prospect, deadline_ms, _, j) in open {
-        let guaranteed = by_turn.take(&shard.jobs[j]) || within_by_age.contains(&j);
-        let job = &mut shard.jobs[j];
+    for (prospect, deadline_ms, _, job_index) in open {
+        let guaranteed = by_turn.take(&shard.jobs[job_index]) || within_by_age.contains(&job_index);
+        let job = &mut shard.jobs[job_index];
         if job.unreconciled_machines > 0 || job.moving_away || now < job.not_before || !job.has_queued() {
             continue;
         }
-        let rank = rank(shard, &shard.jobs[j], guaranteed, prospect, deadline_ms);
-        add_turns(shard, &shard.jobs[j], rank, &mut turns);
+        let rank = rank(shard, &shard.jobs[job_index], guaranteed, prospect, deadline_ms);
+        add_turns(shard, &shard.jobs[job_index], rank, &mut turns);
     }
     add_initial_allocations(shard, &mut turns, now_ms);
     turns.sort_by_key(|t| t.rank);
--- a/crates/scheduler/src/shard/quotas/mod.rs
+++ b/crates/scheduler/src/shard/quotas/mod.rs
@@ -157,32 +157,36 @@
 impl Shard {
     /// Returns an empty [`Demand`]; `None` without quotas.
     pub(in crate::shard) fn quota_demand(&self) -> Option<Demand> {
-        self.quotas.as_ref().map(|q| Demand(q.ledger.empty()))
+        self.quotas.as_ref().map(|quotas| Demand(quotas.ledger.empty()))
     }
 
     /// Adds (`sign` 1) or removes (-1) the use of one task at every level above it.
     pub(in crate::shard) fn count_quota(&mut self, job_index: JobIndex, sign: f64) {
-        let Some(q) = &mut self.quotas else { return };
+        let Some(quotas) = &mut self.quotas else { return };
         let job = &self.jobs[job_index];
-        q.ledger.add_usage(quota_team(job.team), task_amount(job).times(sign));
+        quotas.ledger.add_usage(quota_team(job.team), task_amount(job).times(sign));
     }
 
     /// Sets the cpus and accelerators that unreconciled machines may be using; they count as used at every level.
     pub(crate) fn set_quota_unreconciled(&mut self, (cpus, accelerators): (f64, f64)) {
-        if let Some(q) = &mut self.quotas {
-            q.ledger.unreported = Amount::new(cpus, accelerators);
+        if let Some(quotas) = &mut self.quotas {
+            quotas.ledger.unreported = Amount::new(cpus, accelerators);
         }
     }
 
     /// Returns whether the quotas allow one more task of this job.
-    pub(crate) fn quota_allows(&self, j: &Job) -> bool {
-        let task = task_amount(j);
-        self.quotas.as_ref().is_none_or(|q| q.in_force && q.ledger.may_start(quota_team(j.team), task).is_ok())
+    pub(crate) fn quota_allows(&self, job: &Job) -> bool {
+        let task = task_amount(job);
+        self.quotas
+            .as_ref()
+            .is_none_or(|quotas| quotas.in_force && quotas.ledger.may_start(quota_team(job.team), task).is_ok())
     }
 
     /// Returns how many more tasks of this job fit within all limits above its team.
-    pub(crate) fn tasks_within_quota(&self, j: &Job) -> f64 {
-        self.quotas.as_ref().map_or(f64::INFINITY, |q| q.ledger.tasks_within_limits(quota_team(j.team), task_amount(j)))
+    pub(crate) fn tasks_within_quota(&self, job: &Job) -> f64 {
+        self.quotas
+            .as_ref()
+            .map_or(f64::INFINITY, |quotas| quotas.ledger.tasks_within_limits(quota_team(job.team), task_amount(job)))
     }
 
     /// Returns the cpus and accelerators guaranteed to a team: by the settings, or what the levels above it leave of
@@ -190,9 +194,9 @@
     pub(crate) fn guaranteed(&self, team: TeamIndex) -> (f64, f64) {
         match &self.quotas {
             None => (self.teams[team.as_usize()].spec.cpus, self.teams[team.as_usize()].spec.accelerators),
-            Some(q) => {
-                let own = q.ledger.tree().path(quota_team(team)).first();
-                let guarantee = own.map_or(Amount::NONE, |level| q.ledger.tree().at(*level).guarantee);
+            Some(quotas) => {
+                let own = quotas.ledger.tree().path(quota_team(team)).first();
+                let guarantee = own.map_or(Amount::NONE, |level| quotas.ledger.tree().at(*level).guarantee);
                 (guarantee.cpus, guarantee.gpus)
             }
         }
@@ -200,25 +204,25 @@
 
     /// Returns the rank of a job among those that borrow quota: how many levels up the lender of its next task is, and
     /// how much of that lender's quota is borrowed, in twentieths. Without a quota tree all jobs rank the same.
-    pub(crate) fn borrowing(&self, j: &Job) -> (u8, u16) {
-        let Some(q) = &self.quotas else { return (0, 0) };
-        let standing = q.ledger.fair_share_position(quota_team(j.team), task_amount(j));
+    pub(crate) fn borrowing(&self, job: &Job) -> (u8, u16) {
+        let Some(quotas) = &self.quotas else { return (0, 0) };
+        let standing = quotas.ledger.fair_share_position(quota_team(job.team), task_amount(job));
         (standing.distance, (standing.share * 20.0).min(60_000.0) as u16)
     }
 
     /// Returns the next write that stores the quota file's plan, if one is due.
     pub(in crate::shard) fn quota_write(&mut self) -> Option<PendingWrite> {
-        let q = self.quotas.as_ref()?;
-        let (plan, _, parts) = q.next.as_ref()?;
+        let quotas = self.quotas.as_ref()?;
+        let (plan, _, parts) = quotas.next.as_ref()?;
         let head = Head { generation: plan.generation, parts: parts.len() };
-        let (key, step) = match parts.get(q.stored_parts) {
-            Some(_) => (part_key(plan.generation, q.stored_parts), Step::Part(q.stored_parts)),
+        let (key, step) = match parts.get(quotas.stored_parts) {
+            Some(_) => (part_key(plan.generation, quotas.stored_parts), Step::Part(quotas.stored_parts)),
             None => (HEAD.to_owned(), Step::Head),
         };
         if self.write_queue.is_in_flight(&key) {
             return None;
         }
-        match parts.get(q.stored_parts).cloned() {
+        match parts.get(quotas.stored_parts).cloned() {
             Some(part) => self.enqueue_write(key, WritePurpose::Quota(step), &part),
             None => self.enqueue_write(key, WritePurpose::Quota(step), &head),
         }
@@ -226,14 +230,14 @@
 
     /// Notes that a part or the head of the quota file's plan is stored. The head puts the plan in force.
     pub(in crate::shard) fn on_quota_stored(&mut self, step: Step) {
-        let Some(q) = &mut self.quotas else { return };
+        let Some(quotas) = &mut self.quotas else { return };
         match step {
-            Step::Part(n) => q.stored_parts = n + 1,
+            Step::Part(n) => quotas.stored_parts = n + 1,
             Step::Head => {
-                if let Some((plan, tree, _)) = q.next.take() {
+                if let Some((plan, tree, _)) = quotas.next.take() {
                     log::info!("quota plan in force generation={}", plan.generation);
-                    q.ledger.replace_tree(tree);
-                    q.in_force = true;
+                    quotas.ledger.replace_tree(tree);
+                    quotas.in_force = true;
                     self.placement_due = true;
                     let superseded_keys: Vec<String> = self
                         .write_queue
@@ -252,12 +256,12 @@
     /// Preempts tasks above a limit that was lowered. Each task is stopped once and counts until its end is reported,
     /// so that no other task is stopped in its place.
     pub(in crate::shard) fn preempt_over_quota(&mut self) {
-        let Some(q) = &self.quotas else { return };
-        if !self.state_service_writable || q.ledger.levels_over_limit().is_empty() {
+        let Some(quotas) = &self.quotas else { return };
+        if !self.state_service_writable || quotas.ledger.levels_over_limit().is_empty() {
             return;
         }
         let (held, leaving) = self.held_and_leaving(|_| true);
-        for (machine_index, key) in q.ledger.preempt_over_limit(&held, &leaving) {
+        for (machine_index, key) in quotas.ledger.preempt_over_limit(&held, &leaving) {
             log::info!("task preempted reason=lower-quota task={}/{}", self.jobs[key.job].id, key.task);
             self.stop_gently(machine_index, key);
         }
@@ -310,7 +314,7 @@
             return;
         }
         let mut ledger = match &self.quotas {
-            Some(q) if q.in_force => q.ledger.clone(),
+            Some(quotas) if quotas.in_force => quotas.ledger.clone(),
             Some(_) => return,
             None => {
                 // Without quotas only the teams' own limits apply.
@@ -322,33 +326,35 @@
                 flat
             }
         };
-        let above: Vec<LevelIndex> =
-            waiting.iter().flat_map(|j| ledger.tree().path(quota_team(self.jobs[*j].team)).to_vec()).collect();
+        let above: Vec<LevelIndex> = waiting
+            .iter()
+            .flat_map(|job_index| ledger.tree().path(quota_team(self.jobs[*job_index].team)).to_vec())
+            .collect();
         let below = |t: TeamIndex| ledger.tree().path(quota_team(t)).iter().any(|l| above.contains(l));
         let (mut held, mut leaving) = self.held_and_leaving(below);
         // Tasks of production priority are never preempted.
         held.retain(|h| h.priority > crate::wire::Priority::Production as u8);
         let mut preempted = Vec::new();
-        let waiting_tasks = |&j: &JobIndex| {
-            let job = &self.jobs[j];
-            std::iter::repeat_n(j, job.unfinished().saturating_sub(job.assigned) as usize)
+        let waiting_tasks = |&job_index: &JobIndex| {
+            let job = &self.jobs[job_index];
+            std::iter::repeat_n(job_index, job.unfinished().saturating_sub(job.assigned) as usize)
         };
-        for j in waiting.iter().flat_map(waiting_tasks).take(MAX_AT_LIMITS) {
-            let job = &self.jobs[j];
+        for job_index in waiting.iter().flat_map(waiting_tasks).take(MAX_AT_LIMITS) {
+            let job = &self.jobs[job_index];
             let (team, need) = (quota_team(job.team), task_amount(job));
             let victims = ledger.preempt_for(team, need, &held, &leaving);
             let stays = |h: &HeldTask| !victims.contains(&h.task);
             leaving.extend(held.iter().filter(|h| !stays(h)).map(|h| (h.team, h.need)));
             held.retain(stays);
             ledger.add_usage(team, need);
-            preempted.extend(victims.into_iter().map(|t| (t, j)));
+            preempted.extend(victims.into_iter().map(|t| (t, job_index)));
         }
-        for ((machine_index, key), j) in preempted {
+        for ((machine_index, key), job_index) in preempted {
             log::info!(
                 "task preempted reason=limit task={}/{} for={}",
                 self.jobs[key.job].id,
                 key.task,
-                self.jobs[j].id
+                self.jobs[job_index].id
             );
             self.stop_gently(machine_index, key);
         }
--- a/crates/scheduler/src/shard/quotas/report.rs
+++ b/crates/scheduler/src/shard/quotas/report.rs
@@ -42,31 +42,31 @@
 impl Shard {
     /// Returns the report, with the reason why `job` waits unless that is empty; `None` without quotas.
     pub fn quota_report(&self, job: &str) -> Option<QuotaReport> {
-        let q = self.quotas.as_ref()?;
-        let tree = q.ledger.tree();
+        let quotas = self.quotas.as_ref()?;
+        let tree = quotas.ledger.tree();
         let mut waits: HashMap<LevelIndex, f64> = HashMap::new();
-        for &j in &self.jobs.live {
-            let job = &self.jobs[j];
+        for &job_index in &self.jobs.live {
+            let job = &self.jobs[job_index];
             let n = if job.is_open() { job.unfinished().saturating_sub(job.assigned) } else { 0 };
-            for l in tree.path(quota_team(job.team)) {
-                *waits.entry(*l).or_default() += f64::from(n) * job.spec.cpus;
+            for level in tree.path(quota_team(job.team)) {
+                *waits.entry(*level).or_default() += f64::from(n) * job.spec.cpus;
             }
         }
-        let row = |(i, l): (usize, &quota::Level)| {
+        let row = |(i, level): (usize, &quota::Level)| {
             let level_index = LevelIndex(i as u32);
-            let used = q.ledger.used(level_index);
+            let used = quotas.ledger.used(level_index);
             Row {
-                level: if l.name.is_empty() { "(all)".into() } else { l.name.clone() },
-                depth: if l.name.is_empty() { 0 } else { l.name.matches('.').count() + 1 },
-                team: l.team.is_some(),
-                guarantee_cpus: l.guarantee.cpus,
-                limit_cpus: l.limit.cpus,
+                level: if level.name.is_empty() { "(all)".into() } else { level.name.clone() },
+                depth: if level.name.is_empty() { 0 } else { level.name.matches('.').count() + 1 },
+                team: level.team.is_some(),
+                guarantee_cpus: level.guarantee.cpus,
+                limit_cpus: level.limit.cpus,
                 used_cpus: used.cpus,
-                guarantee_gpus: l.guarantee.gpus,
-                limit_gpus: l.limit.gpus,
+                guarantee_gpus: level.guarantee.gpus,
+                limit_gpus: level.limit.gpus,
                 used_gpus: used.gpus,
-                lends_cpus: (l.guarantee.cpus - used.cpus).max(0.0),
-                borrows_cpus: (used.cpus - l.guarantee.cpus).max(0.0),
+                lends_cpus: (level.guarantee.cpus - used.cpus).max(0.0),
+                borrows_cpus: (used.cpus - level.guarantee.cpus).max(0.0),
                 waits_cpus: waits.get(&level_index).copied().unwrap_or(0.0),
             }
         };
@@ -78,12 +78,13 @@
 
     /// Returns the quota part of the operators' summary line: the top levels that use any cpus.
     pub(in crate::shard) fn quotas_summary(&self) -> String {
-        let Some(q) = &self.quotas else { return String::new() };
-        let tree = q.ledger.tree();
-        let top = tree.levels.iter().enumerate().filter(|(_, l)| l.parent == Some(quota::tree::ROOT));
-        let used = |(i, l): (usize, &quota::Level)| {
-            let used = q.ledger.used(LevelIndex(i as u32)).cpus;
-            (used > 0.0).then(|| format!("{} {used:.0}/{:.0}/{:.0}", l.name, l.guarantee.cpus, l.limit.cpus))
+        let Some(quotas) = &self.quotas else { return String::new() };
+        let tree = quotas.ledger.tree();
+        let top = tree.levels.iter().enumerate().filter(|(_, level)| level.parent == Some(quota::tree::ROOT));
+        let used = |(i, level): (usize, &quota::Level)| {
+            let used = quotas.ledger.used(LevelIndex(i as u32)).cpus;
+            (used > 0.0)
+                .then(|| format!("{} {used:.0}/{:.0}/{:.0}", level.name, level.guarantee.cpus, level.limit.cpus))
         };
         let levels: Vec<String> = top.filter_map(used).take(MAX_IN_SUMMARY).collect();
         format!("; quotas {} used/guaranteed/limit: {}", tree.generation, levels.join(", "))
@@ -91,25 +92,27 @@
 
     /// Returns the reason why a job waits, in the words of the report.
     fn why_waits(&self, id: &str) -> String {
-        let (Some(j), Some(q)) = (self.jobs.find(id), self.quotas.as_ref()) else { return "no such job here".into() };
-        let job = &self.jobs[j];
+        let (Some(job_index), Some(quotas)) = (self.jobs.find(id), self.quotas.as_ref()) else {
+            return "no such job here".into();
+        };
+        let job = &self.jobs[job_index];
         if !job.is_open() {
             return "it is over".into();
         }
-        if self.dependencies.is_waiting(j) {
+        if self.dependencies.is_waiting(job_index) {
             return "it waits for jobs that it needs".into();
         }
         if job.unfinished() <= job.assigned {
             return "it does not wait".into();
         }
-        if !q.in_force {
+        if !quotas.in_force {
             return "the quotas are being stored".into();
         }
         let task = task_amount(job);
-        match q.ledger.may_start(quota_team(job.team), task) {
-            Err(l) => format!("{} is at its limit", q.ledger.tree().at(l).name),
+        match quotas.ledger.may_start(quota_team(job.team), task) {
+            Err(level_index) => format!("{} is at its limit", quotas.ledger.tree().at(level_index).name),
             Ok(()) if job.unreconciled_machines > 0 => "machines that may hold its tasks were not heard yet".into(),
-            Ok(()) => match q.ledger.fair_share_position(quota_team(job.team), task).distance {
+            Ok(()) => match quotas.ledger.fair_share_position(quota_team(job.team), task).distance {
                 0 => "it is within its guarantee and waits for room".into(),
                 d => format!("it would borrow, from {d} levels up, and waits for room"),
             },
--- a/crates/scheduler/src/shard/service_levels/mod.rs
+++ b/crates/scheduler/src/shard/service_levels/mod.rs
@@ -113,11 +113,11 @@
 impl Shard {
     /// Continues the measurements inherited from the previous leader, if there are any.
     pub fn inherit_service_levels(&mut self, inherited: Option<(InheritedTotals, u8)>, now: f64) {
-        let t = self.day_now_s(now);
+        let day_now_s = self.day_now_s(now);
         let Some((totals, slot)) = inherited else { return };
         let reporter = &mut self.service_levels;
         (reporter.chain, reporter.round, reporter.slot) = (totals.chain, totals.round, slot);
-        self.service_level_tracker.inherit(&totals, 2.0 * self.time_bound_s + HEARTBEAT_DELAY_S, t);
+        self.service_level_tracker.inherit(&totals, 2.0 * self.time_bound_s + HEARTBEAT_DELAY_S, day_now_s);
     }
 
     /// Returns the next write of the measurements for the next leader, if one is due. A part that can't be stored
@@ -126,10 +126,10 @@
         let waited_s = now - self.service_levels.reported_at;
         let is_due = waited_s >= if spare { REPORT_INTERVAL_S } else { MAX_REPORT_INTERVAL_S };
         if is_due && self.service_levels.to_send.is_empty() && self.heartbeats_gathered(now) {
-            let t = self.day_now_s(now);
+            let day_now_s = self.day_now_s(now);
             let reporter = &mut self.service_levels;
             (reporter.reported_at, reporter.round) = (now, reporter.round + 1);
-            let parts = self.service_level_tracker.export(reporter.round, reporter.chain, self.value_bytes, t);
+            let parts = self.service_level_tracker.export(reporter.round, reporter.chain, self.value_bytes, day_now_s);
             reporter.parts_left = parts.len();
             let slot = 1 - reporter.slot.min(1);
             reporter.to_send = parts.into_iter().enumerate().map(|(n, part)| (part_key(slot, n), part)).collect();
@@ -192,7 +192,7 @@
 
     /// Passes a job to the tracker: an open job to be followed, or an ended one by its record.
     fn track_job(&mut self, job_index: JobIndex, now: f64) {
-        let t = self.day_now_s(now);
+        let day_now_s = self.day_now_s(now);
         let may_have_waited_s =
             self.service_levels.arrivals.record(self.jobs[job_index].accepted_at_ms as f64 / 1000.0);
         let job = &self.jobs[job_index];
@@ -229,8 +229,8 @@
                 let until = objectives.and_then(|o| o.latest(submitted, ready_at, spec.deadline_s)).map(to_ms);
                 let useful = objectives.and_then(|o| o.last(submitted, ready_at, spec.deadline_s)).map(to_ms);
                 let tasks = job.progress();
-                let ticket = self.service_level_tracker.track(&entry, t);
-                self.service_level_tracker.on_progress(ticket, tasks, t);
+                let ticket = self.service_level_tracker.track(&entry, day_now_s);
+                self.service_level_tracker.on_progress(ticket, tasks, day_now_s);
                 let indicators = self.service_level_tracker.indicators_of(ticket);
                 let job = &mut self.jobs[job_index];
                 (job.tracked, job.indicators) = (Some(ticket), indicators);
@@ -239,29 +239,29 @@
             }
         };
         let ended = (job.ended_ms > 0).then_some(job.ended_ms as f64 / 1000.0);
-        self.service_level_tracker.count_from_record(&entry, end, ended, t);
+        self.service_level_tracker.count_from_record(&entry, end, ended, day_now_s);
     }
 
     /// Tells the tracker how many tasks of a job run or are done, after a change.
     pub(in crate::shard) fn track_progress(&mut self, job_index: JobIndex, now: f64) {
-        let t = self.day_now_s(now);
+        let day_now_s = self.day_now_s(now);
         let job = &self.jobs[job_index];
         if let Some(ticket) = job.tracked {
-            self.service_level_tracker.on_progress(ticket, job.progress(), t);
+            self.service_level_tracker.on_progress(ticket, job.progress(), day_now_s);
         }
     }
 
     /// Tells the tracker that a job has ended.
     pub(in crate::shard) fn track_end(&mut self, job_index: JobIndex, phase: Phase, now: f64) {
-        let t = self.day_now_s(now);
+        let day_now_s = self.day_now_s(now);
         let job = &mut self.jobs[job_index];
-        let ended = if job.ended_ms > 0 { job.ended_ms as f64 / 1000.0 } else { t };
+        let ended = if job.ended_ms > 0 { job.ended_ms as f64 / 1000.0 } else { day_now_s };
         if let Some(ticket) = job.tracked.take() {
             self.service_level_tracker.on_ended(
                 ticket,
                 if phase == Phase::Done { End::Done } else { End::Cancelled },
                 ended,
-                t,
+                day_now_s,
             );
         }
     }
@@ -269,11 +269,11 @@
     /// Passes the queued jobs to the tracker, and evaluates every [`EVALUATION_INTERVAL_S`] which classes and teams are
     /// underserved.
     pub(in crate::shard) fn update_service_levels(&mut self, now: f64) {
-        let mut due = std::mem::take(&mut self.service_levels.due);
-        due.sort_by_key(|j| self.jobs[*j].accepted_at_ms);
-        for j in due {
-            if self.jobs[j].tracked.is_none() {
-                self.track_job(j, now);
+        let mut jobs_due = std::mem::take(&mut self.service_levels.due);
+        jobs_due.sort_by_key(|job_index| self.jobs[*job_index].accepted_at_ms);
+        for job_index in jobs_due {
+            if self.jobs[job_index].tracked.is_none() {
+                self.track_job(job_index, now);
             }
         }
         if now - self.service_levels.evaluated_at < EVALUATION_INTERVAL_S {
@@ -281,26 +281,26 @@
         }
         let since = now - self.service_levels.evaluated_at;
         self.service_levels.evaluated_at = now;
-        let t = self.day_now_s(now);
+        let day_now_s = self.day_now_s(now);
         if self.heartbeats_gathered(now) && since < 4.0 * EVALUATION_INTERVAL_S {
-            self.record_guarantee_use(since, t);
+            self.record_guarantee_use(since, day_now_s);
         }
-        self.report_large_jobs(now, t);
-        self.service_level_tracker.advance(t);
-        self.underserved = Underserved::evaluate(&self.service_level_tracker, &self.forecasts(t), t);
+        self.report_large_jobs(now, day_now_s);
+        self.service_level_tracker.advance(day_now_s);
+        self.underserved = Underserved::evaluate(&self.service_level_tracker, &self.forecasts(day_now_s), day_now_s);
     }
 
     /// Returns, by class and team, a forecast of which open arrays will be served in time. Empty unless more work waits
     /// than the machines can take.
-    fn forecasts(&self, t: f64) -> HashMap<IndicatorIndex, Forecast> {
+    fn forecasts(&self, day_now_s: f64) -> HashMap<IndicatorIndex, Forecast> {
         if self.pressure() <= OVERLOAD_PRESSURE {
             return HashMap::new();
         }
-        let now_ms = (t * 1000.0) as u64;
+        let now_ms = (day_now_s * 1000.0) as u64;
         // For each indicator the work (in cpu seconds) and remaining seconds of each job, and the cpus assigned.
         let mut open: HashMap<IndicatorIndex, (Vec<(f64, f64)>, f64)> = HashMap::new();
-        for &j in &self.jobs.live {
-            let job = &self.jobs[j];
+        for &job_index in &self.jobs.live {
+            let job = &self.jobs[job_index];
             let (Some(indicators), false, true) = (job.indicators, job.is_service(), job.is_open()) else { continue };
             let assigned_cpus = f64::from(job.assigned) * job.spec.cpus;
             for indicator in indicators {
@@ -323,10 +323,10 @@
 
     /// Records for each team, and each level of nested quotas, how much of what it asks for within its guarantee it
     /// uses.
-    fn record_guarantee_use(&mut self, since: f64, t: f64) {
+    fn record_guarantee_use(&mut self, since: f64, day_now_s: f64) {
         let mut asked = vec![0.0; self.teams.len()];
-        for &j in &self.jobs.live {
-            let job = &self.jobs[j];
+        for &job_index in &self.jobs.live {
+            let job = &self.jobs[job_index];
             if job.is_open() {
                 asked[job.team.as_usize()] += f64::from(job.wanted_tasks()) * job.spec.cpus;
             }
@@ -340,7 +340,7 @@
                     &team.spec.name,
                     asked * since,
                     team.cpus_used * since,
-                    t,
+                    day_now_s,
                 );
             }
         }
@@ -352,7 +352,7 @@
                     &level.level,
                     asked * since,
                     level.used_cpus * since,
-                    t,
+                    day_now_s,
                 );
             }
         }
@@ -360,8 +360,8 @@
 
     /// Returns the alerts since the last call: service levels that fell below the alert threshold, or recovered.
     pub fn service_level_alerts(&mut self, now: f64) -> Vec<Alert> {
-        let t = self.day_now_s(now);
-        self.service_level_tracker.alerts(t)
+        let day_now_s = self.day_now_s(now);
+        self.service_level_tracker.alerts(day_now_s)
     }
 
     /// Returns the service-level report of this shard.
@@ -381,9 +381,9 @@
 
     /// Returns the service-level part of the operators' summary line: the class and the team with the lowest levels.
     pub(in crate::shard) fn service_summary(&self) -> String {
-        let t = self.day_now_s(self.ticked_at);
+        let day_now_s = self.day_now_s(self.ticked_at);
         let least = |side: Subject, what: &str| {
-            let lowest = self.service_level_tracker.lowest(side, t);
+            let lowest = self.service_level_tracker.lowest(side, day_now_s);
             lowest
                 .map_or(String::new(), |(name, reading, share)| format!(" {what} {name} {} {share:.2}", reading.name()))
         };
--- a/crates/scheduler/src/shard/sizing.rs
+++ b/crates/scheduler/src/shard/sizing.rs
@@ -20,12 +20,12 @@
 impl Shard {
     /// Returns which share of a machine of this type one task of a job uses: that of its scarcest resource.
     pub(super) fn machine_share(&self, request: &crate::wire::JobRequest, type_index: TypeIndex) -> f64 {
-        let t = self.types.get(type_index);
+        let machine_type = self.types.get(type_index);
         let share =
             |requested: f64, capacity: f64| if requested > 0.0 { requested / capacity.max(EPSILON) } else { 0.0 };
-        share(request.cpus, t.cpus)
-            .max(share(request.memory_gb, t.memory_gb))
-            .max(share(request.accelerators, t.accelerators))
+        share(request.cpus, machine_type.cpus)
+            .max(share(request.memory_gb, machine_type.memory_gb))
+            .max(share(request.accelerators, machine_type.accelerators))
     }
 
     /// Returns the cheapest type on which a job's tasks fit.
@@ -39,13 +39,18 @@
         request: &crate::wire::JobRequest,
         offered: impl Fn(&MachineType) -> bool,
     ) -> Option<TypeIndex> {
-        let cost = |ty: TypeIndex| {
-            let t = self.types.get(ty);
-            self.machine_share(request, ty) * if request.spot && t.spot_price > 0.0 { t.spot_price } else { t.price }
+        let cost = |type_index: TypeIndex| {
+            let machine_type = self.types.get(type_index);
+            self.machine_share(request, type_index)
+                * if request.spot && machine_type.spot_price > 0.0 {
+                    machine_type.spot_price
+                } else {
+                    machine_type.price
+                }
         };
-        let suits = |ty: &TypeIndex| {
-            let t = self.types.get(*ty);
-            type_fits(request, t) && offered(t)
+        let suits = |type_index: &TypeIndex| {
+            let machine_type = self.types.get(*type_index);
+            type_fits(request, machine_type) && offered(machine_type)
         };
         let types = (0..self.types.list.len()).map(TypeIndex::new).filter(suits);
         types.min_by(|&a, &b| cost(a).total_cmp(&cost(b)))
@@ -57,15 +62,15 @@
         let mut cpus_left: Vec<f64> =
             self.teams.iter().map(|t| if t.spec.cpus_max > 0.0 { t.spec.cpus_max } else { f64::INFINITY }).collect();
         let mut quota_demand = self.quota_demand();
-        for &j in &self.jobs.live {
-            let job = &self.jobs[j];
+        for &job_index in &self.jobs.live {
+            let job = &self.jobs[job_index];
             if !job.is_open() {
                 continue;
             }
-            let Some(ty) = self.cheapest_pool(&job.spec) else { continue };
+            let Some(type_index) = self.cheapest_pool(&job.spec) else { continue };
             // Elastic jobs count with their smallest size: they grow only into idle capacity, and nothing is rented for
             // it.
-            let smallest = self.elastic_sizes(j).map_or(u32::MAX, |sizes| sizes.smallest);
+            let smallest = self.elastic_sizes(job_index).map_or(u32::MAX, |sizes| sizes.smallest);
             let mut tasks = f64::from(job.wanted_tasks().min(smallest));
             let left = &mut cpus_left[job.team.as_usize()];
             if job.spec.cpus > 0.0 {
@@ -73,8 +78,8 @@
                 *left -= tasks * job.spec.cpus;
             }
             tasks = quota_demand.as_mut().map_or(tasks, |quotas| quotas.take(job, tasks));
-            let (spot, on_demand) = demand.entry(ty).or_default();
-            let machines = tasks * self.machine_share(&job.spec, ty);
+            let (spot, on_demand) = demand.entry(type_index).or_default();
+            let machines = tasks * self.machine_share(&job.spec, type_index);
             if job.spec.spot { *spot += machines } else { *on_demand += machines }
         }
         demand
@@ -90,9 +95,9 @@
         let types: Vec<TypeIndex> = if heartbeats_gathered { self.pools.keys().copied().collect() } else { Vec::new() };
         let zone_pinned = if heartbeats_gathered { self.zone_pinned_demand(now) } else { ZonePinnedDemand::default() };
         self.rent_for_zone_pinned(&zone_pinned, now);
-        for ty in types {
-            let (spot_demand, mut base_demand) = demand.get(&ty).copied().unwrap_or_default();
-            let size = self.types.get(ty).cpus;
+        for type_index in types {
+            let (spot_demand, mut base_demand) = demand.get(&type_index).copied().unwrap_or_default();
+            let size = self.types.get(type_index).cpus;
             if base_demand > 0.0 {
                 base_demand =
                     (base_demand * (1.0 + SPARE_SHARE) + SPARE_TASKS * self.service_cpus.max(1.0) / size).max(1.5);
@@ -100,23 +105,30 @@
             let count = |spot: bool, ready: bool| {
                 self.machines
                     .iter()
-                    .filter(|(_, m)| m.type_index == ty && m.spot == spot && counts_as_fleet(m, now))
+                    .filter(|(_, m)| m.type_index == type_index && m.spot == spot && counts_as_fleet(m, now))
                     .filter(|(_, m)| m.phase == MachinePhase::Up && m.can_receive_commands(now) || !ready)
                     .count()
             };
             let (spot_ready, spot_now, on_demand_now) = (count(true, true), count(true, false), count(false, false));
             let (window, hold, extra) = (self.tuning.window_s, self.tuning.hold_s, self.tuning.extra);
-            let Some(pool) = self.pools.get_mut(&ty) else { continue };
+            let Some(pool) = self.pools.get_mut(&type_index) else { continue };
             let target = pool.target.update(now, spot_demand, window, hold);
             let base = pool.base.update(now, base_demand, 1.0, hold);
             pool.mix = mixture(target, extra, spot_ready, base);
             let mix = pool.mix;
-            self.choose_on_demand_base(ty, mix.base, now);
+            self.choose_on_demand_base(type_index, mix.base, now);
             let spot_pending = self.launches.pending_count(true);
-            self.adjust_pool((ty, true), mix.spot, spot_now, spot_pending, &zone_pinned, now);
+            self.adjust_pool((type_index, true), mix.spot, spot_now, spot_pending, &zone_pinned, now);
             let on_demand_pending = self.launches.pending_count(false);
             let on_demand_wanted = mix.base + mix.on_demand_fallback;
-            self.adjust_pool((ty, false), on_demand_wanted, on_demand_now, on_demand_pending, &zone_pinned, now);
+            self.adjust_pool(
+                (type_index, false),
+                on_demand_wanted,
+                on_demand_now,
+                on_demand_pending,
+                &zone_pinned,
+                now,
+            );
         }
         // Nothing is evicted while the state service can't be written: the replica could not start elsewhere, since
         // that requires the new machine's record to be stored first.
@@ -157,7 +169,7 @@
     /// Rents, uncordons or cordons machines of one type and market until as many as wanted are present or pending.
     fn adjust_pool(
         &mut self,
-        (ty, spot): (TypeIndex, bool),
+        (type_index, spot): (TypeIndex, bool),
         wanted: usize,
         present: usize,
         pending: usize,
@@ -166,10 +178,10 @@
     ) {
         if wanted > present + pending {
             let mut short = wanted - present - pending;
-            let cordoned = self.cordoned(|m| m.type_index == ty && m.spot == spot);
+            let cordoned = self.cordoned(|m| m.type_index == type_index && m.spot == spot);
             short -= self.uncordon(cordoned.into_iter().rev().take(short));
             if short > 0 {
-                self.rent(ty, spot, short, now);
+                self.rent(type_index, spot, short, now);
             }
         } else if present > wanted {
             // Cordons machines in this order: those still booting, the latest first, then those with the fewest
@@ -180,13 +192,13 @@
                 .machines
                 .iter()
                 .filter(|(_, m)| {
-                    m.type_index == ty
+                    m.type_index == type_index
                         && m.spot == spot
                         && counts_as_fleet(m, now)
                         && !m.in_on_demand_base
                         && !self.holds_elastic_surplus(m)
                 })
-                .filter(|(_, m)| !zone_pinned.at(ty, m.zone))
+                .filter(|(_, m)| !zone_pinned.at(type_index, m.zone))
                 .map(|(i, m)| {
                     let up = m.phase == MachinePhase::Up;
                     (up, m.service_tasks, if up { m.cpus_used } else { -m.first_seen_at }, i)
@@ -223,8 +235,8 @@
         let mut pools: Vec<PoolRecord> = self
             .pools
             .iter()
-            .map(|(ty, pool)| PoolRecord {
-                type_name: self.types.names.name(*ty).to_string(),
+            .map(|(type_index, pool)| PoolRecord {
+                type_name: self.types.names.name(*type_index).to_string(),
                 active: pool.zones.active.iter().map(|z| self.types.zones.name(*z).to_string()).collect(),
                 preemptive: pool.zones.preemptive.iter().map(|z| self.types.zones.name(*z).to_string()).collect(),
                 target: pool.mix.target,
--- a/crates/scheduler/src/shard/zone_pinned.rs
+++ b/crates/scheduler/src/shard/zone_pinned.rs
@@ -70,7 +70,7 @@
                 continue;
             }
             let Some(zone) = self.only_zone(job) else { continue };
-            let Some(ty) = self.type_in_zone(job, zone) else { continue };
+            let Some(type_index) = self.type_in_zone(job, zone) else { continue };
             let left = &mut cpus_left[job.team.as_usize()];
             let mut tasks = f64::from(job.unfinished().saturating_sub(job.assigned));
             if job.spec.cpus > 0.0 {
@@ -80,8 +80,8 @@
             if tasks < 1.0 {
                 continue;
             }
-            let machines = tasks * self.machine_share(&job.spec, ty);
-            let zone_demand = demand.entry((ty, zone)).or_default();
+            let machines = tasks * self.machine_share(&job.spec, type_index);
+            let zone_demand = demand.entry((type_index, zone)).or_default();
             zone_demand.all += machines;
             zone_demand.on_demand += if job.spec.spot { 0.0 } else { machines };
         }
@@ -90,15 +90,15 @@
 
     /// Rents machines for the work that may run in one zone only and exceeds the free capacity there.
     pub(super) fn rent_for_zone_pinned(&mut self, demand: &ZonePinnedDemand, now: f64) {
-        for (&(ty, zone), zone_demand) in &demand.0 {
-            let free = self.free_in_zone(ty, zone, now);
+        for (&(type_index, zone), zone_demand) in &demand.0 {
+            let free = self.free_in_zone(type_index, zone, now);
             let on_demand = (zone_demand.on_demand - free.on_demand).ceil().max(0.0);
             let any = (zone_demand.all - free.spot - free.on_demand - on_demand).ceil().max(0.0);
-            self.rent_in_zone((ty, zone, false), on_demand as usize, now);
+            self.rent_in_zone((type_index, zone, false), on_demand as usize, now);
             // Where the zone lists or a recent refusal rule out spot launches, on-demand machines are rented instead.
-            let active = self.pools.get(&ty).is_some_and(|p| p.zones.active.contains(&zone));
-            let spot = active && self.launches.may_rent(ty, zone, true, now);
-            self.rent_in_zone((ty, zone, spot), any as usize, now);
+            let active = self.pools.get(&type_index).is_some_and(|p| p.zones.active.contains(&zone));
+            let spot = active && self.launches.may_rent(type_index, zone, true, now);
+            self.rent_in_zone((type_index, zone, spot), any as usize, now);
         }
     }
 
@@ -121,9 +121,9 @@
     fn rent_in_zone(&mut self, kind: (TypeIndex, ZoneIndex, bool), mut short: usize, now: f64) {
         let cordoned = self.cordoned(|m| (m.type_index, m.zone, m.spot) == kind);
         short -= self.uncordon(cordoned.into_iter().take(short));
-        let (ty, zone, spot) = kind;
-        if short > 0 && self.launches.may_rent(ty, zone, spot, now) {
-            let launch = self.launches.enqueue(ty, zone, spot, short.min(MAX_PER_RENTAL));
+        let (type_index, zone, spot) = kind;
+        if short > 0 && self.launches.may_rent(type_index, zone, spot, now) {
+            let launch = self.launches.enqueue(type_index, zone, spot, short.min(MAX_PER_RENTAL));
             let zone = self.types.zones.name(zone);
             log::info!("renting machines for zone-pinned work count={} zone={zone}", launch.count);
         }
