--- a/crates/scheduler/src/fleet/machine.rs
+++ b/crates/scheduler/src/fleet/machine.rs
@@ -198,13 +198,15 @@
     pub incarnation_since: f64,
     /// Number of incarnations in a row that ended although their heartbeats were answered: the replies were lost.
     pub unacknowledged_incarnations: u32,
-    /// Number of heartbeats in a row, sent unasked, that don't show the effect of earlier replies.
+    /// Number of heartbeats in a row, other than those in responses to pushes, that don't show the effect of earlier
+    /// replies.
     pub missed_acknowledgements: u32,
     /// It gets no new tasks until then; by then it has shown whether replies reach it.
     pub commandable_from: f64,
-    /// When this leader last replied to a heartbeat that it sent unasked, or received its first heartbeat.
+    /// When this leader last replied to a heartbeat of the machine other than one in the response to a push, or
+    /// received its first heartbeat.
     pub own_heartbeat_at: f64,
-    /// It answers probes but sends no heartbeats unasked: a worker that gets no replies sends its heartbeats to one
+    /// It answers probes but sends no heartbeats by itself: a worker that gets no replies sends its heartbeats to one
     /// controller after the other. Cleared when two heartbeats arrive in time again.
     pub heartbeat_path_lost: bool,
     /// Whether the cloud has listed it.
--- a/crates/scheduler/src/jobs/job.rs
+++ b/crates/scheduler/src/jobs/job.rs
@@ -23,7 +23,7 @@
 pub enum TaskSlot {
     /// The task waits for a machine.
     Queued,
-    /// The task is assigned to this machine, which runs it or will be told to start it.
+    /// The task is assigned to this machine, which runs it or will be commanded to start it.
     Assigned(MachineIndex),
     /// The task completed; `stored` is true once the state service holds its completion.
     Done { stored: bool },
--- a/crates/scheduler/src/shard/failover.rs
+++ b/crates/scheduler/src/shard/failover.rs
@@ -485,9 +485,9 @@
         }
     }
 
-    /// Returns whether this leader has waited long enough for heartbeats: one and a half heartbeat intervals have passed
-    /// and every machine is reconciled, or three intervals have passed. If no machine was recorded, half an interval
-    /// replaces one and a half, since first heartbeats come within that time.
+    /// Returns whether this leader has waited long enough for heartbeats: one and a half heartbeat intervals have
+    /// passed and every machine is reconciled, or three intervals have passed. If no machine was recorded, half an
+    /// interval replaces one and a half, since first heartbeats come within that time.
     pub fn heartbeats_gathered(&self, now: f64) -> bool {
         let waited = now - self.began_at;
         let intervals = if self.is_first_leader { 0.5 } else { 1.5 };
--- a/crates/scheduler/src/shard/heartbeats.rs
+++ b/crates/scheduler/src/shard/heartbeats.rs
@@ -58,7 +58,7 @@
 }
 
 impl Shard {
-    /// Handles a heartbeat that a worker sent unasked; a reply is sent with status 200. The cost depends only on the
+    /// Handles a heartbeat that a worker sent by itself; a reply is sent with status 200. The cost depends only on the
     /// tasks on this machine: freed capacity is used by the next tick, for all heartbeats in between together. With
     /// placement in every heartbeat, a few hundred machines took up the whole processor.
     pub fn on_heartbeat(&mut self, heartbeat: &Heartbeat, now: f64) -> HeartbeatOutcome {
--- a/crates/scheduler/src/shard/machine_monitor.rs
+++ b/crates/scheduler/src/shard/machine_monitor.rs
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Marks a machine that answers probes but sends no heartbeats unasked: replies don't reach it either.
+    /// Marks a machine that answers probes but sends no heartbeats by itself: replies don't reach it either.
     fn check_heartbeat_path(&mut self, machine_index: MachineIndex, now: f64) {
         let timeout_s = self.heartbeat_timeout_s();
         let machine = &self.machines[machine_index];
--- a/crates/scheduler/src/shard/mod.rs
+++ b/crates/scheduler/src/shard/mod.rs
@@ -239,8 +239,8 @@
         }
         self.write_queue.raise_version(key, version);
         if let Some(job_index) = self.jobs.find(&record.job.id) {
-            // This leader's own write, whose response comes later or never: no other controller ends jobs of
-            // this shard.
+            // This leader wrote the record, since no other controller ends jobs of this shard. The response to the
+            // write comes later or never.
             if self.jobs[job_index].end_write_sent && self.jobs[job_index].desired_phase == record.phase {
                 self.on_end_committed(job_index, record.phase, now);
             }
@@ -322,7 +322,8 @@
         now - machine.last_heartbeat_at.max(self.resumed_at)
     }
 
-    /// Returns the age of the last heartbeat that the machine sent unasked, reduced in the same way.
+    /// Returns the age of the last heartbeat that the machine sent by itself rather than in the response to a push,
+    /// reduced in the same way.
     pub(crate) fn own_heartbeat_age(&self, machine: &crate::fleet::Machine, now: f64) -> f64 {
         now - machine.own_heartbeat_at.max(self.resumed_at)
     }
--- a/src/state/operations.rs
+++ b/src/state/operations.rs
@@ -67,7 +67,7 @@
     }
 
     /// Commits a transaction: applies all mutations if all conditions hold. Acceptances of jobs and campaigns should
-    /// be urgent, since the leader's own writes always suffice to use up the rate limit.
+    /// be urgent: the leader's own writes, of which there are always more, take what they leave.
     pub async fn commit(
         &self,
         compares: Vec<Compare>,
