--- a/examples/history.rs
+++ b/examples/history.rs
@@ -48,19 +48,19 @@
 rps = 5.0
 "#;
 
-/// Returns the submission of job `i`.
-fn request(i: u64) -> JobRequest {
-    serde_json::from_value(json!({"id": format!("req-{i:07}"), "breed": "match", "herd": "red", "habit": "batch",
-        "precedence": "standard", "seeds": 1 + i % 100, "cpus": 2.0, "cards": 0.0, "memory_gb": 2.0, "strains": null,
-        "field": null, "same_place": false, "scatter": false, "fallow": true, "bulb": format!("img-{:02}", i % 16),
+/// Returns the submission of job `number`.
+fn request(number: u64) -> JobRequest {
+    serde_json::from_value(json!({"id": format!("req-{number:07}"), "breed": "match", "herd": "red", "habit": "batch",
+        "precedence": "standard", "seeds": 1 + number % 100, "cpus": 2.0, "cards": 0.0, "memory_gb": 2.0, "strains": null,
+        "field": null, "same_place": false, "scatter": false, "fallow": true, "bulb": format!("img-{:02}", number % 16),
         "pull_gb": 1.5, "expected_s": 20.0, "pressing_s": 0.0, "pressing_cost_s": 0.0, "harvest_s": 50.5}))
     .expect("a job")
 }
 
-/// Returns the record of job `i`; the first `OPEN_JOBS` jobs are open, the others have ended.
-fn record(i: u64) -> Value {
-    let open = JobRecord::accepted(request(i), 1_700_000_000_000 + i);
-    let record = if i < OPEN_JOBS {
+/// Returns the record of job `number`; the first `OPEN_JOBS` jobs are open, the others have ended.
+fn record(number: u64) -> Value {
+    let open = JobRecord::accepted(request(number), 1_700_000_000_000 + number);
+    let record = if number < OPEN_JOBS {
         open
     } else {
         JobRecord::ended(&open.job, open.accepted_at_ms, Phase::Done, open.accepted_at_ms, 16_000)
@@ -88,15 +88,16 @@
 /// bytes, the seconds of parsing and loading, and the number of jobs in memory.
 fn records(ended: u64, keep_ended: bool) -> (u64, usize, f64, usize) {
     let (mut requests, mut bytes, mut seconds, mut jobs) = (0, 0, 0.0, Vec::new());
-    let mut i = 0;
-    while i < OPEN_JOBS + ended {
+    let mut number = 0;
+    while number < OPEN_JOBS + ended {
         let (mut page, mut size) = (Vec::new(), 0);
-        while i < OPEN_JOBS + ended && (page.len() as u64) < PAGE_VALUES && size < PAGE_BYTES {
-            let value = record(i);
-            let text = json!({"path": job_key(&format!("req-{i:07}")), "v": value, "stamp": i + 1}).to_string();
+        while number < OPEN_JOBS + ended && (page.len() as u64) < PAGE_VALUES && size < PAGE_BYTES {
+            let value = record(number);
+            let text =
+                json!({"path": job_key(&format!("req-{number:07}")), "v": value, "stamp": number + 1}).to_string();
             size += text.len();
             page.push(text);
-            i += 1;
+            number += 1;
         }
         (requests, bytes) = (requests + 1, bytes + size);
         let began = Instant::now();
@@ -115,11 +116,13 @@
 /// Loads the open jobs from a checkpoint. Returns the same figures as [`records`].
 fn checkpoint() -> (u64, usize, f64, usize) {
     let mut writer = Writer::new(15_900, 0.0);
-    (0..OPEN_JOBS).for_each(|i| writer.on_opened(&format!("req-{i:07}")));
+    (0..OPEN_JOBS).for_each(|number| writer.on_opened(&format!("req-{number:07}")));
     let mut values = Vec::new();
-    let number = |id: &str| id.trim_start_matches("req-").parse().unwrap_or(0);
+    let number_of = |id: &str| id.trim_start_matches("req-").parse().unwrap_or(0);
     while writer.is_due(5, 5, 100.0) {
-        let Some(pending) = writer.next_value(5, 100.0, |id| Some((number(id) + 1, record(number(id))))) else { break };
+        let Some(pending) = writer.next_value(5, 100.0, |id| Some((number_of(id) + 1, record(number_of(id))))) else {
+            break;
+        };
         writer.on_applied(&pending.key);
         values.push((pending.key.clone(), pending.value.to_string()));
     }
@@ -147,13 +150,13 @@
     let mut shard = leader(LoadedState::default());
     let (mut revision, mut puts, mut bytes) = (10, 0, 0);
     let began = Instant::now();
-    for i in 0..jobs {
-        let now = 0.4 * i as f64;
+    for number in 0..jobs {
+        let now = 0.4 * number as f64;
         revision += 1;
-        shard.add_job(JobRecord::accepted(request(i), (now * 1000.0) as u64), revision, now);
+        shard.add_job(JobRecord::accepted(request(number), (now * 1000.0) as u64), revision, now);
         shard.on_watched(revision);
-        if i >= 75 {
-            shard.cancel(&format!("req-{:07}", i - 75));
+        if number >= 75 {
+            shard.cancel(&format!("req-{:07}", number - 75));
         }
         loop {
             let writes = shard.next_writes(16, 50_000, 16, now);
--- a/tests/leadership/controllers.rs
+++ b/tests/leadership/controllers.rs
@@ -65,23 +65,25 @@
         if let Some(text) = cells {
             std::fs::write(&sharding_file, text).expect("the sharding file is written");
         }
-        let command = |i: usize| {
+        let command = |node: usize| {
             let served = store.clone();
-            let state_address = server(move |request| state_service(served.clone(), i, request));
-            let others = (0..count).filter(|j| *j != i);
+            let state_address = server(move |request| state_service(served.clone(), node, request));
+            let others = (0..count).filter(|other| *other != node);
             let others: String = others
-                .map(|j| format!("[[seeds]]\nhost_name = \"n{j}\"\ndomain = \"a\"\naddress = \"{}\"\n", peers[j]))
+                .map(|other| {
+                    format!("[[seeds]]\nhost_name = \"n{other}\"\ndomain = \"a\"\naddress = \"{}\"\n", peers[other])
+                })
                 .collect();
             let text = format!(
-                "host_name = \"n{i}\"\ndomain = \"a\"\nbind = \"{}\"\npeer_listen = \"{}\"\n{others}\
+                "host_name = \"n{node}\"\ndomain = \"a\"\nbind = \"{}\"\npeer_listen = \"{}\"\n{others}\
                  [services]\ncloud = \"{cloud_address}\"\nstate = \"{state_address}\"\n\
                  [cluster]\nzones = [\"a\"]\n[[cluster.teams]]\nname = \"red\"\ncpus_max = 8.0\n\
                  [cluster.workers]\nreport_s = 1.0\nlease_s = 10.0\ncancel_s = 25.0\n\
                  [cluster.state]\nrps = {requests_per_s:.1}\nwrite_rps = 50.0\nvalue_kb = 16.0\ntxn_ops = 16\n\
                  [cluster.cloud]\nrps = 20.0\nlist_lag_s = 0.5\n",
-                addresses[i], peers[i]
+                addresses[node], peers[node]
             );
-            let file = folder.join(format!("n{i}.toml"));
+            let file = folder.join(format!("n{node}.toml"));
             std::fs::write(&file, text).expect("a settings file");
             let mut program = Command::new(env!("CARGO_BIN_EXE_lupinspur"));
             if cells.is_some() {
@@ -96,16 +98,16 @@
     }
 
     /// Replaces a part of one controller's settings before it is started.
-    pub fn change_settings(&self, i: usize, from: &str, to: &str) {
-        let file = self.folder.join(format!("n{i}.toml"));
+    pub fn change_settings(&self, node: usize, from: &str, to: &str) {
+        let file = self.folder.join(format!("n{node}.toml"));
         let text = std::fs::read_to_string(&file).expect("a settings file");
         assert!(text.contains(from), "the settings should contain {from}");
         std::fs::write(file, text.replace(from, to)).expect("a settings file");
     }
 
     /// Starts one controller.
-    pub fn start_one(&mut self, i: usize) {
-        self.processes.push(self.commands[i].spawn().expect("the program starts"));
+    pub fn start_one(&mut self, node: usize) {
+        self.processes.push(self.commands[node].spawn().expect("the program starts"));
     }
 
     /// Waits until a leadership record is stored.
--- a/tests/leadership/state_service.rs
+++ b/tests/leadership/state_service.rs
@@ -93,18 +93,18 @@
     /// Returns whether this is the transaction to be lost, and if so, changes the quota shares.
     fn loses(&mut self, transaction: &Value) -> bool {
         let key = &transaction["writes"][0]["set"];
-        let wanted = |c: &&mut Conflict| !c.lost && *key == c.key && is_fenced(transaction);
+        let wanted = |conflict: &&mut Conflict| !conflict.lost && *key == conflict.key && is_fenced(transaction);
         let Some(conflict) = self.conflict.as_mut().filter(wanted) else { return false };
         conflict.lost = true;
-        let shares = self.values.get(SHARES_KEY).map(|v| v.value.clone()).expect("shares");
+        let shares = self.values.get(SHARES_KEY).map(|stored| stored.value.clone()).expect("shares");
         self.put_new_version(SHARES_KEY, shares);
         true
     }
 
     /// Returns whether this read is to be refused.
     fn refuses(&mut self, key: &str) -> bool {
-        let wanted = |c: &&mut Conflict| c.key == key && c.lost && !c.refused;
-        self.conflict.as_mut().filter(wanted).map(|c| c.refused = true).is_some()
+        let wanted = |conflict: &&mut Conflict| conflict.key == key && conflict.lost && !conflict.refused;
+        self.conflict.as_mut().filter(wanted).map(|conflict| conflict.refused = true).is_some()
     }
 
     fn expire_leases(&mut self) {
@@ -152,14 +152,15 @@
     }
 
     fn list(&self, prefix: &str) -> Outgoing {
-        let pair = |(k, v): (&String, &StoredValue)| json!({"path": k, "v": v.value, "stamp": v.version});
-        let pairs: Vec<Value> = self.values.iter().filter(|(k, _)| k.starts_with(prefix)).map(pair).collect();
+        let pair =
+            |(key, stored): (&String, &StoredValue)| json!({"path": key, "v": stored.value, "stamp": stored.version});
+        let pairs: Vec<Value> = self.values.iter().filter(|(key, _)| key.starts_with(prefix)).map(pair).collect();
         Outgoing::json(200, &json!({"pairs": pairs, "has_next": false, "almanac": self.revision}))
     }
 
     fn changes(&self, prefix: &str, from: u64) -> Vec<Value> {
-        let key = |e: &Value| e["set"].as_str().or(e["drop"].as_str()).unwrap_or_default().to_owned();
-        let wanted = |e: &&Value| e["stamp"].as_u64().unwrap_or(0) > from && key(e).starts_with(prefix);
+        let key = |event: &Value| event["set"].as_str().or(event["drop"].as_str()).unwrap_or_default().to_owned();
+        let wanted = |event: &&Value| event["stamp"].as_u64().unwrap_or(0) > from && key(event).starts_with(prefix);
         self.events.iter().filter(wanted).cloned().collect()
     }
 }
--- a/tests/production.rs
+++ b/tests/production.rs
@@ -147,8 +147,8 @@
     }
 }
 
-fn read<T: DeserializeOwned>(v: &Value) -> T {
-    serde_json::from_value(v.clone()).unwrap_or_else(|e| panic!("cannot be read: {e}: {v}"))
+fn read<T: DeserializeOwned>(value: &Value) -> T {
+    serde_json::from_value(value.clone()).unwrap_or_else(|error| panic!("cannot be read: {error}: {value}"))
 }
 
 fn job(tasks: u32) -> Value {
@@ -180,8 +180,8 @@
     let fleet: FleetRecord = read(&json!({"pools":[{"type":"g8","active":["a"],"preemptive":["b"],"target":4,
         "spot":6,"on_demand":1}]}));
     assert_eq!(fleet.pools[0].preemptive, ["b"]);
-    let claim: LeadershipRecord = read(&json!({"node":"n1","nonce":"00c0ffee"}));
-    assert_eq!(claim.node, "n1");
+    let leadership: LeadershipRecord = read(&json!({"node":"n1","nonce":"00c0ffee"}));
+    assert_eq!(leadership.node, "n1");
     assert_eq!((FLEET_KEY, jobs::JOB_PREFIX, jobs::PROGRESS_PREFIX), ("fleet/0", "job/", "prog/"));
 }
 
@@ -191,14 +191,14 @@
 fn production_reads_what_the_present_version_stores() {
     let request: JobRequest = read(&job(16));
     let open = serde_json::to_value(JobRecord::accepted(request.clone(), 5)).expect("JSON");
-    let there: frozen::JobRecord = read(&open);
-    assert_eq!(serde_json::to_value(&there).expect("JSON"), open, "an open job has the same value in both");
+    let in_production: frozen::JobRecord = read(&open);
+    assert_eq!(serde_json::to_value(&in_production).expect("JSON"), open, "an open job has the same value in both");
 
     let mut waiting = request.clone();
     waiting.dependencies = Some(vec!["req-000398".into()]);
     let ended = JobRecord::ended(&waiting, 5, Phase::Cancelled, 77, 4096);
-    let there: frozen::JobRecord = read(&serde_json::to_value(&ended).expect("JSON"));
-    assert_eq!((there.phase, there.job.seeds), (frozen::Phase::Cancelled, 16));
+    let in_production: frozen::JobRecord = read(&serde_json::to_value(&ended).expect("JSON"));
+    assert_eq!((in_production.phase, in_production.job.seeds), (frozen::Phase::Cancelled, 16));
     // A leader of the old version never rewrites a final record, so the fields that it drops are
     // not lost. Jobs with dependencies aren't submitted while such a leader exists.
 
@@ -225,9 +225,9 @@
             },
         ],
     };
-    let there: frozen::MachineGroupRecord = read(&serde_json::to_value(&machine_group).expect("JSON"));
-    assert_eq!(there.machines[0].jobs, [0]);
-    assert!(there.machines[1].retiring && there.machines[1].faulty);
+    let in_production: frozen::MachineGroupRecord = read(&serde_json::to_value(&machine_group).expect("JSON"));
+    assert_eq!(in_production.machines[0].jobs, [0]);
+    assert!(in_production.machines[1].retiring && in_production.machines[1].faulty);
 
     let pool = PoolRecord {
         type_name: "g8".into(),
@@ -237,11 +237,12 @@
         spot: 6,
         on_demand: 1,
     };
-    let there: frozen::FleetRecord = read(&serde_json::to_value(FleetRecord { pools: vec![pool] }).expect("JSON"));
-    assert_eq!(there.pools[0].target, 4);
-    let claim = LeadershipRecord { acquired_at_ms: 5, consecutive_crashes: 1, ..LeadershipRecord::new("n1", "0") };
-    let there: frozen::Claim = read(&serde_json::to_value(claim).expect("JSON"));
-    assert_eq!(there.node, "n1");
+    let in_production: frozen::FleetRecord =
+        read(&serde_json::to_value(FleetRecord { pools: vec![pool] }).expect("JSON"));
+    assert_eq!(in_production.pools[0].target, 4);
+    let leadership = LeadershipRecord { acquired_at_ms: 5, consecutive_crashes: 1, ..LeadershipRecord::new("n1", "0") };
+    let in_production: frozen::Claim = read(&serde_json::to_value(leadership).expect("JSON"));
+    assert_eq!(in_production.node, "n1");
 }
 
 /// Production interprets the number in `prog/ID/N` as the index of a chunk of its own size. The
@@ -250,39 +251,40 @@
 /// production stored is read with production's chunk size.
 #[test]
 fn no_version_misreads_the_others_progress() {
-    let (today, tomorrow) = (16 * 1024, 2 * 1024);
-    let production = frozen::chunk_tasks(today);
+    let (current_limit_bytes, next_limit_bytes) = (16 * 1024, 2 * 1024);
+    let production = frozen::chunk_tasks(current_limit_bytes);
     let jobs_of = |tasks: u32| {
-        let mut jobs = Jobs::new(jobs::chunk_tasks(tomorrow), jobs::chunk_tasks(today), 3);
-        let j = jobs.add(JobRecord::accepted(read(&job(tasks)), 0), TeamIndex::new(0), 0.0);
-        (jobs, j)
+        let mut jobs = Jobs::new(jobs::chunk_tasks(next_limit_bytes), jobs::chunk_tasks(current_limit_bytes), 3);
+        let job_index = jobs.add(JobRecord::accepted(read(&job(tasks)), 0), TeamIndex::new(0), 0.0);
+        (jobs, job_index)
     };
     for tasks in [1, 700, 4096, 4097, 100_000] {
-        let (mut jobs, j) = jobs_of(tasks);
-        jobs.mark_task_done(j, tasks - 1, false);
-        let chunks: Vec<u32> = jobs[j].dirty_chunks.iter().copied().collect();
-        for c in chunks {
-            let (key, value) = (jobs.progress_key(j, c), jobs.progress(j, c));
-            assert!(serde_json::to_string(&value).expect("JSON").len() <= tomorrow, "{tasks} tasks: too large");
+        let (mut jobs, job_index) = jobs_of(tasks);
+        jobs.mark_task_done(job_index, tasks - 1, false);
+        let chunks: Vec<u32> = jobs[job_index].dirty_chunks.iter().copied().collect();
+        for chunk in chunks {
+            let (key, value) = (jobs.progress_key(job_index, chunk), jobs.progress(job_index, chunk));
+            assert!(serde_json::to_string(&value).expect("JSON").len() <= next_limit_bytes, "{tasks} tasks: too large");
             match frozen::chunk_of(&key) {
                 Some(chunk) => {
-                    // The index of the last mark, as production would read it.
-                    let at = value.done.len() as u32 * 4;
-                    assert!(chunk == 0 && at >= tasks && tasks <= 4096, "{tasks} tasks under {key}");
-                    let there: frozen::ProgressRecord = read(&serde_json::to_value(&value).expect("JSON"));
-                    assert_eq!(there.done, value.done);
+                    // The number of tasks that the marks cover, as production would read them.
+                    let marked_tasks = value.done.len() as u32 * 4;
+                    assert!(chunk == 0 && marked_tasks >= tasks && tasks <= 4096, "{tasks} tasks under {key}");
+                    let in_production: frozen::ProgressRecord = read(&serde_json::to_value(&value).expect("JSON"));
+                    assert_eq!(in_production.done, value.done);
                 }
                 None => assert!(key.starts_with(jobs::PART_PREFIX) && tasks > 4096, "{tasks} tasks under {key}"),
             }
         }
     }
     // The reverse: production's second chunk and a part of the present version, both of the same job.
-    let (mut jobs, j) = jobs_of(100_000);
-    jobs.load_progress(j, production, &ProgressRecord { done: "1".into() });
-    jobs.load_progress(j, 8192, &ProgressRecord { done: "8".into() });
-    let done: Vec<usize> = (0..100_000).filter(|t| jobs[j].tasks[*t] == TaskSlot::Done { stored: true }).collect();
+    let (mut jobs, job_index) = jobs_of(100_000);
+    jobs.load_progress(job_index, production, &ProgressRecord { done: "1".into() });
+    jobs.load_progress(job_index, 8192, &ProgressRecord { done: "8".into() });
+    let done: Vec<usize> =
+        (0..100_000).filter(|task| jobs[job_index].tasks[*task] == TaskSlot::Done { stored: true }).collect();
     assert_eq!(done, [8195, 32768]);
-    let keys: Vec<String> = jobs.progress_keys(j).collect();
+    let keys: Vec<String> = jobs.progress_keys(job_index).collect();
     assert!(keys.contains(&"prog/req-000412/1".into()) && keys.contains(&"part/req-000412/8192".into()));
 }
 
@@ -297,10 +299,13 @@
     for phase in [Phase::Done, Phase::Cancelled] {
         let value = serde_json::to_value(JobRecord::ended(&request, 5, phase, 77, 1984)).expect("JSON");
         assert!(value.to_string().len() <= 1984);
-        let there: frozen::JobRecord = read(&value);
-        assert_eq!((there.job.id.as_str(), there.job.herd.as_str(), there.job.seeds), ("req-000412", "vision", 7));
-        let here: JobRecord = read(&value);
-        assert_eq!((here.phase, here.ended_ms), (phase, Some(77)));
+        let in_production: frozen::JobRecord = read(&value);
+        assert_eq!(
+            (in_production.job.id.as_str(), in_production.job.herd.as_str(), in_production.job.seeds),
+            ("req-000412", "vision", 7)
+        );
+        let in_present_version: JobRecord = read(&value);
+        assert_eq!((in_present_version.phase, in_present_version.ended_ms), (phase, Some(77)));
     }
 }
 
@@ -308,30 +313,35 @@
 /// fields, and that version must be able to read them.
 #[test]
 fn a_checkpoint_tells_production_s_records_as_they_were_stored() {
-    let record = |i: u32| {
-        json!({"job": {"id": format!("req-{i:06}"), "breed": "match", "herd": "red", "habit": "batch",
-            "precedence": "idle", "seeds": i, "cpus": 1.5, "cards": 0.0, "memory_gb": 2.0, "strains": null,
+    let record = |number: u32| {
+        json!({"job": {"id": format!("req-{number:06}"), "breed": "match", "herd": "red", "habit": "batch",
+            "precedence": "idle", "seeds": number, "cpus": 1.5, "cards": 0.0, "memory_gb": 2.0, "strains": null,
             "field": null, "same_place": false, "scatter": true, "fallow": true, "bulb": "img-1", "pull_gb": 0.5,
-            "expected_s": 20.0, "pressing_s": 0.0, "pressing_cost_s": 0.0, "harvest_s": if i.is_multiple_of(2) { json!(50.0) } else { json!(null) }},
-            "at_ms": 1_700_000_000_000u64 + u64::from(i), "phase": "open"})
+            "expected_s": 20.0, "pressing_s": 0.0, "pressing_cost_s": 0.0, "harvest_s": if number.is_multiple_of(2) { json!(50.0) } else { json!(null) }},
+            "at_ms": 1_700_000_000_000u64 + u64::from(number), "phase": "open"})
     };
-    let number = |id: &str| id.trim_start_matches("req-").parse::<u32>().expect("a number");
-    let mut w = lupinspur_recovery::Writer::new(2000, 0.0);
-    (0..30).for_each(|i| w.on_opened(&format!("req-{i:06}")));
+    let number_of = |id: &str| id.trim_start_matches("req-").parse::<u32>().expect("a number");
+    let mut writer = lupinspur_recovery::Writer::new(2000, 0.0);
+    (0..30).for_each(|number| writer.on_opened(&format!("req-{number:06}")));
     let mut stored: Vec<(String, Value)> = Vec::new();
-    while w.is_due(9, 9, 100.0) {
-        let Some(p) = w.next_value(9, 100.0, |id| Some((u64::from(number(id)) + 1, record(number(id))))) else { break };
-        assert!(p.value.to_string().len() <= 2000, "{} fits the smaller value", p.key);
-        w.on_applied(&p.key);
-        stored.push((p.key, p.value));
+    while writer.is_due(9, 9, 100.0) {
+        let Some(pending) =
+            writer.next_value(9, 100.0, |id| Some((u64::from(number_of(id)) + 1, record(number_of(id)))))
+        else {
+            break;
+        };
+        assert!(pending.value.to_string().len() <= 2000, "{} fits the smaller value", pending.key);
+        writer.on_applied(&pending.key);
+        stored.push((pending.key, pending.value));
     }
-    let read = lupinspur_recovery::read(stored.iter().map(|(k, v)| (k.as_str(), v))).expect("a checkpoint");
-    assert_eq!(read.open.len(), 30);
-    for o in read.open {
-        assert_eq!((&o.value, o.version), (&record(number(&o.id)), u64::from(number(&o.id)) + 1));
-        let old: frozen::JobRecord = serde_json::from_value(o.value.clone()).expect("production reads it");
-        assert_eq!(old.job.id, o.id);
-        lupinspur::shard::parse_job_record(&jobs::job_key(&o.id), &o.value).expect("so does this version");
+    let checkpoint =
+        lupinspur_recovery::read(stored.iter().map(|(key, value)| (key.as_str(), value))).expect("a checkpoint");
+    assert_eq!(checkpoint.open.len(), 30);
+    for job in checkpoint.open {
+        assert_eq!((&job.value, job.version), (&record(number_of(&job.id)), u64::from(number_of(&job.id)) + 1));
+        let old: frozen::JobRecord = serde_json::from_value(job.value.clone()).expect("production reads it");
+        assert_eq!(old.job.id, job.id);
+        lupinspur::shard::parse_job_record(&jobs::job_key(&job.id), &job.value).expect("so does this version");
     }
 }
 
@@ -354,17 +364,17 @@
         ],
         top in proptest::prelude::any::<bool>(),
     ) {
-        let mut v = json!({"job": {"id": "req-1", "breed": "match", "herd": "red", "habit": "batch",
+        let mut record = json!({"job": {"id": "req-1", "breed": "match", "herd": "red", "habit": "batch",
             "precedence": "idle", "seeds": 3, "cpus": 1.5, "cards": 0.0, "memory_gb": 2.0, "strains": null,
             "field": null, "same_place": false, "scatter": true, "fallow": true, "bulb": "img-1", "pull_gb": 0.5,
             "expected_s": 20.0, "pressing_s": 0.0, "pressing_cost_s": 0.0, "harvest_s": 5.0, "awaits": ["req-2"]},
             "at_ms": 17, "phase": "open", "ended_ms": 3});
-        let at = if top { &mut v } else { &mut v["job"] };
-        let names: Vec<String> = at.as_object().expect("an object").keys().cloned().collect();
-        at[&names[field % names.len()]] = with;
-        match lupinspur::shard::parse_job_record("job/req-1", &v) {
-            Ok(r) => proptest::prop_assert_eq!(r.job.id.as_str(), "req-1"),
-            Err(e) => proptest::prop_assert!(!e.is_empty()),
+        let object = if top { &mut record } else { &mut record["job"] };
+        let names: Vec<String> = object.as_object().expect("an object").keys().cloned().collect();
+        object[&names[field % names.len()]] = with;
+        match lupinspur::shard::parse_job_record("job/req-1", &record) {
+            Ok(parsed) => proptest::prop_assert_eq!(parsed.job.id.as_str(), "req-1"),
+            Err(error) => proptest::prop_assert!(!error.is_empty()),
         }
     }
 }
--- a/tests/soak/play.rs
+++ b/tests/soak/play.rs
@@ -136,20 +136,20 @@
     }
 
     fn alive(&self) -> Vec<usize> {
-        (0..NODES).filter(|i| self.cluster.nodes.0[*i].is_some()).collect()
+        (0..NODES).filter(|node| self.cluster.nodes.0[*node].is_some()).collect()
     }
 
     fn leader(&self) -> Option<usize> {
-        self.cluster.leader().filter(|i| self.cluster.nodes.0[*i].is_some())
+        self.cluster.leader().filter(|node| self.cluster.nodes.0[*node].is_some())
     }
 
     fn kill(&mut self, nodes: Vec<usize>) -> Option<Undo> {
-        nodes.iter().for_each(|i| self.cluster.kill(*i));
+        nodes.iter().for_each(|node| self.cluster.kill(*node));
         (!nodes.is_empty()).then_some(Undo::Start(nodes))
     }
 
     fn suspend(&mut self, nodes: Vec<usize>) -> Option<Undo> {
-        nodes.iter().for_each(|i| self.cluster.signal(*i, "-STOP"));
+        nodes.iter().for_each(|node| self.cluster.signal(*node, "-STOP"));
         (!nodes.is_empty()).then_some(Undo::Resume(nodes))
     }
 
@@ -159,19 +159,19 @@
         match kind {
             Kind::LeaderKilled => self.kill(leader.into_iter().collect()),
             Kind::FollowerKilled => {
-                let others: Vec<usize> = self.alive().into_iter().filter(|i| Some(*i) != leader).collect();
+                let others: Vec<usize> = self.alive().into_iter().filter(|node| Some(*node) != leader).collect();
                 self.kill(others.into_iter().take(1).collect())
             }
             Kind::AllKilled => self.kill(self.alive()),
             Kind::LeaderSuspended => self.suspend(leader.into_iter().collect()),
             Kind::AllSuspended => self.suspend(self.alive()),
-            Kind::LeaderRefused => leader.map(|i| {
-                lock(&store).faults.refused.insert(i);
-                Undo::Accept(i)
+            Kind::LeaderRefused => leader.map(|node| {
+                lock(&store).faults.refused.insert(node);
+                Undo::Accept(node)
             }),
-            Kind::LeaderCutFromPeers => leader.map(|i| {
-                self.cluster.links.isolate(i, true);
-                Undo::Reconnect(i)
+            Kind::LeaderCutFromPeers => leader.map(|node| {
+                self.cluster.links.isolate(node, true);
+                Undo::Reconnect(node)
             }),
             Kind::Outage => {
                 lock(&store).set_outage(true);
@@ -210,13 +210,13 @@
     fn end(&mut self, undo: Undo) {
         let store = self.cluster.store.clone();
         match undo {
-            Undo::Start(nodes) => nodes.into_iter().for_each(|i| self.cluster.start_controller(i)),
+            Undo::Start(nodes) => nodes.into_iter().for_each(|node| self.cluster.start_controller(node)),
             Undo::Resume(nodes) => {
                 let alive = self.alive();
-                nodes.iter().filter(|i| alive.contains(i)).for_each(|i| self.cluster.signal(*i, "-CONT"));
+                nodes.iter().filter(|node| alive.contains(node)).for_each(|node| self.cluster.signal(*node, "-CONT"));
             }
-            Undo::Accept(i) => _ = lock(&store).faults.refused.remove(&i),
-            Undo::Reconnect(i) => self.cluster.links.isolate(i, false),
+            Undo::Accept(node) => _ = lock(&store).faults.refused.remove(&node),
+            Undo::Reconnect(node) => self.cluster.links.isolate(node, false),
             Undo::EndOutage => lock(&store).set_outage(false),
             Undo::EndSlowRequests => lock(&store).faults.slow_requests = Duration::ZERO,
             Undo::EndLateTransactions => lock(&store).faults.delay_one_in = 0,
--- a/tests/traces/machine_groups.rs
+++ b/tests/traces/machine_groups.rs
@@ -40,33 +40,34 @@
 fn many_small_services_fill_their_machines_whatever_a_value_can_name() {
     let mut world = world();
     world.event(0.0, "takeover", &["10"]);
-    for i in 0..24 {
-        world.event(0.1, "report", &[&format!("host-{i:06}"), "seq=1"]);
-        world.event(0.6, "report", &[&format!("host-{i:06}"), "seq=2", "token=10"]);
+    for number in 0..24 {
+        world.event(0.1, "report", &[&format!("host-{number:06}"), "seq=1"]);
+        world.event(0.6, "report", &[&format!("host-{number:06}"), "seq=2", "token=10"]);
     }
     // One large array has run on all machines, so that they share one value.
     world.event(0.7, "job", &["req-1", "cpus=32", "tasks=24"]);
     world.event(0.7, "write", &[]);
     world.event(0.7, "direct", &[]);
-    for i in 0..24 {
-        let machine = world.machine(&format!("host-{i:06}"));
-        let (key, held) = world.shard().machines[machine].assignments.iter().next().expect("a task on each machine");
-        let task = format!("req-1/{}@{}:done", key.task, attempt_text(held.attempt));
-        world.event(0.8, "report", &[&format!("host-{i:06}"), "seq=3", "token=10", &task]);
+    for number in 0..24 {
+        let machine = world.machine(&format!("host-{number:06}"));
+        let (key, assignment) =
+            world.shard().machines[machine].assignments.iter().next().expect("a task on each machine");
+        let task = format!("req-1/{}@{}:done", key.task, attempt_text(assignment.attempt));
+        world.event(0.8, "report", &[&format!("host-{number:06}"), "seq=3", "token=10", &task]);
     }
     world.event(0.8, "write", &[]);
-    for i in 0..350 {
-        world.event(0.9, "job", &[&format!("req-{i:06}"), "cpus=2", "service", "nospot"]);
+    for number in 0..350 {
+        world.event(0.9, "job", &[&format!("req-{number:06}"), "cpus=2", "service", "nospot"]);
     }
-    let mut held = 0;
+    let mut placed = 0;
     for step in 0..16 {
         let now = 1.0 + f64::from(step) * 0.6;
         world.event(now, "tick", &[]);
         world.event(now, "write", &[]);
-        for i in 0..24 {
+        for number in 0..24 {
             let seq = format!("seq={}", step + 4);
             // The machine runs every task that it was sent a start command for.
-            let name = format!("host-{i:06}");
+            let name = format!("host-{number:06}");
             let machine = world.machine(&name);
             let shard = world.shard();
             let started = shard.machines[machine]
@@ -81,9 +82,9 @@
             args.extend(tasks.iter().map(String::as_str));
             world.event(now + 0.1, "report", &args);
         }
-        held = world.shard().machines.iter().map(|(_, machine)| machine.assignments.len()).sum();
+        placed = world.shard().machines.iter().map(|(_, machine)| machine.assignments.len()).sum();
     }
-    assert_eq!(held, 350, "all 350 services should be placed");
+    assert_eq!(placed, 350, "all 350 services should be placed");
     let (_, _, largest_bytes) = recorded(&world);
     assert!(largest_bytes <= 4096, "the largest value should have at most 4096 bytes; it has {largest_bytes}");
 }
@@ -92,7 +93,7 @@
 /// the largest value.
 fn recorded(world: &World) -> (BTreeMap<String, BTreeSet<String>>, Vec<String>, usize) {
     let (mut jobs, mut machines, mut largest_bytes) = (BTreeMap::new(), Vec::new(), 0);
-    for (_, (value, _)) in world.store.iter().filter(|(k, _)| k.starts_with(MACHINE_GROUP_PREFIX)) {
+    for (_, (value, _)) in world.store.iter().filter(|(key, _)| key.starts_with(MACHINE_GROUP_PREFIX)) {
         largest_bytes = largest_bytes.max(value.to_string().len());
         let group: MachineGroupRecord = serde_json::from_value(value.clone()).expect("a machine group");
         for member in &group.machines {
@@ -110,12 +111,12 @@
 fn large_racks_are_replaced_with_no_moment_in_which_a_machine_is_unrecorded() {
     let mut world = world();
     world.event(0.0, "takeover", &["10"]);
-    for i in 0..15 {
-        world.event(0.1, "report", &[&format!("host-{i:06}"), "seq=1"]);
-        world.event(0.6, "report", &[&format!("host-{i:06}"), "seq=2", "token=10"]);
+    for number in 0..15 {
+        world.event(0.1, "report", &[&format!("host-{number:06}"), "seq=1"]);
+        world.event(0.6, "report", &[&format!("host-{number:06}"), "seq=2", "token=10"]);
     }
-    for i in 0..30 {
-        world.event(0.7, "job", &[&format!("req-{i:030}"), "cpus=16", "nospot"]);
+    for number in 0..30 {
+        world.event(0.7, "job", &[&format!("req-{number:030}"), "cpus=16", "nospot"]);
     }
     world.event(0.8, "write", &[]);
     let (before, _, largest_bytes) = recorded(&world);
--- a/tests/traces/placing.rs
+++ b/tests/traces/placing.rs
@@ -11,19 +11,19 @@
 fn heartbeat_cost(machines: usize, waiting: usize) -> u64 {
     let mut world = world();
     world.event(0.0, "takeover", &["10"]);
-    for i in 0..machines {
-        world.event(0.1, "report", &[&format!("h{i}"), "seq=1"]);
-        world.event(0.6, "report", &[&format!("h{i}"), "seq=2", "token=10"]);
+    for number in 0..machines {
+        world.event(0.1, "report", &[&format!("h{number}"), "seq=1"]);
+        world.event(0.6, "report", &[&format!("h{number}"), "seq=2", "token=10"]);
     }
     world.event(1.0, "job", &["req-1", "cpus=32", &format!("tasks={machines}")]);
     world.event(1.0, "write", &[]);
     world.event(1.0, "direct", &[]);
-    for i in 0..waiting {
-        world.event(1.1, "job", &[&format!("req-{}", i + 2), "cpus=32"]);
+    for number in 0..waiting {
+        world.event(1.1, "job", &[&format!("req-{}", number + 2), "cpus=32"]);
     }
     let machine = world.machine("h0");
-    let (key, held) = world.shard().machines[machine].assignments.iter().next().expect("a task on each machine");
-    let task = format!("req-1/{}@{}:done", key.task, attempt_text(held.attempt));
+    let (key, assignment) = world.shard().machines[machine].assignments.iter().next().expect("a task on each machine");
+    let task = format!("req-1/{}@{}:done", key.task, attempt_text(assignment.attempt));
     let before = world.shard().pairs_examined;
     world.event(2.0, "report", &["h0", "seq=3", "token=10", &task]);
     assert_eq!(world.shard().machines[machine].assignments.len(), 1, "the next job should be placed on the machine");
@@ -106,8 +106,8 @@
         let machine = world.machine(name);
         world.shard().machines[machine].in_on_demand_base = true;
     }
-    for i in 1..=8 {
-        world.event(1.0, "job", &[&format!("req-{i}"), "cpus=2", "service", "nospot"]);
+    for number in 1..=8 {
+        world.event(1.0, "job", &[&format!("req-{number}"), "cpus=2", "service", "nospot"]);
     }
     let services: Vec<usize> = world.shard().machines.iter().map(|(_, machine)| machine.service_tasks).collect();
     assert_eq!(services, [4, 4]);
