--- a/examples/own_site.rs
+++ b/examples/own_site.rs
@@ -178,8 +178,8 @@
 struct Site {
     nodes: i64,
     machines: f64,
-    warm: f64,
-    end: f64,
+    warmup_s: f64,
+    end_s: f64,
     zone: String,
     services: Vec<String>,
     arrays: Vec<String>,
@@ -208,8 +208,8 @@
         Some(Site {
             nodes: site.get("nodes")?.get("count")?.as_integer()?,
             machines: zones(site).iter().map(|(_, capacity)| capacity).sum(),
-            warm: site.get("warmup_s").and_then(number).unwrap_or(100.0),
-            end: site.get("duration_s").and_then(number)?,
+            warmup_s: site.get("warmup_s").and_then(number).unwrap_or(100.0),
+            end_s: site.get("duration_s").and_then(number)?,
             zone: largest_zone(site),
             services: of_kind("service"),
             arrays: of_kind("array"),
@@ -244,7 +244,7 @@
                 run * 1.5
             )
         };
-        let at = |s: f64| self.warm + s;
+        let at = |seconds: f64| self.warmup_s + seconds;
         let mut jobs: String = self.arrays.iter().map(|a| format!("  {{ name = \"{a}\", broken = 0.1 }},\n")).collect();
         jobs += &job(
             "own-vast",
@@ -274,7 +274,7 @@
     fn days(&self) -> Vec<(&'static str, Vec<String>)> {
         const LEADER: &str = "count = 1, busiest = true";
         let all = self.all();
-        let (start, zone) = (self.warm + 25.0, &self.zone);
+        let (start, zone) = (self.warmup_s + 25.0, &self.zone);
         let crash = |at: f64, selector: &str| fault(at, "node_crash", selector);
         let cut = |at: f64, for_s: f64| {
             fault(at, "zone_cut", &format!("zone = \"{zone}\", for_s = {for_s:.1}, mode = \"hold\""))
@@ -394,13 +394,13 @@
         }
         for (_, faults) in &mut days {
             if self.upgrade {
-                faults.insert(0, fault(self.warm + 5.0, "node_roll", "every_s = 3.0, upgrade = true"));
+                faults.insert(0, fault(self.warmup_s + 5.0, "node_roll", "every_s = 3.0, upgrade = true"));
             }
             // Faults close to the end of the day leave no time to observe their effects.
             let at = |line: &String| {
                 line.split("at_s = ").nth(1).and_then(|rest| rest.split(',').next()?.parse::<f64>().ok())
             };
-            faults.retain(|line| at(line).is_some_and(|at_s| at_s < self.end - 40.0));
+            faults.retain(|line| at(line).is_some_and(|at_s| at_s < self.end_s - 40.0));
             faults.sort_by(|a, b| at(a).partial_cmp(&at(b)).unwrap_or(std::cmp::Ordering::Equal));
         }
         days
--- a/tests/loopback/answers_across_nodes.rs
+++ b/tests/loopback/answers_across_nodes.rs
@@ -259,9 +259,9 @@
 /// that.
 #[test]
 fn no_answer_is_older_across_three_cells_while_each_controller_is_started_again() {
-    const SHARDS_FILE: &str = "cells = 3\npicture_s = 0.5\nspill_after_s = 0.5\nspill_gain_s = 1.0\n\
+    const SHARDING_FILE: &str = "cells = 3\npicture_s = 0.5\nspill_after_s = 0.5\nspill_gain_s = 1.0\n\
         [[team]]\nname = \"red\"\ncell = 0\n[[team]]\nname = \"n1\"\ncell = 1\n[[team]]\nname = \"n2\"\ncell = 2\n";
-    let size = Size { cells: Some(SHARDS_FILE.into()), ..Size::of(NODES, 12, 4) };
+    let size = Size { sharding_file: Some(SHARDING_FILE.into()), ..Size::of(NODES, 12, 4) };
     let mut cluster = Cluster::start("answers-cells", size);
     let shards_with_leader = |cluster: &Cluster| {
         let store = lock(&cluster.store);
--- a/tests/loopback/cells.rs
+++ b/tests/loopback/cells.rs
@@ -19,7 +19,7 @@
     let text = "cells = 3\npicture_s = 0.5\nspill_after_s = 0.5\nspill_gain_s = 1.0\n\
         [[team]]\nname = \"red\"\ncell = 0\n[[team]]\nname = \"n1\"\ncell = 1\n\
         [[team]]\nname = \"n2\"\ncell = 2\n[[team]]\nname = \"s1\"\ncell = 2\n";
-    let size = Size { cpus_max: LIMIT as f64, cells: Some(text.into()), ..Size::of(3, 12, 9) };
+    let size = Size { cpus_max: LIMIT as f64, sharding_file: Some(text.into()), ..Size::of(3, 12, 9) };
     let mut cluster = Cluster::start("cells", size);
     let listen = cluster.listen.clone();
     let user = User { client: Client::new(0, 0) };
@@ -143,7 +143,7 @@
     let merging =
         |cluster: &Cluster| lock(&cluster.store).keys.get("own/0").is_some_and(|record| record.0["merging"] == true);
     let restart_with_file = |cluster: &mut Cluster, text: &str| {
-        std::fs::write(cluster.dir.join("cells.toml"), text).expect("the file of shards is written");
+        std::fs::write(cluster.dir.join("cells.toml"), text).expect("the sharding file is written");
         for node in 0..3 {
             cluster.kill(node);
             cluster.start_controller(node);
@@ -193,7 +193,7 @@
 fn idle_machines_go_to_the_cell_that_is_short() {
     let text = "cells = 2\npicture_s = 0.5\nspill_gain_s = 3600.0\nreassign_after_s = 1.0\n\
         [[team]]\nname = \"red\"\ncell = 0\n[[team]]\nname = \"n1\"\ncell = 1\n";
-    let size = Size { cells: Some(text.into()), ..Size::of(3, 10, 9) };
+    let size = Size { sharding_file: Some(text.into()), ..Size::of(3, 10, 9) };
     let mut cluster = Cluster::start("moves", size);
     let listen = cluster.listen.clone();
     let user = User { client: Client::new(0, 0) };
--- a/tests/loopback/cluster.rs
+++ b/tests/loopback/cluster.rs
@@ -157,8 +157,8 @@
         if let Some(text) = &size.quotas {
             std::fs::write(dir.join("quotas.toml"), text).expect("the quota file is written");
         }
-        if let Some(text) = &size.cells {
-            std::fs::write(dir.join("cells.toml"), text).expect("the file of shards is written");
+        if let Some(text) = &size.sharding_file {
+            std::fs::write(dir.join("cells.toml"), text).expect("the sharding file is written");
         }
         if let Some(text) = &size.elastic {
             std::fs::write(dir.join("elastic.toml"), text).expect("the file for elastic jobs is written");
--- a/tests/loopback/settings.rs
+++ b/tests/loopback/settings.rs
@@ -17,7 +17,7 @@
     size: &Size,
 ) -> String {
     // Clusters with nested quotas or several shards have three more teams, each with a guarantee of two cpus.
-    let more_teams = match size.quotas.as_ref().or(size.cells.as_ref()) {
+    let more_teams = match size.quotas.as_ref().or(size.sharding_file.as_ref()) {
         Some(_) => {
             ["n1", "n2", "s1"].map(|team| format!("[[cluster.teams]]\nname = \"{team}\"\ncpus = 2.0\n")).concat()
         }
@@ -62,8 +62,8 @@
     pub quotas: Option<String>,
     /// The text of the file for elastic jobs, if they are enabled.
     pub elastic: Option<String>,
-    /// The text of the file of shards, if there are several.
-    pub cells: Option<String>,
+    /// The text of the sharding file, if there are several shards.
+    pub sharding_file: Option<String>,
     /// Whether the connections between controllers can be cut.
     pub cuttable: bool,
 }
@@ -83,7 +83,7 @@
             teams: Vec::new(),
             quotas: None,
             elastic: None,
-            cells: None,
+            sharding_file: None,
             cuttable: false,
         }
     }
--- a/tests/loopback/several_cells.rs
+++ b/tests/loopback/several_cells.rs
@@ -18,7 +18,7 @@
 /// The limited team and its limit in cpus.
 pub const LIMITED: &str = "blue";
 pub const LIMIT: usize = 6;
-const SHARDS_FILE: &str = "cells = 3\npicture_s = 0.5\nspill_after_s = 0.5\nspill_gain_s = 1.0\n\
+const SHARDING_FILE: &str = "cells = 3\npicture_s = 0.5\nspill_after_s = 0.5\nspill_gain_s = 1.0\n\
     reassign_after_s = 600.0\n\
     [[team]]\nname = \"red\"\ncell = 1\n[[team]]\nname = \"n1\"\ncell = 1\n[[team]]\nname = \"blue\"\ncell = 1\n";
 const WORKERS: usize = 9;
@@ -30,7 +30,7 @@
 pub fn start(name: &str, cancel: Duration) -> Cluster {
     let teams = vec![(LIMITED, LIMIT as f64)];
     let size = Size {
-        cells: Some(SHARDS_FILE.into()),
+        sharding_file: Some(SHARDING_FILE.into()),
         teams,
         cancel,
         leadership_ttl: LEADERSHIP_TTL,
