--- a/tests/loopback/fault_combinations_answers.rs
+++ b/tests/loopback/fault_combinations_answers.rs
@@ -41,7 +41,7 @@
         if known_since.is_none() && matches!(state, Some(JobState::Done | JobState::Cancelled)) {
             known_since = Some(Instant::now());
         }
-        if known_since.is_some_and(|t| t.elapsed() > POLLED_AFTER_END) {
+        if known_since.is_some_and(|since| since.elapsed() > POLLED_AFTER_END) {
             return;
         }
         assert!(began.elapsed() < END_TIMEOUT, "controller {node} does not report the end of {id}");
@@ -146,8 +146,8 @@
     no_answer_is_older(&cluster, &Answers::of(&cluster), |_| {});
 }
 
-/// One in four transactions is applied 2 s late, after newer ones of the same controller, and never answered. The leader
-/// is paused for longer than its lease meanwhile.
+/// One in four transactions is applied 2 s late, after newer ones of the same controller, and never answered. The
+/// leader is paused for longer than its lease meanwhile.
 #[test]
 fn no_answer_is_older_while_transactions_are_applied_late() {
     let cluster = start("late-transactions");
--- a/tests/loopback/leader_changes.rs
+++ b/tests/loopback/leader_changes.rs
@@ -17,14 +17,14 @@
 
 /// Cuts all workers off from this controller, and from all commands, until it has given up leadership.
 fn cut_off_until_it_steps_down(cluster: &Cluster, leader: usize) {
-    for w in lock(&cluster.workers).iter_mut() {
-        w.cut_from.insert(leader);
-        w.drops_commands = true;
+    for worker in lock(&cluster.workers).iter_mut() {
+        worker.cut_from.insert(leader);
+        worker.drops_commands = true;
     }
     cluster.wait_for_leader_other_than(leader);
-    for w in lock(&cluster.workers).iter_mut() {
-        w.cut_from.clear();
-        w.drops_commands = false;
+    for worker in lock(&cluster.workers).iter_mut() {
+        worker.cut_from.clear();
+        worker.drops_commands = false;
     }
 }
 
@@ -90,9 +90,9 @@
     services.finish(&cluster, 7);
 }
 
-/// Ten failovers within seconds, in a fifth of the time that the day of the test protocol takes for them. Each time the leader is
-/// refused alone until another one leads, or ends and restarts; twice it ends during an outage. At each failover a job is
-/// cancelled and two workers are cut off.
+/// Ten failovers within seconds, five times as fast as ten failovers in the simulated day of the test protocol. Each
+/// time the state service refuses the leader alone until another one leads, or the leader ends and restarts; twice it
+/// ends during an outage. At each failover a job is cancelled and two workers are cut off.
 #[test]
 fn leaders_change_ten_times_also_inside_an_outage() {
     const CHANGES: usize = 10;
@@ -142,7 +142,7 @@
         services.wait_until_stopped(&cluster, change + 1);
     }
     cluster.cloud_down.store(false, Ordering::Relaxed);
-    let changes = leaders.windows(2).filter(|w| w[0] != w[1]).count();
+    let changes = leaders.windows(2).filter(|pair| pair[0] != pair[1]).count();
     assert!(
         changes == CHANGES && began.elapsed() < ALL_WITHIN,
         "{changes} changes of leader in {:?}: {leaders:?}",
