--- a/crates/model/src/spells.rs
+++ b/crates/model/src/active_faults.rs
@@ -1,7 +1,7 @@
 //! Injection of faults of machines, heartbeats and users, and the active faults among them.
 
+use crate::faults::{FaultKind, InjectedFault};
 use crate::machines::TaskPhase;
-use crate::trouble::{FaultKind, InjectedFault};
 use crate::world::World;
 use std::collections::BTreeSet;
 
--- a/crates/model/src/controllers.rs
+++ b/crates/model/src/controllers.rs
@@ -1,11 +1,11 @@
 //! Controllers: the I/O around each leader's decisions, and the rental of machines.
 
 use crate::elections::ElectionState;
+use crate::faults::WrongDecision;
 use crate::machines::Machine;
 use crate::messages::{Message, PUSH_RESPONSE_LIMIT_S};
 use crate::shard_exchange::{SharedState, belongs_to_shard};
 use crate::transactions::LeaderCommit;
-use crate::trouble::WrongDecision;
 use crate::world::{World, ZONES};
 use crate::wrong_decisions;
 use crate::{LEADER_LEASE_S, STEP_S};
--- a/crates/model/src/failover.rs
+++ b/crates/model/src/failover.rs
@@ -1,8 +1,8 @@
 //! How a new leader loads the stored state and begins to lead.
 
+use crate::faults::WrongDecision;
 use crate::shard_exchange::{LEDGER_KEY, belongs_to_shard, shard_keys};
 use crate::stored::{self, types};
-use crate::trouble::WrongDecision;
 use crate::world::World;
 use crate::{LEADER_LEASE_S, STEP_S};
 use lupinspur_scheduler::params::Tuning;
--- a/crates/model/src/odd_requests.rs
+++ b/crates/model/src/invalid_requests.rs
@@ -1,8 +1,8 @@
 //! Invalid requests: submissions that cannot run or lack a field, cancellations of jobs that are done, and polls of
 //! unknown jobs.
 
+use crate::faults::WrongDecision;
 use crate::stored::known_types;
-use crate::trouble::WrongDecision;
 use crate::world::World;
 use lupinspur_histories::{Answer, Request, Unfit};
 use lupinspur_scheduler::jobs::{JobRecord, job_key};
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -6,15 +6,15 @@
 //! `lupinspur simulate` runs scenario files.
 //!
 //! - [`scenario`]: scenarios and their file format
-//! - [`trouble`]: the kinds of faults, and deliberately wrong decisions
+//! - [`faults`]: the kinds of faults, and deliberately wrong decisions
 //! - `world`: the state of the cluster, and the main loop
 //! - `controllers`, `shard_exchange`: the I/O around the decisions, of one shard and between shards
 //! - `elections`, `transactions`: leases, leadership records and writes in flight to the state service and back
 //! - `failover`: how a new leader begins
 //! - `machines`, `store`, `users`, `messages`: the stand-ins
 //! - `work`: the jobs that users submit
-//! - `spells`: injection of faults of users, machines and heartbeats
-//! - `questions`, `odd_requests`, `late_reports`: polls after events, invalid requests, and duplicated heartbeats
+//! - `active_faults`: injection of faults of users, machines and heartbeats
+//! - `questions`, `invalid_requests`, `delayed_heartbeats`: polls after events, invalid requests, and duplicated heartbeats
 //! - `pipelines`: jobs that depend on others
 //! - `rules`, `cancelled`, `waiting`: the checks
 //! - `wrong_decisions`: deliberately wrong decisions
@@ -25,27 +25,27 @@
 // Decisions must not depend on the iteration order of a hash map, which differs between runs.
 #![warn(clippy::iter_over_hash_type)]
 
+mod active_faults;
 mod cancelled;
 pub mod coincidences;
 mod controllers;
+mod delayed_heartbeats;
 mod elections;
 mod failover;
-mod late_reports;
+pub mod faults;
+mod invalid_requests;
 mod machines;
 mod messages;
 mod observer;
-mod odd_requests;
 mod pipelines;
 mod questions;
 pub mod report;
 mod rules;
 pub mod scenario;
 mod shard_exchange;
-mod spells;
 mod store;
 pub mod stored;
 mod transactions;
-pub mod trouble;
 mod users;
 mod waiting;
 mod work;
@@ -53,13 +53,13 @@
 mod wrong_decisions;
 
 pub use coincidences::Coincidences;
-pub use lupinspur_files::Fault;
-pub use report::{Counts, Run, play, simulate};
-pub use scenario::Scenario;
-pub use trouble::{
+pub use faults::{
     CONTROLLER_FAULT_KINDS, FAULT_KINDS, FaultKind, InjectedFault, LEADER, SAME_LEADER, USER_AND_MACHINE_FAULT_KINDS,
     WrongDecision,
 };
+pub use lupinspur_files::Fault;
+pub use report::{Counts, Run, play, simulate};
+pub use scenario::Scenario;
 pub use work::Work;
 
 /// Virtual time of one step of the simulation, in seconds.
--- a/crates/model/src/machines.rs
+++ b/crates/model/src/machines.rs
@@ -1,7 +1,7 @@
 //! Machines: their leases, their tasks, the heartbeats that they send and the commands that they execute.
 
+use crate::faults::WrongDecision;
 use crate::messages::Message;
-use crate::trouble::WrongDecision;
 use crate::users::job_done;
 use crate::world::{World, ZONES};
 use crate::{HEARTBEAT_INTERVAL_S, MACHINE_LEASE_S};
--- a/crates/model/src/messages.rs
+++ b/crates/model/src/messages.rs
@@ -1,8 +1,8 @@
 //! Messages in flight between controllers, machines, the state service and the cloud, and their delivery.
 
 use crate::elections::ElectionMessage;
+use crate::faults::WrongDecision;
 use crate::transactions::{CommitOutcome, LeaderCommit};
-use crate::trouble::WrongDecision;
 use crate::world::World;
 use lupinspur_scheduler::election::{LEADERSHIP_KEY, shard_leadership_key};
 use lupinspur_scheduler::shard::{HeartbeatOutcome, PushOutcome, PushRequest};
--- a/crates/model/src/questions.rs
+++ b/crates/model/src/questions.rs
@@ -1,6 +1,6 @@
 //! Users who poll every controller repeatedly right after an event of their job, and submit the job again.
 
-use crate::trouble::WrongDecision;
+use crate::faults::WrongDecision;
 use crate::world::World;
 use lupinspur_histories::{Answer, Request};
 use lupinspur_wire::JobState;
--- a/crates/model/src/report.rs
+++ b/crates/model/src/report.rs
@@ -1,8 +1,8 @@
 //! The result of a scenario, and functions that run it.
 
 use crate::coincidences::Coincidences;
+use crate::faults::{InjectedFault, WrongDecision, random_faults};
 use crate::scenario::Scenario;
-use crate::trouble::{InjectedFault, WrongDecision, random_faults};
 use crate::world::World;
 use lupinspur_wire::JobState;
 use serde::Serialize;
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -1,6 +1,6 @@
 //! Scenario files: the size of a deployment, its work, and the faults injected into it.
 
-use crate::trouble::InjectedFault;
+use crate::faults::InjectedFault;
 use crate::work::Work;
 use garde::Validate;
 use lupinspur_files::{Fault, out_of_bounds};
--- a/crates/model/src/shard_exchange.rs
+++ b/crates/model/src/shard_exchange.rs
@@ -2,9 +2,9 @@
 //! around the decisions of crates/sharding.
 
 use crate::controllers::Node;
+use crate::faults::WrongDecision;
 use crate::messages::Message;
 use crate::stored::{self, Keys};
-use crate::trouble::WrongDecision;
 use crate::world::World;
 use lupinspur_scheduler::jobs::{JobRecord, Phase, job_key};
 use lupinspur_sharding::ShardId;
--- a/crates/model/src/transactions.rs
+++ b/crates/model/src/transactions.rs
@@ -1,10 +1,10 @@
 //! Requests to the state service in flight: their latency, lost responses, late execution, and what a leader does
 //! about a write whose outcome it does not know.
 
+use crate::faults::WrongDecision;
 use crate::messages::Message;
 use crate::observer::SLOW_RESPONSE_S;
 use crate::shard_exchange::{stored_key, stored_mutation};
-use crate::trouble::WrongDecision;
 use crate::world::World;
 use lupinspur_scheduler::jobs::job_key;
 use lupinspur_scheduler::shard::{PendingWrite, WritePurpose};
--- a/crates/model/src/users.rs
+++ b/crates/model/src/users.rs
@@ -1,7 +1,7 @@
 //! Users: their submissions, polls and cancellations, and the answers to them.
 
+use crate::faults::WrongDecision;
 use crate::transactions::Submitted;
-use crate::trouble::WrongDecision;
 use crate::world::World;
 use lupinspur_histories::{Answer, Request};
 use lupinspur_scheduler::jobs::{JobRecord, Phase, job_key};
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -1,7 +1,9 @@
 //! The simulated cluster, in virtual time: its state, the injection of faults, and the main loop.
 
+use crate::active_faults::ActiveFaults;
 use crate::controllers::{Node, Rental};
-use crate::late_reports::HeartbeatCopies;
+use crate::delayed_heartbeats::HeartbeatCopies;
+use crate::faults::{FaultKind, InjectedFault, LEADER, SAME_LEADER, WrongDecision};
 use crate::machines::Machine;
 use crate::messages::Message;
 use crate::observer::Observer;
@@ -9,10 +11,8 @@
 use crate::report::Counts;
 use crate::scenario::{self, Scenario};
 use crate::shard_exchange::{LEDGER_KEY, SharedState, put};
-use crate::spells::ActiveFaults;
 use crate::store::Store;
 use crate::transactions::StateServiceFaults;
-use crate::trouble::{FaultKind, InjectedFault, LEADER, SAME_LEADER, WrongDecision};
 use crate::users::Job;
 use crate::work::spec;
 use crate::{ACTS_PAST_LEASE_S, CANCELLATION_LIMIT_S, HEARTBEAT_INTERVAL_S, MACHINE_LEASE_S, STEP_S};
--- a/crates/model/src/wrong_decisions.rs
+++ b/crates/model/src/wrong_decisions.rs
@@ -1,7 +1,7 @@
 //! Deliberately wrong decisions of leaders and machines, by which the tests prove that the checks detect them.
 
+use crate::faults::WrongDecision;
 use crate::machines::Machine;
-use crate::trouble::WrongDecision;
 use crate::world::World;
 use lupinspur_scheduler::shard::{PushOutcome, PushRequest, Shard};
 use lupinspur_wire::{Command, CommandKind, ExitReason, Heartbeat, TaskReport, TaskState};
--- a/crates/scheduler/tests/shard/attempts.rs
+++ b/crates/scheduler/tests/shard/attempts.rs
@@ -1,6 +1,6 @@
 //! Heartbeats that list several attempts of one task, and the numbers of attempts.
 
-use crate::world::{ShardHarness, TOKEN, heartbeat, heartbeat_with_token, job, task_names};
+use crate::harness::{ShardHarness, TOKEN, heartbeat, heartbeat_with_token, job, task_names};
 use lupinspur_scheduler::wire::{CommandKind, JobState};
 use serde_json::json;
 
--- a/crates/scheduler/tests/shard/cancellation.rs
+++ b/crates/scheduler/tests/shard/cancellation.rs
@@ -1,6 +1,6 @@
 //! When the end of a job is reported to users, and its effects on tasks and dependent jobs.
 
-use crate::world::{ShardHarness, heartbeat, job, task_names};
+use crate::harness::{ShardHarness, heartbeat, job, task_names};
 use lupinspur_scheduler::wire::{CommandKind, JobState};
 use serde_json::json;
 
--- a/crates/scheduler/tests/shard/checkpoint.rs
+++ b/crates/scheduler/tests/shard/checkpoint.rs
@@ -1,6 +1,6 @@
 //! When a checkpoint may be written, and which job records are valid.
 
-use crate::world::{ShardHarness, heartbeat, job};
+use crate::harness::{ShardHarness, heartbeat, job};
 use lupinspur_scheduler::jobs::JobRecord;
 use lupinspur_scheduler::shard::parse_job_record;
 use serde_json::json;
--- a/crates/scheduler/tests/shard/dependencies.rs
+++ b/crates/scheduler/tests/shard/dependencies.rs
@@ -1,6 +1,6 @@
 //! The states that a new leader reports for jobs whose dependencies ended before the checkpoint that it loaded.
 
-use crate::world::{ShardHarness, job};
+use crate::harness::{ShardHarness, job};
 use lupinspur_scheduler::jobs::{JobRecord, Phase};
 use lupinspur_scheduler::wire::JobState;
 use serde_json::json;
--- a/crates/scheduler/tests/shard/ends.rs
+++ b/crates/scheduler/tests/shard/ends.rs
@@ -1,6 +1,6 @@
 //! Cancellations and ends of jobs that arrive between two steps of the leader.
 
-use crate::world::{ShardHarness, heartbeat, job, task_names};
+use crate::harness::{ShardHarness, heartbeat, job, task_names};
 use lupinspur_scheduler::fleet::Phase as MachinePhase;
 use lupinspur_scheduler::jobs::{JobRecord, Phase, job_key};
 use lupinspur_scheduler::wire::{CommandKind, JobState, ListedMachine};
--- a/crates/scheduler/tests/shard/failover.rs
+++ b/crates/scheduler/tests/shard/failover.rs
@@ -1,6 +1,6 @@
 //! What a new leader may do before it knows which tasks the recorded machines hold.
 
-use crate::world::{
+use crate::harness::{
     LEASE_S, NEXT_TOKEN, ShardHarness, TEAM_ACCELERATOR_LIMIT, TEAM_CPU_LIMIT, TOKEN, heartbeat, heartbeat_with_token,
     job,
 };
--- a/crates/scheduler/tests/shard/heartbeats.rs
+++ b/crates/scheduler/tests/shard/heartbeats.rs
@@ -1,6 +1,6 @@
 //! Which heartbeats a leader accepts, and the commands in its replies.
 
-use crate::world::{LEASE_S, NEXT_TOKEN, ShardHarness, TOKEN, heartbeat, heartbeat_with_token, job, task_names};
+use crate::harness::{LEASE_S, NEXT_TOKEN, ShardHarness, TOKEN, heartbeat, heartbeat_with_token, job, task_names};
 use lupinspur_scheduler::jobs::Phase;
 use lupinspur_scheduler::shard::HeartbeatOutcome;
 use lupinspur_scheduler::wire::{CommandKind, JobState};
--- a/crates/scheduler/tests/shard/incarnations.rs
+++ b/crates/scheduler/tests/shard/incarnations.rs
@@ -1,6 +1,6 @@
 //! Late copies of heartbeats that a machine sent in earlier incarnations.
 
-use crate::world::{NEXT_TOKEN, ShardHarness, TOKEN, heartbeat_with_token, job};
+use crate::harness::{NEXT_TOKEN, ShardHarness, TOKEN, heartbeat_with_token, job};
 use lupinspur_scheduler::fleet::Phase as MachinePhase;
 use lupinspur_scheduler::shard::HeartbeatOutcome;
 use serde_json::json;
--- a/crates/scheduler/tests/shard/live_attempts.rs
+++ b/crates/scheduler/tests/shard/live_attempts.rs
@@ -1,7 +1,7 @@
 //! An attempt that a machine lists as not ended occupies its task, whatever the state of the job: the task starts on no
 //! other machine.
 
-use crate::world::{NEXT_TOKEN, ShardHarness, StoredValue, TOKEN, heartbeat, heartbeat_with_token, job, task_names};
+use crate::harness::{NEXT_TOKEN, ShardHarness, StoredValue, TOKEN, heartbeat, heartbeat_with_token, job, task_names};
 use lupinspur_scheduler::fleet::machine_groups::{MACHINE_GROUP_PREFIX, MachineGroupRecord};
 use lupinspur_scheduler::jobs::{JobRecord, Phase, TaskKey, TaskSlot};
 use lupinspur_scheduler::shard::StartRefusal;
--- a/crates/scheduler/tests/shard/lost_starts.rs
+++ b/crates/scheduler/tests/shard/lost_starts.rs
@@ -1,6 +1,6 @@
 //! Pushed starts without a response: they may still arrive until the machine's incarnation ends.
 
-use crate::world::{ShardHarness, TEAM_CPU_LIMIT, heartbeat, job, task_names};
+use crate::harness::{ShardHarness, TEAM_CPU_LIMIT, heartbeat, job, task_names};
 use lupinspur_scheduler::fleet::{AssignmentState, Phase as MachinePhase};
 use lupinspur_scheduler::jobs::Phase;
 use lupinspur_scheduler::shard::CloudCall;
--- a/crates/scheduler/tests/shard/moved_jobs.rs
+++ b/crates/scheduler/tests/shard/moved_jobs.rs
@@ -1,6 +1,6 @@
 //! Jobs that move to another shard.
 
-use crate::world::{ShardHarness, heartbeat, job};
+use crate::harness::{ShardHarness, heartbeat, job};
 use lupinspur_scheduler::jobs::{JobRecord, Phase};
 use lupinspur_sharding::ShardId;
 use serde_json::{Value, json};
--- a/crates/scheduler/tests/shard/permission.rs
+++ b/crates/scheduler/tests/shard/permission.rs
@@ -1,6 +1,6 @@
 //! Checks that decisions are still valid when they are carried out.
 
-use crate::world::{ShardHarness, TOKEN, heartbeat, heartbeat_with_token, job};
+use crate::harness::{ShardHarness, TOKEN, heartbeat, heartbeat_with_token, job};
 use lupinspur_scheduler::jobs::TaskKey;
 use lupinspur_scheduler::shard::{OutdatedPush, PushOutcome, PushRequest, StartRefusal};
 use lupinspur_scheduler::wire::CommandKind;
--- a/crates/scheduler/tests/shard/placement.rs
+++ b/crates/scheduler/tests/shard/placement.rs
@@ -1,6 +1,6 @@
 //! Constraints on the machines that a task may be placed on.
 
-use crate::world::{MACHINE_MEMORY_GB, ShardHarness, TEAM_ACCELERATOR_LIMIT, TEAM_CPU_LIMIT, heartbeat, job};
+use crate::harness::{MACHINE_MEMORY_GB, ShardHarness, TEAM_ACCELERATOR_LIMIT, TEAM_CPU_LIMIT, heartbeat, job};
 use serde_json::{Value, json};
 
 /// Name, type and zone of each machine, and whether it is a spot machine.
--- a/crates/scheduler/tests/shard/service_capacity.rs
+++ b/crates/scheduler/tests/shard/service_capacity.rs
@@ -1,6 +1,6 @@
 //! The capacity that batch work leaves to services, and when waiting batch work may use it.
 
-use crate::world::{ShardHarness, TOKEN, heartbeat, job};
+use crate::harness::{ShardHarness, TOKEN, heartbeat, job};
 use lupinspur_scheduler::jobs::{JobRecord, Phase, TaskKey};
 use lupinspur_sharding::ShardId;
 use serde_json::json;
--- a/crates/scheduler/tests/shard/starts.rs
+++ b/crates/scheduler/tests/shard/starts.rs
@@ -1,6 +1,6 @@
 //! Conditions for sending a start, and starts without a response.
 
-use crate::world::{NEXT_TOKEN, ShardHarness, heartbeat, heartbeat_with_token, job, task_names};
+use crate::harness::{NEXT_TOKEN, ShardHarness, heartbeat, heartbeat_with_token, job, task_names};
 use lupinspur_scheduler::fleet::AssignmentState;
 use lupinspur_scheduler::jobs::{Phase, TaskKey};
 use lupinspur_scheduler::shard::PushOutcome;
