--- a/crates/elastic/src/bound.rs
+++ b/crates/elastic/src/bound.rs
@@ -33,7 +33,7 @@
     /// expired.
     #[serde(rename = "deaf_s")]
     pub unreachable_s: f64,
-    /// The leader fails in between. Its successor does not know of the shrink and decides it again.
+    /// The leader fails before the task has ended. The next leader does not know of the shrink and decides on it again.
     #[serde(rename = "takeover_s")]
     pub failover_s: f64,
 }
--- a/crates/elastic/src/pool.rs
+++ b/crates/elastic/src/pool.rs
@@ -3,15 +3,15 @@
 //! A job begins with its smallest size, scheduled by its own priority. Tasks beyond that size are its
 //! *surplus*: jobs grow into capacity that has been idle for a while, a part of it at a time, and the
 //! job with the smallest fraction of its largest size first. The surplus is stopped first when a
-//! service needs capacity; the job then does not grow for a while. A task that was told to stop
-//! counts until its end is known.
+//! service needs capacity; the job then does not grow for a while. A task that was ordered to
+//! stop counts until its end is known.
 
 use crate::{Plan, Sizes};
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Task counts of one job: unfinished tasks, tasks held on machines, and how many of the held ones
-/// were told to stop.
+/// were ordered to stop.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct JobUsage {
     pub unfinished: u32,
@@ -28,12 +28,12 @@
     no_growth_before: f64,
 }
 
-/// A task that was told to stop and has not ended yet.
+/// A task that was ordered to stop and has not ended yet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Shrink<J> {
     job: J,
     asked_at: f64,
-    /// When the task is stopped without further grace; `None` once that was ordered.
+    /// End of its grace period, at which it is stopped by force; `None` once that was ordered.
     forced_stop_at: Option<f64>,
 }
 
@@ -183,8 +183,8 @@
         !grown.is_empty()
     }
 
-    /// Records that a surplus task is told to stop within the grace period `grace_s`. The job then
-    /// wants at most the `stay` tasks that are left, and does not grow for `rest_s`.
+    /// Records that a surplus task is ordered to stop within the grace period `grace_s`. The job then
+    /// wants at most the `stay` remaining tasks, and does not grow for `rest_s`.
     pub fn shrink(&mut self, job: J, task: T, grace_s: f64, stay: u32, now: f64) {
         if let Some(state) = self.jobs.get_mut(&job) {
             state.wanted = state.wanted.min(stay).max(state.sizes.smallest);
@@ -212,7 +212,7 @@
     }
 
     /// Records that a task has certainly ended. Returns the duration of its shrink in seconds, if it was
-    /// told to stop.
+    /// ordered to stop.
     pub fn on_task_ended(&mut self, task: T, now: f64) -> Option<f64> {
         let shrink = self.shrinks.remove(&task)?;
         let duration_s = (now - shrink.asked_at).max(0.0);
--- a/crates/histories/src/job.rs
+++ b/crates/histories/src/job.rs
@@ -132,7 +132,8 @@
             let unfit = matches!(request, Request::Submit { unfit: Some(_) });
             return Some(if unfit { Rule::AcceptedUnfit } else { Rule::Invented });
         }
-        // A job that is done or cancelled remains so: even overlapping requests must not be answered with different ends.
+        // A job that is done or cancelled remains so: even overlapping requests must not be answered with different
+        // ends.
         let other_end = matches!((self.known, Known::reported_by(answer)),
             (Known::Ended(a), Known::Ended(b)) if a != b);
         if other_end || matches!(before, Known::Ended(end) if end != state) {
--- a/crates/histories/src/lib.rs
+++ b/crates/histories/src/lib.rs
@@ -6,8 +6,8 @@
 //! has to agree with every answer that was *received* before the request was *sent*. Overlapping requests may be
 //! answered in either order.
 //!
-//! Later answers have to agree with three facts only: that the job is accepted, done or cancelled. `running` and `queued`
-//! may follow one another, and counts of tasks are for display.
+//! Later answers have to agree with three facts only: that the job is accepted, done or cancelled. `running` and
+//! `queued` may follow one another, and counts of tasks are for display.
 //!
 //! - [`operation`]: requests and answers
 //! - [`history`]: the recorder, which checks each answer when it is received
--- a/crates/histories/tests/random.rs
+++ b/crates/histories/tests/random.rs
@@ -1,5 +1,5 @@
-//! Random histories: all answers of a correct service pass, and of arbitrary answers exactly those are found that the
-//! rules, written out over all pairs of operations, find wrong.
+//! Random histories: all answers of a correct service pass, and of arbitrary answers exactly those are rejected that
+//! violate the rules when these are checked on all pairs of operations.
 
 use lupinspur_histories::{Answer, History, Pending, Request, Unfit};
 use lupinspur_wire::JobState::{self, Cancelled, Done, Queued, Running};
@@ -51,9 +51,9 @@
 
 fn events(calls: &[Call], tasks_done: u32) -> Vec<Event> {
     let mut events = vec![(tasks_done, Event::TasksDone)];
-    for (i, c) in calls.iter().enumerate() {
-        events.extend([(c.sent, Event::Sent(i)), (c.executed, Event::Executed(i))]);
-        events.extend((!c.answer_is_lost).then_some((c.received, Event::Received(i))));
+    for (index, call) in calls.iter().enumerate() {
+        events.extend([(call.sent, Event::Sent(index)), (call.executed, Event::Executed(index))]);
+        events.extend((!call.answer_is_lost).then_some((call.received, Event::Received(index))));
     }
     events.sort_unstable();
     events.into_iter().map(|(_, e)| e).collect()
--- a/crates/model/src/active_faults.rs
+++ b/crates/model/src/active_faults.rs
@@ -23,7 +23,7 @@
 /// Changes of other keys after which a leader writes a new checkpoint.
 const CHANGES_BEFORE_CHECKPOINT: u64 = 2500;
 
-/// Active faults that affect the whole cluster: when each of them ends, in seconds of virtual time.
+/// Ends of the active faults that affect the whole cluster, in seconds of virtual time.
 #[derive(Default)]
 pub(crate) struct ActiveFaults {
     pub(crate) heartbeat_copies_until: f64,
@@ -66,8 +66,9 @@
             let at = now + self.fault_rng.f64() * CANCELLATION_SPREAD_S;
             self.schedule_cancellation(id, at);
         }
-        let is_of_them = |task: &String| task.split('/').next().is_some_and(|id| running.iter().any(|r| r == id));
-        let affected = self.machines.iter_mut().filter(|m| m.tasks.keys().any(is_of_them));
+        let is_of_cancelled_job =
+            |task: &String| task.split('/').next().is_some_and(|id| running.iter().any(|r| r == id));
+        let affected = self.machines.iter_mut().filter(|m| m.tasks.keys().any(is_of_cancelled_job));
         affected.take(MAX_HANGING).for_each(|m| m.hangs_until = hang_until);
     }
 
@@ -80,9 +81,9 @@
 
     /// Schedules a cancellation of a job by its user, unless another job depends on it.
     pub(crate) fn schedule_cancellation(&mut self, id: &str, at: f64) {
-        if let Some(j) = self.jobs.get_mut(id).filter(|j| !j.has_dependents) {
-            j.cancel_at = Some(j.cancel_at.map_or(at, |t| t.min(at)));
-            j.next_poll = j.next_poll.min(at);
+        if let Some(job) = self.jobs.get_mut(id).filter(|job| !job.has_dependents) {
+            job.cancel_at = Some(job.cancel_at.map_or(at, |earlier| earlier.min(at)));
+            job.next_poll = job.next_poll.min(at);
         }
     }
 
@@ -95,7 +96,7 @@
         self.poll_after_event(id);
     }
 
-    /// Returns when a machine is up that would otherwise be up at `up_at`.
+    /// Returns when a machine is up: at `up_at`, or earlier while boots are fast.
     pub(crate) fn up_at_after_boot(&mut self, up_at: f64) -> f64 {
         if self.now < self.active_faults.fast_boots_until {
             self.now + self.fault_rng.f64() * FAST_BOOT_S
--- a/crates/model/src/controllers.rs
+++ b/crates/model/src/controllers.rs
@@ -172,9 +172,9 @@
         shard.tick(now);
         if wrong_decision == Some(WrongDecision::SkipsReconciliation) {
             let all: Vec<_> = shard.machines.present.iter().copied().collect();
-            for m in all {
-                shard.machines[m].reconcile_deadline = None;
-                shard.machines[m].stored_jobs.clear();
+            for machine in all {
+                shard.machines[machine].reconcile_deadline = None;
+                shard.machines[machine].stored_jobs.clear();
             }
             let jobs: Vec<_> = shard.jobs.live.iter().copied().collect();
             jobs.into_iter().for_each(|j| shard.jobs[j].unreconciled_machines = 0);
@@ -253,16 +253,16 @@
             return;
         }
         let Some(shard) = &mut slot.shard else { return };
-        for (k, (v, version)) in self.store.keys.range(JOB_PREFIX.to_owned()..) {
-            if !k.starts_with(JOB_PREFIX) {
+        for (key, (value, version)) in self.store.keys.range(JOB_PREFIX.to_owned()..) {
+            if !key.starts_with(JOB_PREFIX) {
                 break;
             }
             if *version > slot.watched {
-                let r: JobRecord = serde_json::from_value(v.clone()).expect("a record");
-                if belongs_to_shard(shard_index, &r) {
-                    shard.add_job(r, *version, now);
+                let record: JobRecord = serde_json::from_value(value.clone()).expect("a record");
+                if belongs_to_shard(shard_index, &record) {
+                    shard.add_job(record, *version, now);
                 } else {
-                    shard.on_job_moved(&r.job.id, now);
+                    shard.on_job_moved(&record.job.id, now);
                 }
             }
         }
--- a/crates/model/src/faults.rs
+++ b/crates/model/src/faults.rs
@@ -88,7 +88,7 @@
     /// Users cancel all services that run, spread over the time.
     CancelServices,
 
-    // What machines, reports and users do: `USER_AND_MACHINE_KINDS`.
+    // Faults of machines, heartbeats and users: `USER_AND_MACHINE_FAULT_KINDS`.
     /// A machine reaches no controller, while direct commands reach it.
     #[serde(rename = "mute")]
     HeartbeatsLost,
@@ -121,7 +121,7 @@
     SlowNetwork,
 }
 
-/// Kinds of which random faults are drawn. The list and its order stay as they are, because a seed selects from it.
+/// Kinds from which random faults are drawn. The list and its order stay as they are, because a seed selects from it.
 pub const FAULT_KINDS: [FaultKind; 18] = [
     FaultKind::ControllerRestarts,
     FaultKind::ControllerPauses,
@@ -156,13 +156,13 @@
     FaultKind::CancelServices,
 ];
 
-/// Number for a fault's controller: `LEADER + shard` is the leader of that shard when the fault begins.
+/// Value of [`InjectedFault::which`]: `LEADER + shard` stands for the leader of that shard when the fault begins.
 pub const LEADER: usize = 1_000_000;
-/// Number for a fault's controller: the one that `LEADER` last stood for.
+/// Value of [`InjectedFault::which`]: the controller that `LEADER` stood for in the last fault that used it.
 pub const SAME_LEADER: usize = 2_000_000;
 
-/// Kinds of faults of machines, heartbeats and users. They are not in [`FAULT_KINDS`], because longer lists would change
-/// the random faults of every seed.
+/// Kinds of faults of machines, heartbeats and users. They are not in [`FAULT_KINDS`], because a longer list would
+/// change the random faults of every seed.
 pub const USER_AND_MACHINE_FAULT_KINDS: [FaultKind; 9] = [
     FaultKind::HeartbeatsLost,
     FaultKind::ZoneHeartbeatsLost,
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -14,7 +14,9 @@
 //! - `machines`, `store`, `users`, `messages`: the stand-ins
 //! - `work`: the jobs that users submit
 //! - `active_faults`: injection of faults of users, machines and heartbeats
-//! - `questions`, `invalid_requests`, `delayed_heartbeats`: polls after events, invalid requests, and duplicated heartbeats
+//! - `questions`: polls by users right after an event of their job
+//! - `invalid_requests`: requests that have to be refused, and polls of unknown jobs
+//! - `delayed_heartbeats`: duplicated heartbeats that are held back until a shard has a new leader
 //! - `pipelines`: jobs that depend on others
 //! - `rules`, `cancelled`, `waiting`: the checks
 //! - `wrong_decisions`: deliberately wrong decisions
@@ -72,7 +74,7 @@
 const CANCELLATION_LIMIT_S: f64 = 45.0;
 /// Duration of the lease of a leader, in seconds.
 const LEADER_LEASE_S: f64 = 4.0;
-/// Seconds for which a leader acts past its lease under that wrong decision.
+/// Seconds for which a leader acts past its lease with the wrong decision to do so.
 const ACTS_PAST_LEASE_S: f64 = 30.0;
 /// Longest time without an answer about a job after the last fault, in seconds.
 const ANSWER_LIMIT_S: f64 = 30.0;
--- a/crates/model/src/questions.rs
+++ b/crates/model/src/questions.rs
@@ -7,7 +7,7 @@
 
 /// Seconds from the event to each round of polls.
 const POLLED_AFTER_S: [f64; 6] = [0.0, 0.05, 0.1, 0.2, 0.5, 1.5];
-/// One accepted job of this number is cancelled at once.
+/// One in this number of accepted jobs is cancelled at once.
 const JOBS_PER_CANCELLATION: u8 = 4;
 
 /// A round of polls of one job at every controller.
--- a/crates/model/src/report.rs
+++ b/crates/model/src/report.rs
@@ -20,7 +20,8 @@
     pub begun: usize,
     pub done: usize,
     pub cancelled: usize,
-    /// Time from the acceptance of a job to its first task, in seconds: the median, the 90th percentile and the maximum.
+    /// Time from the acceptance of a job to its first task, in seconds: the median, the 90th percentile and the
+    /// maximum.
     pub waits: Option<[f64; 3]>,
     #[serde(flatten)]
     pub counts: Counts,
--- a/crates/model/src/rules.rs
+++ b/crates/model/src/rules.rs
@@ -76,23 +76,30 @@
 
     /// Describes a job as its leader sees it, for the message of a failed check.
     pub(crate) fn describe_leader_view(&self, id: &str) -> String {
-        let held = self.nodes.iter().flat_map(|n| &n.slots);
-        let mut shards = held.filter(|h| h.election.valid_token(self.now).is_some()).filter_map(|h| h.shard.as_ref());
-        let Some(s) = shards.find(|s| s.jobs.find(id).is_some()) else {
+        let slots = self.nodes.iter().flat_map(|n| &n.slots);
+        let mut shards =
+            slots.filter(|slot| slot.election.valid_token(self.now).is_some()).filter_map(|slot| slot.shard.as_ref());
+        let Some(shard) = shards.find(|shard| shard.jobs.find(id).is_some()) else {
             return format!("no leader knows it; {:?}", self.store.job(id).map(|r| (r.shard, r.phase)));
         };
-        let Some(j) = s.jobs.find(id) else { return "the leader does not know it".into() };
+        let Some(job_index) = shard.jobs.find(id) else { return "the leader does not know it".into() };
         let shares = self.store.read::<Ledger>(LEDGER_KEY).map(|l| l.0.teams);
-        let job = &s.jobs[j];
-        let assignments: Vec<String> = s
+        let job = &shard.jobs[job_index];
+        let assignments: Vec<String> = shard
             .machines
             .iter()
-            .flat_map(|(_, m)| m.assignments.iter().filter(|(k, _)| k.job == j).map(move |(k, h)| (m, k, h)))
-            .map(|(m, k, h)| {
-                format!("{}: {:?} of incarnation {} (suspected {}) {h:?}", k.task, m.name, m.incarnation, m.suspected)
+            .flat_map(|(_, machine)| {
+                let of_job = machine.assignments.iter().filter(|(key, _)| key.job == job_index);
+                of_job.map(move |(key, assignment)| (machine, key, assignment))
+            })
+            .map(|(machine, key, assignment)| {
+                format!(
+                    "{}: {:?} of incarnation {} (suspected {}) {assignment:?}",
+                    key.task, machine.name, machine.incarnation, machine.suspected
+                )
             })
             .collect();
-        let team = &s.teams[job.team.as_usize()];
+        let team = &shard.teams[job.team.as_usize()];
         format!(
             "shares {shares:?}, {} of {} tasks assigned, {} unreconciled machines, not before {:.1}, failed on {} machines, team uses {} of {} cpus, {} machines; {assignments:?}; {:?}",
             job.assigned,
@@ -102,7 +109,7 @@
             job.failed_on.len(),
             team.cpus_used,
             team.spec.cpus_max,
-            s.machines.present.len(),
+            shard.machines.present.len(),
             job.spec
         )
     }
--- a/crates/model/src/scenario.rs
+++ b/crates/model/src/scenario.rs
@@ -101,33 +101,36 @@
 impl Scenario {
     /// Parses a scenario from TOML, or returns all errors in it.
     pub fn parse(text: &str) -> Result<Scenario, Vec<Fault>> {
-        let s: Scenario = lupinspur_files::read(text).map_err(|f| vec![f])?;
-        let mut faults = out_of_bounds(&s, &[("teams[", "team["), ("faults[", "trouble["), ("].at", "].at_s")]);
+        let scenario: Scenario = lupinspur_files::read(text).map_err(|fault| vec![fault])?;
+        let mut faults = out_of_bounds(&scenario, &[("teams[", "team["), ("faults[", "trouble["), ("].at", "].at_s")]);
         let mut fault = |path: String, what: String| faults.push(Fault { path, what });
-        if s.most_machines < s.machines {
-            fault("most_machines".into(), format!("{} is less than machines = {}", s.most_machines, s.machines));
+        if scenario.most_machines < scenario.machines {
+            fault(
+                "most_machines".into(),
+                format!("{} is less than machines = {}", scenario.most_machines, scenario.machines),
+            );
         }
         let mut seen = BTreeSet::new();
-        for (i, t) in s.teams.iter().enumerate() {
-            if !seen.insert(&t.name) {
-                fault(format!("team[{i}].name"), format!("team {:?} is defined twice", t.name));
+        for (i, team) in scenario.teams.iter().enumerate() {
+            if !seen.insert(&team.name) {
+                fault(format!("team[{i}].name"), format!("team {:?} is defined twice", team.name));
             }
-            if t.cpus_max > 0.0 && t.cpus > t.cpus_max {
+            if team.cpus_max > 0.0 && team.cpus > team.cpus_max {
                 fault(
                     format!("team[{i}].cpus"),
-                    format!("guaranteed {} cpus exceed cpus_max = {}", t.cpus, t.cpus_max),
+                    format!("guaranteed {} cpus exceed cpus_max = {}", team.cpus, team.cpus_max),
                 );
             }
-            if s.room && t.cpus_max > 0.0 && s.services_cpus >= t.cpus_max {
+            if scenario.room && team.cpus_max > 0.0 && scenario.services_cpus >= team.cpus_max {
                 let what = format!(
                     "must be more than services_cpus = {} while room = true, or services alone fill the limit",
-                    s.services_cpus
+                    scenario.services_cpus
                 );
                 fault(format!("team[{i}].cpus_max"), what);
             }
         }
         faults.sort();
-        if faults.is_empty() { Ok(s) } else { Err(faults) }
+        if faults.is_empty() { Ok(scenario) } else { Err(faults) }
     }
 
     /// Returns the JSON schema of the file.
--- a/crates/model/src/shard_exchange.rs
+++ b/crates/model/src/shard_exchange.rs
@@ -99,8 +99,9 @@
 
     /// Returns the shard that receives a machine, if a transfer of the machine is recorded.
     pub(crate) fn transfer_target(&self, node: usize, machine: &str) -> Option<usize> {
-        let mut all = self.nodes[node].shared_state.machine_transfers.values().map(|h| &h.0);
-        all.find(|h| h.machines.iter().any(|m| m.machine == machine)).map(|h| h.to.as_usize())
+        let mut all = self.nodes[node].shared_state.machine_transfers.values().map(|stored| &stored.0);
+        all.find(|transfer| transfer.machines.iter().any(|m| m.machine == machine))
+            .map(|transfer| transfer.to.as_usize())
     }
 
     /// Returns the shard of a machine that sends a heartbeat to a controller; `None` until the leaders of all shards
@@ -134,13 +135,13 @@
                 return Some(shard_index);
             }
         }
-        if !asked.iter().all(|l| *l) {
+        if !asked.iter().all(|asked| *asked) {
             return None;
         }
         let first = self.plan.shard_of_unknown(machine).as_usize();
         let controller = &mut self.nodes[node];
         let may_have_issued_token = |shard_index: &usize| {
-            controller.slots[*shard_index].election.observed_version().is_some_and(|v| v >= token)
+            controller.slots[*shard_index].election.observed_version().is_some_and(|version| version >= token)
         };
         let shard_index =
             Some(first).filter(&may_have_issued_token).or_else(|| (0..shard_count).find(&may_have_issued_token))?;
@@ -157,12 +158,19 @@
         controller.shared_state_read_at = self.now;
         controller.shared_state = SharedState {
             ledger: self.store.read(LEDGER_KEY),
-            load_snapshots: load_snapshots.into_iter().map(|(_, p, _)| (p.shard.as_usize(), p)).collect(),
+            load_snapshots: load_snapshots
+                .into_iter()
+                .map(|(_, snapshot, _)| (snapshot.shard.as_usize(), snapshot))
+                .collect(),
             rebalance_plan: self.store.read(REBALANCE_PLAN_KEY).unwrap_or_default(),
-            machine_transfers: machine_transfers.into_iter().map(|(k, h, v)| (k, (h, v))).collect(),
+            machine_transfers: machine_transfers
+                .into_iter()
+                .map(|(key, transfer, version)| (key, (transfer, version)))
+                .collect(),
         };
-        for (h, _) in controller.shared_state.machine_transfers.values() {
-            h.machines.iter().for_each(|m| _ = controller.shard_by_machine.insert(m.machine.clone(), h.to.as_usize()));
+        for (transfer, _) in controller.shared_state.machine_transfers.values() {
+            let receiver = transfer.to.as_usize();
+            transfer.machines.iter().for_each(|m| _ = controller.shard_by_machine.insert(m.machine.clone(), receiver));
         }
         self.apply_limit_shares(node);
     }
@@ -175,8 +183,8 @@
         let controller = &mut self.nodes[node];
         let Some((ledger, _)) = controller.shared_state.ledger.clone() else { return };
         for shard_index in 0..self.shard_count {
-            if let Some(s) = controller.acting(shard_index, self.now) {
-                s.set_limit_shares(&self.params.teams, &ledger, ShardId(shard_index as u32));
+            if let Some(shard) = controller.acting(shard_index, self.now) {
+                shard.set_limit_shares(&self.params.teams, &ledger, ShardId(shard_index as u32));
             }
         }
     }
@@ -219,9 +227,10 @@
             None,
         );
         self.refresh_shared_state(node);
-        let fresh = |p: &&LoadSnapshot| p.shard != shard_id && p.is_fresh(mine.at_ms, self.plan.picture_s, 0.0);
+        let is_fresh =
+            |other: &&LoadSnapshot| other.shard != shard_id && other.is_fresh(mine.at_ms, self.plan.picture_s, 0.0);
         let others: Vec<LoadSnapshot> =
-            self.nodes[node].shared_state.load_snapshots.values().filter(fresh).cloned().collect();
+            self.nodes[node].shared_state.load_snapshots.values().filter(is_fresh).cloned().collect();
         if let Some((ledger, _)) = self.nodes[node].shared_state.ledger.clone() {
             let mut all = Vec::new();
             for team in ledger.teams.keys() {
@@ -229,7 +238,7 @@
                     let snapshot = if shard == shard_index {
                         &mine
                     } else {
-                        others.iter().find(|p| p.shard.as_usize() == shard)?
+                        others.iter().find(|other| other.shard.as_usize() == shard)?
                     };
                     Some(snapshot.teams.get(team).copied().unwrap_or_default())
                 };
@@ -243,10 +252,10 @@
         }
         let waiting =
             self.nodes[node].acting(shard_index, now).map(|shard| shard.spillable_jobs(now)).unwrap_or_default();
-        for (j, to) in plan_spills(&self.plan, &mine, &others, &waiting, 20.0) {
+        for (job, to) in plan_spills(&self.plan, &mine, &others, &waiting, 20.0) {
             let Some((ledger, _)) = self.nodes[node].shared_state.ledger.clone() else { return };
             let Some(shard) = self.nodes[node].acting(shard_index, now) else { return };
-            let Some((record, version, team, takes)) = shard.begin_move(j, to) else { continue };
+            let Some((record, version, team, takes)) = shard.begin_move(job, to) else { continue };
             let team = shard.team_name(team).to_owned();
             let spare = |own: Amount| {
                 let used = shard.limit_usage().into_iter().find(|u| u.0 == team).map_or(own, |u| u.1);
@@ -335,24 +344,25 @@
         let seen = self.nodes[node].shared_state.clone();
         let fresh = seen.rebalance_plan.0.is_fresh(&self.plan, now_ms, 0.0);
         let moves = if fresh { seen.rebalance_plan.0.moves.clone() } else { Vec::new() };
-        let token_of = |shard: ShardId| seen.load_snapshots.get(&shard.as_usize()).map(|p| p.token);
+        let token_of = |shard: ShardId| seen.load_snapshots.get(&shard.as_usize()).map(|snapshot| snapshot.token);
         if must_reacquire(shard_id, token, &moves, token_of) {
             return self.reacquire(node, shard_index, token);
         }
-        let in_flight: Vec<MachineTransfer> = seen.machine_transfers.values().map(|h| h.0.clone()).collect();
+        let in_flight: Vec<MachineTransfer> = seen.machine_transfers.values().map(|stored| stored.0.clone()).collect();
         let order = next_receiver(shard_id, token, moves.iter(), &in_flight, token_of);
         let Some(shard) = self.nodes[node].acting(shard_index, now) else { return };
         shard.set_rebalance_order(order, 6.0);
-        let transfers = |from: bool| in_flight.iter().filter(move |h| (if from { h.from } else { h.to }) == shard_id);
-        shard.on_transfers_published(transfers(true).flat_map(|h| &h.machines));
-        shard.receive_machines(transfers(false).flat_map(|h| &h.machines), now);
+        let sent = in_flight.iter().filter(|transfer| transfer.from == shard_id);
+        let received = in_flight.iter().filter(|transfer| transfer.to == shard_id);
+        shard.on_transfers_published(sent.flat_map(|transfer| &transfer.machines));
+        shard.receive_machines(received.flat_map(|transfer| &transfer.machines), now);
         let mut chosen: BTreeMap<ShardId, Vec<TransferredMachine>> = BTreeMap::new();
-        shard.pending_transfers().into_iter().for_each(|(to, h)| chosen.entry(to).or_default().push(h));
+        shard.pending_transfers().into_iter().for_each(|(to, machine)| chosen.entry(to).or_default().push(machine));
         for (to, machines) in chosen {
             let key = machine_transfer::key(shard_id, to);
             let version = match seen.machine_transfers.get(&key) {
-                Some((h, _)) if !h.is_complete() => continue,
-                Some((_, v)) => *v,
+                Some((transfer, _)) if !transfer.is_complete() => continue,
+                Some((_, version)) => *version,
                 None => 0,
             };
             self.put_machine_transfer(
@@ -364,11 +374,11 @@
                 MachineTransfer { from: shard_id, to, machines, released_by_sender: false },
             );
         }
-        for (key, (h, version)) in seen.machine_transfers {
+        for (key, (transfer, version)) in seen.machine_transfers {
             let Some(shard) = self.nodes[node].acting(shard_index, now) else { return };
             let next = match () {
-                () if h.from == shard_id => next_by_sender(&h, |m| shard.may_be_named_in_records(m)),
-                () if h.to == shard_id => next_by_receiver(&h, |m| shard.is_recorded_or_gone(m)),
+                () if transfer.from == shard_id => next_by_sender(&transfer, |m| shard.may_be_named_in_records(m)),
+                () if transfer.to == shard_id => next_by_receiver(&transfer, |m| shard.is_recorded_or_gone(m)),
                 () => None,
             };
             if let Some(next) = next {
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -27,6 +27,10 @@
 use lupinspur_wire::JobState;
 use std::collections::{BTreeMap, HashMap};
 
+/// Time after which jobs are submitted, in seconds.
+const JOBS_FROM_S: f64 = 3.0;
+/// Every fault is injected this much later than its stated time, in seconds.
+const FAULTS_DELAYED_BY_S: f64 = 8.0;
 /// Seconds after which one controller is back when all controllers restart.
 const FIRST_RESTART_AFTER_S: f64 = 0.5;
 
@@ -320,8 +324,8 @@
     fn controller_of(&mut self, which: usize) -> usize {
         let shard_index = which.wrapping_sub(LEADER);
         if shard_index < self.shard_count {
-            let owns = |n: &Node| n.slots[shard_index].valid_token(self.now).is_some();
-            let leader = self.nodes.iter().position(owns).unwrap_or(self.last_faulted_leader);
+            let leads = |node: &Node| node.slots[shard_index].valid_token(self.now).is_some();
+            let leader = self.nodes.iter().position(leads).unwrap_or(self.last_faulted_leader);
             self.last_faulted_leader = leader;
         }
         if shard_index < self.shard_count || which == SAME_LEADER {
@@ -348,21 +352,21 @@
 
     /// Returns whether messages pass between a controller and a machine.
     pub(crate) fn can_communicate(&self, node: usize, machine: usize) -> bool {
-        let (n, m) = (&self.nodes[node], &self.machines[machine]);
-        let inside = self.now < n.zone_partitioned_until && zone_of(node) == m.zone;
-        inside || self.now >= n.zone_partitioned_until && self.now >= m.partitioned_until
+        let (controller, machine) = (&self.nodes[node], &self.machines[machine]);
+        let inside_partition = self.now < controller.zone_partitioned_until && zone_of(node) == machine.zone;
+        inside_partition || self.now >= controller.zone_partitioned_until && self.now >= machine.partitioned_until
     }
 
     /// Lets users cancel every running service, each at a random time within `within_s`.
     fn cancel_services(&mut self, within_s: f64) {
         let now = self.now;
-        for j in self.jobs.values_mut() {
-            let over = matches!(j.last_state, Some(JobState::Done | JobState::Cancelled));
-            let service = j.spec.estimate_s == 0.0;
-            if service && j.begun.is_some() && !over && j.cancel_at.is_none_or(|t| t > now) {
+        for job in self.jobs.values_mut() {
+            let is_over = matches!(job.last_state, Some(JobState::Done | JobState::Cancelled));
+            let is_service = job.spec.estimate_s == 0.0;
+            if is_service && job.begun.is_some() && !is_over && job.cancel_at.is_none_or(|at| at > now) {
                 let at = now + self.rng.f64() * within_s;
-                j.cancel_at = Some(at);
-                j.next_poll = j.next_poll.min(at);
+                job.cancel_at = Some(at);
+                job.next_poll = job.next_poll.min(at);
             }
         }
     }
@@ -373,24 +377,27 @@
         let mut due: Vec<InjectedFault> = faults.to_vec();
         due.sort_by(|a, b| a.at.total_cmp(&b.at));
         let (jobs_for, calm) = (self.scenario.jobs_for_s, self.scenario.calm_s);
-        let last = due.iter().map(|t| t.at + t.for_s).fold(jobs_for, f64::max);
-        self.faults_until = last;
+        let faults_until = due.iter().map(|fault| fault.at + fault.for_s).fold(jobs_for, f64::max);
+        self.faults_until = faults_until;
         let mut due = due.into_iter().peekable();
         let mut steps = 0u64;
-        while self.now < last + calm && self.broken.is_none() {
+        while self.now < faults_until + calm && self.broken.is_none() {
             self.now = steps as f64 * STEP_S;
             steps += 1;
-            while let Some(t) = due.next_if(|t| t.at + 8.0 <= self.now) {
-                self.inject_fault(t);
+            while let Some(fault) = due.next_if(|fault| fault.at + FAULTS_DELAYED_BY_S <= self.now) {
+                self.inject_fault(fault);
             }
-            while self.now > 3.0 && self.now < jobs_for && self.now >= f64::from(next_job) * self.scenario.job_every_s {
+            while self.now > JOBS_FROM_S
+                && self.now < jobs_for
+                && self.now >= f64::from(next_job) * self.scenario.job_every_s
+            {
                 next_job += 1;
                 let spec = spec(next_job as usize, &self.scenario, &mut self.rng);
                 let cancels = f64::from(self.rng.u8(..)) < self.scenario.cancelled * 256.0;
                 let cancel_at = cancels.then(|| self.now + 2.0 + self.rng.f64() * 30.0);
                 let mut job = Job::new(spec, cancel_at, self.now);
                 self.maybe_add_dependency(&mut job);
-                // A team's services must not fill its limit, or its other jobs would wait for a valid reason.
+                // A team's services must not fill its limit: its other jobs would then have to wait for them.
                 let held: f64 = self
                     .jobs
                     .values()
--- a/crates/model/tests/all_machines_die.rs
+++ b/crates/model/tests/all_machines_die.rs
@@ -1,9 +1,10 @@
-//! All machines die at once, so that no worker sends heartbeats for a while. Guards against leaders that take themselves
-//! for partitioned and step down one after the other, so that none leads long enough to rent new machines.
+//! All machines die at once, so that no worker sends heartbeats for a while. Guards against leaders that take
+//! themselves for partitioned and step down one after the other, so that none leads long enough to rent new machines.
 
 use lupinspur_model::{FaultKind, InjectedFault, LEADER, Run, Scenario, play};
 
-/// In one of four or five of these seeds only the leader's own machines show that it is not partitioned.
+/// Number of seeds. In one of every four or five of them, nothing but the leader's own machines can show that the
+/// leader is not partitioned.
 const SEEDS: u64 = 24;
 const SEEDS_OVER_CELLS: u64 = 4;
 /// Jobs are still submitted after the machines have died.
--- a/crates/model/tests/fault_combinations.rs
+++ b/crates/model/tests/fault_combinations.rs
@@ -163,9 +163,9 @@
     no_rule_is_broken(&faults, evidence);
 }
 
-/// Delayed heartbeats reach a new leader while the machines that sent them are partitioned. Tasks that began there since
-/// are not in these heartbeats. Two of three zones are partitioned, so that the leader declares none of the machines lost
-/// before its lease ends.
+/// Delayed heartbeats reach a new leader while the machines that sent them are partitioned. Tasks that began there
+/// after the heartbeats were sent are not in them. Two of three zones are partitioned, so that the leader declares none
+/// of the machines lost before its lease ends.
 #[test]
 fn late_heartbeats_of_machines_that_are_cut_off() {
     let copies = at(1.0, FaultKind::HeartbeatCopiesForNextLeader, 0, 8.0);
@@ -257,8 +257,8 @@
     no_rule_is_broken(&faults, evidence);
 }
 
-/// The leader's transactions are executed after newer ones of its own. Then it ends while a zone is partitioned, so that
-/// its successor knows the tasks there only from the stored records.
+/// The leader's transactions are executed after newer ones of its own. Then it ends while a zone is partitioned, so
+/// that its successor knows the tasks there only from the stored records.
 #[test]
 fn late_transactions_then_the_leader_ends_while_a_zone_is_cut_off() {
     let late = at(5.0, FaultKind::WritesDelayed, 0, 50.0);
--- a/crates/model/tests/fault_combinations_machines.rs
+++ b/crates/model/tests/fault_combinations_machines.rs
@@ -149,8 +149,8 @@
     });
 }
 
-/// Old heartbeats, of an earlier incarnation or attempt, arrive seconds to more than a lease late; machines are lost and
-/// return in the meantime.
+/// Heartbeats of an earlier incarnation or attempt arrive late, by some seconds up to more than a lease; machines are
+/// lost and return in the meantime.
 #[test]
 fn old_heartbeats_after_newer_ones() {
     let evidence = mostly(signs![failovers >= 1, overtaken_heartbeats >= 5, heartbeats_of_earlier_incarnation >= 1]);
@@ -387,8 +387,8 @@
 /// Machines with long tasks cannot be reached, or do not get the new leader's replies, when the leader ends.
 #[test]
 fn long_tasks_on_machines_that_the_new_leader_does_not_reach() {
-    // With one shard there is capacity for all jobs at once. Twelve machines split among three shards have too little for
-    // that many tasks of a minute: jobs may have to wait for others, but not while a machine has free capacity.
+    // With one shard there is capacity for all jobs at once. Twelve machines split among three shards have too little
+    // for that many tasks of a minute: jobs may have to wait for others, but not while a machine has free capacity.
     let scenario = |cells| {
         let teams = vec![
             Team { name: "red".into(), cpus: 16.0, cpus_max: if cells > 1 { 64.0 } else { 320.0 } },
--- a/crates/model/tests/kinds.rs
+++ b/crates/model/tests/kinds.rs
@@ -1,5 +1,5 @@
-//! Each kind of fault reveals a deliberately wrong decision: without the fault the wrong decision passes, with the fault
-//! it is detected, and with the correct decision no rule is violated.
+//! Each kind of fault reveals a deliberately wrong decision: without the fault the wrong decision passes, with the
+//! fault it is detected, and with the correct decision no rule is violated.
 
 use lupinspur_model::scenario::Team;
 use lupinspur_model::{
--- a/crates/model/tests/pipelines.rs
+++ b/crates/model/tests/pipelines.rs
@@ -1,5 +1,5 @@
 //! Pipelines across several changes of leader: jobs whose dependencies ended before the checkpoint run on while the new
-//! leader has not read these dependencies, and its commands are lost. `MEETING_SEEDS` sets the number of seeds.
+//! leader has not read these dependencies and its commands are lost. `MEETING_SEEDS` sets the number of seeds.
 
 mod evidence;
 #[allow(dead_code)]
--- a/crates/model/tests/random_fault_combinations.rs
+++ b/crates/model/tests/random_fault_combinations.rs
@@ -1,7 +1,7 @@
 //! Random fault combinations: two to four faults of any kind within seconds of each other and of one or two changes of
 //! leader, for each kind of work, with one shard and with several.
-//! `MEETINGS=2000 cargo test --release -p lupinspur-model --test random_fault_combinations` runs 2000 combinations of each
-//! deployment, from the seed `MEETING_SEED` on, with `MEETING_CELLS` shards, on `MEETING_THREADS` threads.
+//! `MEETINGS=2000 cargo test --release -p lupinspur-model --test random_fault_combinations` runs 2000 combinations of
+//! each deployment, from the seed `MEETING_SEED` on, with `MEETING_CELLS` shards, on `MEETING_THREADS` threads.
 
 use fastrand::Rng;
 use lupinspur_model::scenario::Team;
--- a/crates/model/tests/refused_leader.rs
+++ b/crates/model/tests/refused_leader.rs
@@ -1,5 +1,6 @@
-//! The state service refuses only the leader, and then is down for all for longer than a cancellation may take, while jobs
-//! are cancelled. Each test asserts that its runs show the combination. `MEETING_SEEDS` sets the number of seeds.
+//! The state service refuses only the leader, and then is down for all controllers for longer than a cancellation may
+//! take, while jobs are cancelled. Each test asserts that its runs show the combination. `MEETING_SEEDS` sets the
+//! number of seeds.
 
 mod evidence;
 mod takeover;
@@ -11,8 +12,8 @@
 /// Longer than a cancellation may take.
 const LONG_OUTAGE_S: f64 = 55.0;
 
-/// The state service refuses only the leader; the next leader confirms cancellations; then the state service is down for
-/// all, for longer than a cancellation may take.
+/// The state service refuses only the leader; the next leader confirms cancellations; then the state service is down
+/// for all controllers, for longer than a cancellation may take.
 fn refused_then_down() -> Vec<InjectedFault> {
     vec![
         at(30.0, FaultKind::StateServiceRefuses, LEADER, 14.0 + LONG_OUTAGE_S),
--- a/crates/quota/src/ledger.rs
+++ b/crates/quota/src/ledger.rs
@@ -33,7 +33,7 @@
 pub struct Ledger {
     tree: Tree,
     used: Vec<Amount>,
-    /// Resources that may be in use on machines that have not reported yet. The team is unknown,
+    /// Resources that may be in use on machines that have not sent a heartbeat yet. The team is unknown,
     /// so the amount counts at every level.
     pub unreported: Amount,
     /// Number of levels read or written so far: a measure of the cost of decisions.
@@ -159,8 +159,8 @@
     /// Selects the held tasks to preempt so that a service of this team may start one more task
     /// where a limit on its path blocks it: lowest priority first, then least lost work, never
     /// services. Returns nothing if preemption could not free enough. `leaving` lists tasks that
-    /// were already told to stop and still count. Usage of machines that have not reported is
-    /// ignored here: it may be nothing, and is known soon.
+    /// were already ordered to stop and still count. The possible usage of machines that have sent no
+    /// heartbeat is ignored here: it may be zero, and is known soon.
     pub fn preempt_for<T: Copy>(
         &self,
         team: TeamIndex,
@@ -210,7 +210,7 @@
 
     /// Selects the held tasks to preempt so that no level stays over its limit: services last,
     /// tasks of the teams that borrow from farthest away first, then least lost work. `leaving`
-    /// lists tasks that were already told to stop and still count.
+    /// lists tasks that were already ordered to stop and still count.
     pub fn preempt_over_limit<T: Copy>(&self, held: &[BorrowedTask<T>], leaving: &[(TeamIndex, Amount)]) -> Vec<T> {
         let over = self.levels_over_limit();
         if over.is_empty() {
--- a/crates/service-levels/src/objectives.rs
+++ b/crates/service-levels/src/objectives.rs
@@ -31,8 +31,8 @@
 /// The objectives that the operators state for one class.
 #[derive(Debug, Clone, PartialEq, Default, Serialize, Deserialize)]
 pub struct ServiceLevelObjectives {
-    /// Seconds within which all tasks of a job should run. The longest of the stated times: the
-    /// tracker measures whether there was service at all, the targets of a run how good it was.
+    /// Seconds within which all tasks of a job should run: the longest of the stated times, because the
+    /// tracker measures whether a job was served at all. The targets of a run measure how well it was served.
     pub wait_s: Option<f64>,
     /// Times within which a job should be done.
     pub done: Vec<CompletionObjective>,
--- a/crates/sharding/src/activation.rs
+++ b/crates/sharding/src/activation.rs
@@ -63,8 +63,8 @@
     others.into_iter().all(|c| c.is_some_and(|(node, version)| node == NOBODY && version < token))
 }
 
-/// Returns whether this controller's plan should be proposed, given the active one. Several shards can follow
-/// only on a single one, and a single one only on several.
+/// Returns whether this controller's plan should be proposed, given the active one. A plan of several shards can
+/// only replace a single shard, and a plan of a single shard can only replace several.
 pub fn has_plan_to_offer(own: &ShardingPlan, in_force: Option<&ShardingPlan>) -> bool {
     if own.cells > 1 { in_force.is_none() } else { in_force.is_some() }
 }
--- a/crates/sharding/src/escrow.rs
+++ b/crates/sharding/src/escrow.rs
@@ -4,8 +4,8 @@
 //! give away a part of its share: it first stops using that part, then lowers its own share and raises
 //! another's in a single write, conditional on the version of the value and on its leadership record. So the
 //! shares sum to the limit in every stored state, no shard has to ask another one, and the share that a
-//! shard assumes is never larger than the stored one: it may learn late of what it received, but never of
-//! what it gave.
+//! shard assumes is never larger than the stored one: a shard may learn late what it received, but it always
+//! knows at once what it gave away.
 
 use crate::{EPSILON, ShardId};
 use serde::{Deserialize, Serialize};
--- a/crates/sharding/src/machine_transfer.rs
+++ b/crates/sharding/src/machine_transfer.rs
@@ -2,8 +2,8 @@
 //! shards.
 //!
 //! 1. The sender stores the [`MachineTransfer`], if none is in progress. From that write on the machines belong
-//!    to the receiver, whatever the sender's own records still say. Before, the sender has made sure that none
-//!    of its commands to them can still arrive.
+//!    to the receiver, even while the sender's own records still contain them. Before the write, the sender
+//!    has made sure that none of its commands to them can still arrive.
 //! 2. The receiver adds the machines as soon as it sees the value, and records them. The sender removes them
 //!    from its records; once that is stored, it sets [`MachineTransfer::released_by_sender`] in the value.
 //! 3. When both are done, the receiver empties the value. It never deletes the key: a first write that is
