--- a/crates/model/src/cancelled.rs
+++ b/crates/model/src/cancelled.rs
@@ -41,7 +41,7 @@
         }
         if self.now > confirmed_at + CANCELLATION_LIMIT_S {
             self.record_violation(format!(
-                "ran_cancelled: {task} starts {:.1} s after its confirmation",
+                "ran_cancelled: {task} starts {:.1} s after the cancellation of its job was confirmed",
                 self.now - confirmed_at
             ));
         }
@@ -53,10 +53,10 @@
             return None;
         }
         let holds = |m: &&crate::machines::Machine| m.tasks.keys().any(|t| job_of(t) == id && m.runs_task(t, self.now));
-        let m = self.machines.iter().find(holds)?;
-        let has_hung = m.hangs_until > confirmed_at;
-        let after_hang = if has_hung && self.now >= m.hangs_until { ", and resumed after a hang" } else { "" };
-        Some(format!("ran_cancelled: {id} still runs on {}{after_hang}", m.name))
+        let machine = self.machines.iter().find(holds)?;
+        let has_hung = machine.hangs_until > confirmed_at;
+        let after_hang = if has_hung && self.now >= machine.hangs_until { ", and resumed after a hang" } else { "" };
+        Some(format!("ran_cancelled: {id} still runs on {}{after_hang}", machine.name))
     }
 }
 
--- a/crates/model/src/delayed_heartbeats.rs
+++ b/crates/model/src/delayed_heartbeats.rs
@@ -28,8 +28,11 @@
 
     /// Sends the copies to every controller when a shard has a new leader.
     pub(crate) fn step_heartbeat_copies(&mut self) {
-        let tokens = |c: usize| self.nodes.iter().filter_map(|n| Some(n.slots[c].shard.as_ref()?.token)).max();
-        let newest: Vec<u64> = (0..self.shard_count).map(|c| tokens(c).unwrap_or(0)).collect();
+        let newest_token = |shard_index: usize| {
+            self.nodes.iter().filter_map(|node| Some(node.slots[shard_index].shard.as_ref()?.token)).max()
+        };
+        let newest: Vec<u64> =
+            (0..self.shard_count).map(|shard_index| newest_token(shard_index).unwrap_or(0)).collect();
         self.heartbeat_copies.leader_tokens.resize(self.shard_count, 0);
         let has_new_leader = newest.iter().zip(&self.heartbeat_copies.leader_tokens).any(|(new, old)| new > old);
         for (old, new) in self.heartbeat_copies.leader_tokens.iter_mut().zip(newest) {
--- a/crates/model/src/machines.rs
+++ b/crates/model/src/machines.rs
@@ -125,10 +125,10 @@
             (machine.lease_renewed_at, machine.pending_heartbeat) = (now, None);
         }
         let mut changed = false;
-        for (name, t) in &mut machine.tasks {
-            let (job, n) = name.split_once('/').expect("a task");
-            let is_stored = self.jobs.get(job).is_some_and(|j| j.done.contains(&n.parse().expect("a number")));
-            let next = match t.phase {
+        for (name, task) in &mut machine.tasks {
+            let (job, number) = name.split_once('/').expect("a task");
+            let is_stored = self.jobs.get(job).is_some_and(|job| job.done.contains(&number.parse().expect("a number")));
+            let next = match task.phase {
                 // The result of a finished task is stored: the task is done at once when it is started again.
                 TaskPhase::Pulling(until) if now >= until => {
                     if is_stored {
@@ -139,10 +139,10 @@
                 }
                 TaskPhase::Running(_) if now < machine.tasks_fail_until => TaskPhase::Ended("error"),
                 TaskPhase::Flushing(until) if now >= until => TaskPhase::Ended("stopped"),
-                s => s,
+                phase => phase,
             };
-            changed |= next != t.phase;
-            t.phase = next;
+            changed |= next != task.phase;
+            task.phase = next;
         }
         // Tasks of arrays complete; services run until they are stopped.
         let work = self.scenario.work;
--- a/crates/model/src/observer.rs
+++ b/crates/model/src/observer.rs
@@ -73,10 +73,10 @@
 
     fn observe_leader(&mut self, shard_index: usize) {
         let now = self.now;
-        let acting = |(i, n): (usize, &crate::controllers::Node)| {
-            let held = &n.slots[shard_index];
-            let token = held.election.valid_token(now).filter(|_| n.runs(now))?;
-            held.shard.as_ref().filter(|s| s.token == token).map(|_| (token, (i, n.generation)))
+        let acting = |(index, node): (usize, &crate::controllers::Node)| {
+            let slot = &node.slots[shard_index];
+            let token = slot.election.valid_token(now).filter(|_| node.runs(now))?;
+            slot.shard.as_ref().filter(|shard| shard.token == token).map(|_| (token, (index, node.generation)))
         };
         let Some((token, process)) = self.nodes.iter().enumerate().filter_map(acting).max() else { return };
         let known = &mut self.observer.shards[shard_index];
--- a/crates/model/src/rules.rs
+++ b/crates/model/src/rules.rs
@@ -39,7 +39,9 @@
             job.begun.get_or_insert(now);
             let (spec, m) = (job.spec.clone(), &self.machines[index]);
             if m.spot && !spec.spot {
-                self.record_violation(format!("wrong_place: {task} on a spot machine"));
+                self.record_violation(format!(
+                    "wrong_place: {task} runs on a spot machine, which its job does not allow"
+                ));
             }
             let on = |zone: Option<usize>| {
                 let there = self.machines.iter().filter(|m| zone.is_none_or(|z| m.zone == z));
@@ -49,10 +51,16 @@
             let zone = self.machines[index].zone;
             let (here, everywhere) = (on(Some(zone)), on(None));
             if spec.zone_anti_affinity && here > (spec.tasks as usize).div_ceil(2) {
-                self.record_violation(format!("wrong_place: {id} is not spread"));
+                self.record_violation(format!(
+                    "wrong_place: {id} has {here} of {} tasks in zone {}, more than half",
+                    spec.tasks, ZONES[zone]
+                ));
             }
             if spec.zone.as_ref().is_some_and(|z| z != ZONES[zone]) {
-                self.record_violation(format!("wrong_place: {task} in zone {}", ZONES[zone]));
+                self.record_violation(format!(
+                    "wrong_place: {task} runs in zone {}, its job requires another one",
+                    ZONES[zone]
+                ));
             }
             if spec.zone_affinity && here < everywhere {
                 self.record_violation(format!("wrong_place: {id} is in more than one zone"));
@@ -114,25 +122,25 @@
         )
     }
 
-    /// Checks the rules that hold at any time, and after the last fault those about progress.
+    /// Checks the rules that hold at any time and, once the last fault has ended, those about progress.
     pub(crate) fn check(&mut self) {
         let now = self.now;
         self.record_ready_jobs();
         let without_faults_s = now - self.faults_until;
         let (mut violations, mut longest) = (Vec::new(), self.counts.longest_unanswered_s);
-        for (id, j) in &self.jobs {
-            violations.extend(self.cancelled_too_late(id, j.cancellation_confirmed_at));
-            let has_ended = matches!(j.last_state, Some(JobState::Done | JobState::Cancelled));
-            if j.accepted.is_none() || has_ended || without_faults_s < 0.0 {
+        for (id, job) in &self.jobs {
+            violations.extend(self.cancelled_too_late(id, job.cancellation_confirmed_at));
+            let has_ended = matches!(job.last_state, Some(JobState::Done | JobState::Cancelled));
+            if job.accepted.is_none() || has_ended || without_faults_s < 0.0 {
                 continue;
             }
-            let unanswered = now - j.answered.max(self.faults_until);
+            let unanswered = now - job.answered.max(self.faults_until);
             longest = longest.max(unanswered);
             if unanswered > ANSWER_LIMIT_S {
                 violations.push(format!("forgotten: {id} was not answered for {unanswered:.0} s"));
             }
-            let ready_s = j.ready_since.map_or(0.0, |ready_at| now - ready_at.max(self.faults_until));
-            if self.scenario.room && ready_s > BEGIN_LIMIT_S && j.begun.is_none() && j.cancel_at.is_none() {
+            let ready_s = job.ready_since.map_or(0.0, |ready_at| now - ready_at.max(self.faults_until));
+            if self.scenario.room && ready_s > BEGIN_LIMIT_S && job.begun.is_none() && job.cancel_at.is_none() {
                 let view = self.describe_leader_view(id);
                 violations.push(format!(
                     "forgotten: {id} has not begun {ready_s:.0} s after the last fault and its dependencies; {view}"
@@ -143,8 +151,8 @@
         if without_faults_s >= 0.0 {
             self.check_waiting(&mut violations);
         }
-        let held = self.nodes.iter().flat_map(|n| &n.slots);
-        let repairs = held.filter_map(|h| h.shard.as_ref()).map(Shard::repairs).sum::<u64>();
+        let slots = self.nodes.iter().flat_map(|node| &node.slots);
+        let repairs = slots.filter_map(|slot| slot.shard.as_ref()).map(Shard::repairs).sum::<u64>();
         if repairs > 0 {
             violations.push(format!("{repairs} differences between jobs and machines had to be repaired"));
         }
--- a/crates/model/src/waiting.rs
+++ b/crates/model/src/waiting.rs
@@ -26,12 +26,12 @@
             team_cpus: HashMap::new(),
             present: BTreeSet::new(),
         };
-        for (i, m) in self.machines.iter().enumerate().filter(|(_, m)| !m.gone) {
-            for (name, _) in m.tasks.iter().filter(|(_, t)| !matches!(t.phase, TaskPhase::Ended(_))) {
+        for (index, machine) in self.machines.iter().enumerate().filter(|(_, machine)| !machine.gone) {
+            for (name, _) in machine.tasks.iter().filter(|(_, task)| !matches!(task.phase, TaskPhase::Ended(_))) {
                 let id = name.split('/').next().unwrap_or("");
                 let Some(job) = self.jobs.get(id) else { continue };
-                used.cpus[i] += job.spec.cpus;
-                used.memory_gb[i] += job.spec.memory_gb;
+                used.cpus[index] += job.spec.cpus;
+                used.memory_gb[index] += job.spec.memory_gb;
                 *used.team_cpus.entry(&job.spec.team).or_default() += job.spec.cpus;
                 used.present.insert(id);
             }
@@ -75,17 +75,17 @@
 
     fn is_under_team_limit(&self, job: &Job, used: &InUse) -> bool {
         let limit = self.params.teams.iter().find(|t| t.name == job.spec.team).map_or(0.0, |t| t.cpus_max);
-        let team = used.team_cpus.get(job.spec.team.as_str()).copied().unwrap_or(0.0);
-        limit == 0.0 || team + job.spec.cpus <= limit
+        let team_cpus = used.team_cpus.get(job.spec.team.as_str()).copied().unwrap_or(0.0);
+        limit == 0.0 || team_cpus + job.spec.cpus <= limit
     }
 
     /// Returns a machine with free capacity for a task of the job.
     fn machine_with_capacity(&self, job: &Job, used: &InUse) -> Option<&str> {
         let machine_type = known_types().first()?;
-        let fits = |(i, m): &(usize, &Machine)| {
-            let cpus = machine_type.cpus - used.cpus[*i];
-            let memory_gb = machine_type.memory_gb - used.memory_gb[*i];
-            self.is_healthy(m) && allows(job, m) && cpus >= job.spec.cpus && memory_gb >= job.spec.memory_gb
+        let fits = |(index, machine): &(usize, &Machine)| {
+            let cpus = machine_type.cpus - used.cpus[*index];
+            let memory_gb = machine_type.memory_gb - used.memory_gb[*index];
+            self.is_healthy(machine) && allows(job, machine) && cpus >= job.spec.cpus && memory_gb >= job.spec.memory_gb
         };
         self.machines.iter().enumerate().find(fits).map(|(_, m)| m.name.as_str())
     }
--- a/crates/service-levels/src/gate.rs
+++ b/crates/service-levels/src/gate.rs
@@ -177,11 +177,11 @@
             let mut words = name.split(' ');
             let kind = words.next().unwrap_or("").to_owned();
             let class = words.next().unwrap_or("").to_owned();
-            let rest_of: Vec<&str> = words.collect();
-            let time = rest_of.first().and_then(|w| w.trim_end_matches('x').parse().ok()).unwrap_or(0.0);
+            let qualifiers: Vec<&str> = words.collect();
+            let time = qualifiers.first().and_then(|word| word.trim_end_matches('x').parse().ok()).unwrap_or(0.0);
             let value = rest.split(' ').next().and_then(|v| v.parse::<f64>().ok());
             if let (Some(share), true) = (value, SHARES.contains(&kind.as_str())) {
-                let window = rest_of.contains(&"worst");
+                let window = qualifiers.contains(&"worst");
                 all.push(Candidate { name: name.to_owned(), kind, class, time, window, share });
             }
         }
@@ -200,16 +200,16 @@
     last.extend(lines.iter().map(|report| (if report.chain > 0 { report.chain } else { report.leader }, report)));
     let mut rows: BTreeMap<(Subject, &str, u8), Row> = BTreeMap::new();
     for row in last.values().flat_map(|report| &report.rows) {
-        let of = rows.entry((row.subject, &row.name, row.reading as u8)).or_insert(Row {
+        let merged = rows.entry((row.subject, &row.name, row.reading as u8)).or_insert(Row {
             asked: 0.0,
             share: None,
             unknown: 0,
             ..row.clone()
         });
-        let served = of.share.unwrap_or(0.0) * of.asked + row.share.unwrap_or(0.0) * row.asked;
-        of.asked += row.asked;
-        of.unknown += row.unknown;
-        of.share = (of.asked > 0.0).then(|| served / of.asked);
+        let served = merged.share.unwrap_or(0.0) * merged.asked + row.share.unwrap_or(0.0) * row.asked;
+        merged.asked += row.asked;
+        merged.unknown += row.unknown;
+        merged.share = (merged.asked > 0.0).then(|| served / merged.asked);
     }
     rows.into_values().collect()
 }
@@ -219,13 +219,13 @@
     let mut result = GateResult::default();
     for row in &merge_reports(lines) {
         // A share of few jobs means little: for a single job it is 0 or 1.
-        let least = match row.reading {
+        let min_asked = match row.reading {
             Reading::Up | Reading::Held => 60.0,
             // A class has only few large jobs.
             Reading::Largest => 2.0,
             _ => 8.0,
         };
-        if let Some(share) = row.share.filter(|_| row.asked >= least) {
+        if let Some(share) = row.share.filter(|_| row.asked >= min_asked) {
             result.add(source, format!("{} {} {}", row.subject.name(), row.name, row.reading.name()), share);
         }
     }
--- a/crates/service-levels/src/underserved.rs
+++ b/crates/service-levels/src/underserved.rs
@@ -50,8 +50,8 @@
 pub struct Underserved(Vec<bool>);
 
 impl Underserved {
-    /// Evaluates every indicator. `forecasts` describes the open jobs of each indicator: without it, a class of the
-    /// lowest priority counted as underserved only after its first jobs had missed their time.
+    /// Evaluates every indicator. `forecasts` holds the forecast of the open jobs of each indicator. Without it, a class
+    /// of the lowest priority would count as underserved only after its first jobs had missed their time.
     pub fn evaluate(
         tracker: &ServiceLevelTracker,
         forecasts: &HashMap<IndicatorIndex, Forecast>,
@@ -60,11 +60,11 @@
         let share = |i: usize| {
             let indicator = &tracker.indicators[i];
             let share_of = |reading: &Reading| {
-                let mut s = indicator.sums(*reading).over(Span::TenMinutes, now);
+                let mut sums = indicator.sums(*reading).over(Span::TenMinutes, now);
                 if let (Reading::Done, Some(forecast)) = (reading, forecasts.get(&IndicatorIndex::of(i))) {
-                    s.add(forecast.open, forecast.on_time);
+                    sums.add(forecast.open, forecast.on_time);
                 }
-                s.ratio().filter(|_| s.asked >= MIN_ASKED)
+                sums.ratio().filter(|_| sums.asked >= MIN_ASKED)
             };
             IMPROVABLE_READINGS.iter().filter_map(share_of).min_by(f64::total_cmp)
         };
@@ -83,21 +83,22 @@
         let is_underserved = |(indicator, share): (&crate::tracker::ServiceLevelIndicator, &Option<f64>)| {
             let [first, second] = best[indicator.subject as usize];
             let others = if *share == first { second } else { first };
-            share.is_some_and(|s| {
-                s < UNDERSERVED_THRESHOLD && others.is_none_or(|o| o >= UNDERSERVED_THRESHOLD || s < o - MIN_LEAD)
+            share.is_some_and(|share| {
+                share < UNDERSERVED_THRESHOLD
+                    && others.is_none_or(|other| other >= UNDERSERVED_THRESHOLD || share < other - MIN_LEAD)
             })
         };
         Underserved(tracker.indicators.iter().zip(&shares).map(is_underserved).collect())
     }
 
     /// Returns whether the indicator is underserved.
-    pub fn contains(&self, a: IndicatorIndex) -> bool {
-        self.0.get(a.as_usize()).copied().unwrap_or(false)
+    pub fn contains(&self, indicator: IndicatorIndex) -> bool {
+        self.0.get(indicator.as_usize()).copied().unwrap_or(false)
     }
 
     /// Returns whether any of the given indicators is underserved, usually a job's class and team.
     pub fn contains_either(&self, indicators: [IndicatorIndex; 2]) -> bool {
-        indicators.iter().any(|a| self.contains(*a))
+        indicators.iter().any(|indicator| self.contains(*indicator))
     }
 
     /// Returns whether any indicator is underserved.
