--- a/crates/model/src/store.rs
+++ b/crates/model/src/store.rs
@@ -88,13 +88,14 @@
         changes: &[Mutation],
         lease: Option<u64>,
     ) -> Option<u64> {
-        if conditions.iter().any(|(k, v)| self.version(k) != *v) || lease.is_some_and(|l| !self.leases.contains_key(&l))
+        if conditions.iter().any(|(key, version)| self.version(key) != *version)
+            || lease.is_some_and(|l| !self.leases.contains_key(&l))
         {
             return None;
         }
         self.revision += 1;
-        for c in changes {
-            match c {
+        for change in changes {
+            match change {
                 Mutation::Put { key, value, .. } => {
                     self.leases.values_mut().for_each(|l| _ = l.keys.remove(key));
                     if let Some(l) = lease.and_then(|l| self.leases.get_mut(&l)) {
@@ -113,17 +114,17 @@
 
     /// Reads a leadership record.
     pub(crate) fn leadership_record(&self, key: &str) -> Option<ObservedRecord> {
-        let (v, version) = self.keys.get(key)?;
+        let (value, version) = self.keys.get(key)?;
         Some(ObservedRecord {
-            record: serde_json::from_value(v.clone()).expect("a leadership record"),
+            record: serde_json::from_value(value.clone()).expect("a leadership record"),
             version: *version,
         })
     }
 
     /// Reads and decodes a value with its version.
     pub(crate) fn read<T: DeserializeOwned>(&self, key: &str) -> Option<(T, u64)> {
-        let (v, version) = self.keys.get(key)?;
-        Some((serde_json::from_value(v.clone()).expect("a value"), *version))
+        let (value, version) = self.keys.get(key)?;
+        Some((serde_json::from_value(value.clone()).expect("a value"), *version))
     }
 
     /// Reads the record of a job.
--- a/crates/model/src/wrong_decisions.rs
+++ b/crates/model/src/wrong_decisions.rs
@@ -12,21 +12,21 @@
 /// Seconds without a heartbeat after which the incarnation of a machine is taken to be over.
 const SILENT_AFTER_S: f64 = 8.0;
 
-/// Changes a leader's state in the way of the wrong decision.
+/// Applies a wrong decision to a leader's state.
 pub(crate) fn apply(wrong_decision: Option<WrongDecision>, shard: &mut Shard, now: f64) {
     match wrong_decision {
         Some(WrongDecision::NeverPlacesSomeJobs) => {
             let live: Vec<_> = shard.jobs.live.iter().copied().collect();
-            for j in live {
-                let job = &mut shard.jobs[j];
+            for job_index in live {
+                let job = &mut shard.jobs[job_index];
                 if job.id.ends_with('7') {
                     job.not_before = f64::MAX;
                 }
             }
         }
         Some(WrongDecision::NeverDeclaresMachinesLost) => {
-            for m in shard.machines.present.iter().copied().collect::<Vec<_>>() {
-                let machine = &mut shard.machines[m];
+            for machine_index in shard.machines.present.iter().copied().collect::<Vec<_>>() {
+                let machine = &mut shard.machines[machine_index];
                 (machine.last_heartbeat_at, machine.lease_renewed_at) = (now, machine.lease_renewed_at.map(|_| now));
                 (machine.suspected, machine.missed_listings, machine.unanswered_pushes) = (false, 0, 0);
             }
--- a/crates/quota/src/plan.rs
+++ b/crates/quota/src/plan.rs
@@ -93,26 +93,31 @@
         let mut fault = |path: String, what: String| out.push(Fault { path, what });
         let at = |i: usize, field: &str| format!("organisation[{i}].{field}");
         let mut by_name: BTreeMap<&str, usize> = BTreeMap::new();
-        for (i, o) in self.organisations.iter().enumerate() {
-            if let Some(first) = by_name.get(o.name.as_str()) {
+        for (index, organisation) in self.organisations.iter().enumerate() {
+            if let Some(first) = by_name.get(organisation.name.as_str()) {
                 fault(
-                    at(i, "name"),
-                    format!("{:?} is already the name of organisation[{first}]; names must be unique", o.name),
+                    at(index, "name"),
+                    format!(
+                        "{:?} is already the name of organisation[{first}]; names must be unique",
+                        organisation.name
+                    ),
                 );
             } else {
-                by_name.insert(&o.name, i);
+                by_name.insert(&organisation.name, index);
             }
         }
-        let known: BTreeSet<&str> = teams.iter().map(|t| t.name.as_str()).collect();
+        let known: BTreeSet<&str> = teams.iter().map(|team| team.name.as_str()).collect();
         let mut placed: BTreeMap<&str, usize> = BTreeMap::new();
-        for (i, o) in self.organisations.iter().enumerate() {
-            if let Some(parent) = o.within.as_deref().filter(|p| !by_name.contains_key(p)) {
-                fault(at(i, "within"), format!("there is no organisation {parent:?}"));
+        for (index, organisation) in self.organisations.iter().enumerate() {
+            if let Some(parent) = organisation.within.as_deref().filter(|p| !by_name.contains_key(p)) {
+                fault(at(index, "within"), format!("there is no organisation {parent:?}"));
             }
-            for (name, guarantee, limit) in [("cpus", o.cpus, o.cpus_max), ("gpus", o.gpus, o.gpus_max)] {
+            for (name, guarantee, limit) in
+                [("cpus", organisation.cpus, organisation.cpus_max), ("gpus", organisation.gpus, organisation.gpus_max)]
+            {
                 if limit > 0.0 && guarantee.is_some_and(|g| g > limit) {
                     fault(
-                        at(i, &format!("{name}_max")),
+                        at(index, &format!("{name}_max")),
                         format!(
                             "{limit} is less than the guarantee of {}; raise it or set 0 for no limit",
                             guarantee.unwrap_or_default()
@@ -120,43 +125,48 @@
                     );
                 }
             }
-            for (k, t) in o.teams.iter().enumerate() {
-                let path = at(i, &format!("teams[{k}]"));
-                if !known.contains(t.as_str()) {
-                    fault(path, format!("there is no team {t:?} in the settings"));
-                } else if let Some(first) = placed.get(t.as_str()) {
+            for (team_position, team) in organisation.teams.iter().enumerate() {
+                let path = at(index, &format!("teams[{team_position}]"));
+                if !known.contains(team.as_str()) {
+                    fault(path, format!("there is no team {team:?} in the settings"));
+                } else if let Some(first) = placed.get(team.as_str()) {
                     fault(
                         path,
-                        format!("{t:?} is already listed in organisation[{first}]; a team belongs to one organisation"),
+                        format!(
+                            "{team:?} is already listed in organisation[{first}]; a team belongs to one organisation"
+                        ),
                     );
                 } else {
-                    placed.insert(t, i);
+                    placed.insert(team, index);
                 }
             }
         }
-        for t in teams.iter().filter(|t| !placed.contains_key(t.name.as_str())) {
-            fault("organisation".into(), format!("team {:?} of the settings is listed in no organisation", t.name));
+        for team in teams.iter().filter(|team| !placed.contains_key(team.name.as_str())) {
+            fault("organisation".into(), format!("team {:?} of the settings is listed in no organisation", team.name));
         }
         // Each organisation is followed upwards once. A path that returns to itself is a cycle; a
         // path that reaches an organisation with a known depth is not.
-        let parent = |i: usize| self.organisations[i].within.as_deref().and_then(|p| by_name.get(p)).copied();
+        let parent = |index: usize| self.organisations[index].within.as_deref().and_then(|p| by_name.get(p)).copied();
         let mut depth: Vec<Option<usize>> = vec![None; self.organisations.len()];
-        for i in 0..self.organisations.len() {
+        for start in 0..self.organisations.len() {
             let (mut path, mut on_path) = (Vec::new(), BTreeSet::new());
-            let mut next = Some(i);
-            while let Some(j) = next.filter(|&j| depth[j].is_none() && on_path.insert(j)) {
-                path.push(j);
-                next = parent(j);
+            let mut next = Some(start);
+            while let Some(index) = next.filter(|&index| depth[index].is_none() && on_path.insert(index)) {
+                path.push(index);
+                next = parent(index);
             }
-            if let Some(j) = next.filter(|j| on_path.contains(j)) {
-                fault(at(j, "within"), format!("{:?} contains itself through `within`", self.organisations[j].name));
+            if let Some(index) = next.filter(|index| on_path.contains(index)) {
+                fault(
+                    at(index, "within"),
+                    format!("{:?} contains itself through `within`", self.organisations[index].name),
+                );
             }
-            let mut below = next.and_then(|j| depth[j]).unwrap_or(0);
-            for j in path.into_iter().rev() {
+            let mut below = next.and_then(|index| depth[index]).unwrap_or(0);
+            for index in path.into_iter().rev() {
                 below += 1;
-                depth[j] = Some(below);
+                depth[index] = Some(below);
                 if below == MAX_DEPTH + 1 {
-                    fault(at(j, "within"), format!("more than {MAX_DEPTH} levels of organisations above it"));
+                    fault(at(index, "within"), format!("more than {MAX_DEPTH} levels of organisations above it"));
                 }
             }
         }
--- a/crates/quota/src/tree.rs
+++ b/crates/quota/src/tree.rs
@@ -64,31 +64,35 @@
         // Parents may come after their children in the file. There are no cycles, so each round
         // adds at least one organisation.
         while !remaining.is_empty() {
-            remaining.retain(|&i| {
-                let o = &plan.organisations[i];
-                let parent = match &o.within {
+            remaining.retain(|&index| {
+                let organisation = &plan.organisations[index];
+                let parent = match &organisation.within {
                     None => Some(ROOT),
-                    Some(p) => added.get(p.as_str()).copied(),
+                    Some(parent) => added.get(parent.as_str()).copied(),
                 };
                 let Some(parent) = parent else { return true };
-                let stated = Amount::new(o.cpus.unwrap_or(f64::NAN), o.gpus.unwrap_or(f64::NAN));
+                let stated = Amount::new(organisation.cpus.unwrap_or(f64::NAN), organisation.gpus.unwrap_or(f64::NAN));
                 let level = Level {
-                    name: tree.name_below(parent, &o.name),
+                    name: tree.name_below(parent, &organisation.name),
                     parent: Some(parent),
                     stated,
                     guarantee: Amount::NONE,
-                    limit: Amount::new(o.cpus_max, o.gpus_max),
-                    weight: o.weight,
+                    limit: Amount::new(organisation.cpus_max, organisation.gpus_max),
+                    weight: organisation.weight,
                     team: None,
                 };
-                added.insert(&o.name, tree.push(level));
+                added.insert(&organisation.name, tree.push(level));
                 false
             });
         }
         let team_index = |name: &str| teams.iter().position(|t| t.name == name);
-        for o in &plan.organisations {
-            for (i, level) in o.teams.iter().filter_map(|n| Some((team_index(n)?, *added.get(o.name.as_str())?))) {
-                tree.add_team(i, &teams[i], level);
+        for organisation in &plan.organisations {
+            for (index, level) in organisation
+                .teams
+                .iter()
+                .filter_map(|n| Some((team_index(n)?, *added.get(organisation.name.as_str())?)))
+            {
+                tree.add_team(index, &teams[index], level);
             }
         }
         let warnings = tree.scale_guarantees();
@@ -147,30 +151,32 @@
         let count = self.levels.len();
         let mut below = vec![Amount::NONE; count];
         // Children have higher indices than their parents.
-        for i in (0..count).rev() {
-            let l = &mut self.levels[i];
+        for index in (0..count).rev() {
+            let level = &mut self.levels[index];
             let or = |stated: f64, sum: f64| if stated.is_nan() { sum } else { stated };
-            l.stated = Amount::new(or(l.stated.cpus, below[i].cpus), or(l.stated.gpus, below[i].gpus));
-            if let Some(p) = l.parent {
-                below[p.0 as usize] = below[p.0 as usize].plus(l.stated);
+            level.stated =
+                Amount::new(or(level.stated.cpus, below[index].cpus), or(level.stated.gpus, below[index].gpus));
+            if let Some(parent) = level.parent {
+                below[parent.0 as usize] = below[parent.0 as usize].plus(level.stated);
             }
         }
         let mut warnings = Vec::new();
-        for i in 0..count {
-            let l = &self.levels[i];
-            let part = match l.parent {
+        for index in 0..count {
+            let level = &self.levels[index];
+            let part = match level.parent {
                 None => Amount::new(1.0, 1.0),
-                Some(p) => {
-                    let (has, sum) = (self.at(p).guarantee, below[p.0 as usize]);
+                Some(parent) => {
+                    let (has, sum) = (self.at(parent).guarantee, below[parent.0 as usize]);
                     let part = |has: f64, sum: f64| if sum > has { has / sum } else { 1.0 };
                     Amount::new(part(has.cpus, sum.cpus), part(has.gpus, sum.gpus))
                 }
             };
-            let scaled = Amount::new(l.stated.cpus * part.cpus, l.stated.gpus * part.gpus);
-            self.levels[i].guarantee = scaled;
-            for (what, has, sum) in [("cpus", scaled.cpus, below[i].cpus), ("gpus", scaled.gpus, below[i].gpus)] {
+            let scaled = Amount::new(level.stated.cpus * part.cpus, level.stated.gpus * part.gpus);
+            self.levels[index].guarantee = scaled;
+            for (what, has, sum) in [("cpus", scaled.cpus, below[index].cpus), ("gpus", scaled.gpus, below[index].gpus)]
+            {
                 if sum > has + crate::EPSILON {
-                    let path = self.levels[i].name.clone();
+                    let path = self.levels[index].name.clone();
                     let what = format!(
                         "guarantees {has} {what}, but its children state {sum} together: their guarantees are scaled down"
                     );
--- a/crates/service-levels/src/inheritance.rs
+++ b/crates/service-levels/src/inheritance.rs
@@ -114,9 +114,11 @@
         for IndicatorTotals(subject, name, sums) in &totals.lines {
             let index = self.indicator(*subject, name, now);
             let indicator = &mut self.indicators[index.as_usize()];
-            for (r, &ReadingTotals(asked, served, unknown, ten_asked, ten_served)) in READINGS.into_iter().zip(sums) {
+            for (reading, &ReadingTotals(asked, served, unknown, ten_asked, ten_served)) in
+                READINGS.into_iter().zip(sums)
+            {
                 let ten = Share { asked: ten_asked, served: ten_served };
-                indicator.add_inherited(r, Share { asked, served }, unknown, ten, totals.as_of, now);
+                indicator.add_inherited(reading, Share { asked, served }, unknown, ten, totals.as_of, now);
             }
         }
     }
@@ -125,8 +127,8 @@
 /// Returns the newest complete round among these values; `None` if there is none that can be read.
 pub fn newest_complete_round(parts: impl IntoIterator<Item = Part>) -> Option<InheritedTotals> {
     let mut rounds: BTreeMap<u64, BTreeMap<u32, Part>> = BTreeMap::new();
-    for p in parts.into_iter().filter(|p| p.form == FORMAT_VERSION) {
-        rounds.entry(p.round).or_default().insert(p.n, p);
+    for part in parts.into_iter().filter(|part| part.form == FORMAT_VERSION) {
+        rounds.entry(part.round).or_default().insert(part.n, part);
     }
     for (round, parts) in rounds.into_iter().rev() {
         let Some(first) = parts.get(&0).cloned() else { continue };
--- a/crates/service-levels/src/report.rs
+++ b/crates/service-levels/src/report.rs
@@ -67,21 +67,21 @@
     /// Returns every reading with requests or unknown outcomes, classes first.
     pub fn report(&self, now: f64) -> ServiceLevelReport {
         let mut rows = Vec::new();
-        for a in &self.indicators {
-            for r in READINGS {
-                let sums = a.sums(r);
-                let unknown = a.unknown[r as usize];
+        for indicator in &self.indicators {
+            for reading in READINGS {
+                let sums = indicator.sums(reading);
+                let unknown = indicator.unknown[reading as usize];
                 if sums.total.asked <= 0.0 && unknown == 0 {
                     continue;
                 }
-                let waits = (r == Reading::Started && !a.waits.is_empty()).then(|| {
-                    let at = |q: f64| a.waits.value_at_quantile(q) as f64 / 1000.0;
-                    (at(0.5), at(0.9), a.waits.max() as f64 / 1000.0)
+                let waits = (reading == Reading::Started && !indicator.waits.is_empty()).then(|| {
+                    let at = |q: f64| indicator.waits.value_at_quantile(q) as f64 / 1000.0;
+                    (at(0.5), at(0.9), indicator.waits.max() as f64 / 1000.0)
                 });
                 rows.push(Row {
-                    subject: a.subject,
-                    name: a.name.clone(),
-                    reading: r,
+                    subject: indicator.subject,
+                    name: indicator.name.clone(),
+                    reading,
                     asked: sums.total.asked,
                     share: sums.total.ratio(),
                     minute: sums.over(Span::Minute, now).ratio(),
@@ -112,20 +112,20 @@
     /// Returns the readings that crossed [`ALERT_THRESHOLD`] since the last call, in either direction.
     pub fn alerts(&mut self, now: f64) -> Vec<Alert> {
         let mut alerts = Vec::new();
-        for i in 0..self.indicators.len() {
-            for r in READINGS {
+        for index in 0..self.indicators.len() {
+            for reading in READINGS {
                 for span in [Span::Minute, Span::TenMinutes] {
-                    let a = &self.indicators[i];
-                    let Share { asked, served } = a.sums(r).over(span, now);
-                    if !enough(r, asked) {
+                    let indicator = &self.indicators[index];
+                    let Share { asked, served } = indicator.sums(reading).over(span, now);
+                    if !enough(reading, asked) {
                         continue;
                     }
                     let share = served / asked;
-                    let key = (i, r, span == Span::Minute);
+                    let key = (index, reading, span == Span::Minute);
                     let under = share < ALERT_THRESHOLD;
                     if under != self.below_threshold.contains(&key) {
-                        let (subject, name) = (a.subject, a.name.clone());
-                        alerts.push(Alert { subject, name, reading: r, span, share, asked, under });
+                        let (subject, name) = (indicator.subject, indicator.name.clone());
+                        alerts.push(Alert { subject, name, reading, span, share, asked, under });
                         if under {
                             self.below_threshold.insert(key)
                         } else {
--- a/crates/service-levels/src/tracker/mod.rs
+++ b/crates/service-levels/src/tracker/mod.rs
@@ -112,13 +112,13 @@
         };
         let names = &mut self.by_name[subject as usize];
         let name = if names.len() < most || names.contains_key(name) { name } else { OTHERS };
-        if let Some(&a) = names.get(name) {
-            return a;
+        if let Some(&index) = names.get(name) {
+            return index;
         }
-        let a = IndicatorIndex(self.indicators.len() as u32);
-        names.insert(name.to_owned(), a);
+        let index = IndicatorIndex(self.indicators.len() as u32);
+        names.insert(name.to_owned(), index);
         self.indicators.push(ServiceLevelIndicator::new(name, subject, now));
-        a
+        index
     }
 
     /// Returns the indicators of an open job's class and team.
@@ -141,14 +141,14 @@
     }
 
     fn count_part(&mut self, indicators: [IndicatorIndex; 2], reading: Reading, now: f64, part: f64) {
-        for a in indicators {
-            self.indicators[a.as_usize()].add(reading, now, 1.0, part);
+        for indicator_index in indicators {
+            self.indicators[indicator_index.as_usize()].add(reading, now, 1.0, part);
         }
     }
 
     fn count_unknown(&mut self, indicators: [IndicatorIndex; 2], reading: Reading) {
-        for a in indicators {
-            self.indicators[a.as_usize()].unknown[reading as usize] += 1;
+        for indicator_index in indicators {
+            self.indicators[indicator_index.as_usize()].unknown[reading as usize] += 1;
         }
     }
 
@@ -160,7 +160,7 @@
         let deadline =
             (!entry.service).then(|| objectives.latest(entry.submitted, entry.from, entry.deadline_s)).flatten();
         let grace = objectives.grace_s.or(objectives.wait_s).unwrap_or(0.0);
-        // A start or an end that fell due under an earlier leader was counted by it, or is lost.
+        // If the start or the end fell due under an earlier leader, that leader has counted it, or its outcome is lost.
         let start = wait.map(|due| self.counted_by(due));
         let unknown = |w: Option<CountedBy>| w == Some(CountedBy::Nobody);
         let wait_unknown = objectives.wait_s.is_some_and(|w| w < entry.may_have_waited_s);
@@ -177,16 +177,17 @@
         let counts_from = entry.from + grace;
         if entry.service && entry.seen_from > counts_from {
             let lost = (entry.seen_from - counts_from.max(self.settled_before).max(0.0)).max(0.0);
-            for a in indicators {
-                self.indicators[a.as_usize()].unknown[Reading::Up as usize] += (lost * f64::from(entry.tasks)) as u64;
+            for indicator_index in indicators {
+                self.indicators[indicator_index.as_usize()].unknown[Reading::Up as usize] +=
+                    (lost * f64::from(entry.tasks)) as u64;
             }
         }
-        let n = self.free.pop().unwrap_or_else(|| {
+        let number = self.free.pop().unwrap_or_else(|| {
             self.tracked.push(None);
             self.generations.push(0);
             self.tracked.len() as u32 - 1
         });
-        self.tracked[n as usize] = Some(TrackedJob {
+        self.tracked[number as usize] = Some(TrackedJob {
             indicators,
             service: entry.service,
             tasks: entry.tasks,
@@ -198,16 +199,16 @@
             waited: entry.may_have_started || wait_unknown || start.is_some_and(|w| w != CountedBy::Ours),
             counted: false,
         });
-        let generation = self.generations[n as usize];
-        let mut due = |t: Option<f64>, what: Due| {
-            if let Some(t) = t {
-                self.due.push(Reverse((at(t), what, n, generation)));
+        let generation = self.generations[number as usize];
+        let mut due = |time: Option<f64>, what: Due| {
+            if let Some(time) = time {
+                self.due.push(Reverse((at(time), what, number, generation)));
             }
         };
         due(wait.filter(|_| !entry.may_have_started), Due::Start);
         due(deadline, Due::Done);
         due(entry.service.then_some(counts_from.max(entry.seen_from)), Due::Count);
-        TrackedJobIndex(n)
+        TrackedJobIndex(number)
     }
 
     /// Updates how many of a job's tasks have begun, are running and are done.
@@ -230,8 +231,8 @@
         let all = begun + done >= job.tasks && !job.waited;
         job.waited |= all;
         if job.counted && before != running {
-            for a in indicators {
-                let indicator = &mut self.indicators[a.as_usize()];
+            for indicator_index in indicators {
+                let indicator = &mut self.indicators[indicator_index.as_usize()];
                 indicator.integrate(now);
                 indicator.replicas.served += f64::from(running) - f64::from(before);
             }
@@ -240,8 +241,8 @@
             self.count_part(indicators, Reading::Started, now, part);
         }
         if all {
-            for a in indicators {
-                self.indicators[a.as_usize()].waits.saturating_record((waited.max(0.0) * 1000.0) as u64);
+            for indicator_index in indicators {
+                self.indicators[indicator_index.as_usize()].waits.saturating_record((waited.max(0.0) * 1000.0) as u64);
             }
         }
     }
@@ -266,8 +267,8 @@
     }
 
     fn stop_counting_replicas(&mut self, job: &TrackedJob, now: f64) {
-        for a in job.indicators.into_iter().filter(|_| job.counted) {
-            let indicator = &mut self.indicators[a.as_usize()];
+        for indicator_index in job.indicators.into_iter().filter(|_| job.counted) {
+            let indicator = &mut self.indicators[indicator_index.as_usize()];
             indicator.integrate(now);
             indicator.replicas.asked -= f64::from(job.tasks);
             indicator.replicas.served -= f64::from(job.running);
@@ -290,8 +291,8 @@
             Some((_, CountedBy::Earlier)) => {}
             None | Some((_, CountedBy::Nobody)) => self.count_unknown(indicators, Reading::Done),
             Some((ended, CountedBy::Ours)) => {
-                for a in indicators {
-                    let sums = &mut self.indicators[a.as_usize()].sums[Reading::Done as usize];
+                for indicator_index in indicators {
+                    let sums = &mut self.indicators[indicator_index.as_usize()].sums[Reading::Done as usize];
                     sums.add_at(ended.min(now), now, 1.0, f64::from(u8::from(ended <= latest)));
                 }
             }
@@ -301,8 +302,8 @@
     /// Records the cpu-seconds that a team or a quota level requested within its guarantee, and those
     /// that it held.
     pub fn record_held(&mut self, subject: Subject, name: &str, asked: f64, held: f64, now: f64) {
-        let a = self.indicator(subject, name, now);
-        self.indicators[a.as_usize()].add(Reading::Held, now, asked, held.min(asked));
+        let indicator_index = self.indicator(subject, name, now);
+        self.indicators[indicator_index.as_usize()].add(Reading::Held, now, asked, held.min(asked));
     }
 
     /// Records a user's submission or cancellation at this controller, and whether it was served.
@@ -332,8 +333,8 @@
                 Due::Count if job.service && !job.counted => {
                     job.counted = true;
                     let (tasks, running) = (f64::from(job.tasks), f64::from(job.running));
-                    for a in indicators {
-                        let indicator = &mut self.indicators[a.as_usize()];
+                    for indicator_index in indicators {
+                        let indicator = &mut self.indicators[indicator_index.as_usize()];
                         indicator.integrate(now);
                         indicator.replicas.asked += tasks;
                         indicator.replicas.served += running;
@@ -346,8 +347,8 @@
     }
 
     /// Returns a reading over a window.
-    pub fn share_over(&self, a: IndicatorIndex, reading: Reading, span: Span, now: f64) -> Share {
-        self.indicators[a.as_usize()].sums(reading).over(span, now)
+    pub fn share_over(&self, indicator_index: IndicatorIndex, reading: Reading, span: Span, now: f64) -> Share {
+        self.indicators[indicator_index.as_usize()].sums(reading).over(span, now)
     }
 
     /// Returns the number of tracked jobs.
--- a/crates/service-levels/src/underserved.rs
+++ b/crates/service-levels/src/underserved.rs
@@ -50,8 +50,8 @@
 pub struct Underserved(Vec<bool>);
 
 impl Underserved {
-    /// Evaluates every indicator. `forecasts` holds the forecast of the open jobs of each indicator. Without it, a class
-    /// of the lowest priority would count as underserved only after its first jobs had missed their time.
+    /// Evaluates every indicator. `forecasts` holds the forecast of the open jobs of each indicator. Without it, a
+    /// class of the lowest priority would count as underserved only after its first jobs had missed their time.
     pub fn evaluate(
         tracker: &ServiceLevelTracker,
         forecasts: &HashMap<IndicatorIndex, Forecast>,
