--- a/crates/model/src/report.rs
+++ b/crates/model/src/report.rs
@@ -1,8 +1,8 @@
 //! The result of a scenario, and functions that run it.
 
 use crate::coincidences::Coincidences;
+use crate::faults::{InjectedFault, WrongDecision, random_faults};
 use crate::scenario::Scenario;
-use crate::trouble::{InjectedFault, WrongDecision, random_faults};
 use crate::world::World;
 use lupinspur_wire::JobState;
 use serde::Serialize;
@@ -20,7 +20,8 @@
     pub begun: usize,
     pub done: usize,
     pub cancelled: usize,
-    /// Time from the acceptance of a job to its first task, in seconds: the median, the 90th percentile and the maximum.
+    /// Time from the acceptance of a job to its first task, in seconds: the median, the 90th percentile and the
+    /// maximum.
     pub waits: Option<[f64; 3]>,
     #[serde(flatten)]
     pub counts: Counts,
