--- a/tests/loopback/main.rs
+++ b/tests/loopback/main.rs
@@ -1,6 +1,7 @@
-//! The real program over loopback, against stand-ins for the state service, the
-//! cloud and the workers that are written here: starts, bad input, an array, a
-//! service with its cancellation, and the end of the leader in between.
+//! Tests of the real program over loopback, against a simulated state service, cloud and workers. Support modules:
+//! `cluster` (controller processes), `state_service` and `faults`, `cloud`, `workers`, `machines` and `direct`, `links`,
+//! `settings`, `requests`, `services`, `traffic`, `answers` (history of requests and responses) and `rules` (checks of
+//! running tasks). All other modules are tests.
 
 mod answers;
 mod answers_across_nodes;
