--- a/tests/loopback/tasks_end_apart.rs
+++ b/tests/loopback/tasks_end_apart.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// The leader ends after the first tasks have ended, and the next one after the second. Tasks that have ended must not
+/// The leader ends when one task of each job has ended, and the next leader when two have. Tasks that have ended must not
 /// start again, and a job is done only when its last task is.
 #[test]
 fn tasks_end_far_apart_across_changes_of_leader() {
